--- a/mastledge/agreement/startup.py
+++ b/mastledge/consensus/bootstrap.py
@@ -1,12 +1,12 @@
 """What a member does until it takes part: it asks the others, is taken in, or begins a fleet.
 
-Lives and the word at the start are this project's; docs/agreement.md.
+Lives and the word at the start are this project's; docs/consensus.md.
 """
 
-from mastledge.agreement import messages as m
-from mastledge.agreement.log import Log
-from mastledge.agreement.rules import Rules, genesis
-from mastledge.agreement.timing import ASKED_AT_ONCE, ASKING, ASKS, EMPTY, FOLLOWER, FRESH, LEADER, PART
+from mastledge.consensus import messages as m
+from mastledge.consensus.log import Log
+from mastledge.consensus.state_machine import StateMachine, genesis
+from mastledge.consensus.timing import ASKED_AT_ONCE, ASKING, ASKS, EMPTY, FOLLOWER, FRESH, LEADER, PART
 
 
 class Startup:
@@ -35,7 +35,7 @@
             return f"{self.name} is no member of the fleet"
         return "" if self.now < self.lease_until else "no lease: no majority is heard"
 
-    def on_Ask(self, now, sender, life, ask):
+    def on_DiscoverRequest(self, now, sender, life, ask):
         if ask.fleet and self.fleet and ask.fleet != self.fleet:
             return
         self.seen[sender], self.lives[sender] = (now, ask), life
@@ -43,7 +43,9 @@
         heard = known[1:] if known and known[0] == life else (0, 0, 0)
         # Who is empty here as well knows nothing of members but what its file says.
         there = sender in (self.members() if self.rules else self.listed)
-        self.send(sender, m.Told(self.fleet, not self.fleet, self.form, self.digest, there, *heard))
+        self.send(
+            sender, m.DiscoverResponse(self.fleet, not self.fleet, self.form, self.digest, there, *heard)
+        )
         if self.role == LEADER and there and not self.knows(sender, life):
             self.admit(sender, life)
         elif self.role == LEADER and there:
@@ -57,14 +59,14 @@
             and not self.leader
         ):
             # It was there when the fleet began and has not been told.
-            self.send(sender, m.Form(self.fleet, self.rules.snapshot()), safe=True)
+            self.send(sender, m.BootstrapCluster(self.fleet, self.rules.snapshot()), safe=True)
 
     def admit(self, name, life):
         """A member comes as a new life; what the former one has promised is not expected of it."""
         if self.settled():
             self.take(f"life {name} {life} {self.log.last}", {"kind": "life", "name": name, "life": life})
 
-    def on_Told(self, now, sender, life, told):
+    def on_DiscoverResponse(self, now, sender, life, told):
         if self.fleet and told.fleet and told.fleet != self.fleet:
             return
         self.told[sender], self.lives[sender], self.seen[sender] = told, life, (now, told)
@@ -94,13 +96,13 @@
             self.phase = PART
             self.event("takes_part", life=self.life, term=self.term, last=self.log.last)
 
-    def on_Form(self, now, sender, life, form):
+    def on_BootstrapCluster(self, now, sender, life, form):
         one = form.state["members"].get(self.name)
         if not self.fleet and one and one["life"] == self.life:
             self.begin(form.fleet, form.state)
 
     def begin(self, fleet, state):
-        self.fleet, self.rules, self.log = fleet, Rules(state, 1), Log(1, 1)
+        self.fleet, self.rules, self.log = fleet, StateMachine(state, 1), Log(1, 1)
         self.base_state, self.ends = self.rules.snapshot(), None
         self.term, self.commit, self.phase = 1, 1, PART
         self.records += [("identity", fleet, self.life), ("hard", 1, ""), ("snapshot", 1, 1, self.base_state)]
@@ -141,7 +143,7 @@
         return {name for name, (at, empty) in self.words.items() if now - at < FRESH and not empty}
 
     def ask(self, now):
-        ask = m.Ask(
+        ask = m.DiscoverRequest(
             self.fleet, not self.fleet, self.form, self.digest, self.term, self.log.last_term, self.log.last
         )
         for name in self.to_be_asked():
@@ -188,7 +190,7 @@
                 self.elect_at = now + self.beat
                 for name in self.listed:
                     if name != self.name:
-                        self.send(name, m.Form(self.fleet, self.rules.snapshot()), safe=True)
+                        self.send(name, m.BootstrapCluster(self.fleet, self.rules.snapshot()), safe=True)
 
     def told_fleet(self, sender):
         told = self.told.get(sender)
--- a/mastledge/agreement/elections.py
+++ b/mastledge/consensus/elections.py
@@ -1,12 +1,12 @@
 """Terms, votes, and the vote before the vote: Ongaro (2014), 3.4 and 9.6."""
 
-from mastledge.agreement import messages as m
-from mastledge.agreement.leases import Leases
-from mastledge.agreement.relays import ADOPTED_LEASES
-from mastledge.agreement.timing import CANDIDATE, FEW, FOLLOWER, LEADER, MANY
+from mastledge.consensus import messages as m
+from mastledge.consensus.leases import Leases
+from mastledge.consensus.relays import ADOPTED_LEASES
+from mastledge.consensus.timing import CANDIDATE, FEW, FOLLOWER, LEADER, MANY
 
 
-class Elections:
+class ElectionRole:
     """The part of `Member` that elects a leader."""
 
     def on_leaves(self, now):
@@ -19,9 +19,9 @@
             else []
         )
         if ready:
-            self.send(max(ready, key=lambda name: (self.echo.get(name, 0), name)), m.Lead(self.term))
+            self.send(max(ready, key=lambda name: (self.echo.get(name, 0), name)), m.TimeoutNow(self.term))
 
-    def on_Lead(self, now, sender, life, lead):
+    def on_TimeoutNow(self, now, sender, life, lead):
         if lead.term == self.term and sender == self.leader and self.is_voter() and not self.broken:
             self.campaign(now, False)
 
@@ -51,11 +51,11 @@
         lt, li = max((lt, li), (last_term, last))
         self.heard[sender] = (life, max(t, term), lt, li)
 
-    def on_Poll(self, now, sender, life, poll):
+    def on_VoteRequest(self, now, sender, life, poll):
         heard = self.leader is not None and now < self.heard_at + (FEW - 1) * self.beat
         if poll.pre:
             yes = poll.term > self.term and self.up_to_date(poll) and not heard and self.role != LEADER
-            self.send(sender, m.Ballot(poll.term if yes else self.term, yes, True))
+            self.send(sender, m.VoteResponse(poll.term if yes else self.term, yes, True))
             return
         self.raise_term(poll.term)
         self.remember(sender, life, poll.term)
@@ -66,9 +66,9 @@
             self.vote = sender
             self.records.append(("hard", self.term, sender))
             self.draw_election(now)
-        self.send(sender, m.Ballot(self.term, yes, False), safe=yes)
+        self.send(sender, m.VoteResponse(self.term, yes, False), safe=yes)
 
-    def on_Ballot(self, now, sender, life, ballot):
+    def on_VoteResponse(self, now, sender, life, ballot):
         if not ballot.yes:
             self.raise_term(ballot.term)
             return
@@ -89,7 +89,7 @@
             self.term, self.vote = self.term + 1, self.name
             self.records.append(("hard", self.term, self.name))
             self.vote_token = self.token + 1
-        poll = m.Poll(self.term + pre, self.log.last_term, self.log.last, pre)
+        poll = m.VoteRequest(self.term + pre, self.log.last_term, self.log.last, pre)
         for name in self.voters():
             if name != self.name:
                 self.send(name, poll, safe=not pre)
--- a/mastledge/agreement/following.py
+++ b/mastledge/consensus/follower.py
@@ -1,16 +1,16 @@
 """What a member takes from the leader: entries, snapshots, what is agreed, and its lease."""
 
-from mastledge.agreement import messages as m
-from mastledge.agreement.leases import shortest
-from mastledge.agreement.log import Log
-from mastledge.agreement.rules import MEMBERSHIP, Rules
-from mastledge.agreement.timing import FOLLOWER, PART
+from mastledge.consensus import messages as m
+from mastledge.consensus.leases import shortest
+from mastledge.consensus.log import Log
+from mastledge.consensus.state_machine import MEMBERSHIP, StateMachine
+from mastledge.consensus.timing import FOLLOWER, PART
 
 
-class Following:
+class FollowerRole:
     """The part of `Member` that follows a leader."""
 
-    def on_Append(self, now, sender, life, append):
+    def on_AppendEntries(self, now, sender, life, append):
         if append.term < self.term:
             self.ack(sender, False, 0)
             return
@@ -63,7 +63,7 @@
         self.draw_election(now)
         if message.leader:
             self.hear_relay(now, sender, (message.term, message.stamp))
-        if self.fan_out and isinstance(message, m.Append):
+        if self.fan_out and isinstance(message, m.AppendEntries):
             # What was to be heard there the last time, and was not, is told from here.
             self.lists.reported(sender, message.lists)
             for news in self.lists.news_for(sender):
@@ -88,7 +88,7 @@
         hint = self.commit if self.rules else 0
         self.send(
             to,
-            m.Ack(
+            m.AppendResponse(
                 self.term,
                 yes,
                 self.safe,
@@ -102,7 +102,7 @@
             ),
         )
 
-    def on_Install(self, now, sender, life, install):
+    def on_InstallSnapshot(self, now, sender, life, install):
         if install.term < self.term:
             self.ack(sender, False, 0)
             return
@@ -128,7 +128,7 @@
                 self.log = Log(install.last, install.last_term)
                 self.safe = min(self.safe, install.last)
                 self.pending = {token: min(last, install.last) for token, last in self.pending.items()}
-            self.rules, self.ends = Rules(install.state, install.last), None
+            self.rules, self.ends = StateMachine(install.state, install.last), None
             self.base_state, self.commit = self.rules.snapshot(), install.last
             self.records.append(("snapshot", install.last, install.last_term, self.base_state))
             self.event("installed", last=install.last)
--- a/mastledge/agreement/leading.py
+++ b/mastledge/consensus/leader.py
@@ -1,12 +1,12 @@
 """What a leader does: it takes changes, tells the others of them, and knows what is in force."""
 
-from mastledge.agreement import messages as m
-from mastledge.agreement.leases import shortest
-from mastledge.agreement.rules import GONE, MEMBERSHIP, sound, wanted_voters
-from mastledge.agreement.timing import BEATS, LEADER, MANY, NEWS, SLOW_BEATS, WAITING
+from mastledge.consensus import messages as m
+from mastledge.consensus.leases import shortest
+from mastledge.consensus.state_machine import GONE, MEMBERSHIP, sound, wanted_voters
+from mastledge.consensus.timing import BEATS, LEADER, MANY, NEWS, SLOW_BEATS, WAITING
 
 
-class Leading:
+class LeaderRole:
     """The part of `Member` that leads."""
 
     def news_of(self, now, name):
@@ -61,7 +61,7 @@
         gone = self.gone()
         return change["kind"] != "remove" or len(gone) < GONE or self.leases.left(gone[0]["name"], self.now)
 
-    def on_Ack(self, now, sender, life, ack):
+    def on_AppendResponse(self, now, sender, life, ack):
         if ack.term > self.term:
             self.raise_term(ack.term)
             return
@@ -105,7 +105,7 @@
         if self.role == LEADER:
             self.take(propose.id, propose.change)
 
-    def on_News(self, now, sender, life, news):
+    def on_WorkerRestrictions(self, now, sender, life, news):
         if self.fan_out:
             self.hear_news(news)
             return
@@ -210,7 +210,10 @@
                 continue
             following = self.next.get(name, self.log.last + 1 if voter else self.commit + 1)
             if following <= self.log.base:
-                self.send(name, m.Install(self.term, self.log.base, self.log.base_term, self.base_state, now))
+                self.send(
+                    name,
+                    m.InstallSnapshot(self.term, self.log.base, self.log.base_term, self.base_state, now),
+                )
                 self.next[name] = self.log.base + 1
                 continue
             entries = self.log.behind(following - 1)
@@ -220,7 +223,7 @@
                 grant = self.leases.grant(name, majority, self.commit)
             self.send(
                 name,
-                m.Append(
+                m.AppendEntries(
                     self.term,
                     following - 1,
                     self.log.term(following - 1) or 0,
--- a/mastledge/agreement/member.py
+++ b/mastledge/consensus/member.py
@@ -3,23 +3,22 @@
 Ongaro, "Consensus: Bridging Theory and Practice" (2014): terms, votes and a log (3.4 to 3.6), the vote
 before the vote (9.6), members one at a time (4.1), snapshots (5.1). Leases, lives and the word at the start
 are this project's;
-docs/agreement.md.
+docs/consensus.md.
 """
 
 from bisect import insort
 from copy import deepcopy
 from zlib import crc32
 
-from mastledge.agreement import messages as m
-from mastledge.agreement.elections import Elections
-from mastledge.agreement.following import Following
-from mastledge.agreement.leading import Leading
-from mastledge.agreement.log import Log
-from mastledge.agreement.relays import Relaying
-from mastledge.agreement.restrictions import ListExchange
-from mastledge.agreement.rules import MEMBERSHIP, Rules, membership
-from mastledge.agreement.startup import Startup
-from mastledge.agreement.timing import (
+from mastledge.consensus import messages as m
+from mastledge.consensus.bootstrap import Startup
+from mastledge.consensus.elections import ElectionRole
+from mastledge.consensus.follower import FollowerRole
+from mastledge.consensus.leader import LeaderRole
+from mastledge.consensus.log import Log
+from mastledge.consensus.relays import Relaying
+from mastledge.consensus.state_machine import MEMBERSHIP, StateMachine, membership
+from mastledge.consensus.timing import (
     AGAIN,
     ASKING,
     BEATS,
@@ -32,9 +31,10 @@
     MENDS,
     PART,
 )
+from mastledge.consensus.worker_restrictions import ListExchange
 
 
-class Member(Startup, Elections, Following, Leading, Relaying):
+class Member(Startup, ElectionRole, FollowerRole, LeaderRole, Relaying):
     """`step(now, what, ...)` takes one input and gives a list of what follows from it; `wake_at()` when it
     must be called again with "time" at the latest.
 
@@ -87,7 +87,7 @@
     def load(self, kept):
         self.fleet, self.life, self.term, self.vote = (kept[x] for x in ("fleet", "life", "term", "vote"))
         self.log = Log(kept["last"], kept["last_term"], kept["entries"])
-        self.rules, self.base_state = Rules(kept["state"], kept["last"]), deepcopy(kept["state"])
+        self.rules, self.base_state = StateMachine(kept["state"], kept["last"]), deepcopy(kept["state"])
         self.commit, self.safe, self.ends = kept["last"], self.log.last, None
 
     # What is known
@@ -233,7 +233,7 @@
     def on_passed(self, now, message):
         """News of workers that this one's own registry has told."""
         if not self.fan_out:
-            self.on_News(now, self.name, self.life, message)
+            self.on_WorkerRestrictions(now, self.name, self.life, message)
 
     def on_listed(self, now, registry, kind, entries, generation):
         """This one's own registry has told a list or a change: entries as (worker, state)."""
@@ -251,10 +251,17 @@
         if sender == self.name:
             return
         call = getattr(self, "on_" + type(message).__name__)
-        self.words[sender] = now, isinstance(message, m.Ask | m.Told) and message.empty
-        if isinstance(message, m.Ask | m.Told | m.Form):
+        self.words[sender] = (
+            now,
+            isinstance(message, m.DiscoverRequest | m.DiscoverResponse) and message.empty,
+        )
+        if isinstance(message, m.DiscoverRequest | m.DiscoverResponse | m.BootstrapCluster):
             call(now, sender, life, message)
-        elif self.phase == PART or isinstance(message, m.Append | m.Install) and self.phase == EMPTY:
+        elif (
+            self.phase == PART
+            or isinstance(message, m.AppendEntries | m.InstallSnapshot)
+            and self.phase == EMPTY
+        ):
             call(now, sender, life, message)
 
     base_state, compact = None, COMPACT
--- a/mastledge/agreement/messages.py
+++ b/mastledge/consensus/messages.py
@@ -17,11 +17,11 @@
     change: dict
 
 
-class Message(msgspec.Struct, tag=True, array_like=True):
-    pass
+class Message(msgspec.Struct, array_like=True):
+    """A message between dispatchers. The `tag` of each subclass is its name on the wire and stays."""
 
 
-class Ask(Message):
+class DiscoverRequest(Message, tag="Ask"):
     """At the start: who is there, and what do you know of me? `digest` tells one list of members from
     another.
     """
@@ -35,7 +35,7 @@
     last: int = 0
 
 
-class Told(Message):
+class DiscoverResponse(Message, tag="Told"):
     """The answer: the fleet, and what was heard of the asking one in this life of it."""
 
     fleet: str
@@ -48,14 +48,14 @@
     heard_last: int = 0
 
 
-class Form(Message):
+class BootstrapCluster(Message, tag="Form"):
     """A fleet begins: the state that all start from, which names the lives that were heard."""
 
     fleet: str
     state: dict
 
 
-class Poll(Message):
+class VoteRequest(Message, tag="Poll"):
     """Asks for a vote; `pre`: only whether there would be one, which changes nothing at either side."""
 
     term: int
@@ -64,13 +64,13 @@
     pre: bool
 
 
-class Ballot(Message):
+class VoteResponse(Message, tag="Ballot"):
     term: int
     yes: bool
     pre: bool
 
 
-class Append(Message):
+class AppendEntries(Message, tag="Append"):
     """From the leader: entries behind `prev`, what is agreed, and the lease.
 
     `stamp` is the leader's time, to be sent back. `grant` is the latest time of the receiver's own from
@@ -90,12 +90,12 @@
     in_force: int
     left: int
     heard: dict[str, tuple[str, int, int, int]] = {}
-    news: list["News"] = []
+    news: list["WorkerRestrictions"] = []
     leader: str = ""
     lists: dict[str, int] = {}
 
 
-class Ack(Message):
+class AppendResponse(Message, tag="Ack"):
     """`safe` is on the disk here, `applied` is acted on here and by all that hear from this one; `hint`:
     where to send from after a no. `process` tells one process of a member from the next; 0 where the version
     knows no relays.
@@ -113,7 +113,7 @@
     lists: dict[str, int] = {}
 
 
-class Install(Message):
+class InstallSnapshot(Message, tag="Install"):
     """From the leader, for who is behind its log: all that was agreed up to an entry."""
 
     term: int
@@ -124,18 +124,18 @@
     leader: str = ""
 
 
-class Propose(Message):
+class Propose(Message, tag="Propose"):
     id: str
     change: dict
 
 
-class Lead(Message):
+class TimeoutNow(Message, tag="Lead"):
     """From a leader that ends: the receiver is to ask for votes at once."""
 
     term: int
 
 
-class News(Message):
+class WorkerRestrictions(Message, tag="News"):
     """Workers that a registry has told are draining or gone: (id, state); it has reached `generation`.
 
     `since`: only what has changed after this generation, also who is ready again; 0: all that are restricted.
@@ -147,6 +147,18 @@
     since: int = 0
 
 
-ANY = Ask | Told | Form | Poll | Ballot | Append | Ack | Install | Propose | Lead | News
+AnyMessage = (
+    DiscoverRequest
+    | DiscoverResponse
+    | BootstrapCluster
+    | VoteRequest
+    | VoteResponse
+    | AppendEntries
+    | AppendResponse
+    | InstallSnapshot
+    | Propose
+    | TimeoutNow
+    | WorkerRestrictions
+)
 encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.Decoder(ANY).decode
+decode = msgspec.msgpack.Decoder(AnyMessage).decode
--- a/mastledge/agreement/kept.py
+++ b/mastledge/consensus/persisted_state.py
@@ -1,9 +1,9 @@
 """What the disk of a member holds, from its records in their order."""
 
-from mastledge.agreement.messages import Entry
+from mastledge.consensus.messages import Entry
 
 
-class Kept:
+class PersistedState:
     """Records: ("identity", fleet, life), ("hard", term, vote), ("snapshot", last, last_term, state),
     ("entry", index, entry), ("cut", index). A record that can't follow raises ValueError.
     """
--- a/mastledge/agreement/relays.py
+++ b/mastledge/consensus/relays.py
@@ -2,7 +2,7 @@
 
 The leader speaks to the voters. Below them the followers form levels, each `fan_out` times as wide as the
 one above; who stands in one level hears from one member of the level above, its relay, which passes on what
-it has applied itself. docs/agreement.md has the design and the proof; in short:
+it has applied itself. docs/consensus.md has the design and the proof; in short:
 
 - A grant is a time of the receiver's own clock after which, in truth, a majority has heard the leader. A
   relay that holds such a time may grant to a child the latest time that the child told it before that. So
@@ -17,10 +17,10 @@
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from mastledge.agreement import messages as m
-from mastledge.agreement.leases import Leases, longest
-from mastledge.agreement.rules import wanted_voters
-from mastledge.agreement.timing import FOLLOWER, LEADER, MANY, PART
+from mastledge.consensus import messages as m
+from mastledge.consensus.leases import Leases, longest
+from mastledge.consensus.state_machine import wanted_voters
+from mastledge.consensus.timing import FOLLOWER, LEADER, MANY, PART
 
 CHILDREN = 4  # times the fan-out that one relay takes at the most, while others are away
 PACE = 3, 4  # part of a beat that lies between two words to the same child at the least
@@ -183,7 +183,7 @@
         """What this one has applied, and a lease as far as its own grant goes. Nothing that is not agreed."""
         if child.next <= self.log.base:
             base = self.log.base, self.log.base_term, self.base_state
-            self.send(name, m.Install(self.term, *base, self.last_stamp, self.leader))
+            self.send(name, m.InstallSnapshot(self.term, *base, self.last_stamp, self.leader))
             child.next = self.log.base + 1
             return
         child.next = min(child.next, self.commit + 1)
@@ -194,7 +194,7 @@
             grant = self.passed.grant(name, self.granted, self.rules.applied)
         self.send(
             name,
-            m.Append(
+            m.AppendEntries(
                 term=self.term,
                 prev=before,
                 prev_term=self.log.term(before) or 0,
--- a/mastledge/agreement/rules.py
+++ b/mastledge/consensus/state_machine.py
@@ -4,7 +4,7 @@
 
 from copy import deepcopy
 
-from mastledge.agreement.patches import patched
+from mastledge.consensus.settings_patch import patched
 
 HISTORY = 64  # versions that can be looked at
 DOCUMENTS = 16  # settings that can be gone back to
@@ -109,7 +109,7 @@
     return isinstance(change.get("at", 0), int) and isinstance(change.get("by", ""), str)
 
 
-class Rules:
+class StateMachine:
     """What is agreed up to one entry. `state` is plain: text, whole numbers, lists and maps."""
 
     def __init__(self, state, applied):
--- a/mastledge/agreement/restrictions.py
+++ b/mastledge/consensus/worker_restrictions.py
@@ -4,7 +4,7 @@
 lets anybody in.
 """
 
-from mastledge.agreement.messages import News
+from mastledge.consensus.messages import WorkerRestrictions
 
 READY, WHOLE, CACHED, CHANGES = "ready", "whole", "cached", "changes"
 MOST_REGISTRIES = 8  # whose lists are passed on; one for each discovery that dispatchers go by
@@ -42,7 +42,7 @@
 
     def news(self, registry):
         """What others of the same registry have to hear."""
-        return News(registry, self.generation, sorted(self.restricted.items()))
+        return WorkerRestrictions(registry, self.generation, sorted(self.restricted.items()))
 
     def out(self, news):
         """Whom another's news keep off here: nobody once the own list is as new."""
@@ -98,9 +98,9 @@
         """What one that has heard a generation has to hear."""
         if generation < self.floor or not generation:
             workers = [(worker, state) for worker, (state, _) in self.changes.items() if state != READY]
-            return News(registry, self.generation, workers)
+            return WorkerRestrictions(registry, self.generation, workers)
         workers = [(worker, state) for worker, (state, at) in self.changes.items() if at > generation]
-        return News(registry, self.generation, workers, generation)
+        return WorkerRestrictions(registry, self.generation, workers, generation)
 
     def restricted_since(self, generation, registry):
         """Who is restricted by what came after a generation, as news for one's own host."""
@@ -109,7 +109,7 @@
             for worker, (state, at) in self.changes.items()
             if state != READY and at > generation
         ]
-        return News(registry, self.generation, sorted(workers))
+        return WorkerRestrictions(registry, self.generation, sorted(workers))
 
 
 class ListExchange:
--- a/mastledge/copies/node.py
+++ b/mastledge/copies/node.py
@@ -1,4 +1,4 @@
-"""One dispatcher's part in the copies of keys: a pure step, as `agreement.member` is one.
+"""One dispatcher's part in the copies of keys: a pure step, as `consensus.member` is one.
 
 `step(now, what, ...)` takes one input and gives a list of what follows from it; `wake_at()` when it must be
 called again with "time" at the latest.
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -1,4 +1,4 @@
-"""The fleet in simulated time: the very decisions of the program (`balance`, `agreement`, `recovery`), and
+"""The fleet in simulated time: the very decisions of the program (`balance`, `consensus`, `recovery`), and
 models of all that is round them.
 
 `Emulation(scenario, seed).play()` gives a record of the same shape as `Rig.run()`, so the judge, reports and
--- a/mastledge/lab/explore.py
+++ b/mastledge/lab/explore.py
@@ -9,11 +9,11 @@
 import pickle
 from collections import deque
 
-from mastledge.agreement.kept import Kept
-from mastledge.agreement.member import Member
-from mastledge.agreement.messages import Append, decode, encode
-from mastledge.agreement.rules import genesis
-from mastledge.agreement.timing import LEADER, MANY, PART
+from mastledge.consensus.member import Member
+from mastledge.consensus.messages import AppendEntries, decode, encode
+from mastledge.consensus.persisted_state import PersistedState
+from mastledge.consensus.state_machine import genesis
+from mastledge.consensus.timing import LEADER, MANY, PART
 from mastledge.lab.schedule import LEASE, Broken
 
 BEGAN = 1_000_000
@@ -40,7 +40,7 @@
         self.todo = list(changes)
 
     def start(self, name):
-        kept = Kept()
+        kept = PersistedState()
         for record in self.disks[name]:
             kept.take(pickle.loads(pickle.dumps(record)))
         self.members[name] = self.make(
@@ -56,12 +56,12 @@
                 if output[0] == "send":
                     message = output[2]
                     if (
-                        isinstance(message, Append)
+                        isinstance(message, AppendEntries)
                         and not message.entries
                         and message.commit <= self.known(output[1])
                     ):
                         continue  # a beat that says nothing new leads nowhere new
-                    if isinstance(message, Append):
+                    if isinstance(message, AppendEntries):
                         message.heard, message.left = {}, 0  # of no use but at a start, and to a caller
                     item = (output[1], name, member.life, encode(message))
                     if item not in self.wire:  # what comes twice is a move of its own
--- a/mastledge/lab/scale/hollow.py
+++ b/mastledge/lab/scale/hollow.py
@@ -10,10 +10,10 @@
 from copy import deepcopy
 from zlib import crc32
 
-from mastledge.agreement import messages
-from mastledge.agreement.kept import Kept
-from mastledge.agreement.restrictions import OwnList
-from mastledge.agreement.timing import LEADER
+from mastledge.consensus import messages
+from mastledge.consensus.persisted_state import PersistedState
+from mastledge.consensus.timing import LEADER
+from mastledge.consensus.worker_restrictions import OwnList
 from mastledge.lab.scale.delay import DelayedLinks
 from mastledge.lab.sized import Sized
 from mastledge.protocol.discovery import Discovery
@@ -31,7 +31,7 @@
 
     def __init__(self, loop, name, told):
         self.loop, self.name = loop, name
-        kept = Kept()
+        kept = PersistedState()
         for record in deepcopy(told["records"][name]):
             kept.take(record)
         seed = crc32(f"{told['seed']} {name}".encode())
@@ -103,7 +103,7 @@
     def leave(self, successor):
         """Hands the lead on, as a leader that ends does, but to a member that is named."""
         if self.member.role == LEADER:
-            self.links.send(successor, messages.encode(messages.Lead(self.member.term)))
+            self.links.send(successor, messages.encode(messages.TimeoutNow(self.member.term)))
 
 
 def commands(loop, hosted):
--- a/mastledge/lab/scale/meter.py
+++ b/mastledge/lab/scale/meter.py
@@ -13,7 +13,7 @@
 import time
 from collections import defaultdict, deque
 
-from mastledge.agreement.messages import encode
+from mastledge.consensus.messages import encode
 from mastledge.lab.scale.delay import DelayedLinks
 from mastledge.transport.loop import Loop
 
@@ -178,7 +178,7 @@
         self.links.send(to, content)
 
     def metered_heard(self, name, life, content):
-        from mastledge.agreement import messages
+        from mastledge.consensus import messages
 
         message = None if content[:1] == b"\xc1" else messages.decode(content)
         count(meter.received, content, message)
--- a/mastledge/lab/scale/options.py
+++ b/mastledge/lab/scale/options.py
@@ -4,7 +4,7 @@
 import os
 from dataclasses import asdict, dataclass
 
-from mastledge.agreement.rules import MOST_FAN_OUT
+from mastledge.consensus.state_machine import MOST_FAN_OUT
 
 MOST_PROCESSES = 300
 MEMORY_SHARE = 0.5  # of the machine's memory, at most
--- a/mastledge/lab/scale/topology.py
+++ b/mastledge/lab/scale/topology.py
@@ -3,8 +3,8 @@
 import os
 from dataclasses import dataclass
 
-from mastledge.agreement.kept import Kept
-from mastledge.agreement.rules import genesis
+from mastledge.consensus.persisted_state import PersistedState
+from mastledge.consensus.state_machine import genesis
 from mastledge.lab.scale.options import ScaleOptions
 from mastledge.store.folder import Folder
 from mastledge.store.journal import Journal
@@ -91,7 +91,7 @@
 def write_folder(one: Dispatcher, path: str, state: dict) -> None:
     """The folder of a real dispatcher, with its journal."""
     folder = Folder(path).hold()
-    journal = Journal(folder, "agreement", {"name": one.name}, Kept()).open()
+    journal = Journal(folder, "agreement", {"name": one.name}, PersistedState()).open()
     journal.append(first_records(one, state))
     journal.close()
     folder.release()
--- a/mastledge/lab/schedule.py
+++ b/mastledge/lab/schedule.py
@@ -9,11 +9,11 @@
 
 import numpy
 
-from mastledge.agreement.kept import Kept
-from mastledge.agreement.member import Member
-from mastledge.agreement.messages import decode, encode
-from mastledge.agreement.rules import wanted_voters
-from mastledge.agreement.timing import LEADER, PART
+from mastledge.consensus.member import Member
+from mastledge.consensus.messages import decode, encode
+from mastledge.consensus.persisted_state import PersistedState
+from mastledge.consensus.state_machine import wanted_voters
+from mastledge.consensus.timing import LEADER, PART
 from mastledge.lab.simulated import Simulated
 
 LEASE = 2_000_000
@@ -36,7 +36,7 @@
         return self.offset + int(self.fleet.now * self.rate)
 
     def start(self):
-        kept = Kept()
+        kept = PersistedState()
         for record in self.disk:
             kept.take(deepcopy(record))
         self.lives += 1
@@ -105,7 +105,7 @@
             return
         self.disk = records if whole else [*self.disk, *records]
         if any(record[0] == "snapshot" for record in records):
-            kept = Kept()
+            kept = PersistedState()
             for record in self.disk:
                 kept.take(deepcopy(record))
             self.disk = kept.records()
--- a/mastledge/lab/sized.py
+++ b/mastledge/lab/sized.py
@@ -2,9 +2,9 @@
 
 from collections import Counter
 
-from mastledge.agreement.member import Member
-from mastledge.agreement.messages import encode
-from mastledge.agreement.rules import genesis
+from mastledge.consensus.member import Member
+from mastledge.consensus.messages import encode
+from mastledge.consensus.state_machine import genesis
 from mastledge.lab.schedule import LEASE, Fleet
 
 
--- a/mastledge/program/beside.py
+++ b/mastledge/program/beside.py
@@ -1,7 +1,7 @@
 """Two processes of one dispatcher while one takes over: one folder, one that speaks to the other dispatchers.
 
 Who holds the folder speaks. The other goes by what it is told in a small file, addressed to it alone, as
-long as the lease in there lasts, and says in another file what it has taken up. docs/agreement.md has the
+long as the lease in there lasts, and says in another file what it has taken up. docs/consensus.md has the
 reasons.
 """
 
--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -7,12 +7,12 @@
 import uuid
 from copy import deepcopy
 
-from mastledge.agreement import messages
-from mastledge.agreement.kept import Kept
-from mastledge.agreement.leases import longest
-from mastledge.agreement.member import Member
-from mastledge.agreement.restrictions import OwnList
-from mastledge.agreement.timing import LEADER
+from mastledge.consensus import messages
+from mastledge.consensus.leases import longest
+from mastledge.consensus.member import Member
+from mastledge.consensus.persisted_state import PersistedState
+from mastledge.consensus.timing import LEADER
+from mastledge.consensus.worker_restrictions import OwnList
 from mastledge.peers.links import Links
 from mastledge.program.beside import Notes
 from mastledge.program.fleet_calls import LOOK, FleetCalls
@@ -84,7 +84,7 @@
         self.speak()
 
     def speak(self):
-        kept, log = Kept(), self.log
+        kept, log = PersistedState(), self.log
         try:
             fleet = {"fleet": self.told["fleet"]} if self.told["fleet"] else {}
             self.journal = Journal(self.folder, "agreement", {"name": self.name, **fleet}, kept, log).open()
--- a/mastledge/program/fleet_calls.py
+++ b/mastledge/program/fleet_calls.py
@@ -5,9 +5,9 @@
 
 import orjson
 
-from mastledge.agreement.patches import difference
-from mastledge.agreement.rules import LEAST_FAN_OUT, MOST_FAN_OUT, fan_out_is_good
-from mastledge.agreement.timing import LEADER
+from mastledge.consensus.settings_patch import difference
+from mastledge.consensus.state_machine import LEAST_FAN_OUT, MOST_FAN_OUT, fan_out_is_good
+from mastledge.consensus.timing import LEADER
 from mastledge.protocol.control import Answer, No
 from mastledge.recovery import snapshots
 from mastledge.transport.connection import address_of
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -7,11 +7,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mastledge.agreement import messages as m
-from mastledge.agreement.kept import Kept
-from mastledge.agreement.leases import Leases
-from mastledge.agreement.member import Member
-from mastledge.agreement.rules import Rules, genesis, wanted_voters
+from mastledge.consensus import messages as m
+from mastledge.consensus.leases import Leases
+from mastledge.consensus.member import Member
+from mastledge.consensus.persisted_state import PersistedState
+from mastledge.consensus.state_machine import StateMachine, genesis, wanted_voters
 from mastledge.lab.schedule import Broken, Fleet, judged, settled
 
 # Seeds that found something once: saves out of order, a new leader's lease before it knew what was agreed, a
@@ -225,7 +225,7 @@
 
 def test_what_others_know_of_a_list_reaches_all():
     fleet = formed()
-    news = m.News("r", 7, [("w0", "draining")])
+    news = m.WorkerRestrictions("r", 7, [("w0", "draining")])
     fleet.nodes["n2"].step("passed", fleet.nodes["n2"].member, news)
     assert fleet.run(fleet.now + 1_000_000, lambda: {who for _, who, _ in fleet.news} == {"n0", "n1", "n2"})
     # As they were said: a plain list in their place ended the step that heard it.
@@ -233,7 +233,7 @@
 
 
 def rules():
-    return Rules(genesis({"a": 1}, 2_000_000, {"n0": ("x:1", "l0"), "n1": ("x:2", "l1")}), 1)
+    return StateMachine(genesis({"a": 1}, 2_000_000, {"n0": ("x:1", "l0"), "n1": ("x:2", "l1")}), 1)
 
 
 @pytest.mark.parametrize(
@@ -280,7 +280,7 @@
     node = next(node for node in fleet.nodes.values() if node is not fleet.leader())
     member = node.member
     member.lease_until = 0
-    append = m.Append(
+    append = m.AppendEntries(
         member.term,
         member.log.last,
         member.log.last_term,
@@ -297,7 +297,7 @@
 
 @given(st.lists(st.sampled_from(["hard", "entry", "cut", "snapshot"]), max_size=30), st.integers(0, 99))
 def test_fewest_records_lead_to_the_same(kinds, seed):
-    kept, again = Kept(), Kept()
+    kept, again = PersistedState(), PersistedState()
     kept.take(("identity", "f", "l"))
     kept.take(("snapshot", 1, 1, {"v": 1}))
     for n, kind in enumerate(kinds):
@@ -321,7 +321,7 @@
     asked, send = Counter(), fleet.send
 
     def counted(node, to, message):
-        asked[node.name, fleet.now] += isinstance(message, m.Ask)
+        asked[node.name, fleet.now] += isinstance(message, m.DiscoverRequest)
         send(node, to, message)
 
     fleet.send = counted
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mastledge.agreement.messages import Entry
-from mastledge.agreement.rules import Rules, genesis, sound
+from mastledge.consensus.messages import Entry
+from mastledge.consensus.state_machine import StateMachine, genesis, sound
 from mastledge.copies import messages as m
 from mastledge.copies import owner as o
 from mastledge.copies import placement as p
@@ -188,7 +188,7 @@
 
 
 def test_the_fleet_agrees_on_holders_and_switches_once_each_has_its_copies():
-    rules = Rules(genesis({}, 1, {f"n{n}": (f"127.0.0.1:{n + 1}", f"l{n}") for n in range(3)}), 0)
+    rules = StateMachine(genesis({}, 1, {f"n{n}": (f"127.0.0.1:{n + 1}", f"l{n}") for n in range(3)}), 0)
 
     def holds(name, id_, starts=1):
         return agreed(rules, kind="holds", name=name, id=id_, starts=starts, count=3)
@@ -215,7 +215,7 @@
 
 
 def test_another_count_of_copies_moves_once_all_have_read_anew():
-    rules = Rules(genesis({}, 1, {f"n{n}": (f"127.0.0.1:{n + 1}", f"l{n}") for n in range(5)}), 0)
+    rules = StateMachine(genesis({}, 1, {f"n{n}": (f"127.0.0.1:{n + 1}", f"l{n}") for n in range(5)}), 0)
     assert agreed(rules, kind="copies", count=5)["status"] == 409
     for n in range(5):
         agreed(rules, kind="holds", name=f"n{n}", id="i", starts=1, count=3)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mastledge.agreement.member import Member
+from mastledge.consensus.member import Member
 from mastledge.lab.explore import explore, led
 from mastledge.lab.schedule import Broken
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mastledge.agreement.rules import genesis
+from mastledge.consensus.state_machine import genesis
 from mastledge.lab.schedule import Fleet
 from mastledge.recovery import snapshots as s
 
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from mastledge.agreement import messages as m
-from mastledge.agreement.patches import difference, patched
-from mastledge.agreement.relays import Tree
-from mastledge.agreement.restrictions import ListExchange, ListKnowledge
-from mastledge.agreement.rules import Rules, genesis
+from mastledge.consensus import messages as m
+from mastledge.consensus.relays import Tree
+from mastledge.consensus.settings_patch import difference, patched
+from mastledge.consensus.state_machine import StateMachine, genesis
+from mastledge.consensus.worker_restrictions import ListExchange, ListKnowledge
 from mastledge.lab import relaying
 from mastledge.lab.schedule import LEASE, Broken, Fleet
 from mastledge.lab.sized import Sized, begun, measured, rests
@@ -105,8 +105,8 @@
 class Credulous(Sized):
     """A follower takes a lease without what was agreed when it was granted."""
 
-    def on_Append(self, now, sender, life, append):
-        super().on_Append(now, sender, life, append)
+    def on_AppendEntries(self, now, sender, life, append):
+        super().on_AppendEntries(now, sender, life, append)
         grant = append.grant - self.offset
         if append.leader and self.started <= grant <= now and self.listens():
             self.lease_until = max(self.lease_until, grant + self.lease - self.lease // 100)
@@ -276,9 +276,9 @@
     def step(self, now, what, *fields):
         out = super().step(now, what, *fields)
         for n, output in enumerate(out):
-            if output[0] == "send" and isinstance(output[2], m.Ack):
+            if output[0] == "send" and isinstance(output[2], m.AppendResponse):
                 ack = output[2]
-                older = m.Ack(
+                older = m.AppendResponse(
                     ack.term, ack.yes, ack.safe, ack.safe_term, ack.applied, ack.stamp, ack.clock, ack.hint
                 )
                 out[n] = ("send", output[1], older)
@@ -313,7 +313,7 @@
 
 def test_messages_of_a_version_without_relays_are_read():
     raw = m.encode(["Ack", 1, True, 2, 1, 2, 3, 4, 0])
-    assert m.decode(raw) == m.Ack(1, True, 2, 1, 2, 3, 4, 0)
+    assert m.decode(raw) == m.AppendResponse(1, True, 2, 1, 2, 3, 4, 0)
     raw = m.encode(["Append", 1, 2, 1, [], 2, 5, 0, 2, 0, {}, []])
     assert m.decode(raw).leader == "" and m.decode(raw).lists == {}
 
@@ -336,7 +336,7 @@
 
 
 def test_a_patch_counts_as_the_whole_document_does_and_one_that_does_not_fit_changes_nothing():
-    rules = Rules(genesis({"a": {"b": 1}}, LEASE, {"n0": ("x:1", "l")}), 1)
+    rules = StateMachine(genesis({"a": {"b": 1}}, LEASE, {"n0": ("x:1", "l")}), 1)
 
     def change(index, changes, expects):
         return rules.apply(
@@ -356,13 +356,13 @@
     ours.reported("them", theirs.generations())
     assert ours.news_for("them") == []  # its own watch may tell it meanwhile
     (news,) = ours.news_for("them")
-    assert theirs.told(news) == m.News("r", 5, [("w1", "draining")])
+    assert theirs.told(news) == m.WorkerRestrictions("r", 5, [("w1", "draining")])
     ours.own("r", "changes", [("w1", "ready"), ("w2", "gone")], 6)
     ours.reported("them", theirs.generations())
     ours.news_for("them")
     (news,) = ours.news_for("them")
-    assert news == m.News("r", 6, [("w1", "ready"), ("w2", "gone")], 5)
-    assert theirs.told(news) == m.News("r", 6, [("w2", "gone")])
+    assert news == m.WorkerRestrictions("r", 6, [("w1", "ready"), ("w2", "gone")], 5)
+    assert theirs.told(news) == m.WorkerRestrictions("r", 6, [("w2", "gone")])
     assert theirs.told(news) is None
     ours.reported("them", theirs.generations())
     assert ours.news_for("them") == []
@@ -371,9 +371,9 @@
 def test_news_that_do_not_join_on_are_not_taken():
     known = ListKnowledge()
     known.own("whole", [("w0", "draining")], 3)
-    assert not known.told(m.News("r", 9, [("w1", "gone")], 5)) and known.generation == 3
-    assert known.told(m.News("r", 9, [("w1", "gone")]))
-    assert known.since(2, "r") == m.News("r", 9, [("w1", "gone")])
+    assert not known.told(m.WorkerRestrictions("r", 9, [("w1", "gone")], 5)) and known.generation == 3
+    assert known.told(m.WorkerRestrictions("r", 9, [("w1", "gone")]))
+    assert known.since(2, "r") == m.WorkerRestrictions("r", 9, [("w1", "gone")])
 
 
 class Asked(FleetCalls):
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -7,9 +7,9 @@
 from test_start import believed, kept
 from test_terms import Agent
 
-from mastledge.agreement import messages as m
-from mastledge.agreement.restrictions import ListExchange, OwnList
-from mastledge.agreement.rules import genesis
+from mastledge.consensus import messages as m
+from mastledge.consensus.state_machine import genesis
+from mastledge.consensus.worker_restrictions import ListExchange, OwnList
 from mastledge.copies.placement import Placement
 from mastledge.peers import links
 from mastledge.program.configuration import configuration
@@ -72,7 +72,7 @@
 
 def test_what_a_large_fleet_agrees_on_fits_a_frame_and_a_snapshot():
     made = state()
-    raw = m.encode(m.Form("f", made))
+    raw = m.encode(m.BootstrapCluster("f", made))
     assert len(raw) < links.MOST // 4
     told = snapshots.unpacked(msgspec.json.encode(snapshots.packed(made, "f", "x", 1)))
     assert len(told["state"]["members"]) == MANY and len(told["state"]["out"]) == WORKERS
@@ -100,5 +100,5 @@
     ours.own("r", "whole", workers, 7)
     ours.news_for("them")
     (news,) = ours.news_for("them")
-    told = m.decode(m.encode(m.Append(1, 1, 1, [], 1, 5, 0, 1, 0, {}, [news])))
+    told = m.decode(m.encode(m.AppendEntries(1, 1, 1, [], 1, 5, 0, 1, 0, {}, [news])))
     assert len(theirs.told(told.news[0]).workers) == WORKERS
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -3,14 +3,14 @@
 
 def leaseless():
     """Acts on what it knows, lease or not."""
-    from mastledge.agreement.member import Member
+    from mastledge.consensus.member import Member
 
     Member.may_act = lambda self, now: self.rules is not None
 
 
 def hasty():
     """Calls a change in force as soon as it is agreed, whoever has it."""
-    from mastledge.agreement.leases import Leases
+    from mastledge.consensus.leases import Leases
 
     Leases.reached = lambda self, name, now: None
 
