--- a/mastledge/consensus/state_machine.py
+++ b/mastledge/consensus/state_machine.py
@@ -231,7 +231,7 @@
         self.state["members"] = after
         return "", 0
 
-    # Copies of keys: docs/copies.md
+    # Copies of keys: docs/replication.md
 
     def on_holds(self, change):
         """A dispatcher has opened its folder of keys, for the `starts`th time; another id is an empty one."""
--- a/mastledge/repeats/book.py
+++ b/mastledge/idempotency/key_table.py
@@ -68,7 +68,7 @@
     content: bytes = b""
 
 
-class Book:
+class KeyTable:
     """`keep`: for how long an answer, or that it may have run, is told (microseconds). `entries` and
     `bytes_` are its room.
 
@@ -233,7 +233,7 @@
         )
 
 
-class Kept:
+class PersistedKeys:
     """What the journal amounts to; `now` gives Unix microseconds, by which what is over is left out of a
     rewrite.
     """
--- a/mastledge/lab/bench.py
+++ b/mastledge/lab/bench.py
@@ -11,8 +11,7 @@
 import msgspec
 import numpy
 
-from mastledge.copies.kept import Kept, head
-from mastledge.copies.placement import ranked
+from mastledge.idempotency.key_table import KeyTable
 from mastledge.lab import outages
 from mastledge.lab.judge import judged
 from mastledge.lab.rig import LOOK, Rig
@@ -20,7 +19,8 @@
 from mastledge.lab.sized import grown
 from mastledge.lab.sized import measured as measured_size
 from mastledge.lab.wire import call
-from mastledge.repeats.book import Book
+from mastledge.replication.persisted_state import PersistedReplica, head
+from mastledge.replication.placement import ranked
 from mastledge.store.folder import Folder
 from mastledge.store.journal import Journal
 
@@ -252,7 +252,7 @@
         self.written = {}
         for name, node in self.nodes.items():
             folder = Folder(os.path.join(node.folder, "repeats")).hold()
-            journal = Journal(folder, "copies", {"name": name}, Kept(time.time_ns)).open()
+            journal = Journal(folder, "copies", {"name": name}, PersistedReplica(time.time_ns)).open()
             journal.rewrite(records[name])
             self.written[name] = journal.size, len(records[name]) // 2
             journal.close()
@@ -311,7 +311,7 @@
 def remembered(keys, answer):
     """Bytes that a copy takes in memory, and what the book counts for it."""
     tracemalloc.start()
-    book = Book(600_000_000, 4 * keys, 1 << 31, 0)
+    book = KeyTable(600_000_000, 4 * keys, 1 << 31, 0)
     before = tracemalloc.get_traced_memory()[0]
     for n in range(keys):
         _, one = book.offer(0, "", b"key-%032d" % n, bytes([n % 256]) * 16, 1, f"{n}.0123456789ab.n1")
--- a/mastledge/lab/copying.py
+++ b/mastledge/lab/copying.py
@@ -13,12 +13,12 @@
 
 from mastledge.consensus.messages import Entry
 from mastledge.consensus.state_machine import StateMachine, genesis
-from mastledge.copies import messages as m
-from mastledge.copies import owner as o
-from mastledge.copies.kept import Kept, head
-from mastledge.copies.node import Node
+from mastledge.idempotency import key_table as b
 from mastledge.lab.simulated import Simulated
-from mastledge.repeats import book as b
+from mastledge.replication import coordinator as o
+from mastledge.replication import messages as m
+from mastledge.replication.node import Node
+from mastledge.replication.persisted_state import PersistedReplica, head
 
 KEEP, WALLTIME = 20_000_000, 2_000_000
 PATIENCE = KEEP + 3 * WALLTIME
@@ -38,13 +38,13 @@
 
     def start(self):
         fleet = self.fleet
-        kept = Kept(lambda: fleet.now)
+        kept = PersistedReplica(lambda: fleet.now)
         for record in self.disk:
             kept.take(deepcopy(record))
         self.runs += 1
         self.up, self.failed, self.applied = True, False, 0
         kept.id = kept.id or f"{self.name}-{self.runs}"
-        book = b.Book(fleet.keep, fleet.entries, fleet.bytes_, 0)
+        book = b.KeyTable(fleet.keep, fleet.entries, fleet.bytes_, 0)
         book.recovered(fleet.now, kept.held, False)
         self.node = fleet.make(
             self.name,
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -13,8 +13,6 @@
 from copy import deepcopy
 from types import SimpleNamespace
 
-from mastledge.copies import messages as m
-from mastledge.copies import owner as o
 from mastledge.lab import copying, faults, outages, policies, schedule
 from mastledge.lab.load import Clients
 from mastledge.lab.rig import document, limits
@@ -22,7 +20,8 @@
 from mastledge.program.settings import flat, plain_map
 from mastledge.recovery import belief as b
 from mastledge.recovery.opening import DONE, ELSE, TURNED, Opening
-from mastledge.repeats import book
+from mastledge.replication import coordinator as o
+from mastledge.replication import messages as m
 
 LINK = 100, 600  # microseconds on the way, least and most
 BOOT = 200_000, 320_000  # from the start of a process to its first step
@@ -391,9 +390,9 @@
         job.open = False
         if job.n is not None and job.claim in self.claims:
             # What it came to has to be kept before it is told.
-            how = {200: book.ANSWERED, 503: m.DROPPED}.get(status, book.UNSURE)
+            how = {200: key_table.ANSWERED, 503: m.DROPPED}.get(status, key_table.UNSURE)
             job.reply = status, hold_off, result
-            content = result.encode() if how == book.ANSWERED else b""
+            content = result.encode() if how == key_table.ANSWERED else b""
             self.key_step("ended", job.claim, how, status, content)
             return
         self.say(job, status, hold_off, result, door)
--- a/mastledge/program/copying.py
+++ b/mastledge/program/copying.py
@@ -10,16 +10,16 @@
 import msgspec
 import orjson
 
-from mastledge.copies import messages as m
-from mastledge.copies import owner as o
-from mastledge.copies.kept import Kept, head
-from mastledge.copies.node import Node
+from mastledge.idempotency import key_table as b
 from mastledge.program.configuration import COPIES
 from mastledge.program.repeating import MARGIN, Repeats, unix
 from mastledge.protocol import http
 from mastledge.protocol.control import Answer, No
 from mastledge.protocol.requests import COMPLETED, KILLED, REJECTED
-from mastledge.repeats import book as b
+from mastledge.replication import coordinator as o
+from mastledge.replication import messages as m
+from mastledge.replication.node import Node
+from mastledge.replication.persisted_state import PersistedReplica, head
 from mastledge.store.journal import Journal
 from mastledge.store.writer import Writer
 from mastledge.transport.loop import READ
@@ -33,7 +33,7 @@
     """All that one dispatcher says to another in one turn; `id` is that of the folder behind it."""
 
     id: str
-    messages: list[m.ANY]
+    messages: list[m.AnyMessage]
 
 
 encode = msgspec.msgpack.Encoder().encode
@@ -53,7 +53,7 @@
     # The folder
 
     def open(self):
-        kept = Kept(unix)
+        kept = PersistedReplica(unix)
         journal = self.journal(kept)
         now = self.loop.now()
         if not kept.id:
@@ -74,7 +74,7 @@
     def begins(self, now, kept, id_, starts):
         """With what the disk held; it takes part once its start is agreed, as an old folder has no say."""
         self.id, self.starts, self.fence, self.node = id_, starts, kept.fence, None
-        self.book = b.Book(self.told["keep"], self.told["entries"], self.told["bytes"], unix() - now)
+        self.book = b.KeyTable(self.told["keep"], self.told["entries"], self.told["bytes"], unix() - now)
         self.book.recovered(now, kept.held, False)
         self.lasts, self.token = False, self.token + 1
         self.starting = self.token
@@ -94,7 +94,7 @@
         if "why" in result and self.name in self.fleet.member.rules.members:
             # What others count on is not in it, so it comes as an empty one.
             self.log("copies_folder_is_old", why=result["why"])
-            kept = Kept(unix)
+            kept = PersistedReplica(unix)
             self.begins(self.loop.now(), kept, uuid.uuid4().hex[:16], 1)
             self.token += 1
             self.writer.rewrite(self.token, head(self.id, self.starts, 0))
--- a/mastledge/program/repeating.py
+++ b/mastledge/program/repeating.py
@@ -8,10 +8,20 @@
 
 import orjson
 
+from mastledge.idempotency.key_table import (
+    ANSWER,
+    FULL,
+    JOIN,
+    NEW,
+    STATUS,
+    WHY,
+    KeyTable,
+    PersistedKeys,
+    fingerprint,
+)
 from mastledge.protocol import http
 from mastledge.protocol.control import Answer
 from mastledge.protocol.requests import COMPLETED, KILLED, REJECTED
-from mastledge.repeats.book import ANSWER, FULL, JOIN, NEW, STATUS, WHY, Book, Kept, fingerprint
 from mastledge.store.folder import BadFolder, Folder
 from mastledge.store.journal import Journal
 from mastledge.store.writer import Writer
@@ -53,10 +63,10 @@
         self.open()
 
     def open(self):
-        kept = Kept(unix)
+        kept = PersistedKeys(unix)
         journal = self.opened(Journal(self.folder, "repeats", {"name": self.name}, kept, self.log))
         now = self.loop.now()
-        book = Book(self.told["keep"], self.told["entries"], self.told["bytes"], unix() - now)
+        book = KeyTable(self.told["keep"], self.told["entries"], self.told["bytes"], unix() - now)
         book.recovered(now, kept.held)
         self.log("repeats", held=len(book.held), bytes=journal.size)
         self.writer, self.book = Writer(journal), book
--- a/mastledge/copies/restore.py
+++ b/mastledge/replication/catch_up.py
@@ -6,8 +6,8 @@
 then it is waited until all promises of then are over.
 """
 
-from mastledge.copies import messages as m
-from mastledge.repeats.book import Full
+from mastledge.idempotency.key_table import Full
+from mastledge.replication import messages as m
 
 BATCH, BYTES = 128, 1 << 18  # records of one message, and bytes of their answers
 LOOKED = 128  # records looked at for one: each costs two rankings, and a turn of the loop has to stay short
@@ -22,7 +22,7 @@
         self.keeps = False
 
 
-class Restore:
+class CatchUp:
     def __init__(self, node, patience):
         self.node, self.patience = node, patience
         self.sources, self.epoch, self.heard, self.whole, self.said = {}, -1, {}, set(), False
@@ -73,9 +73,9 @@
         elif now >= self.again_at:
             self.again_at = now + AGAIN
             for name in sorted(missing):
-                self.node.say(name, m.Scan(self.epoch, self.heard.get(name, 0)))
+                self.node.say(name, m.ScanRequest(self.epoch, self.heard.get(name, 0)))
 
-    def on_Batch(self, now, sender, id_, batch):
+    def on_ScanResponse(self, now, sender, id_, batch):
         placement = self.node.placement
         if batch.epoch != self.epoch or placement.now.get(sender) != id_ or sender in self.whole:
             return
@@ -93,11 +93,11 @@
             self.whole.add(sender)
             self.run(now)
         else:
-            self.node.say(sender, m.Scan(self.epoch, self.heard[sender]))
+            self.node.say(sender, m.ScanRequest(self.epoch, self.heard[sender]))
 
     # To others
 
-    def on_Scan(self, now, sender, id_, scan):
+    def on_ScanRequest(self, now, sender, id_, scan):
         node, placement = self.node, self.node.placement
         if scan.epoch != placement.epoch or placement.next is None or placement.next.get(sender) != id_:
             return
@@ -124,4 +124,4 @@
                 records.append(node.holder.copy(now, record))
                 size += len(record.content)
         self.given += len(records)
-        return m.Batch(source.epoch, source.place, source.at, records, source.at >= len(source.places))
+        return m.ScanResponse(source.epoch, source.place, source.at, records, source.at >= len(source.places))
--- a/mastledge/copies/owner.py
+++ b/mastledge/replication/coordinator.py
@@ -12,9 +12,9 @@
 from heapq import heappop, heappush
 from zlib import crc32
 
-from mastledge.copies import messages as m
-from mastledge.copies.placement import Placement
-from mastledge.repeats import book as b
+from mastledge.idempotency import key_table as b
+from mastledge.replication import messages as m
+from mastledge.replication.placement import Placement
 
 PATIENCE = 300_000  # for a majority, where the job's time is longer
 AGAIN, LONGEST = 60_000, 2_000_000  # between two times that the same is said to who does not answer
@@ -72,7 +72,7 @@
         self.left, self.forget = False, 0
 
 
-class Op:
+class QuorumCall:
     """Something said to all holders of a key, again and again until each has answered or its time is over."""
 
     __slots__ = (
@@ -103,7 +103,7 @@
         self.job = None  # whose answer may be forgotten here once all have it
 
 
-class Owner:
+class Coordinator:
     """`host.say(to, message)`, `host.tell(n, what, status, content)`, `host.ids` {name: id} as heard."""
 
     def __init__(self, host, name, run, keep, seed):
@@ -140,7 +140,7 @@
     # Operations on all holders of a key
 
     def begin(self, now, kind, place, fields, until, done, failed=None):
-        op = Op(self.number(), kind, place, fields, until, done, failed)
+        op = QuorumCall(self.number(), kind, place, fields, until, done, failed)
         op.share = self.placement.share(*place)
         self.ops[op.n] = op
         self.push(now, op)
@@ -149,13 +149,15 @@
 
     def message(self, now, op):
         kind, (tenant, key) = op.kind, op.place
-        if kind is m.Claim:
+        if kind is m.ClaimKey:
             print_, claim, until, over = op.fields
-            return m.Claim(op.n, self.placement.epoch, tenant, key, print_, claim, until - now, over)
-        if kind is m.End:
+            return m.ClaimKey(op.n, self.placement.epoch, tenant, key, print_, claim, until - now, over)
+        if kind is m.CompleteKey:
             print_, claim, known, status, content = op.fields
             left = max(0, op.until - now)
-            return m.End(op.n, self.placement.epoch, tenant, key, print_, claim, known, status, content, left)
+            return m.CompleteKey(
+                op.n, self.placement.epoch, tenant, key, print_, claim, known, status, content, left
+            )
         return kind(op.n, tenant, key, *op.fields)
 
     def push(self, now, op, turn=None):
@@ -194,18 +196,18 @@
         if call is not None:
             call(now, op)
 
-    def on_Had(self, now, sender, id_, had):
+    def on_ReplicaResponse(self, now, sender, id_, had):
         op = self.ops.get(had.op)
         if op is None:
             return
         op.heard[sender] = id_
-        good = (m.GRANTED,) if op.kind is m.Claim else (m.DONE,)
-        if had.what in good or op.kind is m.Look:
+        good = (m.GRANTED,) if op.kind is m.ClaimKey else (m.DONE,)
+        if had.what in good or op.kind is m.ReadKey:
             op.acks[sender] = id_
             op.said[sender] = had
         elif had.what == m.STALE:
             return  # it has heard of other holders earlier than this one, and is asked again by and by
-        elif op.kind is m.Claim:
+        elif op.kind is m.ClaimKey:
             op.against[sender] = had
         elif had.what in (m.FULL, m.DISK, m.HELD, m.MAYBE, m.ANSWERED):
             return  # not now; it is told again
@@ -232,7 +234,7 @@
         other, self.placement = placement.epoch != self.placement.epoch, placement
         for op in list(self.ops.values()):
             op.waits, op.share = AGAIN, placement.share(*op.place)
-            if op.kind is m.Claim and other:
+            if op.kind is m.ClaimKey and other:
                 del self.ops[op.n]
                 op.n, op.acks, op.against, op.heard = self.number(), {}, {}, {}
                 self.ops[op.n] = op
@@ -267,7 +269,7 @@
         job.left = True
         self.jobs.pop(job.n, None)
         for op in (job.op, job.looks):
-            if op is not None and op.kind is not m.End:
+            if op is not None and op.kind is not m.CompleteKey:
                 self.closed(op)
 
     def claim(self, now, job):
@@ -277,7 +279,7 @@
         fields = (job.print, job.claim, job.until, job.over)
         job.op = self.begin(
             now,
-            m.Claim,
+            m.ClaimKey,
             job.place,
             fields,
             min(now + PATIENCE, job.until),
@@ -297,7 +299,7 @@
         self.claims.pop(claim, None)
         if self.places.get(job.place) is job:
             del self.places[job.place]
-        return self.begin(now, m.Drop, job.place, (claim,), job.until + LONGEST, done, done)
+        return self.begin(now, m.ReleaseClaim, job.place, (claim,), job.until + LONGEST, done, done)
 
     def not_granted(self, now, job, op):
         """A majority for this claim is not to be had, or not in time: what those who refused know decides."""
@@ -345,7 +347,7 @@
         job.phase = WAITING
         job.op = self.begin(
             now,
-            m.End,
+            m.CompleteKey,
             job.place,
             fields,
             max(now + had.left, now + 1),
@@ -383,7 +385,7 @@
             else:
                 self.told(now, job, m.DROPPED if run == self.run else m.UNKNOWN)
             return
-        self.host.say(owner, m.Ask(job.n, target))
+        self.host.say(owner, m.OwnerQuery(job.n, target))
         if now >= job.looked_at + LOOKS:
             if job.looked_at:
                 self.look(now, job)
@@ -395,7 +397,7 @@
             return
         job.looks = self.begin(
             now,
-            m.Look,
+            m.ReadKey,
             job.place,
             (),
             now + 2 * PATIENCE,
@@ -439,7 +441,7 @@
             return (m.LOOK,)
         return m.ANSWERED, known.status, known.content
 
-    def on_Ask(self, now, sender, ask):
+    def on_OwnerQuery(self, now, sender, ask):
         try:
             owner, run = m.parts(ask.claim)
         except ValueError:
@@ -448,15 +450,15 @@
         if known is None:
             # Of this run all are known that were not given back; of one before nothing.
             mine = owner == self.name and run == self.run
-            self.host.say(sender, m.Told(ask.op, ask.claim, m.DROPPED if mine else m.UNKNOWN))
+            self.host.say(sender, m.OwnerResponse(ask.op, ask.claim, m.DROPPED if mine else m.UNKNOWN))
         elif known.phase in (CLAIMING, HELD, ENDING):
             listener = (sender, ask.op, ask.claim)
             if listener not in known.listeners:
                 known.listeners.append(listener)
         else:
-            self.host.say(sender, m.Told(ask.op, ask.claim, *self.outcome(known)))
+            self.host.say(sender, m.OwnerResponse(ask.op, ask.claim, *self.outcome(known)))
 
-    def on_Told(self, now, sender, told):
+    def on_OwnerResponse(self, now, sender, told):
         job = self.jobs.get(told.op)
         # One that comes late may be of a claim that this job has waited for before.
         if job is not None and job.phase == JOINING and job.target == told.claim:
@@ -466,7 +468,7 @@
         """What the claim that this job waits for came to; `job` may be one of another dispatcher's."""
         if isinstance(job, tuple):
             sender, op, claim = job
-            self.host.say(sender, m.Told(op, claim, what, status, content))
+            self.host.say(sender, m.OwnerResponse(op, claim, what, status, content))
             return
         if job.left or job.phase != JOINING:
             return
@@ -519,7 +521,7 @@
         job.status, job.content = status, content if job.known else None
         job.op = self.begin(
             now,
-            m.End,
+            m.CompleteKey,
             job.place,
             fields,
             now + self.keep,
@@ -570,8 +572,11 @@
                 self.told(now, other, m.DROPPED)
 
     def figures(self):
-        under = {op.place for op in self.ops.values() if op.kind is m.End}
+        under = {op.place for op in self.ops.values() if op.kind is m.CompleteKey}
         owed = sum(
-            name not in op.acks for op in self.ops.values() if op.kind is m.End for name in op.share.names
+            name not in op.acks
+            for op in self.ops.values()
+            if op.kind is m.CompleteKey
+            for name in op.share.names
         )
         return {"owed": owed, "under_copied": len(under), "under_way": len(self.jobs)}
--- a/mastledge/copies/messages.py
+++ b/mastledge/replication/messages.py
@@ -23,11 +23,11 @@
 DROPPED, UNKNOWN, LOOK = "dropped", "unknown", "look"
 
 
-class Message(msgspec.Struct, tag=True, array_like=True):
-    pass
+class Message(msgspec.Struct, array_like=True):
+    """A message about keys. The `tag` of each subclass is its name on the wire and stays."""
 
 
-class Claim(Message):
+class ClaimKey(Message, tag="Claim"):
     """May `claim` be the only one of its key? `left`: of its walltime; `over`: claims that were dropped."""
 
     op: int
@@ -40,7 +40,7 @@
     over: list[str] = []
 
 
-class End(Message):
+class CompleteKey(Message, tag="End"):
     """What the claim came to: answered, or it may have run; told for `left` more."""
 
     op: int
@@ -55,7 +55,7 @@
     left: int
 
 
-class Drop(Message):
+class ReleaseClaim(Message, tag="Drop"):
     """The claim is given back: nothing ran, or trying again is harmless."""
 
     op: int
@@ -64,7 +64,7 @@
     claim: str
 
 
-class Look(Message):
+class ReadKey(Message, tag="Look"):
     """What is known of this key? It changes nothing."""
 
     op: int
@@ -72,7 +72,7 @@
     key: bytes
 
 
-class Had(Message):
+class ReplicaResponse(Message, tag="Had"):
     """A holder's answer; `claim`, `left` and what follows are of the record that it has."""
 
     op: int
@@ -84,14 +84,14 @@
     print: bytes = b""
 
 
-class Ask(Message):
+class OwnerQuery(Message, tag="Ask"):
     """To the dispatcher that made a claim: what has become of it?"""
 
     op: int
     claim: str
 
 
-class Told(Message):
+class OwnerResponse(Message, tag="Told"):
     op: int
     claim: str
     what: str
@@ -99,7 +99,7 @@
     content: bytes = b""
 
 
-class Scan(Message):
+class ScanRequest(Message, tag="Scan"):
     """From who becomes a holder: the next of the records that are to be its own, from this place on."""
 
     epoch: int
@@ -117,7 +117,7 @@
     content: bytes = b""
 
 
-class Batch(Message):
+class ScanResponse(Message, tag="Batch"):
     """What there is from `place` up to `to`, which may be nothing."""
 
     epoch: int
@@ -127,11 +127,21 @@
     last: bool
 
 
-ANY = Claim | End | Drop | Look | Had | Ask | Told | Scan | Batch
+AnyMessage = (
+    ClaimKey
+    | CompleteKey
+    | ReleaseClaim
+    | ReadKey
+    | ReplicaResponse
+    | OwnerQuery
+    | OwnerResponse
+    | ScanRequest
+    | ScanResponse
+)
 encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.Decoder(ANY).decode
+decode = msgspec.msgpack.Decoder(AnyMessage).decode
 encode_all = msgspec.msgpack.Encoder().encode
-decode_all = msgspec.msgpack.Decoder(list[ANY]).decode
+decode_all = msgspec.msgpack.Decoder(list[AnyMessage]).decode
 
 
 def named(owner, run, n):
--- a/mastledge/copies/node.py
+++ b/mastledge/replication/node.py
@@ -10,11 +10,11 @@
 ("caught", epoch): to be agreed.
 """
 
-from mastledge.copies import messages as m
-from mastledge.copies.holder import Holder
-from mastledge.copies.owner import Owner
-from mastledge.copies.placement import Placement
-from mastledge.copies.restore import Restore
+from mastledge.replication import messages as m
+from mastledge.replication.catch_up import CatchUp
+from mastledge.replication.coordinator import Coordinator
+from mastledge.replication.placement import Placement
+from mastledge.replication.replica import Replica
 
 
 class Node:
@@ -25,8 +25,8 @@
 
     def __init__(self, name, id_, run, book, fence, seed, patience, now, synced=True):
         self.name, self.id, self.fence, self.synced = name, id_, fence, synced
-        self.holder, self.owner = Holder(book, now), Owner(self, name, run, book.keep, seed)
-        self.restore = Restore(self, patience)
+        self.holder, self.owner = Replica(book, now), Coordinator(self, name, run, book.keep, seed)
+        self.restore = CatchUp(self, patience)
         self.placement, self.ids = Placement(), {name: id_}
         self.out, self.records, self.held, self.token, self.safe = [], [], [], 0, 0
         self.broken, self.now, self.inner = False, now, []
@@ -139,8 +139,12 @@
 
     def on_heard(self, now, sender, id_, message):
         """ValueError where it makes no sense, and then nothing of it counts."""
-        for told in message.records if isinstance(message, m.Batch) else (message,):
-            if isinstance(told, m.Claim | m.End | m.Ask) or isinstance(told, m.Record) and told.claim:
+        for told in message.records if isinstance(message, m.ScanResponse) else (message,):
+            if (
+                isinstance(told, m.ClaimKey | m.CompleteKey | m.OwnerQuery)
+                or isinstance(told, m.Record)
+                and told.claim
+            ):
                 m.parts(told.claim)
         self.ids[sender] = id_
         self.hear(now, sender, id_, message)
@@ -151,44 +155,44 @@
             return
         getattr(self, "hear_" + type(message).__name__.lower())(now, sender, id_, message)
 
-    def hear_claim(self, now, sender, id_, told):
+    def hear_claimkey(self, now, sender, id_, told):
         if told.epoch < self.fence:
-            self.say(sender, m.Had(told.op, m.STALE))
+            self.say(sender, m.ReplicaResponse(told.op, m.STALE))
         elif self.broken:
-            self.say(sender, m.Had(told.op, m.DISK))
+            self.say(sender, m.ReplicaResponse(told.op, m.DISK))
         else:
             had = self.holder.claim(now, told)
             self.say(sender, had, safe=had.what == m.GRANTED)
 
-    def hear_end(self, now, sender, id_, told):
+    def hear_completekey(self, now, sender, id_, told):
         if told.epoch < self.fence:
-            self.say(sender, m.Had(told.op, m.STALE))
+            self.say(sender, m.ReplicaResponse(told.op, m.STALE))
         elif self.broken:
-            self.say(sender, m.Had(told.op, m.DISK))
+            self.say(sender, m.ReplicaResponse(told.op, m.DISK))
         else:
             had = self.holder.end(now, told)
             self.say(sender, had, safe=had.what == m.DONE)
 
-    def hear_drop(self, now, sender, id_, told):
+    def hear_releaseclaim(self, now, sender, id_, told):
         if not self.broken:
             self.say(sender, self.holder.drop(now, told), safe=True)
 
-    def hear_look(self, now, sender, id_, told):
+    def hear_readkey(self, now, sender, id_, told):
         self.say(sender, self.holder.look(now, told))
 
-    def hear_had(self, now, sender, id_, told):
-        self.owner.on_Had(now, sender, id_, told)
+    def hear_replicaresponse(self, now, sender, id_, told):
+        self.owner.on_ReplicaResponse(now, sender, id_, told)
 
-    def hear_ask(self, now, sender, id_, told):
-        self.owner.on_Ask(now, sender, told)
+    def hear_ownerquery(self, now, sender, id_, told):
+        self.owner.on_OwnerQuery(now, sender, told)
 
-    def hear_told(self, now, sender, id_, told):
-        self.owner.on_Told(now, sender, told)
+    def hear_ownerresponse(self, now, sender, id_, told):
+        self.owner.on_OwnerResponse(now, sender, told)
 
-    def hear_scan(self, now, sender, id_, told):
+    def hear_scanrequest(self, now, sender, id_, told):
         if not self.broken:
-            self.restore.on_Scan(now, sender, id_, told)
+            self.restore.on_ScanRequest(now, sender, id_, told)
 
-    def hear_batch(self, now, sender, id_, told):
+    def hear_scanresponse(self, now, sender, id_, told):
         if not self.broken:
-            self.restore.on_Batch(now, sender, id_, told)
+            self.restore.on_ScanResponse(now, sender, id_, told)
--- a/mastledge/copies/kept.py
+++ b/mastledge/replication/persisted_state.py
@@ -1,9 +1,9 @@
 """What the disk of a holder keeps, from its records in their order."""
 
-from mastledge.repeats import book
+from mastledge.idempotency import key_table
 
 
-class Kept(book.Kept):
+class PersistedReplica(key_table.PersistedKeys):
     """As of one dispatcher's keys, and ("holder", id, starts): which folder this is, and how often it was
     opened; ("fence", epoch): of earlier placements nothing is let in any more.
     """
--- a/mastledge/copies/holder.py
+++ b/mastledge/replication/replica.py
@@ -7,13 +7,13 @@
 
 from heapq import heapify, heappop, heappush
 
-from mastledge.copies import messages as m
-from mastledge.repeats import book as b
+from mastledge.idempotency import key_table as b
+from mastledge.replication import messages as m
 
 GRACE = 250_000  # after a claim's walltime, in which its outcome is on its way
 
 
-class Holder:
+class Replica:
     def __init__(self, book, now):
         self.book, self.ends, self.count = book, [], 0
         for record in book.held.values():
@@ -38,9 +38,9 @@
 
     def had(self, op, what, record, now):
         if record is None or what in (m.GRANTED, m.DONE):
-            return m.Had(op, what)
+            return m.ReplicaResponse(op, what)
         told = record.state == b.ANSWERED
-        return m.Had(
+        return m.ReplicaResponse(
             op,
             what,
             record.claim,
@@ -68,7 +68,7 @@
             return self.had(told.op, m.GRANTED, record, now)
         if record is not None:
             return self.had(told.op, self.state(record), record, now)
-        return m.Had(told.op, m.OTHER if what == b.OTHER else m.FULL)
+        return m.ReplicaResponse(told.op, m.OTHER if what == b.OTHER else m.FULL)
 
     def end(self, now, told):
         """Takes up what a claim came to, also where its claim never came here."""
@@ -82,11 +82,11 @@
         if record is None:
             what, record = book.offer(now, told.tenant, told.key, told.print, now + told.left, told.claim)
             if what != b.NEW:
-                return m.Had(told.op, m.FULL)
+                return m.ReplicaResponse(told.op, m.FULL)
         self.raise_to(now, record, told.known, told.status, told.content, told.left)
         if told.known and record.state != b.ANSWERED:
             # No room for the answer: that it may have run is kept, and that is no copy of it.
-            return m.Had(told.op, m.FULL)
+            return m.ReplicaResponse(told.op, m.FULL)
         return self.had(told.op, m.DONE, record, now)
 
     def raise_to(self, now, record, known, status, content, left):
@@ -104,7 +104,7 @@
         record = self.book.held.get((told.tenant, told.key))
         if record is not None and record.claim == told.claim and record.state != b.ANSWERED:
             self.book.dropped(record)
-        return m.Had(told.op, m.DONE)
+        return m.ReplicaResponse(told.op, m.DONE)
 
     def look(self, now, told):
         self.book.fade(now)
--- a/tests/test_repeats.py
+++ b/tests/test_idempotency.py
@@ -10,16 +10,16 @@
 from test_control import Served
 from test_program import file
 
+from mastledge.idempotency import key_table as b
 from mastledge.program import phases
 from mastledge.program.configuration import BadConfiguration, configuration
-from mastledge.repeats import book as b
 
 KEEP = 1_000_000
 PRINT = b.fingerprint(b"/post", b"x")
 
 
 def made(entries=10, bytes_=100_000):
-    return b.Book(KEEP, entries, bytes_, 5)
+    return b.KeyTable(KEEP, entries, bytes_, 5)
 
 
 def offer(book, now=0, tenant="t", key=b"k", print_=PRINT):
@@ -28,10 +28,10 @@
 
 def again(book, now):
     """As after a restart: by what was handed out for the disk alone."""
-    kept = b.Kept(lambda: now + 5)
+    kept = b.PersistedKeys(lambda: now + 5)
     for record in book.records():
         kept.take(record)
-    other = b.Kept(lambda: now + 5)
+    other = b.PersistedKeys(lambda: now + 5)
     for record in kept.records():
         other.take(record)
     after = made()
@@ -107,7 +107,7 @@
 def test_no_key_that_may_have_run_is_new_again_in_its_time(moves):
     """`may_run`: until when each key must not be launched again, kept beside the book by the test."""
     book, now, may_run, claims = made(), 0, {}, {}
-    disk = b.Kept(lambda: now + 5)
+    disk = b.PersistedKeys(lambda: now + 5)
     for what, n, wait in moves:
         now, key = now + wait, b"k%d" % n
         if what == "offer":
--- a/tests/test_copies.py
+++ b/tests/test_replication.py
@@ -8,33 +8,33 @@
 
 from mastledge.consensus.messages import Entry
 from mastledge.consensus.state_machine import StateMachine, genesis, sound
-from mastledge.copies import messages as m
-from mastledge.copies import owner as o
-from mastledge.copies import placement as p
-from mastledge.copies.holder import GRACE, Holder
-from mastledge.copies.kept import Kept, head
-from mastledge.copies.node import Node
+from mastledge.idempotency import key_table as b
 from mastledge.lab import copying
 from mastledge.lab.copying import KEEP, PATIENCE, WALLTIME, Broken, Fleet, Host, Schedule
-from mastledge.repeats import book as b
+from mastledge.replication import coordinator as o
+from mastledge.replication import messages as m
+from mastledge.replication import placement as p
+from mastledge.replication.node import Node
+from mastledge.replication.persisted_state import PersistedReplica, head
+from mastledge.replication.replica import GRACE, Replica
 
 PRINT = b"p" * 16
 A, B = m.named("n0", "r", 1), m.named("n1", "r", 1)
 
 
 def holder(now=0, kept=None):
-    book = b.Book(KEEP, 100, 100_000, 5)
+    book = b.KeyTable(KEEP, 100, 100_000, 5)
     if kept is not None:
         book.recovered(now, kept.held, False)
-    return Holder(book, now)
+    return Replica(book, now)
 
 
 def claim(name, key=b"k", over=(), print_=PRINT, left=WALLTIME):
-    return m.Claim(1, 1, "t", key, print_, name, left, list(over))
+    return m.ClaimKey(1, 1, "t", key, print_, name, left, list(over))
 
 
 def end(name, content=b"r", known=True, left=KEEP):
-    return m.End(1, 1, "t", b"k", PRINT, name, known, 200, content if known else b"", left)
+    return m.CompleteKey(1, 1, "t", b"k", PRINT, name, known, 200, content if known else b"", left)
 
 
 # One holder
@@ -46,7 +46,7 @@
     told = made.claim(1, claim(B))
     assert (told.what, told.claim, told.left) == (m.HELD, A, WALLTIME - 1)
     assert made.claim(1, claim(B, print_=b"q" * 16)).what == m.OTHER
-    assert made.drop(2, m.Drop(1, "t", b"k", B)).what == m.DONE  # is none of its
+    assert made.drop(2, m.ReleaseClaim(1, "t", b"k", B)).what == m.DONE  # is none of its
     assert made.claim(2, claim(B)).what == m.HELD
     assert made.claim(3, claim(B, over=[A])).what == m.GRANTED
     assert made.claim(4, claim(A)).what == m.HELD
@@ -56,13 +56,13 @@
     made = holder()
     made.claim(0, claim(A))
     assert made.end(1, end(A, known=False)).what == m.DONE
-    assert made.look(2, m.Look(1, "t", b"k")).what == m.MAYBE
+    assert made.look(2, m.ReadKey(1, "t", b"k")).what == m.MAYBE
     assert made.end(3, end(A)).what == m.DONE and made.end(4, end(A, known=False)).what == m.DONE
     told = made.claim(5, claim(B))
     assert (told.what, told.claim, told.content) == (m.ANSWERED, A, b"r")
-    assert made.drop(6, m.Drop(1, "t", b"k", A)).what == m.DONE
-    assert made.look(7, m.Look(1, "t", b"k")).what == m.ANSWERED
-    assert made.look(3 + KEEP, m.Look(1, "t", b"k")).what == m.NONE
+    assert made.drop(6, m.ReleaseClaim(1, "t", b"k", A)).what == m.DONE
+    assert made.look(7, m.ReadKey(1, "t", b"k")).what == m.ANSWERED
+    assert made.look(3 + KEEP, m.ReadKey(1, "t", b"k")).what == m.NONE
 
 
 def test_a_claim_with_no_word_of_its_outcome_may_have_run_once_its_walltime_is_over():
@@ -70,7 +70,7 @@
     made.claim(0, claim(A))
     assert made.wake_at() == WALLTIME + GRACE
     made.expire(WALLTIME + GRACE - 1)
-    assert made.look(1, m.Look(1, "t", b"k")).what == m.HELD
+    assert made.look(1, m.ReadKey(1, "t", b"k")).what == m.HELD
     made.expire(WALLTIME + GRACE)
     assert made.claim(WALLTIME + GRACE, claim(B)).what == m.MAYBE
 
@@ -79,40 +79,40 @@
     made = holder()
     made.claim(0, claim(A))
     assert made.end(1, end(A, b"x" * 200_000)).what == m.FULL
-    assert made.look(2, m.Look(1, "t", b"k")).what == m.MAYBE
+    assert made.look(2, m.ReadKey(1, "t", b"k")).what == m.MAYBE
 
 
 def test_the_disk_leads_to_the_same_also_in_the_midst_of_a_walltime():
-    made, kept = holder(), Kept(lambda: 10)
+    made, kept = holder(), PersistedReplica(lambda: 10)
     for told in (claim(A), claim(B, b"l"), claim(m.named("n2", "r", 1), b"m")):
         made.claim(0, told)
     made.end(1, end(A))
-    made.drop(1, m.Drop(1, "t", b"l", B))
+    made.drop(1, m.ReleaseClaim(1, "t", b"l", B))
     for record in head("i", 3, 7) + made.book.records():
         kept.take(record)
-    other = Kept(lambda: 10)
+    other = PersistedReplica(lambda: 10)
     for record in kept.records():
         other.take(record)
     assert (other.id, other.starts, other.fence) == ("i", 3, 7)
     after = holder(5, other)
-    assert after.look(5, m.Look(1, "t", b"k")).content == b"r"
-    assert [after.look(5, m.Look(1, "t", key)).what for key in (b"l", b"m")] == [m.NONE, m.HELD]
+    assert after.look(5, m.ReadKey(1, "t", b"k")).content == b"r"
+    assert [after.look(5, m.ReadKey(1, "t", key)).what for key in (b"l", b"m")] == [m.NONE, m.HELD]
     after.expire(WALLTIME + GRACE + 5)
-    assert after.look(WALLTIME + GRACE + 5, m.Look(1, "t", b"m")).what == m.MAYBE
+    assert after.look(WALLTIME + GRACE + 5, m.ReadKey(1, "t", b"m")).what == m.MAYBE
 
 
 def test_copies_that_differ_are_merged_by_what_is_known_most():
     made = holder()
     made.claim(0, claim(A))
     made.merge(1, m.Record("t", b"k", PRINT, B, b.ANSWERED, 500, 200, b"r"))
-    assert made.look(2, m.Look(1, "t", b"k")).claim == B
-    assert made.look(502, m.Look(1, "t", b"k")).what == m.NONE  # its time does not begin anew
+    assert made.look(2, m.ReadKey(1, "t", b"k")).claim == B
+    assert made.look(502, m.ReadKey(1, "t", b"k")).what == m.NONE  # its time does not begin anew
     made.claim(600, claim(A))
     made.merge(601, m.Record("t", b"k", PRINT, B, b.CLAIMED, 500))
-    assert made.look(602, m.Look(1, "t", b"k")).what == m.MAYBE  # either may be the one that counts
-    made.drop(603, m.Drop(1, "t", b"k", A))
-    assert made.look(604, m.Look(1, "t", b"k")).what == m.MAYBE  # and neither can take it back
-    assert made.end(605, end(A)).what == m.DONE and made.look(606, m.Look(1, "t", b"k")).claim == A
+    assert made.look(602, m.ReadKey(1, "t", b"k")).what == m.MAYBE  # either may be the one that counts
+    made.drop(603, m.ReleaseClaim(1, "t", b"k", A))
+    assert made.look(604, m.ReadKey(1, "t", b"k")).what == m.MAYBE  # and neither can take it back
+    assert made.end(605, end(A)).what == m.DONE and made.look(606, m.ReadKey(1, "t", b"k")).claim == A
 
 
 @settings(max_examples=60)
@@ -137,7 +137,7 @@
             assert had != m.GRANTED or granted in (None, name)
             granted = name if had == m.GRANTED else granted
         elif what == "drop":
-            made.drop(now, m.Drop(1, "t", b"k", name))
+            made.drop(now, m.ReleaseClaim(1, "t", b"k", name))
             granted = None if granted == name else granted
         elif what == "merge":
             made.merge(now, m.Record("t", b"k", PRINT, name, b.CLAIMED, WALLTIME))
@@ -148,7 +148,7 @@
                 granted = name
                 if what == "end" and answered is None:
                     answered = name, now + KEEP
-        told = made.look(now, m.Look(1, "t", b"k"))
+        told = made.look(now, m.ReadKey(1, "t", b"k"))
         if answered:
             assert (told.what, told.claim) == (m.ANSWERED, answered[0])
         if told.what == m.NONE:
@@ -283,20 +283,20 @@
 def test_a_grant_of_a_new_holder_from_before_it_had_its_copies_is_none():
     # Seed 2443 of the schedules, before: two new holders had granted what an old one had granted.
     host, old, new = Said(), {"a": "1", "b": "1", "c": "1"}, {"a": "1", "d": "1", "c": "1"}
-    made = o.Owner(host, "x", "r", KEEP, 1)
+    made = o.Coordinator(host, "x", "r", KEEP, 1)
     state = {"epoch": 2, "count": 3, "now": old, "next": new, "caught": []}
     made.configured(0, p.Placement(state))
     made.offer(0, 1, "t", b"k", PRINT, WALLTIME)
     first = host.said[0][1].op
     for name in ("a", "d"):
-        made.on_Had(1, name, "1", m.Had(first, m.GRANTED))
+        made.on_ReplicaResponse(1, name, "1", m.ReplicaResponse(first, m.GRANTED))
     assert not host.told
     made.configured(2, p.Placement({**state, "epoch": 3, "now": new, "next": None}))
-    made.on_Had(3, "c", "1", m.Had(first, m.GRANTED))
+    made.on_ReplicaResponse(3, "c", "1", m.ReplicaResponse(first, m.GRANTED))
     assert not host.told
     again = host.said[-1][1].op
     for name in ("a", "d"):
-        made.on_Had(4, name, "1", m.Had(again, m.GRANTED))
+        made.on_ReplicaResponse(4, name, "1", m.ReplicaResponse(again, m.GRANTED))
     assert host.told == [o.GO]
 
 
@@ -318,12 +318,12 @@
     # Found by outages of most dispatchers: one holder's claim that never held was told to a client
     # whose job had its answer.
     host = Said()
-    made = o.Owner(host, "x", "r", KEEP, 1)
+    made = o.Coordinator(host, "x", "r", KEEP, 1)
     ids = {"a": "1", "b": "1", "c": "1"}
     made.configured(0, p.Placement({"epoch": 1, "count": 3, "now": ids, "next": None, "caught": []}))
     made.offer(0, 1, "t", b"k", PRINT, WALLTIME)
     for name, id_, what in said:
-        made.on_Had(1, name, id_, m.Had(host.said[0][1].op, what, A, 10, print=PRINT))
+        made.on_ReplicaResponse(1, name, id_, m.ReplicaResponse(host.said[0][1].op, what, A, 10, print=PRINT))
     made.run_due(o.PATIENCE)
     assert host.told == [becomes]
 
@@ -544,10 +544,10 @@
 
 @pytest.mark.parametrize("claim_name", ["y", "x", "1.r"])
 def test_what_makes_no_sense_is_refused_and_changes_nothing(claim_name):
-    made = Node("n0", "i", "r", b.Book(KEEP, 10, 10_000, 0), 0, 1, PATIENCE, 0)
+    made = Node("n0", "i", "r", b.KeyTable(KEEP, 10, 10_000, 0), 0, 1, PATIENCE, 0)
     for message in (
         claim(claim_name),
-        m.Batch(0, 0, 1, [m.Record("t", b"k", PRINT, claim_name, b.CLAIMED, 5)], True),
+        m.ScanResponse(0, 0, 1, [m.Record("t", b"k", PRINT, claim_name, b.CLAIMED, 5)], True),
     ):
         with pytest.raises(ValueError):
             made.step(1, "heard", "n1", "i", message)
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -10,12 +10,12 @@
 from mastledge.consensus import messages as m
 from mastledge.consensus.state_machine import genesis
 from mastledge.consensus.worker_restrictions import ListExchange, OwnList
-from mastledge.copies.placement import Placement
 from mastledge.peers import links
 from mastledge.program.configuration import configuration
 from mastledge.program.settings import flat, plain_map
 from mastledge.recovery import belief as b
 from mastledge.recovery import snapshots
+from mastledge.replication.placement import Placement
 
 MANY = 1024  # processes
 WORKERS = 4096
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -163,52 +163,52 @@
 
 def boastful():
     """Launches without a claim, and tells the holders of a key only what came of it."""
-    from mastledge.copies import messages as m
-    from mastledge.copies import owner as o
+    from mastledge.replication import coordinator as o
+    from mastledge.replication import messages as m
 
     def claim(self, now, job):
         job.tries, job.phase, job.claim = 1, o.HELD, m.named(self.name, self.run, self.number())
         self.claims[job.claim] = self.places[job.place] = job
         self.tell(job, o.GO)
 
-    o.Owner.claim = claim
+    o.Coordinator.claim = claim
 
 
 def amnesic():
     """Says that an answer is kept, and keeps only that the job may have run."""
-    from mastledge.copies.holder import Holder
+    from mastledge.replication.replica import Replica
 
-    raise_to = Holder.raise_to
+    raise_to = Replica.raise_to
 
     def forgets(self, now, record, known, status, content, left):
         raise_to(self, now, record, False, 0, b"", left)
         record.state = "answered" if known else record.state
         self.book.unsure(now, record)
 
-    Holder.raise_to = forgets
-    end = Holder.end
+    Replica.raise_to = forgets
+    end = Replica.end
 
     def says_so(self, now, told):
         had = end(self, now, told)
         had.what = "done"
         return had
 
-    Holder.end = says_so
+    Replica.end = says_so
 
 
 def grudging():
     """Never gives a claim back: a job that was rejected may have run, for all that is known."""
-    from mastledge.copies import owner as o
+    from mastledge.replication import coordinator as o
 
     def give_back(self, now, job, done=None):
-        op = o.Op(0, o.m.Drop, job.place, (), now, done)
+        op = o.QuorumCall(0, o.m.ReleaseClaim, job.place, (), now, done)
         self.at(now, lambda now: done and done(now, op))
         return op
 
     def on_ask(self, now, sender, ask):
-        self.host.say(sender, o.m.Told(ask.op, ask.claim, o.m.UNKNOWN))
+        self.host.say(sender, o.m.OwnerResponse(ask.op, ask.claim, o.m.UNKNOWN))
 
-    o.Owner.give_back, o.Owner.on_Ask = give_back, on_ask
+    o.Coordinator.give_back, o.Coordinator.on_OwnerQuery = give_back, on_ask
 
 
 def reckless():
