--- a/mastledge/lab/bench.py
+++ b/mastledge/lab/bench.py
@@ -21,8 +21,8 @@
 from mastledge.lab.wire import call
 from mastledge.replication.persisted_state import PersistedReplica, head
 from mastledge.replication.placement import ranked
-from mastledge.store.folder import Folder
-from mastledge.store.journal import Journal
+from mastledge.storage.data_directory import DataDirectory
+from mastledge.storage.write_ahead_log import WriteAheadLog
 
 VOTERS = 7  # of a fleet with relays
 TICK = os.sysconf("SC_CLK_TCK")
@@ -251,8 +251,8 @@
                 records[name].append(("end", "", key, True, 200, self.answer, until))
         self.written = {}
         for name, node in self.nodes.items():
-            folder = Folder(os.path.join(node.folder, "repeats")).hold()
-            journal = Journal(folder, "copies", {"name": name}, PersistedReplica(time.time_ns)).open()
+            folder = DataDirectory(os.path.join(node.folder, "repeats")).hold()
+            journal = WriteAheadLog(folder, "copies", {"name": name}, PersistedReplica(time.time_ns)).open()
             journal.rewrite(records[name])
             self.written[name] = journal.size, len(records[name]) // 2
             journal.close()
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -13,13 +13,14 @@
 from copy import deepcopy
 from types import SimpleNamespace
 
+from mastledge.idempotency import key_table
 from mastledge.lab import copying, faults, outages, policies, schedule
 from mastledge.lab.load import Clients
 from mastledge.lab.rig import document, limits
 from mastledge.lab.scenario import BadScenario
 from mastledge.program.settings import flat, plain_map
-from mastledge.recovery import belief as b
-from mastledge.recovery.opening import DONE, ELSE, TURNED, Opening
+from mastledge.recovery import restored_state as b
+from mastledge.recovery.admission_ramp import DONE, ELSE, TURNED, AdmissionRamp
 from mastledge.replication import coordinator as o
 from mastledge.replication import messages as m
 
@@ -148,7 +149,7 @@
         self.opening, self.belief = None, None
         if recovery:
             bound = int(recovery.get("open_ms", 5_000)) * 1000
-            self.opening = Opening(seed, now, bound, settings["most_hold_off"])
+            self.opening = AdmissionRamp(seed, now, bound, settings["most_hold_off"])
             kept, self.kept = self.kept, None
             self.belief = b.believed(kept, now, now, "", "lab", int(recovery.get("list_ms", 60_000)) * 1000)
             if self.belief.workers:
--- a/mastledge/lab/scale/topology.py
+++ b/mastledge/lab/scale/topology.py
@@ -6,8 +6,8 @@
 from mastledge.consensus.persisted_state import PersistedState
 from mastledge.consensus.state_machine import genesis
 from mastledge.lab.scale.options import ScaleOptions
-from mastledge.store.folder import Folder
-from mastledge.store.journal import Journal
+from mastledge.storage.data_directory import DataDirectory
+from mastledge.storage.write_ahead_log import WriteAheadLog
 
 FLEET = "scale"
 PEERS_PORT, JOBS_PORT, CONTROL_PORT = 0, 1, 2  # behind the first port of a run
@@ -90,8 +90,8 @@
 
 def write_folder(one: Dispatcher, path: str, state: dict) -> None:
     """The folder of a real dispatcher, with its journal."""
-    folder = Folder(path).hold()
-    journal = Journal(folder, "agreement", {"name": one.name}, PersistedState()).open()
+    folder = DataDirectory(path).hold()
+    journal = WriteAheadLog(folder, "agreement", {"name": one.name}, PersistedState()).open()
     journal.append(first_records(one, state))
     journal.close()
     folder.release()
--- a/mastledge/program/copying.py
+++ b/mastledge/program/copying.py
@@ -20,8 +20,8 @@
 from mastledge.replication import messages as m
 from mastledge.replication.node import Node
 from mastledge.replication.persisted_state import PersistedReplica, head
-from mastledge.store.journal import Journal
-from mastledge.store.writer import Writer
+from mastledge.storage.write_ahead_log import WriteAheadLog
+from mastledge.storage.writer import Writer
 from mastledge.transport.loop import READ
 
 MARK = b"\xc1"  # begins a frame of this kind: MessagePack, in which agreement speaks, never uses it
@@ -69,7 +69,7 @@
 
     def journal(self, kept):
         fleet = {"fleet": self.fleet.told["fleet"]} if self.fleet.told["fleet"] else {}
-        return self.opened(Journal(self.folder, "copies", {"name": self.name, **fleet}, kept, self.log))
+        return self.opened(WriteAheadLog(self.folder, "copies", {"name": self.name, **fleet}, kept, self.log))
 
     def begins(self, now, kept, id_, starts):
         """With what the disk held; it takes part once its start is agreed, as an old folder has no say."""
--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -17,9 +17,9 @@
 from mastledge.program.beside import Notes
 from mastledge.program.fleet_calls import LOOK, FleetCalls
 from mastledge.program.settings import flat, plain_map
-from mastledge.store.folder import BadFolder, Folder
-from mastledge.store.journal import Journal
-from mastledge.store.writer import Writer
+from mastledge.storage.data_directory import DataDirectory, DataDirectoryError
+from mastledge.storage.write_ahead_log import WriteAheadLog
+from mastledge.storage.writer import Writer
 from mastledge.transport.connection import address_of
 from mastledge.transport.loop import READ
 
@@ -57,7 +57,7 @@
     def __init__(self, program, told, log):
         self.program, self.told, self.log, self.loop = program, told["peers"], log, program.loop
         self.name, self.document, self.seed = told["name"], told["document"], told["seed"]
-        self.folder, self.notes = Folder(self.told["folder"]), Notes(self.told["folder"], log)
+        self.folder, self.notes = DataDirectory(self.told["folder"]), Notes(self.told["folder"], log)
         self.rule = Rule(self, self.told["without_lease"] == "serve")
         self.member = self.writer = self.links = self.timer = None
         self.answers, self.count, self.applied = {}, 0, -1
@@ -75,7 +75,7 @@
         """
         try:
             self.folder.hold()
-        except BadFolder:
+        except DataDirectoryError:
             if not self.program.beside:
                 raise
             self.log("fleet_listens", folder=self.told["folder"])
@@ -87,8 +87,10 @@
         kept, log = PersistedState(), self.log
         try:
             fleet = {"fleet": self.told["fleet"]} if self.told["fleet"] else {}
-            self.journal = Journal(self.folder, "agreement", {"name": self.name, **fleet}, kept, log).open()
-        except BadFolder:
+            self.journal = WriteAheadLog(
+                self.folder, "agreement", {"name": self.name, **fleet}, kept, log
+            ).open()
+        except DataDirectoryError:
             self.folder.release()
             raise
         self.writer = Writer(self.journal)
@@ -183,7 +185,7 @@
             yield (-1, 0, self.loop.now() + LOOK)
             try:
                 self.folder.hold()
-            except BadFolder:
+            except DataDirectoryError:
                 continue
             self.log("fleet_speaks", index=self.index)
             self.loop.spawn(self.program.vital(self.takes_over()), first=True)
--- a/mastledge/program/fleet_calls.py
+++ b/mastledge/program/fleet_calls.py
@@ -9,7 +9,7 @@
 from mastledge.consensus.state_machine import LEAST_FAN_OUT, MOST_FAN_OUT, fan_out_is_good
 from mastledge.consensus.timing import LEADER
 from mastledge.protocol.control import Answer, No
-from mastledge.recovery import snapshots
+from mastledge.recovery import fleet_snapshot
 from mastledge.transport.connection import address_of
 
 PATIENCE = 700_000  # of a caller, who waits for 1 s
@@ -162,7 +162,7 @@
     def snapshot(self, request):
         """What is agreed, as it is here; asked of one with a lease it is all that is in force."""
         state = self.state()
-        return self.json(snapshots.packed(state, self.member.fleet, self.name, time.time_ns() // 1000))
+        return self.json(fleet_snapshot.packed(state, self.member.fleet, self.name, time.time_ns() // 1000))
 
     def restore(self, request):
         """Begins a fleet with a snapshot, or with what is kept here; or leaves one that is no more."""
@@ -170,8 +170,8 @@
         known = member.rules.state if member.rules else None
         why = {b"accept-loss": "formed, loss accepted", b"desert": ""}.get(bytes(request.body))
         try:
-            told = snapshots.unpacked(request.body) if why is None else None
-        except snapshots.BadSnapshot as error:
+            told = fleet_snapshot.unpacked(request.body) if why is None else None
+        except fleet_snapshot.SnapshotError as error:
             raise No(400, str(error)) from None
         state = told["state"] if told else known
         lease, heard = member.may_act(now) and not self.unreadable, member.there(now)
@@ -182,7 +182,7 @@
                 raise No(409, "nothing is kept here that could be left")
             self.input("desert", uuid.uuid4().hex[:16])
             return f"{self.name} has left its fleet, and comes to the next one as new"
-        no = snapshots.refused(self.name, state, member.fleet, known, lease, heard, told)
+        no = fleet_snapshot.refused(self.name, state, member.fleet, known, lease, heard, told)
         if no:
             raise No(409, no)
         try:
@@ -193,7 +193,9 @@
         if self.copies is not None and self.copies.node is not None:
             holder = self.copies.id
         what = why or f"restored from version {state['version']}"
-        after = snapshots.succeeding(state, self.name, life, holder, what, self.name, time.time_ns() // 1000)
+        after = fleet_snapshot.succeeding(
+            state, self.name, life, holder, what, self.name, time.time_ns() // 1000
+        )
         self.log("fleet_restored", version=after["version"], before=member.fleet, what=what)
         self.applied = -1
         self.input("restore", uuid.uuid4().hex[:16], life, after)
--- a/mastledge/program/recovering.py
+++ b/mastledge/program/recovering.py
@@ -14,13 +14,13 @@
 from mastledge.balance import CUT_OFF
 from mastledge.protocol.control import Answer
 from mastledge.protocol.requests import COMPLETED, REJECTED
-from mastledge.recovery import belief as b
 from mastledge.recovery import messages as m
-from mastledge.recovery import steps as s
-from mastledge.recovery.opening import DONE, ELSE, TURNED, Opening
-from mastledge.store.folder import BadFolder, Folder
-from mastledge.store.journal import Journal
-from mastledge.store.writer import Writer
+from mastledge.recovery import restored_state as b
+from mastledge.recovery import startup_stages as s
+from mastledge.recovery.admission_ramp import DONE, ELSE, TURNED, AdmissionRamp
+from mastledge.storage.data_directory import DataDirectory, DataDirectoryError
+from mastledge.storage.write_ahead_log import WriteAheadLog
+from mastledge.storage.writer import Writer
 
 LOOK = 10_000  # between two looks at the steps
 SIZES = 100_000  # between two looks at what the workers can take
@@ -53,10 +53,14 @@
         now = self.loop.now()
         settings = told["settings"]
         most = settings["most_hold_off"] if settings["may_hold_off"] else 0
-        self.steps = s.Steps(now, bool(told["peers"]))
-        self.opening = Opening(self.seed, now, self.told["open"], most)
-        self.folder, self.boot, self.keeper = Folder(self.told["folder"]), boot(), b.Keeper()
-        self.belief = b.Belief(0, {"all": "not read yet"})
+        self.steps = s.StartupStages(now, bool(told["peers"]))
+        self.opening = AdmissionRamp(self.seed, now, self.told["open"], most)
+        self.folder, self.boot, self.keeper = (
+            DataDirectory(self.told["folder"]),
+            boot(),
+            b.PersistedRecovery(),
+        )
+        self.belief = b.RestoredState(0, {"all": "not read yet"})
         self.journal = self.writer = self.trouble = None
         self.reader, self.read = None, False
         self.answers, self.asked, self.numbers = {}, {}, 0
@@ -80,7 +84,7 @@
         vital, spawn = self.program.vital, self.loop.spawn
         try:
             self.folder.hold()
-        except BadFolder as error:
+        except DataDirectoryError as error:
             if not self.program.beside:
                 raise
             # The process before this one goes on keeping; what it knows comes by the handover.
@@ -90,7 +94,7 @@
         self.tasks = [spawn(vital(self.looked()), first=True), spawn(vital(self.kept()), first=True)]
 
     def start_reading(self):
-        self.journal = Journal(self.folder, "recovery", {"name": self.name}, self.keeper, self.log)
+        self.journal = WriteAheadLog(self.folder, "recovery", {"name": self.name}, self.keeper, self.log)
         self.reader = threading.Thread(target=self.opened, name="reader", daemon=True)
         self.reader.start()
 
@@ -377,7 +381,7 @@
         if self.reader is None and self.folder.lock is None and not self.program.door.succeeded:
             try:
                 self.folder.hold()
-            except BadFolder:
+            except DataDirectoryError:
                 return
             self.trouble = None
             self.start_reading()
--- a/mastledge/program/repeating.py
+++ b/mastledge/program/repeating.py
@@ -22,9 +22,9 @@
 from mastledge.protocol import http
 from mastledge.protocol.control import Answer
 from mastledge.protocol.requests import COMPLETED, KILLED, REJECTED
-from mastledge.store.folder import BadFolder, Folder
-from mastledge.store.journal import Journal
-from mastledge.store.writer import Writer
+from mastledge.storage.data_directory import DataDirectory, DataDirectoryError
+from mastledge.storage.write_ahead_log import WriteAheadLog
+from mastledge.storage.writer import Writer
 from mastledge.transport.loop import READ
 
 LOOK = 20_000  # for a folder that the process before still holds
@@ -43,7 +43,7 @@
     def __init__(self, program, told, log):
         self.program, self.told, self.log, self.loop = program, told["repeats"], log, program.loop
         self.name, self.inbox = told["name"], program.inbox
-        self.folder = Folder(self.told["folder"])
+        self.folder = DataDirectory(self.told["folder"])
         self.book, self.writer, self.token, self.failing = None, None, 0, False
         self.waiting, self.keeping, self.tasks = {}, 0, []
         self.first = {}  # by place, the exchange of the job that is under way for a key
@@ -54,7 +54,7 @@
         """
         try:
             self.folder.hold()
-        except BadFolder:
+        except DataDirectoryError:
             if not self.program.beside:
                 raise
             self.log("repeats_wait", folder=self.told["folder"])
@@ -64,7 +64,7 @@
 
     def open(self):
         kept = PersistedKeys(unix)
-        journal = self.opened(Journal(self.folder, "repeats", {"name": self.name}, kept, self.log))
+        journal = self.opened(WriteAheadLog(self.folder, "repeats", {"name": self.name}, kept, self.log))
         now = self.loop.now()
         book = KeyTable(self.told["keep"], self.told["entries"], self.told["bytes"], unix() - now)
         book.recovered(now, kept.held)
@@ -75,7 +75,7 @@
     def opened(self, journal):
         try:
             return journal.open()
-        except BadFolder:
+        except DataDirectoryError:
             self.folder.release()
             raise
 
@@ -84,7 +84,7 @@
             yield (-1, 0, self.loop.now() + LOOK)
             try:
                 self.folder.hold()
-            except BadFolder:
+            except DataDirectoryError:
                 continue
             self.open()
             return
--- a/mastledge/recovery/opening.py
+++ b/mastledge/recovery/admission_ramp.py
@@ -31,7 +31,7 @@
 DONE, TURNED, ELSE = "done", "turned", "else"
 
 
-class Opening:
+class AdmissionRamp:
     """`slots`: what the eligible workers run at once, as far as they are warm; `dispatchers` share them.
 
     All times are whole microseconds. `most_hold_off`: of a rejection, 0 where none may be told. `bound`:
--- a/mastledge/recovery/snapshots.py
+++ b/mastledge/recovery/fleet_snapshot.py
@@ -28,7 +28,7 @@
 }
 
 
-class BadSnapshot(ValueError):
+class SnapshotError(ValueError):
     """Why it can't be used; one line."""
 
 
@@ -54,21 +54,21 @@
 def unpacked(raw):
     """The map of a snapshot that is whole; BadSnapshot with the reason."""
     if len(raw) > MOST:
-        raise BadSnapshot(f"the snapshot is over {MOST >> 20} MiB")
+        raise SnapshotError(f"the snapshot is over {MOST >> 20} MiB")
     try:
         told = msgspec.json.decode(raw)
     except msgspec.DecodeError as error:
-        raise BadSnapshot(f"the snapshot is cut or no JSON: {error}") from None
+        raise SnapshotError(f"the snapshot is cut or no JSON: {error}") from None
     if not isinstance(told, dict) or told.get("kind") != KIND:
-        raise BadSnapshot("this is no snapshot of a fleet")
+        raise SnapshotError("this is no snapshot of a fleet")
     if told.get("format") != FORMAT:
-        raise BadSnapshot(f"the snapshot is of format {told.get('format')}, this version reads {FORMAT}")
+        raise SnapshotError(f"the snapshot is of format {told.get('format')}, this version reads {FORMAT}")
     if told.get("sum") != summed(told):
-        raise BadSnapshot("the snapshot is spoilt: its checksum differs")
+        raise SnapshotError("the snapshot is spoilt: its checksum differs")
     state = told["state"]
     for part, kind in PARTS.items():
         if not isinstance(state.get(part), kind):
-            raise BadSnapshot(f"the snapshot lacks {part}")
+            raise SnapshotError(f"the snapshot lacks {part}")
     return told
 
 
--- a/mastledge/recovery/belief.py
+++ b/mastledge/recovery/restored_state.py
@@ -35,7 +35,7 @@
     until: int
 
 
-class Kept(msgspec.Struct, kw_only=True):
+class RecoveryRecord(msgspec.Struct, kw_only=True):
     """What the folder amounts to. `at`, `mono`: when it was last written, by both clocks."""
 
     format: int = FORMAT
@@ -51,7 +51,7 @@
     learned: dict[str, list] = {}
 
 
-class Belief:
+class RestoredState:
     """What is left of it: `age` of it all (microseconds), and by part why it is not believed."""
 
     def __init__(self, age, unbelieved):
@@ -74,14 +74,14 @@
 def believed(kept, now, mono, boot, registry, valid):
     """`valid`: for how long a list is worth something (microseconds)."""
     if kept is None or not kept.at:
-        return Belief(0, {"all": "nothing is kept"})
+        return RestoredState(0, {"all": "nothing is kept"})
     if kept.format != FORMAT:
-        return Belief(0, {"all": f"of format {kept.format}, this version reads {FORMAT}"})
+        return RestoredState(0, {"all": f"of format {kept.format}, this version reads {FORMAT}"})
     try:
         age = age_of(kept, now, mono, boot)
     except ValueError as error:
-        return Belief(0, {"all": str(error)})
-    belief = Belief(age, {})
+        return RestoredState(0, {"all": str(error)})
+    belief = RestoredState(age, {})
     if kept.registry != registry:
         belief.unbelieved["list"] = "it is another registry's"
     elif age + kept.at - kept.listed_at > valid:
@@ -145,14 +145,14 @@
     return out
 
 
-class Keeper:
+class PersistedRecovery:
     """What the journal amounts to, for `store`: each record is all that is known of one thing now."""
 
     def __init__(self):
-        self.kept = Kept()
+        self.kept = RecoveryRecord()
 
     def clear(self):
-        self.kept = Kept()
+        self.kept = RecoveryRecord()
 
     def take(self, record):
         """ValueError for what makes no sense, or is a later version's."""
--- a/mastledge/recovery/steps.py
+++ b/mastledge/recovery/startup_stages.py
@@ -24,7 +24,7 @@
 STAYS = (AGREEING,)
 
 
-class Steps:
+class StartupStages:
     """`step`, when it began, and `lesser`: what was done without, by step."""
 
     def __init__(self, now, agrees):
--- a/mastledge/store/folder.py
+++ b/mastledge/storage/data_directory.py
@@ -5,14 +5,14 @@
 import os
 
 
-class BadFolder(OSError):
+class DataDirectoryError(OSError):
     """The folder can't be used; one plain message."""
 
     def __str__(self):
         return self.args[1]
 
 
-class Folder:
+class DataDirectory:
     def __init__(self, path):
         self.path, self.lock = path, None
 
@@ -22,12 +22,14 @@
             os.makedirs(self.path, 0o700, exist_ok=True)
             lock = os.open(os.path.join(self.path, "lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         except OSError as error:
-            raise BadFolder(error.errno, f"folder {self.path} can't be written: {error.strerror}") from None
+            raise DataDirectoryError(
+                error.errno, f"folder {self.path} can't be written: {error.strerror}"
+            ) from None
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(lock)
-            raise BadFolder(errno.EBUSY, f"folder {self.path} is held by another process") from None
+            raise DataDirectoryError(errno.EBUSY, f"folder {self.path} is held by another process") from None
         self.lock = lock
         return self
 
--- a/mastledge/store/journal.py
+++ b/mastledge/storage/write_ahead_log.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from mastledge.store.folder import BadFolder
+from mastledge.storage.data_directory import DataDirectoryError
 
 MAGIC, FORMAT = b"mastledge journal\n", 1
 MARK = b"\xa5frm"
@@ -22,7 +22,7 @@
 decode = msgspec.msgpack.decode
 
 
-class Damaged(BadFolder):
+class DamagedLogError(DataDirectoryError):
     """A file that can't be read to its end, and not because a crash cut it."""
 
 
@@ -56,7 +56,7 @@
     return MAGIC + frame(text)
 
 
-class Journal:
+class WriteAheadLog:
     """`owner`: a map of names, told from others' by each of its figures. `keep` takes a record, and gives
     the fewest that lead to the same by `records()`.
     """
@@ -81,22 +81,22 @@
                 os.ftruncate(self.file, self.size)
                 os.fsync(self.file)
             os.lseek(self.file, self.size, os.SEEK_SET)
-        except BadFolder:
+        except DataDirectoryError:
             raise
         except OSError as error:
-            raise BadFolder(error.errno, f"{self.path}: {error.strerror}") from None
+            raise DataDirectoryError(error.errno, f"{self.path}: {error.strerror}") from None
         return self
 
     def read(self, raw):
         if not raw.startswith(MAGIC):
-            raise Damaged(0, f"{self.path} is no journal of mastledge")
+            raise DamagedLogError(0, f"{self.path} is no journal of mastledge")
         at = len(MAGIC)
         content = whole_frame(raw, at)
         if content is None:
-            raise Damaged(0, f"{self.path} is spoilt at its head")
+            raise DamagedLogError(0, f"{self.path} is spoilt at its head")
         told = decode(decode(content))
         if told["format"] != FORMAT:
-            raise BadFolder(
+            raise DataDirectoryError(
                 0,
                 f"{self.path} is of format {told['format']}, written by another version; "
                 f"this one reads {FORMAT}",
@@ -104,19 +104,21 @@
         for what, ours in self.owner.items():
             # One that was written before this was told apart belongs to whoever has it.
             if told.get(what, ours) != ours:
-                raise BadFolder(0, f"{self.path} belongs to another {what}: {told.get(what)}, not {ours}")
+                raise DataDirectoryError(
+                    0, f"{self.path} belongs to another {what}: {told.get(what)}, not {ours}"
+                )
         at += HEAD.size + len(content)
         while at < len(raw):
             content = whole_frame(raw, at)
             if content is None:
                 if another(raw, at):
-                    raise Damaged(0, f"{self.path} is spoilt at byte {at}, and not at its end")
+                    raise DamagedLogError(0, f"{self.path} is spoilt at byte {at}, and not at its end")
                 break
             for record in decode(content):
                 try:
                     self.keep.take(record)
                 except (ValueError, TypeError, IndexError) as error:
-                    raise Damaged(0, f"{self.path} can't be followed at byte {at}: {error}") from None
+                    raise DamagedLogError(0, f"{self.path} can't be followed at byte {at}: {error}") from None
             at += HEAD.size + len(content)
         return at
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,13 +11,13 @@
 from helpers import HERE, Rig, peer_at
 from test_control import Served, free
 from test_program import GOOD
-from test_repeats import answers
+from test_idempotency import answers
 
 from mastledge.program import phases
 from mastledge.program.handover import Handover
 from mastledge.protocol import clients as protocol_clients
 from mastledge.protocol import workers as protocol_workers
-from mastledge.store.folder import Folder
+from mastledge.storage.data_directory import DataDirectory
 from mastledge.transport.connection import Connection
 from mastledge.transport.loop import READ
 
@@ -390,7 +390,7 @@
     listen = free()
     before = Handover(str(tmp_path / "beside"), (HERE, int(listen.rpartition(":")[2])), print)
     before.sit()
-    kept = Folder(str(tmp_path / "kept"))
+    kept = DataDirectory(str(tmp_path / "kept"))
     kept.hold()
     made = serving(listen=listen, folder=str(tmp_path / "beside"), repeats=keeps(tmp_path)).serving()
     assert made.made.repeats.book is None
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -171,7 +171,7 @@
         env={**os.environ, "PYTHONPATH": os.getcwd()},
     )
     modules, links, absent = json.loads(done.stdout)
-    parts = "consensus|store|peers|lab|idempotency|replication|recovery"
+    parts = "consensus|storage|peers|lab|idempotency|replication|recovery"
     parts += "|program\\.(fleet|beside|asked|repeating|copying|recovering)"
     new = re.compile(rf"mastledge\.({parts})|msgspec|numpy")
     assert absent and not [name for name in modules if new.match(name)]
--- a/tests/test_recovering.py
+++ b/tests/test_recovering.py
@@ -9,8 +9,8 @@
 
 from mastledge.program import phases
 from mastledge.program.configuration import configuration
-from mastledge.recovery import steps as s
-from mastledge.store.folder import BadFolder
+from mastledge.recovery import startup_stages as s
+from mastledge.storage.data_directory import DataDirectoryError
 
 ENTRY = {"instanceId": "w0", "hostPort": "127.0.0.1:9", "zone": "a", "machineType": "m", "cell": 0,
          "lifecycle": "ready", "weight": 1.0, "startedAtMs": 0}  # fmt: skip
@@ -55,7 +55,7 @@
     assert made.recovering.belief.unbelieved == {"all": "nothing is kept"}
     lists(made, 7, "ready", "draining")
     turned(made, lambda: "list" in made.recovering.last)
-    with pytest.raises(BadFolder, match="held by another process"):
+    with pytest.raises(DataDirectoryError, match="held by another process"):
         program(tmp_path).recovering.begin()
     ended(made)
     logged = []
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -7,7 +7,7 @@
 
 from mastledge.consensus.state_machine import genesis
 from mastledge.lab.schedule import Fleet
-from mastledge.recovery import snapshots as s
+from mastledge.recovery import fleet_snapshot as s
 
 NAMES = ["n0", "n1", "n2"]
 
@@ -41,7 +41,7 @@
     ],
 )
 def test_a_snapshot_that_cannot_be_used_is_refused_by_its_reason(raw, says):
-    with pytest.raises(s.BadSnapshot, match=says) as error:
+    with pytest.raises(s.SnapshotError, match=says) as error:
         s.unpacked(raw)
     assert "\n" not in str(error.value)
 
@@ -51,7 +51,7 @@
     raw = RAW[:at] + bytes([RAW[at] ^ by]) + RAW[at + 1 :]
     try:
         assert s.unpacked(raw)["state"] == state(version=5)
-    except (s.BadSnapshot, UnicodeDecodeError):
+    except (s.SnapshotError, UnicodeDecodeError):
         pass
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -4,7 +4,7 @@
 import orjson
 from helpers import HERE, Rig, arrive, balancer, entry, pull
 from test_program import GOOD, file
-from test_start import believed, kept
+from test_startup_stages import believed, kept
 from test_terms import Agent
 
 from mastledge.consensus import messages as m
@@ -13,8 +13,8 @@
 from mastledge.peers import links
 from mastledge.program.configuration import configuration
 from mastledge.program.settings import flat, plain_map
-from mastledge.recovery import belief as b
-from mastledge.recovery import snapshots
+from mastledge.recovery import fleet_snapshot
+from mastledge.recovery import restored_state as b
 from mastledge.replication.placement import Placement
 
 MANY = 1024  # processes
@@ -74,7 +74,7 @@
     made = state()
     raw = m.encode(m.BootstrapCluster("f", made))
     assert len(raw) < links.MOST // 4
-    told = snapshots.unpacked(msgspec.json.encode(snapshots.packed(made, "f", "x", 1)))
+    told = fleet_snapshot.unpacked(msgspec.json.encode(fleet_snapshot.packed(made, "f", "x", 1)))
     assert len(told["state"]["members"]) == MANY and len(told["state"]["out"]) == WORKERS
 
 
@@ -88,7 +88,7 @@
 def test_what_is_kept_of_many_workers_is_believed():
     workers = {f"w{n}": b.Worker("draining", 5_000, [HERE, 1]) for n in range(WORKERS)}
     told = kept(workers=workers)
-    assert len(msgspec.json.decode(msgspec.json.encode(told), type=b.Kept).workers) == WORKERS
+    assert len(msgspec.json.decode(msgspec.json.encode(told), type=b.RecoveryRecord).workers) == WORKERS
     assert len(believed(told).restricted) == WORKERS
 
 
--- a/tests/test_start.py
+++ b/tests/test_startup_stages.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mastledge.recovery import belief as b
-from mastledge.recovery import steps as s
-from mastledge.recovery.opening import DONE, ELSE, TURNED, Opening
+from mastledge.recovery import restored_state as b
+from mastledge.recovery import startup_stages as s
+from mastledge.recovery.admission_ramp import DONE, ELSE, TURNED, AdmissionRamp
 
 HERE = ["127.0.0.1", 7070]
 
@@ -17,7 +17,7 @@
 
 
 def test_steps_go_on_one_by_one_and_say_what_they_wait_for():
-    steps = s.Steps(0, True)
+    steps = s.StartupStages(0, True)
     steps.told(s.READING, False, "its folder")
     assert steps.look(1000) == s.READING and steps.waiting() == "reading what lasts: its folder"
     for step, after in zip(s.ORDER, s.ORDER[1:], strict=False):
@@ -29,7 +29,7 @@
 
 
 def test_a_step_in_vain_leads_to_a_stated_lesser_service_but_no_lease_is_no_service():
-    steps = s.Steps(0, True)
+    steps = s.StartupStages(0, True)
     assert steps.look(s.BOUND[s.READING]) == s.AGREEING
     assert steps.lesser == {s.READING: s.WITHOUT[s.READING]}
     late = s.BOUND[s.READING] + s.BOUND[s.AGREEING]
@@ -41,7 +41,9 @@
     assert steps.look(now) == s.LISTING and not steps.lesser
     assert steps.look(now + s.BOUND[s.LISTING]) == s.TAKING
     assert steps.look(now + s.BOUND[s.LISTING] + s.BOUND[s.TAKING]) == s.OPENING and steps.may_serve()
-    assert s.Steps(0, False).look(s.BOUND[s.READING]) == s.LISTING  # one alone has nobody to agree with
+    assert (
+        s.StartupStages(0, False).look(s.BOUND[s.READING]) == s.LISTING
+    )  # one alone has nobody to agree with
 
 
 # Belief
@@ -61,7 +63,7 @@
         "learned": {"w0": [4.0, 4.0, 1.5, []]},
         "out": {"w0": b.Out(0, HERE, 3.0, 102_000_000), "w1": b.Out(5_000, HERE, 2.0, 100_500_000)},
     }
-    return b.Kept(**{**told, **changed})
+    return b.RecoveryRecord(**{**told, **changed})
 
 
 def believed(told, now=101_000_000, mono=51_000_000, boot="x", registry="r", valid=10_000_000):
@@ -90,7 +92,12 @@
 
 @pytest.mark.parametrize(
     ("told", "says"),
-    [(None, "nothing"), (b.Kept(), "nothing"), (kept(format=9), "format 9"), (kept(registry="q"), "another")],
+    [
+        (None, "nothing"),
+        (b.RecoveryRecord(), "nothing"),
+        (kept(format=9), "format 9"),
+        (kept(registry="q"), "another"),
+    ],
 )
 def test_what_is_not_of_this_place_or_version_is_not_believed_and_says_why(told, says):
     belief = believed(told)
@@ -141,7 +148,7 @@
 @given(st.integers(0, 3), st.booleans())
 @settings(max_examples=20)
 def test_records_amount_to_what_was_kept(cut, again):
-    keeper, when = b.Keeper(), (9, 8, "x")
+    keeper, when = b.PersistedRecovery(), (9, 8, "x")
     workers = {"w0": ["ready", 0, HERE, "a", "m", 0, 1.0]}
     records = [
         ["list", *when, "r", 7, workers],
@@ -150,7 +157,7 @@
     ]
     for record in records[:cut]:
         keeper.take(msgspec.msgpack.decode(msgspec.msgpack.encode(record)))
-    other = b.Keeper()
+    other = b.PersistedRecovery()
     for record in keeper.records():
         other.take(msgspec.msgpack.decode(msgspec.msgpack.encode(record)))
     assert other.kept.workers == keeper.kept.workers and other.kept.out == keeper.kept.out
@@ -163,7 +170,7 @@
 
 
 def door(slots=16.0, dispatchers=2, bound=5_000_000):
-    made = Opening(7, 0, bound, 1_000_000)
+    made = AdmissionRamp(7, 0, bound, 1_000_000)
     made.sized(0, slots, dispatchers)
     made.begins(0)
     return made
@@ -200,7 +207,7 @@
 
 
 def test_what_goes_before_a_start_may_serve_opens_nothing():
-    made = Opening(7, 0, 5_000_000, 1_000_000)
+    made = AdmissionRamp(7, 0, 5_000_000, 1_000_000)
     made.sized(0, 16, 2)
     made.look(60_000_000)  # a minute without a majority
     assert made.closed
@@ -273,7 +280,7 @@
 )
 @settings(max_examples=200, deadline=None)
 def test_no_order_of_events_lets_in_more_than_there_is_room_for(events, slots, dispatchers):
-    made, now, held = Opening(3, 0, 10**12, 500_000), 0, 0
+    made, now, held = AdmissionRamp(3, 0, 10**12, 500_000), 0, 0
     made.sized(0, slots, dispatchers)
     made.begins(0)
     for what, wait in events:
--- a/tests/test_store.py
+++ b/tests/test_storage.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from mastledge.store.folder import BadFolder, Folder
-from mastledge.store.journal import MARK, PART, Damaged, Journal
-from mastledge.store.writer import Writer
+from mastledge.storage.data_directory import DataDirectory, DataDirectoryError
+from mastledge.storage.write_ahead_log import MARK, PART, DamagedLogError, WriteAheadLog
+from mastledge.storage.writer import Writer
 
 
 class Sums:
@@ -36,7 +36,7 @@
         if logged is not None
         else (lambda *a, **k: None)
     )
-    return Journal(Folder(str(path)).hold(), "j", owner or {"name": "n0"}, Sums(), log)
+    return WriteAheadLog(DataDirectory(str(path)).hold(), "j", owner or {"name": "n0"}, Sums(), log)
 
 
 def put_away(made):
@@ -82,7 +82,7 @@
             assert made.open().keep.sums["a"] == 3
             put_away(made)
             continue
-        with pytest.raises(BadFolder) as error:
+        with pytest.raises(DataDirectoryError) as error:
             made.open()
         assert str(error.value).count("\n") == 0 and "j" in str(error.value)
         put_away(made)
@@ -95,32 +95,32 @@
 def test_another_name_format_or_process_is_one_plain_message(tmp_path, monkeypatch):
     written(tmp_path)
     made = journal(tmp_path, {"name": "n1"})
-    with pytest.raises(BadFolder, match="belongs to another name: n0, not n1"):
+    with pytest.raises(DataDirectoryError, match="belongs to another name: n0, not n1"):
         made.open()
-    with pytest.raises(BadFolder, match="held by another process"):
-        Folder(str(tmp_path)).hold()
+    with pytest.raises(DataDirectoryError, match="held by another process"):
+        DataDirectory(str(tmp_path)).hold()
     put_away(made)
     # A fleet is told apart from the first time on that its name is written down.
     made = journal(tmp_path, {"name": "n0", "fleet": "a"}).open()
     made.rewrite([])
     put_away(made)
     made = journal(tmp_path, {"name": "n0", "fleet": "b"})
-    with pytest.raises(BadFolder, match="belongs to another fleet: a, not b"):
+    with pytest.raises(DataDirectoryError, match="belongs to another fleet: a, not b"):
         made.open()
     put_away(made)
-    monkeypatch.setattr("mastledge.store.journal.FORMAT", 2)
+    monkeypatch.setattr("mastledge.storage.write_ahead_log.FORMAT", 2)
     made = journal(tmp_path)
-    with pytest.raises(BadFolder, match="of format 1"):
+    with pytest.raises(DataDirectoryError, match="of format 1"):
         made.open()
     put_away(made)
     (tmp_path / "j").write_bytes(b"something else")
     made = journal(tmp_path)
-    with pytest.raises(Damaged, match="no journal"):
+    with pytest.raises(DamagedLogError, match="no journal"):
         made.open()
     put_away(made)
     (tmp_path / "file").write_bytes(b"")
-    with pytest.raises(BadFolder, match="can't be written"):
-        Folder(str(tmp_path / "file" / "below")).hold()
+    with pytest.raises(DataDirectoryError, match="can't be written"):
+        DataDirectory(str(tmp_path / "file" / "below")).hold()
 
 
 def test_a_long_file_is_written_anew_in_parts_and_read_as_one(tmp_path):
@@ -186,7 +186,7 @@
 
 
 def test_a_long_journal_is_written_anew_by_itself(tmp_path, monkeypatch):
-    monkeypatch.setattr("mastledge.store.writer.COMPACT", 2000)
+    monkeypatch.setattr("mastledge.storage.writer.COMPACT", 2000)
     made = journal(tmp_path).open()
     writer = Writer(made)
     for token in range(1, 201):
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -83,9 +83,9 @@
 
 def forgetful():
     """Says that what it agreed is on the disk, and writes nothing."""
-    from mastledge.store.journal import Journal
+    from mastledge.storage.write_ahead_log import WriteAheadLog
 
-    Journal.append = lambda self, records: None
+    WriteAheadLog.append = lambda self, records: None
 
 
 def undrained():
@@ -213,23 +213,23 @@
 
 def reckless():
     """Begins a fleet anew whenever it is told to."""
-    from mastledge.recovery import snapshots
+    from mastledge.recovery import fleet_snapshot
 
-    snapshots.refused = lambda *fields: ""
+    fleet_snapshot.refused = lambda *fields: ""
 
 
 def ajar():
     """A door that lets in all that come, whatever becomes of them."""
-    from mastledge.recovery.opening import Opening
+    from mastledge.recovery.admission_ramp import AdmissionRamp
 
     def admit(self, now, further):
         self.held += 1
 
-    Opening.admit = admit
+    AdmissionRamp.admit = admit
 
 
 def credulous():
     """Believes a list that is older than what it has heard."""
-    from mastledge.recovery import belief
+    from mastledge.recovery import restored_state
 
-    belief.kept_off = lambda *fields: frozenset()
+    restored_state.kept_off = lambda *fields: frozenset()
