--- a/mastledge/adapter/__main__.py
+++ b/mastledge/adapter/__main__.py
@@ -6,7 +6,7 @@
 from mastledge.adapter import frames as wire
 from mastledge.balance import Balancer
 from mastledge.program.settings import BadSetting, pairs_of, plain_map
-from mastledge.protocol import messages
+from mastledge.protocol import load_messages
 
 STATE = {0: "gone", 1: "ready", 2: "draining"}
 LIST = {0: "changes", 1: "whole", 2: "cached", 3: "failed"}
@@ -129,7 +129,7 @@
             elif what == "follow":
                 add(wire.TRACK(11, instance, 1))
             elif what == "message":
-                content = messages.encoded(*decision[1:])
+                content = load_messages.encoded(*decision[1:])
                 add(wire.MEMO_TO(8, instance, wire.ALL, len(self.tail), len(content)))
                 self.tail += content
             else:
@@ -158,7 +158,7 @@
                 elif instance in instances:
                     if code == wire.INBOX:
                         content = bytes(wire.tail_part(body, count, at, fields[2], fields[3], "message"))
-                        told = messages.decoded(content)
+                        told = load_messages.decoded(content)
                         if told is not None:
                             instances[instance].message(now, fields[1], *told)
                     else:
--- a/mastledge/lab/builds.py
+++ b/mastledge/lab/builds.py
@@ -34,15 +34,15 @@
 
 def slow_disk():
     """Not wrong: its folder of starts takes 4 s to be read."""
-    from mastledge.program.recovering import Recovering
+    from mastledge.program.recovery_service import RecoveryService
 
-    opened = Recovering.opened
+    opened = RecoveryService.opened
 
     def slowly(self):
         time.sleep(4)
         opened(self)
 
-    Recovering.opened = slowly
+    RecoveryService.opened = slowly
 
 
 def baseline(policy):
--- a/mastledge/lab/crossing.py
+++ b/mastledge/lab/crossing.py
@@ -19,7 +19,7 @@
 from mastledge.lab.judge import SLACK, judged, nothing_to_the_drained, of
 from mastledge.lab.steered import Readiness, Restless, Steered
 from mastledge.program.configuration import configuration
-from mastledge.program.phases import Program
+from mastledge.program.lifecycle import Program
 
 # Each with whether launches may be revoked.
 EFFECTS = {
--- a/mastledge/lab/scale/meter.py
+++ b/mastledge/lab/scale/meter.py
@@ -211,7 +211,7 @@
 
 def metered():
     """The build: it counts, and goes by the regions of its run."""
-    from mastledge.program.phases import Program
+    from mastledge.program.lifecycle import Program
     from mastledge.routing.router import Router
 
     meter = Meter()
--- a/mastledge/program/command.py
+++ b/mastledge/program/command.py
@@ -8,8 +8,8 @@
 
 from mastledge import __version__
 from mastledge.program.configuration import BadConfiguration, configuration
+from mastledge.program.lifecycle import Program
 from mastledge.program.logs import Log
-from mastledge.program.phases import Program
 
 
 def serve(args):
@@ -72,9 +72,9 @@
                 help="brief leaves out the lines of single jobs and launches",
             )
     if words[:1] == ["fleet"] or words[:1] in ([], ["-h"], ["--help"]):
-        from mastledge.program import asked
+        from mastledge.program import fleet_command
 
-        asked.commands(commands)
+        fleet_command.commands(commands)
     # The rig, where it is installed: none of it is needed to serve.
     if words[:1] == ["lab"] or words[:1] in ([], ["-h"], ["--help"]):
         try:
--- a/mastledge/program/relay.py
+++ b/mastledge/program/connection_handoff.py
@@ -11,7 +11,7 @@
 
 from mastledge.protocol import http
 from mastledge.protocol.requests import Exchange
-from mastledge.protocol.workers import Workers
+from mastledge.protocol.worker_connections import WorkerConnections
 from mastledge.transport import passing
 from mastledge.transport.connection import Connection, TimedOut
 from mastledge.transport.loop import READ
@@ -36,10 +36,14 @@
         pass
 
 
-class Relay:
+class ConnectionHandoff:
     def __init__(self, loop, budget, door, settings, log):
         self.loop, self.budget, self.door, self.log = loop, budget, door, log
-        self.workers, self.sock, self.exchanges = Workers(loop, budget, Nowhere(), settings, log), None, set()
+        self.workers, self.sock, self.exchanges = (
+            WorkerConnections(loop, budget, Nowhere(), settings, log),
+            None,
+            set(),
+        )
 
     # In the process that ends
 
--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -14,9 +14,9 @@
 from mastledge.consensus.timing import LEADER
 from mastledge.consensus.worker_restrictions import OwnList
 from mastledge.peers.links import Links
-from mastledge.program.beside import Notes
-from mastledge.program.fleet_calls import LOOK, FleetCalls
+from mastledge.program.fleet_api import LOOK, FleetApi
 from mastledge.program.settings import flat, plain_map
+from mastledge.program.shared_lease import SharedLease
 from mastledge.storage.data_directory import DataDirectory, DataDirectoryError
 from mastledge.storage.write_ahead_log import WriteAheadLog
 from mastledge.storage.writer import Writer
@@ -29,7 +29,7 @@
 ASKED = b"\xc1R"  # begins what a dispatcher that starts asks, and the answers to it
 
 
-class Rule:
+class LeaseGuard:
     """What is asked before a launch is decided, and again before its last byte."""
 
     def __init__(self, fleet, serves):
@@ -49,7 +49,7 @@
         return self.without + (now - self.since if self.since else 0)
 
 
-class Fleet(FleetCalls):
+class Fleet(FleetApi):
     """`program` is told of new rules by `agreed(rules)` and of workers that others know to be out by
     `news(ids)`.
     """
@@ -57,8 +57,8 @@
     def __init__(self, program, told, log):
         self.program, self.told, self.log, self.loop = program, told["peers"], log, program.loop
         self.name, self.document, self.seed = told["name"], told["document"], told["seed"]
-        self.folder, self.notes = DataDirectory(self.told["folder"]), Notes(self.told["folder"], log)
-        self.rule = Rule(self, self.told["without_lease"] == "serve")
+        self.folder, self.notes = DataDirectory(self.told["folder"]), SharedLease(self.told["folder"], log)
+        self.rule = LeaseGuard(self, self.told["without_lease"] == "serve")
         self.member = self.writer = self.links = self.timer = None
         self.answers, self.count, self.applied = {}, 0, -1
         self.held, self.own_list, self.news = None, OwnList(), None
--- a/mastledge/program/fleet_calls.py
+++ b/mastledge/program/fleet_api.py
@@ -17,7 +17,7 @@
 MOST_NAMED = 5  # names in one message
 
 
-class FleetCalls:
+class FleetApi:
     """The part of `Fleet` that answers operators."""
 
     def calls(self):
--- a/mastledge/program/repeating.py
+++ b/mastledge/program/idempotency_service.py
@@ -37,7 +37,7 @@
     return time.time_ns() // 1000
 
 
-class Repeats:
+class IdempotencyService:
     MENDS = 1_000_000  # between two tries of a disk that has failed
 
     def __init__(self, program, told, log):
--- a/mastledge/program/phases.py
+++ b/mastledge/program/lifecycle.py
@@ -8,13 +8,13 @@
 from copy import deepcopy
 
 from mastledge.balance import Balancer
-from mastledge.program.handover import Handover
-from mastledge.program.operators import Operators
-from mastledge.program.relay import Relay
-from mastledge.protocol.clients import Door
+from mastledge.program.connection_handoff import ConnectionHandoff
+from mastledge.program.operator_api import OperatorApi
+from mastledge.program.upgrade_state import UpgradeState
+from mastledge.protocol.client_listener import ClientListener
 from mastledge.protocol.control import Control
 from mastledge.protocol.discovery import BadList, Discovery
-from mastledge.protocol.workers import Workers
+from mastledge.protocol.worker_connections import WorkerConnections
 from mastledge.routing.router import Router
 from mastledge.transport.budget import Budget
 from mastledge.transport.connection import BACKLOG, bound, steer
@@ -92,16 +92,16 @@
         words = words_of(settings)
         self.walltime = max(qt["walltime"] for qt in settings["queue_types"])
         self.discovery = Discovery(loop, self.budget, inbox, told["discovery"], words, log)
-        self.workers = Workers(loop, self.budget, inbox, settings, log)
-        self.door = Door(loop, self.budget, inbox, words, log)
+        self.workers = WorkerConnections(loop, self.budget, inbox, settings, log)
+        self.door = ClientListener(loop, self.budget, inbox, words, log)
         balancer = Balancer(handed(settings), told["seed"], loop.now())
         self.router = Router(loop, inbox, balancer, self.workers, self.discovery, log)
-        self.relay = Relay(loop, self.budget, self.door, settings, log)
+        self.relay = ConnectionHandoff(loop, self.budget, self.door, settings, log)
         self.following = settings["follow"] == "pushed"
         self.signalled, self.controlling, self.accepting, self.beside = False, None, None, False
         self.taken, self.holds, self.part = None, None, 1.0
         # Without a second address nobody starts another process beside this one, or leaves workers out.
-        self.handover = Handover(folder if told["control"] is not None else None, told["listen"], log)
+        self.handover = UpgradeState(folder if told["control"] is not None else None, told["listen"], log)
         if told["peers"]:
             self.join()
         if told["repeats"]:
@@ -109,13 +109,13 @@
             self.reserved += FILES
             self.share()
         if told["recovery"]:
-            from mastledge.program.recovering import Recovering
+            from mastledge.program.recovery_service import RecoveryService
 
-            self.recovering = self.door.gate = Recovering(self, told, log)
+            self.recovering = self.door.gate = RecoveryService(self, told, log)
             self.router.listed = self.listed
             self.reserved += FILES
             self.share()
-        self.control = Control(loop, self.budget, Operators(self).calls(), log)
+        self.control = Control(loop, self.budget, OperatorApi(self).calls(), log)
         if self.fleet is not None:
             self.control.most = SNAPSHOT
 
@@ -138,12 +138,12 @@
     def keeping(self):
         """Who keeps keys that come again, on one disk or on several dispatchers'."""
         if self.told["repeats"]["copies"] > 1:
-            from mastledge.program.copying import Copies
+            from mastledge.program.replication_service import ReplicationService
 
-            return Copies
-        from mastledge.program.repeating import Repeats
+            return ReplicationService
+        from mastledge.program.idempotency_service import IdempotencyService
 
-        return Repeats
+        return IdempotencyService
 
     # As it is where no others are named.
     repeats, fleet, agreed_out, agreed_back, heard_out, reserved = None, None, (), {}, frozenset(), 0
--- a/mastledge/program/operators.py
+++ b/mastledge/program/operator_api.py
@@ -8,7 +8,7 @@
 LOOK = 5_000
 
 
-class Operators:
+class OperatorApi:
     def __init__(self, program):
         self.program = program
 
--- a/mastledge/program/recovering.py
+++ b/mastledge/program/recovery_service.py
@@ -46,7 +46,7 @@
         return ""
 
 
-class Recovering:
+class RecoveryService:
     def __init__(self, program, told, log):
         self.program, self.told, self.log, self.loop = program, told["recovery"], log, program.loop
         self.name, self.seed, self.draws = told["name"], told["seed"], 0
--- a/mastledge/program/copying.py
+++ b/mastledge/program/replication_service.py
@@ -12,7 +12,7 @@
 
 from mastledge.idempotency import key_table as b
 from mastledge.program.configuration import COPIES
-from mastledge.program.repeating import MARGIN, Repeats, unix
+from mastledge.program.idempotency_service import MARGIN, IdempotencyService, unix
 from mastledge.protocol import http
 from mastledge.protocol.control import Answer, No
 from mastledge.protocol.requests import COMPLETED, KILLED, REJECTED
@@ -40,7 +40,7 @@
 decode = msgspec.msgpack.Decoder(Frame).decode
 
 
-class Copies(Repeats):
+class ReplicationService(IdempotencyService):
     def __init__(self, program, told, log):
         super().__init__(program, told, log)
         self.fleet, self.seed = program.fleet, told["seed"]
--- a/mastledge/program/beside.py
+++ b/mastledge/program/shared_lease.py
@@ -12,7 +12,7 @@
 VERSION = 1
 
 
-class Notes:
+class SharedLease:
     """The two files. What can't be read or written is as if nothing had been told: leases run out by
     themselves.
     """
--- a/mastledge/program/handover.py
+++ b/mastledge/program/upgrade_state.py
@@ -43,7 +43,7 @@
     )
 
 
-class Handover:
+class UpgradeState:
     def __init__(self, folder, listen, log):
         self.base = os.path.join(folder, f"mastledge-{listen[0]}-{listen[1]}") if folder else None
         self.log, self.told, self.seat = log, nothing(), 0
--- a/mastledge/protocol/clients.py
+++ b/mastledge/protocol/client_listener.py
@@ -26,7 +26,7 @@
 LINGER = 1_000_000  # what is still under way is read, or closing would reset the answer to it
 
 
-class Door:
+class ClientListener:
     """Everything between the listening socket and the queue of the decisions."""
 
     def __init__(self, loop, budget, inbox, words, log):
--- a/mastledge/protocol/workers.py
+++ b/mastledge/protocol/worker_connections.py
@@ -32,7 +32,7 @@
     """Not all of it was sent, as nobody waits for the answer any more."""
 
 
-class Peer:
+class WorkerEndpoint:
     """A worker as sockets know it: its address and the idle connections to it. Decisions name it by this."""
 
     __slots__ = ("id", "address", "idle", "born", "state", "out")
@@ -50,7 +50,7 @@
         return self.id
 
 
-class Workers:
+class WorkerConnections:
     def __init__(self, loop, budget, inbox, settings, log):
         self.loop, self.budget, self.inbox, self.log = loop, budget, inbox, log
         self.breaks, self.tries = 0.0, 0
--- a/mastledge/routing/router.py
+++ b/mastledge/routing/router.py
@@ -2,7 +2,7 @@
 
 import traceback
 
-from mastledge.protocol.workers import Peer
+from mastledge.protocol.worker_connections import WorkerEndpoint
 
 AGAIN = 250_000  # after which who was turned away for want of rules may come again: elsewhere there are some
 
@@ -79,7 +79,7 @@
         for wkr_id, address, zone, state, born, cls, cell, units in entries:
             peer = self.peers.get(wkr_id)
             if peer is None:
-                peer = self.peers[wkr_id] = Peer(wkr_id, wkr_id in self.out)
+                peer = self.peers[wkr_id] = WorkerEndpoint(wkr_id, wkr_id in self.out)
             if state != "ready" or born > peer.born or (peer.address and address != peer.address):
                 # Nothing new goes there, or its connections died with its former life.
                 self.workers.hang_up(peer)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,8 +7,8 @@
 
 from mastledge.balance import Balancer
 from mastledge.protocol import http
-from mastledge.protocol.clients import Door
-from mastledge.protocol.workers import Peer, Workers
+from mastledge.protocol.client_listener import ClientListener
+from mastledge.protocol.worker_connections import WorkerConnections, WorkerEndpoint
 from mastledge.transport.budget import Budget
 from mastledge.transport.connection import Connection, listen
 from mastledge.transport.loop import Loop, Queue
@@ -171,7 +171,7 @@
         "hold_off": 2_000_000,
         "dispatchers": dispatchers,
     }
-    made = Door(rig.loop, rig.budget, rig.inbox, words, rig.log)
+    made = ClientListener(rig.loop, rig.budget, rig.inbox, words, rig.log)
     made.ready = True
     return made
 
@@ -193,13 +193,13 @@
 
 def workers(rig):
     settings = {"connect_timeout": 250_000, "conn_idle": 5_000_000, "report_fields": ["busy", "outstanding"]}
-    return Workers(rig.loop, rig.budget, rig.inbox, settings, rig.log)
+    return WorkerConnections(rig.loop, rig.budget, rig.inbox, settings, rig.log)
 
 
 def peer_at(wkr_id="s-1"):
     """A worker and the socket on which it listens."""
     sock = listen((HERE, 0))
-    peer = Peer(wkr_id)
+    peer = WorkerEndpoint(wkr_id)
     peer.address = sock.getsockname()
     sock.settimeout(2)
     return peer, sock
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -5,7 +5,7 @@
 import pytest
 from helpers import HERE, Rig, client, door, job, queue_type
 
-from mastledge.protocol import clients
+from mastledge.protocol import client_listener
 from mastledge.transport.budget import CLIENTS
 from mastledge.transport.connection import listen
 
@@ -168,7 +168,7 @@
 
 def test_bodies_that_never_end_leave_memory_to_whole_ones(monkeypatch):
     # Hundreds of them could fill it otherwise; the oldest go, and who finds no room is rejected untouched.
-    monkeypatch.setattr(clients, "YOUNG", 0)
+    monkeypatch.setattr(client_listener, "YOUNG", 0)
     rig = Rig(memory=8 * 100_000)
     made = door(rig)
     slow, usual = client(rig, made), client(rig, made)
@@ -243,7 +243,7 @@
 )
 def test_a_client_gives_way_until_its_job_is_taken(raw, goes, monkeypatch):
     # Requests that never become whole could hold all descriptors otherwise.
-    monkeypatch.setattr(clients, "YOUNG", 0)
+    monkeypatch.setattr(client_listener, "YOUNG", 0)
     rig = Rig(sockets=0)
     made = door(rig)
     theirs = client(rig, made)
@@ -289,7 +289,7 @@
 )
 def test_who_never_sends_a_whole_request_goes_in_time(raw, answer, monkeypatch):
     # Bytes that come one by one must not prolong it, and who had an answer stays.
-    monkeypatch.setattr(clients, "WHOLE", 60_000)
+    monkeypatch.setattr(client_listener, "WHOLE", 60_000)
     rig = Rig()
     made = door(rig)
     usual, theirs = client(rig, made), client(rig, made)
@@ -323,7 +323,7 @@
 )
 def test_a_request_in_pieces_is_read_to_its_end_unless_it_falls_silent(gap, silent, answer, monkeypatch):
     # All had 2 s from the connect, which cut off jobs that were written in 2 s, with room or without.
-    monkeypatch.setattr(clients, "SILENT", silent)
+    monkeypatch.setattr(client_listener, "SILENT", silent)
     rig = Rig()
     made = door(rig)
     theirs, raw = client(rig, made), job(body=b"x" * 50)
@@ -339,7 +339,7 @@
 
 
 def test_crowds_give_way_before_clients_and_those_before_what_still_comes(monkeypatch):
-    monkeypatch.setattr(clients, "YOUNG", 100_000)
+    monkeypatch.setattr(client_listener, "YOUNG", 100_000)
     rig = Rig()
     made = door(rig)
     slow, half, usual, unused = (client(rig, made) for _ in range(4))
--- a/tests/test_relay.py
+++ b/tests/test_connection_handoff.py
@@ -5,10 +5,10 @@
 import helpers
 import pytest
 from helpers import HERE
-from test_handover import Pair, folder  # noqa: F401
+from test_upgrade import Pair, folder  # noqa: F401
 
-from mastledge.program import phases
-from mastledge.program.phases import SERVING
+from mastledge.program import lifecycle
+from mastledge.program.lifecycle import SERVING
 from mastledge.transport import passing
 from mastledge.transport.connection import listen
 
@@ -25,9 +25,9 @@
     """A job open in the old process, which is about to end."""
 
     def __init__(self, path, folder, monkeypatch):  # noqa: F811
-        monkeypatch.setattr(phases, "LONGEST", 300_000)
-        monkeypatch.setattr(phases, "LAST", 700_000)
-        monkeypatch.setattr(phases, "HANDS_ON", 500_000)
+        monkeypatch.setattr(lifecycle, "LONGEST", 300_000)
+        monkeypatch.setattr(lifecycle, "LAST", 700_000)
+        monkeypatch.setattr(lifecycle, "HANDS_ON", 500_000)
         super().__init__(path, folder)
         for served in self.both:
             served.rig.turn = self.turn
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -10,10 +10,10 @@
 from helpers import HERE, Rig, balancer, entry, peer_at
 from test_program import file
 
-from mastledge.program import phases
+from mastledge.program import lifecycle
 from mastledge.program.configuration import BadConfiguration, configuration
-from mastledge.program.phases import DRAINING, SERVING, WAITING, Program
-from mastledge.protocol import clients, control
+from mastledge.program.lifecycle import DRAINING, SERVING, WAITING, Program
+from mastledge.protocol import client_listener, control
 from mastledge.transport.connection import listen
 
 GIVEN = set()
@@ -101,7 +101,7 @@
 
 @pytest.fixture
 def served(tmp_path, monkeypatch):
-    monkeypatch.setattr(phases, "FIRST_NEWS", 0)
+    monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
     made = Served(tmp_path).serving()
     yield made
     made.close()
@@ -126,7 +126,7 @@
 
 
 def test_ready_at_both_addresses_waits_for_a_worker(tmp_path, monkeypatch):
-    monkeypatch.setattr(phases, "FIRST_NEWS", 0)
+    monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
     made = Served(tmp_path, ready=False)
     assert made.turn(lambda: made.made.phase == WAITING)
     assert (made.call("/api/ready")[0], made.health()) == (503, 503)
@@ -242,7 +242,7 @@
 
 def test_a_drain_lets_clients_go_between_jobs_and_loses_none(served, monkeypatch):
     for name, after in (("CLOSES", 100_000), ("REFUSES", 400_000), ("HANGS_UP", 1_500_000)):
-        monkeypatch.setattr(clients, name, after)
+        monkeypatch.setattr(client_listener, name, after)
     idle, busy, half = (served.connect() for _ in range(3))
     for one in (idle, half):
         one.sendall(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -254,7 +254,7 @@
     assert served.turn(lambda: len(served.made.door.clients) == 2)
     assert idle.recv(1) == b""
     # Its last byte comes too late for the drain: rejected, so a retry elsewhere is harmless.
-    assert served.turn(lambda: served.made.loop.now() > served.made.door.draining + clients.REFUSES)
+    assert served.turn(lambda: served.made.loop.now() > served.made.door.draining + client_listener.REFUSES)
     half.sendall(b"x")
     reply = served.rig.reply(half)
     assert reply.startswith(b"HTTP/1.1 503") and b"connection: close" in reply.lower()
@@ -306,14 +306,14 @@
 
 
 def test_without_a_second_address_nothing_of_it_runs(tmp_path, monkeypatch):
-    monkeypatch.setattr(phases, "FIRST_NEWS", 0)
+    monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
     made = Served(tmp_path, control=None).serving().made
     assert made.controlling is None and made.loop.first is None and made.budget.most["operators"] == 0
     made.sock.close()
 
 
 def test_a_second_address_in_use_is_named_in_one_message(tmp_path, monkeypatch):
-    monkeypatch.setattr(phases, "TRIES", 2)
+    monkeypatch.setattr(lifecycle, "TRIES", 2)
     holder = listen((HERE, 0))
     at = "{}:{}".format(*holder.getsockname())
     with pytest.raises(OSError, match=at) as raised:
@@ -331,13 +331,13 @@
 
 
 def test_a_crowd_is_taken_in_a_few_a_turn(served):
-    crowd = [served.connect() for _ in range(3 * clients.ACCEPTS)]
+    crowd = [served.connect() for _ in range(3 * client_listener.ACCEPTS)]
     most, door = 0, served.made.door
     while len(door.clients) < min(len(crowd), served.made.budget.most["clients"]):
         before = len(door.clients)
         served.made.loop.once(10_000)
         most = max(most, len(door.clients) - before)
-    assert 0 < most <= clients.ACCEPTS
+    assert 0 < most <= client_listener.ACCEPTS
 
 
 def test_a_new_configuration_during_a_drain_leaves_it_a_drain(served):
--- a/tests/test_crossing_search.py
+++ b/tests/test_crossing_search.py
@@ -7,11 +7,11 @@
 from mastledge.balance import Balancer
 from mastledge.lab import crossing
 from mastledge.lab.command import cross
-from mastledge.protocol import clients, http
-from mastledge.protocol.clients import Door
+from mastledge.protocol import client_listener, http
+from mastledge.protocol.client_listener import ClientListener
 from mastledge.protocol.discovery import Discovery
 from mastledge.protocol.requests import Exchange
-from mastledge.protocol.workers import Peer, Workers
+from mastledge.protocol.worker_connections import WorkerConnections, WorkerEndpoint
 from mastledge.routing.router import Router
 from mastledge.transport.budget import Budget
 
@@ -39,7 +39,7 @@
 
 
 def a_request_is_not_looked_behind(patch):
-    patch(clients.http, "left", lambda conn: False)
+    patch(client_listener.http, "left", lambda conn: False)
 
 
 def a_job_is_launched_behind_its_answer(patch):
@@ -60,13 +60,17 @@
 
 
 def launches_hold_to_what_they_were_decided_for(patch):
-    patch(Peer, "life", lambda self: 0)
+    patch(WorkerEndpoint, "life", lambda self: 0)
 
 
 def connections_to_a_former_life_are_kept(patch):
-    kept, hang_up = Workers.kept, Workers.hang_up
-    patch(Workers, "kept", lambda self, peer, conn, life: kept(self, peer, conn, peer.life()))
-    patch(Workers, "hang_up", lambda self, peer: None if peer.state == "ready" else hang_up(self, peer))
+    kept, hang_up = WorkerConnections.kept, WorkerConnections.hang_up
+    patch(WorkerConnections, "kept", lambda self, peer, conn, life: kept(self, peer, conn, peer.life()))
+    patch(
+        WorkerConnections,
+        "hang_up",
+        lambda self, peer: None if peer.state == "ready" else hang_up(self, peer),
+    )
 
 
 def an_older_change_is_believed(patch):
@@ -83,14 +87,14 @@
         return True
         yield
 
-    outcome = Workers.outcome
+    outcome = WorkerConnections.outcome
 
     def proves(self, conn, launch, until):
         how, result, report = yield from outcome(self, conn, launch, until)
         return "returned" if how == "turned away" else how, result, report
 
-    patch(Workers, "ended_alone", alone)
-    patch(Workers, "outcome", proves)
+    patch(WorkerConnections, "ended_alone", alone)
+    patch(WorkerConnections, "outcome", proves)
 
 
 def the_window_is_looked_at_where_it_is_decided_only(patch):
@@ -119,7 +123,7 @@
 
 def nobody_is_told_that_its_time_is_over(patch):
     patch(Balancer, "give_up", lambda self, job, hold_off: None)
-    patch(Door, "awaited", lambda self, conn, until: awaits_for_ever(conn))
+    patch(ClientListener, "awaited", lambda self, conn, until: awaits_for_ever(conn))
 
 
 def awaits_for_ever(conn):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -153,7 +153,7 @@
     path = file(tmp_path, listen=f"{HERE}:7070", discovery=f"{HERE}:7071", control=f"{HERE}:7072")
     code = (
         "import json, os, sys\n"
-        "from mastledge.program import command, phases\n"
+        "from mastledge.program import command, lifecycle\n"
         "from mastledge.program.configuration import configuration\n"
         f"told = configuration({path!r}, {{}})\n"
         f"made = phases.Program(told, lambda *a, **k: None, None, {str(tmp_path)!r})\n"
@@ -172,7 +172,8 @@
     )
     modules, links, absent = json.loads(done.stdout)
     parts = "consensus|storage|peers|lab|idempotency|replication|recovery"
-    parts += "|program\\.(fleet|beside|asked|repeating|copying|recovering)"
+    parts += "|program\\.(fleet|fleet_api|shared_lease|fleet_command"
+    parts += "|idempotency_service|replication_service|recovery_service)"
     new = re.compile(rf"mastledge\.({parts})|msgspec|numpy")
     assert absent and not [name for name in modules if new.match(name)]
     assert sum("socket" in link for link in links) == 2 + 1  # listen, control, the inlet for handed jobs
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -11,7 +11,7 @@
 from test_program import file
 
 from mastledge.idempotency import key_table as b
-from mastledge.program import phases
+from mastledge.program import lifecycle
 from mastledge.program.configuration import BadConfiguration, configuration
 
 KEEP = 1_000_000
@@ -158,7 +158,7 @@
 
 @pytest.fixture
 def keyed(tmp_path, monkeypatch):
-    monkeypatch.setattr(phases, "FIRST_NEWS", 0)
+    monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
     made = [Keyed(tmp_path).serving()]
 
     def again():
--- a/tests/test_knowledge.py
+++ b/tests/test_load_messages.py
@@ -5,7 +5,7 @@
 import pytest
 from helpers import arrive, balancer, entry, pull, queue_type
 
-from mastledge.protocol import messages
+from mastledge.protocol import load_messages
 
 FIELDS = ["backlog", "free_slots", "free_memory"]
 
@@ -183,7 +183,7 @@
 
 
 def message(sent):
-    return messages.decoded(messages.encoded(*sent))
+    return load_messages.decoded(load_messages.encoded(*sent))
 
 
 def test_a_message_tells_loads_and_wants():
@@ -224,7 +224,7 @@
     assert made.ready[0].shared == 0 and not made.others
 
 
-WHOLE = messages.encoded(7, [(1, 2.0)], [(9, 5_000)])
+WHOLE = load_messages.encoded(7, [(1, 2.0)], [(9, 5_000)])
 
 
 @pytest.mark.parametrize(
@@ -239,12 +239,15 @@
     ],
 )
 def test_what_is_no_message_is_told_as_none(content):
-    assert messages.decoded(WHOLE) == (7, [(1, 2.0)], [(9, 5_000)]) and messages.decoded(content) is None
+    assert (
+        load_messages.decoded(WHOLE) == (7, [(1, 2.0)], [(9, 5_000)])
+        and load_messages.decoded(content) is None
+    )
 
 
 def test_a_message_fits_whatever_is_told():
-    content = messages.encoded(7, [(n, 1e9) for n in range(99)], [(n, 1e18) for n in range(99)])
-    assert len(content) <= 256 and messages.decoded(content)[1][0] == (0, 255 / 4)
+    content = load_messages.encoded(7, [(n, 1e9) for n in range(99)], [(n, 1e18) for n in range(99)])
+    assert len(content) <= 256 and load_messages.decoded(content)[1][0] == (0, 255 / 4)
 
 
 def settings_of(made, types, **other):
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -11,11 +11,11 @@
 import pytest
 from helpers import HERE, Rig, balancer, peer_at, queue_type, workers
 
-from mastledge.program import phases
+from mastledge.program import lifecycle
 from mastledge.program.command import main
 from mastledge.program.configuration import BadConfiguration, configuration
+from mastledge.program.lifecycle import ENDED, FINISHING, LEAVING, NEXT, SERVING, STARTING, WAITING, Program
 from mastledge.program.logs import Log
-from mastledge.program.phases import ENDED, FINISHING, LEAVING, NEXT, SERVING, STARTING, WAITING, Program
 from mastledge.program.settings import flat
 from mastledge.protocol.requests import Exchange
 from mastledge.routing.router import Router
@@ -325,7 +325,7 @@
 )
 def test_the_end_finishes_what_was_taken_and_not_the_rest(answered, longest, status, tmp_path, monkeypatch):
     for name, time in (("ACCEPTING", 20_000), ("LONGEST", longest), ("LAST", 50_000), ("FIRST_NEWS", 0)):
-        monkeypatch.setattr(phases, name, time)
+        monkeypatch.setattr(lifecycle, name, time)
     peer, sock = peer_at()
     door = listen((HERE, 0))
     at = f"{HERE}:{door.getsockname()[1]}"
@@ -393,7 +393,7 @@
 
 def test_settings_are_switched_in_a_running_program_and_back_with_jobs_open(tmp_path, monkeypatch):
     # SIGHUP only named what had changed, and the move would have cost a restart of each dispatcher.
-    monkeypatch.setattr(phases, "FIRST_NEWS", 0)
+    monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
     peer, sock = peer_at()
     door = listen((HERE, 0))
     at = f"{HERE}:{door.getsockname()[1]}"
@@ -474,7 +474,7 @@
 
 
 def test_a_host_without_messages_never_asks_for_one():
-    assert phases.handed({"may_message": True, "queue_types": []})["may_message"] is False
+    assert lifecycle.handed({"may_message": True, "queue_types": []})["may_message"] is False
 
 
 @pytest.mark.parametrize(
--- a/tests/test_recovering.py
+++ b/tests/test_recovery_service.py
@@ -7,7 +7,7 @@
 from helpers import HERE
 from test_program import file
 
-from mastledge.program import phases
+from mastledge.program import lifecycle
 from mastledge.program.configuration import configuration
 from mastledge.recovery import startup_stages as s
 from mastledge.storage.data_directory import DataDirectoryError
@@ -20,7 +20,7 @@
     recovery = {"folder": str(tmp_path / "starts"), **told}
     path = file(tmp_path, listen=f"{HERE}:7570", discovery=f"{HERE}:7571", recovery=recovery)
     seen = logged if logged is not None else []
-    return phases.Program(configuration(path, {}), lambda event, **fields: seen.append((event, fields)))
+    return lifecycle.Program(configuration(path, {}), lambda event, **fields: seen.append((event, fields)))
 
 
 def turned(made, until=lambda: False, most=400):
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -13,7 +13,7 @@
 from mastledge.lab.schedule import LEASE, Broken, Fleet
 from mastledge.lab.sized import Sized, begun, measured, rests
 from mastledge.program.command import main
-from mastledge.program.fleet_calls import FleetCalls
+from mastledge.program.fleet_api import FleetApi
 from mastledge.protocol.control import No
 
 SEEDS = 30
@@ -376,7 +376,7 @@
     assert known.since(2, "r") == m.WorkerRestrictions("r", 9, [("w1", "gone")])
 
 
-class Asked(FleetCalls):
+class Asked(FleetApi):
     """The calls of a dispatcher whose member says what the test wants."""
 
     def __init__(self, role, older=()):
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -14,8 +14,8 @@
 import pytest
 from helpers import HERE, Rig, peer_at
 from test_crossings import CHUNKED, chunk
-from test_program import file
 from test_idempotency import answers
+from test_program import file
 from test_workers import discovery
 
 from mastledge.lab.steered import Steered
--- a/tests/test_handover.py
+++ b/tests/test_upgrade.py
@@ -15,22 +15,22 @@
 from test_control import Served, free
 from test_program import arrived, file, router
 
-from mastledge.program import handover, operators, phases
-from mastledge.program.handover import Handover, nothing
-from mastledge.program.phases import SERVING
+from mastledge.program import lifecycle, operator_api, upgrade_state
+from mastledge.program.lifecycle import SERVING
+from mastledge.program.upgrade_state import UpgradeState, nothing
 from mastledge.transport.connection import bound, steer
 
 LISTEN = ("127.0.0.1", 7070)
 
 
 def shares(folder, log=lambda event, **fields: None):
-    made = Handover(str(folder), LISTEN, log)
+    made = UpgradeState(str(folder), LISTEN, log)
     made.sit()
     return made
 
 
 def test_two_have_a_seat_and_a_death_frees_it(tmp_path, monkeypatch):
-    monkeypatch.setattr(handover, "WAITS", 2)
+    monkeypatch.setattr(upgrade_state, "WAITS", 2)
     first = shares(tmp_path)
     assert first.alone()
     second = shares(tmp_path)
@@ -81,7 +81,7 @@
 
 def test_without_a_folder_or_room_in_it_the_process_goes_on_alone(tmp_path):
     for folder in (None, str(tmp_path / "nowhere")):
-        made = Handover(folder, LISTEN, lambda event, **fields: None)
+        made = UpgradeState(folder, LISTEN, lambda event, **fields: None)
         made.sit()
         assert made.alone() and made.change(lambda told: told.update(out=["s-1"]))
         assert made.told["out"] == ["s-1"] and not made.look()
@@ -207,7 +207,7 @@
 
 @pytest.fixture
 def folder(tmp_path, monkeypatch):
-    monkeypatch.setattr(phases, "FIRST_NEWS", 0)
+    monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
     (tmp_path / "shared").mkdir()
     return tmp_path / "shared"
 
@@ -350,7 +350,7 @@
 
 
 def test_a_call_is_answered_though_the_other_process_stands_still(pair, monkeypatch):
-    monkeypatch.setattr(operators, "PATIENCE", 100_000)
+    monkeypatch.setattr(operator_api, "PATIENCE", 100_000)
     pair.both = (pair.old,)
     assert pair.old.call("/api/exclude/s-1", "POST")[0] == 200
     assert "not_seen" in [what for what, _ in pair.old.rig.logged]
@@ -431,12 +431,12 @@
     old, new = pair.old.made, pair.new.made
     new.says(ready=False)
     assert pair.turn(lambda: old.handover.told["ready"] == [old.handover.seat])
-    monkeypatch.setattr(phases, "BESIDE", 600_000)
+    monkeypatch.setattr(lifecycle, "BESIDE", 600_000)
     old.signalled = True
     if not late:
         new.says(ready=True)
     old.loop.wake(old.life)
-    monkeypatch.setattr(phases, "BESIDE", 20_000)
+    monkeypatch.setattr(lifecycle, "BESIDE", 20_000)
     # A machine that stands still for 0.2 s goes past "leaving" in one turn.
     assert pair.turn(lambda: old.phase != SERVING)
     pair.turn(lambda: False, late)
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -7,7 +7,7 @@
 import pytest
 from helpers import Rig, peer_at, workers
 
-from mastledge.protocol import workers as protocol_workers
+from mastledge.protocol import worker_connections as protocol_workers
 from mastledge.protocol.discovery import BadList, Discovery
 from mastledge.protocol.requests import Exchange
 
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -23,15 +23,15 @@
         self.sort_out()
 
     Balancer.by_hand = by_hand
-    from mastledge.protocol.workers import Workers
+    from mastledge.protocol.worker_connections import WorkerConnections
 
-    sent = Workers.sent_lawfully
+    sent = WorkerConnections.sent_lawfully
 
     def sent_lawfully(self, conn, peer, *how):
         peer.out = False
         return sent(self, conn, peer, *how)
 
-    Workers.sent_lawfully = sent_lawfully
+    WorkerConnections.sent_lawfully = sent_lawfully
 
 
 def twice():
@@ -70,15 +70,15 @@
             self.jobs[job_id].ended = True
 
     Balancer.arrived = kept
-    from mastledge.protocol import clients
+    from mastledge.protocol import client_listener
 
-    outcome = clients.Door.outcome
+    outcome = client_listener.ClientListener.outcome
 
     def slow(self, conn, exchange):
         exchange.until += 400_000
         return (yield from outcome(self, conn, exchange))
 
-    clients.Door.outcome = slow
+    client_listener.ClientListener.outcome = slow
 
 
 def forgetful():
@@ -146,9 +146,9 @@
 
 def claimless():
     """Writes its claim on a key down with the outcome, after the launch."""
-    from mastledge.program.repeating import Repeats
+    from mastledge.program.idempotency_service import IdempotencyService
 
-    lasting = Repeats.lasting
+    lasting = IdempotencyService.lasting
 
     def later(self, record):
         if record.state == "claimed":
@@ -158,7 +158,7 @@
         self.book.out = [r for r in self.later if r[1:3] == record.place] + self.book.out
         return (yield from lasting(self, record))
 
-    Repeats.lasting = later
+    IdempotencyService.lasting = later
 
 
 def boastful():
