--- a/mastledge/lab/crossing.py
+++ b/mastledge/lab/crossing.py
@@ -686,7 +686,7 @@
             out.append(f"nothing_left: {len(self.loop.waiters) - idle} tasks")
         if program.budget.used["workers"] > idle:
             out.append(f"nothing_left: {program.budget.used['workers'] - idle} workers' descriptors")
-        if program.budget.bytes or program.door.in_hand:
+        if program.budget.bytes or program.listener.in_hand:
             out.append("nothing_left: room for bodies, or jobs in hand")
         return out
 
@@ -695,7 +695,7 @@
         for task in (program.life, program.inbox.reader, program.discovery.task, program.accepting):
             if task is not None:
                 self.loop.cancel(task)
-        for conn in list(program.door.clients):
+        for conn in list(program.listener.clients):
             self.loop.cancel(conn.owner)
         for peer in program.router.peers.values():
             program.workers.hang_up(peer)
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -186,7 +186,7 @@
         self.jobs = {}
 
     def keep(self):
-        """What its folder has of it, as `program.recovering` writes it down."""
+        """What its folder has of it, as `program.recovery` writes it down."""
         now, out, workers = self.world.now, {}, {}
         for wkr in self.balancer.workers.values():
             workers[wkr.id] = b.Worker(wkr.state, wkr.born, ["", 0])
--- a/mastledge/program/connection_handoff.py
+++ b/mastledge/program/connection_handoff.py
@@ -38,7 +38,7 @@
 
 class ConnectionHandoff:
     def __init__(self, loop, budget, door, settings, log):
-        self.loop, self.budget, self.door, self.log = loop, budget, door, log
+        self.loop, self.budget, self.listener, self.log = loop, budget, door, log
         self.workers, self.sock, self.exchanges = (
             WorkerConnections(loop, budget, Nowhere(), settings, log),
             None,
@@ -119,7 +119,7 @@
         http.resume(client, launch.conn, headed)
         launch.conn.buffer.keep(rest)
         self.exchanges.add(exchange)
-        client.owner = self.loop.spawn(self.door.resumed(client, exchange))
+        client.owner = self.loop.spawn(self.listener.resumed(client, exchange))
         task = self.loop.spawn(self.carried(launch, exchange))
         exchange.answer = lambda *answer: self.loop.wake(client.owner, answer)
         exchange.job = task
--- a/mastledge/program/fleet_api.py
+++ b/mastledge/program/fleet_api.py
@@ -67,7 +67,7 @@
                 "lease_ms": member.lease // 1000,
                 "members": state["members"] if state else {},
                 "out": state["out"] if state else [],
-                "out_here": sorted(self.program.handover.told["out"]),
+                "out_here": sorted(self.program.upgrade_state.told["out"]),
                 "heard_out": sorted(self.program.heard_out),
                 "why": self.unreadable or ("" if left else member.why()),
                 "served_without_lease_ms": self.rule.unbound(now) // 1000,
--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -148,7 +148,7 @@
         while (
             self.program.beside
             and self.book is None
-            and not self.program.door.succeeded
+            and not self.program.listener.succeeded
             and self.loop.now() < last
             and not http.left(conn)
         ):
@@ -180,7 +180,7 @@
             record.task = loop.spawn(self.kept(exchange, told, record))
         record.waiters.add(conn)
         try:
-            got = yield from self.program.door.awaited(conn, exchange.until)
+            got = yield from self.program.listener.awaited(conn, exchange.until)
             return got if got != () else (KILLED, [], b"")
         finally:
             record.waiters.discard(conn)
--- a/mastledge/program/lifecycle.py
+++ b/mastledge/program/lifecycle.py
@@ -93,25 +93,27 @@
         self.walltime = max(qt["walltime"] for qt in settings["queue_types"])
         self.discovery = Discovery(loop, self.budget, inbox, told["discovery"], words, log)
         self.workers = WorkerConnections(loop, self.budget, inbox, settings, log)
-        self.door = ClientListener(loop, self.budget, inbox, words, log)
+        self.listener = ClientListener(loop, self.budget, inbox, words, log)
         balancer = Balancer(handed(settings), told["seed"], loop.now())
         self.router = Router(loop, inbox, balancer, self.workers, self.discovery, log)
-        self.relay = ConnectionHandoff(loop, self.budget, self.door, settings, log)
+        self.handoff = ConnectionHandoff(loop, self.budget, self.listener, settings, log)
         self.following = settings["follow"] == "pushed"
         self.signalled, self.controlling, self.accepting, self.beside = False, None, None, False
         self.taken, self.holds, self.part = None, None, 1.0
         # Without a second address nobody starts another process beside this one, or leaves workers out.
-        self.handover = UpgradeState(folder if told["control"] is not None else None, told["listen"], log)
+        self.upgrade_state = UpgradeState(
+            folder if told["control"] is not None else None, told["listen"], log
+        )
         if told["peers"]:
             self.join()
         if told["repeats"]:
-            self.repeats = self.door.repeats = self.keeping()(self, told, log)
+            self.idempotency = self.listener.idempotency = self.keeping()(self, told, log)
             self.reserved += FILES
             self.share()
         if told["recovery"]:
             from mastledge.program.recovery_service import RecoveryService
 
-            self.recovering = self.door.gate = RecoveryService(self, told, log)
+            self.recovery = self.listener.gate = RecoveryService(self, told, log)
             self.router.listed = self.listed
             self.reserved += FILES
             self.share()
@@ -124,14 +126,14 @@
         from mastledge.program.fleet import Fleet  # what it needs is no need of a dispatcher alone
 
         self.fleet = fleet = Fleet(self, self.told, self.log)
-        self.router.rule = self.workers.rule = self.door.rule = fleet.rule
+        self.router.rule = self.workers.rule = self.listener.rule = fleet.rule
         self.router.listed = fleet.listed
         self.reserved = 2 * len(self.told["peers"]["members"]) + FILES
         self.share()
 
     def listed(self, kind, entries):
         """Who goes by what the list has told, beside the decisions."""
-        self.recovering.listed(kind, entries)
+        self.recovery.listed(kind, entries)
         if self.fleet is not None:
             self.fleet.listed(kind, entries)
 
@@ -146,8 +148,8 @@
         return IdempotencyService
 
     # As it is where no others are named.
-    repeats, fleet, agreed_out, agreed_back, heard_out, reserved = None, None, (), {}, frozenset(), 0
-    recovering, kept_off = None, frozenset()  # who is off by a list that was newer than the one of now
+    idempotency, fleet, agreed_out, agreed_back, heard_out, reserved = None, None, (), {}, frozenset(), 0
+    recovery, kept_off = None, frozenset()  # who is off by a list that was newer than the one of now
 
     def agreed(self, settings, state):
         """Rules in force from here on: settings, and who is out by hand at all dispatchers."""
@@ -160,11 +162,11 @@
     def recompose(self):
         """Who is out, by all that say so."""
         if self.taken is None:
-            self.handover.look()
+            self.upgrade_state.look()
         self.take_up()
 
     def all_out(self):
-        return {*self.handover.told["out"], *self.agreed_out, *self.heard_out, *self.kept_off}
+        return {*self.upgrade_state.told["out"], *self.agreed_out, *self.heard_out, *self.kept_off}
 
     def lapse(self):
         self.inbox.put("lapsed")
@@ -176,7 +178,7 @@
         if phase not in NEXT[self.phase]:
             raise RuntimeError(f"no way from {self.phase} to {phase}")
         self.phase = phase
-        self.log("phase", phase=phase, jobs=len(self.router.jobs), clients=len(self.door.clients))
+        self.log("phase", phase=phase, jobs=len(self.router.jobs), clients=len(self.listener.clients))
 
     def run(self):
         pipe = os.pipe()
@@ -193,9 +195,9 @@
         return 0 if self.phase == ENDED else 1
 
     def begin(self):
-        self.handover.sit()
-        self.beside = not self.handover.alone()
-        self.sock = self.held(self.told["listen"], self.handover.base is not None)
+        self.upgrade_state.sit()
+        self.beside = not self.upgrade_state.alone()
+        self.sock = self.held(self.told["listen"], self.upgrade_state.base is not None)
         if not self.beside:
             self.sock.listen(BACKLOG)
         if self.told["control"] is not None:
@@ -203,14 +205,14 @@
             self.controlling.listen(64)
             self.loop.spawn(self.control.listen(self.controlling), first=True)
             self.loop.spawn(self.vital(self.watch()), first=True)
-        if self.handover.base is not None:
-            self.loop.spawn(self.relay.listen(self.handover.place("jobs", self.handover.seat)))
+        if self.upgrade_state.base is not None:
+            self.loop.spawn(self.handoff.listen(self.upgrade_state.place("jobs", self.upgrade_state.seat)))
         if self.fleet is not None:
             self.fleet.begin()
-        if self.repeats is not None:
-            self.repeats.begin()
-        if self.recovering is not None:
-            self.recovering.begin()
+        if self.idempotency is not None:
+            self.idempotency.begin()
+        if self.recovery is not None:
+            self.recovery.begin()
         self.inbox.reader = self.loop.spawn(self.vital(self.router.run()))
         self.life = self.loop.spawn(self.vital(self.phases()))
 
@@ -290,9 +292,9 @@
             qt["kind"] = kinds[int(qt["kind"])] if 0 <= qt["kind"] < len(kinds) else qt["kind"]
         # Jobs of before may be open for as long as they were promised.
         self.walltime = max(self.walltime, *(qt["walltime"] for qt in settings["queue_types"]))
-        self.door.configure(words)
+        self.listener.configure(words)
         self.workers.configure(settings)
-        self.relay.workers.configure(settings)
+        self.handoff.workers.configure(settings)
         self.inbox.put("configured", settings)
         if settings["follow"] == "pushed":
             self.discovery.follow()
@@ -301,7 +303,7 @@
         """A worker is known, and the list is no older than it has to be: the one kept may be of long ago."""
         if self.fleet is not None and not self.fleet.rule.may_act(self.loop.now()):
             return False
-        if self.recovering is not None and not self.recovering.may_serve():
+        if self.recovery is not None and not self.recovery.may_serve():
             return False
         heard = impatient or self.discovery.task is None or self.discovery.answered
         return heard and any(peer.state == "ready" for peer in self.router.peers.values())
@@ -317,7 +319,7 @@
         self.budget.shrink()
 
     def watch(self):
-        handover, shared, teach_at = self.handover, False, 0
+        handover, shared, teach_at = self.upgrade_state, False, 0
         handover.look()
         if not self.beside:
             # What is out by hand stays so; a drain and who was ready ended with those processes.
@@ -344,13 +346,13 @@
 
     def divide(self):
         """Which part of the cold budget is this process's; one that hands over needs little more of it."""
-        there = 1 - self.handover.seat
+        there = 1 - self.upgrade_state.seat
         part = (
             1.0
             if not self.beside
             else HANDING
-            if self.door.succeeded
-            else (1 - HANDING if there in self.handover.told["leaving"] else 0.5)
+            if self.listener.succeeded
+            else (1 - HANDING if there in self.upgrade_state.told["leaving"] else 0.5)
         )
         if part != self.part:
             self.part = part
@@ -358,7 +360,7 @@
 
     def take_up(self):
         """What is shared, into this process."""
-        told, now = self.handover.told, self.loop.now()
+        told, now = self.upgrade_state.told, self.loop.now()
         self.drain(told["draining"])
         self.taken = serial = told["serial"]
         back = {**told["back"], **self.agreed_back} if self.agreed_back else told["back"]
@@ -370,20 +372,20 @@
         """The decisions hold all up to this number."""
         self.holds = serial
         if self.beside:
-            seat = str(self.handover.seat)
-            self.handover.change(lambda told: told["seen"].update({seat: serial}), news=False)
+            seat = str(self.upgrade_state.seat)
+            self.upgrade_state.change(lambda told: told["seen"].update({seat: serial}), news=False)
 
     def tell(self, edit):
         """Changes what is shared and takes it up here; its number, or None: the other cannot learn of it."""
-        if not self.handover.change(edit):
+        if not self.upgrade_state.change(edit):
             return None
         self.take_up()
         return self.taken
 
     def drain(self, wanted):
         """Ready says no from this very call on, or yes again; the phase follows."""
-        if bool(wanted) != bool(self.door.draining):
-            self.door.draining = wanted and self.loop.now()
+        if bool(wanted) != bool(self.listener.draining):
+            self.listener.draining = wanted and self.loop.now()
             self.loop.wake(self.life)
 
     def opened(self):
@@ -391,26 +393,26 @@
         self.sock.listen(BACKLOG)
         if self.beside:
             self.log("steered", done=steer(self.sock, 1))
-        self.accepting = self.loop.spawn(self.door.listen(self.sock))
+        self.accepting = self.loop.spawn(self.listener.listen(self.sock))
 
     def hand_over(self):
         """Gives its folders free, once nothing here needs them any more."""
-        if self.repeats is not None:
-            if not self.repeats.idle():
+        if self.idempotency is not None:
+            if not self.idempotency.idle():
                 return
-            self.repeats.end()
-        if self.recovering is not None:
-            self.recovering.end()
+            self.idempotency.end()
+        if self.recovery is not None:
+            self.recovery.end()
         if self.fleet is not None:
             self.fleet.hand_over()
 
     def says(self, **places):
-        self.tell(self.handover.says(self.handover.seat, **places))
+        self.tell(self.upgrade_state.says(self.upgrade_state.seat, **places))
 
     def phases(self):
-        loop, door, router = self.loop, self.door, self.router
-        if self.recovering is not None:
-            yield from self.recovering.prepared()
+        loop, door, router = self.loop, self.listener, self.router
+        if self.recovery is not None:
+            yield from self.recovery.prepared()
         try:
             self.discovery.apply(self.told["known"], "cached")
         except BadList as error:
@@ -424,9 +426,9 @@
             if not door.ready and self.can_serve(loop.now() >= patient):
                 door.ready = True
                 if self.beside:
-                    self.inbox.put("inherited", self.handover.taught())
-                elif self.recovering is not None:
-                    self.inbox.put("inherited", self.recovering.taught())
+                    self.inbox.put("inherited", self.upgrade_state.taught())
+                elif self.recovery is not None:
+                    self.inbox.put("inherited", self.recovery.taught())
             if self.accepting is None and (door.ready or not self.beside):
                 self.opened()
             if door.draining:
@@ -455,7 +457,7 @@
         if self.fleet is not None:
             self.fleet.leave()
         while loop.now() < closing:
-            if not door.succeeded and self.handover.other_ready():
+            if not door.succeeded and self.upgrade_state.other_ready():
                 # All new connections go there: who is connected here comes there with its next job.
                 door.succeeded = door.closing = True
                 closing, idle_from = loop.now() + HANDED_OVER, loop.now() + LET_GO
@@ -478,18 +480,18 @@
                 self.hand_over()
             if loop.now() >= idle_from:
                 door.close_all_idle()
-            if door.succeeded and loop.now() >= last - HANDS_ON and self.handover.other_ready():
-                self.relay.hand_on(router, self.handover.place("jobs", 1 - self.handover.seat))
+            if door.succeeded and loop.now() >= last - HANDS_ON and self.upgrade_state.other_ready():
+                self.handoff.hand_on(router, self.upgrade_state.place("jobs", 1 - self.upgrade_state.seat))
             yield (-1, 0, loop.now() + LOOK)
         self.inbox.put("over")
-        self.relay.over()
+        self.handoff.over()
         while door.clients and loop.now() < last + LAST // 5:
             door.close_all_idle()
             yield (-1, 0, loop.now() + LOOK // 4)
         self.go(ENDED)
         self.log("totals", faults=router.faults, **router.totals)
-        if self.repeats is not None:
-            self.repeats.end()
+        if self.idempotency is not None:
+            self.idempotency.end()
         if self.fleet is not None:
             self.fleet.end()
         loop.running = False
--- a/mastledge/program/operator_api.py
+++ b/mastledge/program/operator_api.py
@@ -15,13 +15,13 @@
     def calls(self):
         fleet = self.program.fleet
         more = fleet.calls() if fleet is not None else {}
-        if self.program.repeats is not None:
-            repeats = self.program.repeats
+        if self.program.idempotency is not None:
+            repeats = self.program.idempotency
             more["/api/copies"] = {b"GET": repeats.copies}
             if hasattr(repeats, "recount"):
                 more["/api/copies"][b"POST"] = repeats.recount
-        if self.program.recovering is not None:
-            more["/api/recovery"] = {b"GET": self.program.recovering.figures}
+        if self.program.recovery is not None:
+            more["/api/recovery"] = {b"GET": self.program.recovery.figures}
         return {
             **more,
             "/api/ready": (b"GET", self.ready),
@@ -33,16 +33,16 @@
         }
 
     def ready(self):
-        if not self.program.door.up():
+        if not self.program.listener.up():
             why = self.program.fleet.why() if self.program.fleet is not None else ""
-            if self.program.recovering is not None and not why:
-                why = self.program.recovering.waiting()
+            if self.program.recovery is not None and not why:
+                why = self.program.recovery.waiting()
             raise No(503, f"not ready: {self.program.phase}" + (f"; {why}" if why else ""))
         return "ready"
 
     def telemetry(self):
         """A line a figure. Counts run from the start of this process."""
-        door, router, workers = self.program.door, self.program.router, self.program.workers
+        door, router, workers = self.program.listener, self.program.router, self.program.workers
         figures = {f"{what}.{kind}": n for what, kinds in door.ended.items() for kind, n in kinds.items()}
         figures |= {
             "upstream_tries": workers.tries,
@@ -88,7 +88,7 @@
         if serial is None:
             raise No(500, "the process beside this one cannot be told")
         last = program.loop.now() + PATIENCE
-        while (program.holds or 0) < serial or not program.handover.other_saw(serial):
+        while (program.holds or 0) < serial or not program.upgrade_state.other_saw(serial):
             if program.loop.now() >= last:
                 program.log("not_seen", serial=serial, holds=program.holds)
                 return
@@ -100,7 +100,7 @@
 
     def rejoin(self):
         program = self.program
-        if program.signalled and not program.door.succeeded:
+        if program.signalled and not program.listener.succeeded:
             raise No(409, f"ending: {program.phase}")
         yield from self.changed(lambda told: told.update(draining=False))
         return "serving again"
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -348,11 +348,11 @@
         hold_off = self.opening.admit(began, further)
         if hold_off is not None:
             exchange.open = False
-            self.program.door.count(exchange.kind, REJECTED)
+            self.program.listener.count(exchange.kind, REJECTED)
             return REJECTED, [(b"retry-after", b"%.3f" % (hold_off / 1e6))] if hold_off else [], b""
         reply = None
         try:
-            reply = yield from self.program.door.taken(conn, exchange, told)
+            reply = yield from self.program.listener.taken(conn, exchange, told)
             return reply
         finally:
             how = ELSE if reply is None else {COMPLETED: DONE, REJECTED: TURNED}.get(reply[0], ELSE)
@@ -378,7 +378,7 @@
 
     def take_folder(self):
         """The process before this one may have left it."""
-        if self.reader is None and self.folder.lock is None and not self.program.door.succeeded:
+        if self.reader is None and self.folder.lock is None and not self.program.listener.succeeded:
             try:
                 self.folder.hold()
             except DataDirectoryError:
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -280,7 +280,7 @@
         self.clients[n] = conn
         exchange.gone = lambda: n not in self.clients or http.left(conn)
         try:
-            got = yield from self.program.door.awaited(conn, exchange.until)
+            got = yield from self.program.listener.awaited(conn, exchange.until)
         finally:
             del self.clients[n]
         if got:
--- a/mastledge/protocol/client_listener.py
+++ b/mastledge/protocol/client_listener.py
@@ -35,7 +35,7 @@
         self.leaving = self.closing = self.draining = self.succeeded = False
         self.ended = {what: {} for what in ("passed", "dropped", "bad_gateway")}
         self.names, self.known = set(), deque()
-        self.repeats = None  # where keys are kept: what becomes of a job whose key has come before
+        self.idempotency = None  # where keys are kept: what becomes of a job whose key has come before
         self.rule = None  # where dispatchers agree: whether what is in force is known here
         self.gate = None  # where a start is gradual: who is let in, by `passed`, round `taken`
         self.configure(words)
@@ -261,9 +261,9 @@
         self.in_hand += 1
         self.names.add(exchange.name)
         self.known.append((exchange.until, exchange.name))
-        if self.repeats is not None and exchange.key is not None:
+        if self.idempotency is not None and exchange.key is not None:
             try:
-                reply = yield from self.repeats.offer(conn, exchange, told)
+                reply = yield from self.idempotency.offer(conn, exchange, told)
                 if reply is not None:
                     self.count(exchange.kind, reply[0])
                 return reply
--- a/tests/test_connection_handoff.py
+++ b/tests/test_connection_handoff.py
@@ -71,7 +71,7 @@
     handing.ends(lambda: handing.old.made.phase == "ended")
     assert [fields["how"] for fields in handing.logged(handing.old, "job")] == ["handed_on"]
     assert handing.new.figures()["svc.in_progress"] == 1
-    handing.old.made.handover.leave()
+    handing.old.made.upgrade_state.leave()
     handing.both = (handing.new,)
     handing.client.setblocking(False)
     with pytest.raises(BlockingIOError):
@@ -87,7 +87,9 @@
     assert (figures["svc.passed.render"] == 1) == (answer == b"HTTP/1.1 200")
     assert figures["svc.in_progress"] == figures["svc.upstream_tries"] == 0
     handing.client.close()
-    assert handing.turn(lambda: not handing.new.made.relay.exchanges and not handing.new.made.door.in_hand)
+    assert handing.turn(
+        lambda: not handing.new.made.handoff.exchanges and not handing.new.made.listener.in_hand
+    )
 
 
 @pytest.mark.parametrize(
@@ -103,7 +105,7 @@
 def test_a_client_that_leaves_takes_its_handed_job_with_it(handing):
     handing.ends(lambda: handing.logged(handing.new, "taken_up"))
     handing.client.close()
-    assert handing.turn(lambda: not handing.new.made.door.in_hand)
+    assert handing.turn(lambda: not handing.new.made.listener.in_hand)
 
 
 def test_the_time_of_a_job_goes_on_in_the_other_process(handing, monkeypatch):
@@ -117,7 +119,7 @@
 
 def test_a_process_that_ends_with_jobs_it_took_up_answers_them(handing):
     handing.ends(lambda: handing.old.made.phase == "ended" and handing.logged(handing.new, "taken_up"))
-    handing.old.made.handover.leave()
+    handing.old.made.upgrade_state.leave()
     handing.both = (handing.new,)
     assert handing.turn(lambda: not handing.new.made.beside)
     handing.new.made.signalled = True
@@ -153,7 +155,7 @@
     ours = [door.accept()[0] for _ in callers]
     taken = lambda: {kind: new.budget.used[kind] for kind in ("clients", "workers")}  # noqa: E731
     before = taken()  # discovery is tried again and again meanwhile
-    passing.put(new.handover.place("jobs", new.handover.seat), raw, ours)
+    passing.put(new.upgrade_state.place("jobs", new.upgrade_state.seat), raw, ours)
     for one in ours:
         one.close()
     assert handing.turn(lambda: handing.logged(handing.new, "not_taken_up"))
@@ -185,7 +187,7 @@
 
 
 def test_a_folder_that_cannot_hold_the_inlet_turns_handing_on_off(handing, tmp_path):
-    relay = handing.new.made.relay
+    relay = handing.new.made.handoff
     task = handing.new.made.loop.spawn(relay.listen(str(tmp_path / ("x" * 200))))
     assert handing.turn(lambda: task.ended) and handing.logged(handing.new, "relay_off")
     assert not handing.new.rig.errors
@@ -193,13 +195,13 @@
 
 def test_connections_that_cannot_be_taken_over_are_closed_and_the_next_are_taken(handing, monkeypatch):
     new, ours = handing.new.made, socket.socketpair()
-    monkeypatch.setattr(new.relay, "attached", lambda *one: (_ for _ in ()).throw(OSError("reset")))
+    monkeypatch.setattr(new.handoff, "attached", lambda *one: (_ for _ in ()).throw(OSError("reset")))
     raw = b'{"name":"x","kind":"render","until":9000000000000,"headed":true,"rest":""}'
     before = dict(new.budget.used)
-    passing.put(new.handover.place("jobs", new.handover.seat), raw, ours)
+    passing.put(new.upgrade_state.place("jobs", new.upgrade_state.seat), raw, ours)
     assert handing.turn(lambda: handing.logged(handing.new, "not_taken_up"))
     monkeypatch.undo()
-    passing.put(new.handover.place("jobs", new.handover.seat), b"{}", ours)
+    passing.put(new.upgrade_state.place("jobs", new.upgrade_state.seat), b"{}", ours)
     assert handing.turn(lambda: len(handing.logged(handing.new, "not_taken_up")) == 2)
     assert new.budget.used == before and not handing.new.rig.errors
     for one in ours:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -172,7 +172,7 @@
     loop, order = served.made.loop, []
     step = loop.step
     clients_ = [served.connect() for _ in range(30)]
-    served.turn(lambda: len(served.made.door.clients) == 30)
+    served.turn(lambda: len(served.made.listener.clients) == 30)
     caller = served.connect("control")
     served.turn(lambda: served.made.control.callers)
     for one in clients_:
@@ -202,12 +202,12 @@
     theirs.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(raw), raw))
     assert served.rig.reply(client).startswith(b"HTTP/1.1 200")
     # Answered by the door alone: no room, a shut door; and what is no job at all.
-    served.made.door.most_held = 0
+    served.made.listener.most_held = 0
     client.sendall(helpers.job(X_Txn="a2"))
     assert served.rig.reply(client).startswith(b"HTTP/1.1 503")
     client.sendall(helpers.job(X_Txn="a3", X_Remaining_Ms="x"))
     assert served.rig.reply(client).startswith(b"HTTP/1.1 400")
-    served.made.door.most_held = 100
+    served.made.listener.most_held = 100
     late = served.connect()
     served.made.router.balancer.arrived = lambda *told: None
     late.sendall(helpers.job(X_Txn="a4", X_Remaining_Ms=100))
@@ -251,10 +251,12 @@
     theirs, _ = served.rig.called(served.sock)
     half.sendall(helpers.job(X_Txn="b2")[:-1])
     served.call("/api/evacuate", "POST")
-    assert served.turn(lambda: len(served.made.door.clients) == 2)
+    assert served.turn(lambda: len(served.made.listener.clients) == 2)
     assert idle.recv(1) == b""
     # Its last byte comes too late for the drain: rejected, so a retry elsewhere is harmless.
-    assert served.turn(lambda: served.made.loop.now() > served.made.door.draining + client_listener.REFUSES)
+    assert served.turn(
+        lambda: served.made.loop.now() > served.made.listener.draining + client_listener.REFUSES
+    )
     half.sendall(b"x")
     reply = served.rig.reply(half)
     assert reply.startswith(b"HTTP/1.1 503") and b"connection: close" in reply.lower()
@@ -267,7 +269,7 @@
     for one in (busy, half):
         one.close()
     served.turn(lambda: False, 100_000)
-    assert served.turn(lambda: not served.made.door.clients) and silent.recv(1) == b""
+    assert served.turn(lambda: not served.made.listener.clients) and silent.recv(1) == b""
 
 
 def test_the_end_comes_through_a_drain_as_without_one(served):
@@ -332,7 +334,7 @@
 
 def test_a_crowd_is_taken_in_a_few_a_turn(served):
     crowd = [served.connect() for _ in range(3 * client_listener.ACCEPTS)]
-    most, door = 0, served.made.door
+    most, door = 0, served.made.listener
     while len(door.clients) < min(len(crowd), served.made.budget.most["clients"]):
         before = len(door.clients)
         served.made.loop.once(10_000)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -97,8 +97,8 @@
         self.made.loop.now = lambda: now() + int(seconds * 1e6)
 
     def over(self):
-        if self.made.repeats is not None:
-            self.made.repeats.end()
+        if self.made.idempotency is not None:
+            self.made.idempotency.end()
         self.close()
         assert not self.rig.errors and not self.made.router.faults
 
@@ -182,12 +182,12 @@
     # was seen.
     made = serving(effect).serving()
     client = made.connect()
-    assert made.turn(lambda: made.made.door.clients)
-    conn = next(iter(made.made.door.clients))
+    assert made.turn(lambda: made.made.listener.clients)
+    conn = next(iter(made.made.listener.clients))
     client.sendall(helpers.job(X_Txn="a1"))
     leaves(made, client)
     ended_at(conn)
-    made.turn(lambda: not made.made.door.clients)
+    made.turn(lambda: not made.made.listener.clients)
     assert not made.made.router.totals["completed"] and not made.made.router.jobs
     made.taken("a2")
     made.only("a2")
@@ -319,14 +319,14 @@
 @leaves_somehow
 def test_who_left_before_its_key_was_claimed_is_not_sent_on(leaves, serving, tmp_path, monkeypatch):
     made = serving(repeats=keeps(tmp_path)).serving()
-    disk = Stalled(made.made.repeats, monkeypatch)
+    disk = Stalled(made.made.idempotency, monkeypatch)
     client = made.asked(Idempotency_Key="k1")
-    assert made.turn(lambda: made.made.repeats.first)
+    assert made.turn(lambda: made.made.idempotency.first)
     leaves(made, client)
-    assert made.turn(lambda: not made.made.door.clients)
+    assert made.turn(lambda: not made.made.listener.clients)
     disk.goes_on.set()
-    assert made.turn(lambda: not made.made.repeats.keeping)
-    assert not made.made.repeats.book.held and not made.made.router.count
+    assert made.turn(lambda: not made.made.idempotency.keeping)
+    assert not made.made.idempotency.book.held and not made.made.router.count
     made.asked("a2", Idempotency_Key="k1")
     made.only("a2")
 
@@ -338,15 +338,15 @@
     first = made.taken("a1", Idempotency_Key="k1")
     if joined:
         second = made.asked("a2", Idempotency_Key="k1")
-        assert made.turn(lambda: made.made.repeats.book.counts["join"] == 1)
+        assert made.turn(lambda: made.made.idempotency.book.counts["join"] == 1)
     leaves(made, first)
-    assert made.turn(lambda: len(made.made.door.clients) == joined)
+    assert made.turn(lambda: len(made.made.listener.clients) == joined)
     if joined:
         made.lists()
         made.only("a1")
         assert made.rig.reply(second).endswith(b"\r\n\r\nr")
         return
-    assert made.turn(lambda: not made.made.repeats.keeping) and not made.made.repeats.book.held
+    assert made.turn(lambda: not made.made.idempotency.keeping) and not made.made.idempotency.book.held
     made.lists()
     made.asked("a3", Idempotency_Key="k1")
     made.only("a3")
@@ -368,12 +368,12 @@
     assert made.turn(lambda: made.job("a1").launches[0].sent)
     assert effect != "run-once" or theirs.recv(1) == b"x"  # its last byte comes by itself
     client.close()
-    assert made.turn(lambda: not made.made.door.clients) and made.job("a1")
+    assert made.turn(lambda: not made.made.listener.clients) and made.job("a1")
     if how == "full":
         theirs.sendall(b"HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
     else:
         theirs.close()
-    assert made.turn(lambda: not made.made.repeats.keeping) and not made.made.router.jobs
+    assert made.turn(lambda: not made.made.idempotency.keeping) and not made.made.router.jobs
     made.lists(name="s-2")
     assert made.turn(lambda: "s-1" not in made.made.router.peers)
     second = made.asked("a2", Idempotency_Key="k1")
@@ -393,14 +393,14 @@
     kept = DataDirectory(str(tmp_path / "kept"))
     kept.hold()
     made = serving(listen=listen, folder=str(tmp_path / "beside"), repeats=keeps(tmp_path)).serving()
-    assert made.made.repeats.book is None
+    assert made.made.idempotency.book is None
     client = made.asked(Idempotency_Key="k1")
-    assert made.turn(lambda: made.made.door.in_hand)
+    assert made.turn(lambda: made.made.listener.in_hand)
     leaves(made, client)
-    assert made.turn(lambda: not made.made.door.in_hand)
+    assert made.turn(lambda: not made.made.listener.in_hand)
     kept.release()
     before.leave()
-    assert made.turn(lambda: made.made.repeats.book is not None)
+    assert made.turn(lambda: made.made.idempotency.book is not None)
     made.asked("a2", Idempotency_Key="k1")
     made.only("a2")
 
@@ -650,7 +650,7 @@
 
     def serves(effect="restartable", **how):
         made = serving(effect, peers=peers, repeats={**keeps(tmp_path), "copies": 3}, **how)
-        assert made.turn(lambda: made.made.repeats.node is not None, 10_000_000)
+        assert made.turn(lambda: made.made.idempotency.node is not None, 10_000_000)
         return made
 
     yield serves
@@ -661,7 +661,7 @@
     made = agreed(ready=False)
     client = made.taken("a1", Idempotency_Key="k1")
     leaves(made, client)
-    assert made.turn(lambda: not made.made.repeats.keeping) and not made.made.router.jobs
+    assert made.turn(lambda: not made.made.idempotency.keeping) and not made.made.router.jobs
     made.lists()
     made.asked("a2", Idempotency_Key="k1")
     made.only("a2")
@@ -672,7 +672,7 @@
     made = agreed(ready=False)
     client = made.taken("a1", Idempotency_Key="k1")
     second = made.asked("a2", Idempotency_Key="k1")
-    assert made.turn(lambda: made.made.repeats.keeping == 2)
+    assert made.turn(lambda: made.made.idempotency.keeping == 2)
     leaves(made, client)
     assert made.turn(lambda: made.job("a2"))
     made.lists()
@@ -693,7 +693,7 @@
     raw = helpers.job(X_Txn="a1", X_Remaining_Ms=4000)
     client = made.connect()
     client.sendall(raw[:cut])
-    assert made.turn(lambda: any(conn.turn >= 0 and conn.quiet() for conn in made.made.door.clients))
+    assert made.turn(lambda: any(conn.turn >= 0 and conn.quiet() for conn in made.made.listener.clients))
     made.ends()
     assert made.turn(lambda: made.made.phase == "leaving")
     if phase == "finishing":
@@ -711,7 +711,7 @@
     monkeypatch.setattr(lifecycle, "LAST", 60_000_000)
     monkeypatch.setattr(protocol_clients, "FRESH", 10_000_000)
     made = serving(control=free()).serving()
-    door, looked = made.made.door, []
+    door, looked = made.made.listener, []
     if when == "drained":
         monkeypatch.setattr(protocol_clients, "CLOSES", 0)
         assert made.call("/api/evacuate", "POST")[0] == 200
@@ -758,19 +758,19 @@
     client = made.connect()
     client.sendall(b"GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
     assert b"200" in made.rig.reply(client)
-    conn, close = next(iter(made.made.door.clients)), made.made.door.close_all_idle
+    conn, close = next(iter(made.made.listener.clients)), made.made.listener.close_all_idle
 
     def close_all_idle():
         # It has come when the idle ones are closed, and nobody has looked at it yet.
-        if made.made.door.close_all_idle is close_all_idle:
-            made.made.door.close_all_idle = close
+        if made.made.listener.close_all_idle is close_all_idle:
+            made.made.listener.close_all_idle = close
             client.sendall(helpers.job(X_Txn="a1", X_Remaining_Ms=4000))
             poll = select.poll()
             poll.register(conn.sock, select.POLLIN)
             assert poll.poll(2000)
         close()
 
-    made.made.door.close_all_idle = close_all_idle
+    made.made.listener.close_all_idle = close_all_idle
     made.ends()
     assert made.turn(lambda: made.made.phase == "leaving")
     made.jumps(40)
@@ -825,7 +825,7 @@
         target=theirs.sendall, args=(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(raw), raw),)
     )
     sender.start()
-    conn = next(iter(made.made.door.clients))
+    conn = next(iter(made.made.listener.clients))
     assert made.turn(lambda: conn.left > 0)
     sender.join()
     made.ends()
@@ -1053,7 +1053,7 @@
 
     made = serving("run-once").serving()
     if place == "read":
-        monkeypatch.setattr(made.made.door.requests, "job", breaks)
+        monkeypatch.setattr(made.made.listener.requests, "job", breaks)
         client = made.asked()
     else:
         client = made.taken()
@@ -1080,7 +1080,7 @@
     elif short == "memory":
         assert not budget.hold(budget.most_bytes + 1)
     elif short == "idle":
-        made.made.door.close_all_idle()
+        made.made.listener.close_all_idle()
     else:
         made.ends()
         made.made.inbox.put("over")
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -152,7 +152,7 @@
         return self.rig.reply(self.asked(txn, **how))
 
     def over(self):
-        self.made.repeats.end()
+        self.made.idempotency.end()
         self.close()
 
 
@@ -181,15 +181,15 @@
     first = made.asked("a1")
     theirs, _ = made.rig.called(made.sock)
     second = made.asked("a2")
-    assert made.turn(lambda: made.made.repeats.book.counts["join"] == 1)
+    assert made.turn(lambda: made.made.idempotency.book.counts["join"] == 1)
     first.close()  # who leaves doesn't take the job along
-    made.turn(lambda: made.made.door.in_hand == 1)
+    made.turn(lambda: made.made.listener.in_hand == 1)
     answers(theirs, b"a1")
     assert made.rig.reply(second).endswith(b"\r\n\r\nr")
     assert made.reply("a3").endswith(b"\r\n\r\nr")
     assert b" 422 " in made.reply("a4", body=b"y") and b" 400 " in made.reply("a5", key="")
     after = again()
-    assert after.reply("a6").endswith(b"\r\n\r\nr") and after.made.repeats.book.counts["answer"] == 1
+    assert after.reply("a6").endswith(b"\r\n\r\nr") and after.made.idempotency.book.counts["answer"] == 1
     status, text = after.call("/api/copies")
     assert status == 200 and orjson.loads(text)["held"] == 1
 
@@ -205,7 +205,7 @@
 
 def test_a_disk_that_fails_takes_no_new_key_and_is_written_anew(keyed, monkeypatch):
     made, _ = keyed
-    repeats = made.made.repeats
+    repeats = made.made.idempotency
 
     def full(records):
         raise OSError(28, "No space left on device")
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -31,7 +31,7 @@
 
 
 def ended(made):
-    made.recovering.end()
+    made.recovery.end()
     made.sock.close()
 
 
@@ -46,28 +46,28 @@
 def started(tmp_path, logged=None, **told):
     made = program(tmp_path, logged, **told)
     made.begin()
-    turned(made, lambda: made.recovering.read)
+    turned(made, lambda: made.recovery.read)
     return made
 
 
 def test_what_was_known_is_believed_by_the_next_life_and_a_second_process_is_refused(tmp_path):
     made = started(tmp_path)
-    assert made.recovering.belief.unbelieved == {"all": "nothing is kept"}
+    assert made.recovery.belief.unbelieved == {"all": "nothing is kept"}
     lists(made, 7, "ready", "draining")
-    turned(made, lambda: "list" in made.recovering.last)
+    turned(made, lambda: "list" in made.recovery.last)
     with pytest.raises(DataDirectoryError, match="held by another process"):
-        program(tmp_path).recovering.begin()
+        program(tmp_path).recovery.begin()
     ended(made)
     logged = []
     again = started(tmp_path, logged)
-    belief = again.recovering.belief
+    belief = again.recovery.belief
     assert belief.generation == 7 and belief.restricted == {"w1": 0} and set(belief.workers) == {"w0", "w1"}
     # By that list it serves, and the list of now is older: who was restricted stays off.
-    turned(again, lambda: again.recovering.steps.step == s.OPENING)
-    assert again.recovering.steps.lesser == {s.LISTING: s.WITHOUT[s.LISTING]}
+    turned(again, lambda: again.recovery.steps.step == s.OPENING)
+    assert again.recovery.steps.lesser == {s.LISTING: s.WITHOUT[s.LISTING]}
     lists(again, 6, "ready", "ready")
     assert again.kept_off == {"w1"} and again.router.out == {"w1"}
-    told = orjson.loads(again.recovering.figures(None).text)
+    told = orjson.loads(again.recovery.figures(None).text)
     assert told["kept_off"] == ["w1"] and told["believed"]["workers"] == 2
     lists(again, 8, "ready", "ready")
     assert again.kept_off == frozenset() and again.router.out == frozenset()
@@ -80,7 +80,7 @@
     lists(made, 6, "ready", "ready")
     assert made.kept_off == {"w1"}
     turned(made, lambda: not made.kept_off)
-    assert not made.kept_off and made.recovering.belief.generation == 6
+    assert not made.kept_off and made.recovery.belief.generation == 6
     ended(made)
 
 
@@ -91,47 +91,47 @@
 def test_a_spoilt_folder_is_begun_anew_and_nothing_of_it_believed(tmp_path, spoil, says):
     made = started(tmp_path)
     lists(made, 7, "ready", "draining")
-    turned(made, lambda: "list" in made.recovering.last)
+    turned(made, lambda: "list" in made.recovery.last)
     turned(made, most=30)
     ended(made)
     path = tmp_path / "starts" / "recovery"
     path.write_bytes(spoil(path.read_bytes()))
     again = started(tmp_path)
-    assert says in again.recovering.belief.unbelieved["all"] and not again.recovering.belief.workers
-    assert says in orjson.loads(again.recovering.figures(None).text)["disk"]
+    assert says in again.recovery.belief.unbelieved["all"] and not again.recovery.belief.workers
+    assert says in orjson.loads(again.recovery.figures(None).text)["disk"]
     lists(again, 9, "ready")
-    turned(again, lambda: "list" in again.recovering.last)
+    turned(again, lambda: "list" in again.recovery.last)
     ended(again)
     third = started(tmp_path)
-    assert third.recovering.belief.generation == 9
+    assert third.recovery.belief.generation == 9
     ended(third)
 
 
 def test_each_cut_of_the_file_is_the_state_before_or_after(tmp_path):
     made = started(tmp_path)
     lists(made, 7, "ready")
-    turned(made, lambda: "list" in made.recovering.last)
+    turned(made, lambda: "list" in made.recovery.last)
     ended(made)
     path = tmp_path / "starts" / "recovery"
     raw = path.read_bytes()
     for at in range(0, len(raw), 7):
         path.write_bytes(raw[:at])
         again = started(tmp_path)
-        assert again.recovering.belief.generation in (0, 7)
+        assert again.recovery.belief.generation in (0, 7)
         ended(again)
 
 
 def test_a_folder_that_is_slow_is_done_without_and_said_so(tmp_path, monkeypatch):
     made, answers = program(tmp_path), threading.Event()
-    opened = made.recovering.opened
-    monkeypatch.setattr(made.recovering, "opened", lambda: answers.wait(20) and opened())
+    opened = made.recovery.opened
+    monkeypatch.setattr(made.recovery, "opened", lambda: answers.wait(20) and opened())
     monkeypatch.setitem(s.BOUND, s.READING, 100_000)
     made.begin()
     turned(made, most=2)
-    assert made.recovering.waiting() == "reading what lasts: its folder" and not made.can_serve(True)
-    turned(made, lambda: made.recovering.steps.step != s.READING)
-    assert made.recovering.steps.lesser == {s.READING: s.WITHOUT[s.READING]}
+    assert made.recovery.waiting() == "reading what lasts: its folder" and not made.can_serve(True)
+    turned(made, lambda: made.recovery.steps.step != s.READING)
+    assert made.recovery.steps.lesser == {s.READING: s.WITHOUT[s.READING]}
     answers.set()
-    turned(made, lambda: made.recovering.read and s.READING not in made.recovering.steps.lesser)
-    assert s.READING not in made.recovering.steps.lesser and made.recovering.writer is not None
+    turned(made, lambda: made.recovery.read and s.READING not in made.recovery.steps.lesser)
+    assert s.READING not in made.recovery.steps.lesser and made.recovery.writer is not None
     ended(made)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -229,7 +229,7 @@
 )
 def test_workers_are_left_out_by_calls(steps, answers, out, tmp_path, folder):
     served = begun(tmp_path, folder).serving()
-    assert calls(served, *steps) == answers and served.made.handover.told["out"] == out
+    assert calls(served, *steps) == answers and served.made.upgrade_state.told["out"] == out
     assert served.made.router.out == frozenset(out)
     assert [wkr.id.id for wkr in served.made.router.balancer.ready] == ([] if out else ["s-1"])
     figures = served.figures()
@@ -278,7 +278,7 @@
     for served in pair.both:
         assert served.made.budget.most["clients"] < whole * 12 // 25 // 2
         assert served.made.budget.most_bytes == (256 << 20) // 16
-    pair.old.made.handover.leave()
+    pair.old.made.upgrade_state.leave()
     assert pair.turn(lambda: pair.new.made.router.balancer.share == 1)
     assert pair.new.made.budget.most["clients"] == whole * 12 // 25
 
@@ -302,7 +302,7 @@
 def test_after_the_signal_the_old_one_hands_over_and_turns_nobody_back(pair):
     kept = pair.old.connect()
     # What is connected stays with its process; the steering sends every new one to the other.
-    assert pair.turn(lambda: pair.new.made.door.clients) and not pair.old.made.door.clients
+    assert pair.turn(lambda: pair.new.made.listener.clients) and not pair.old.made.listener.clients
     pair.old.made.signalled = True
     pair.old.made.loop.wake(pair.old.made.life)
     assert pair.turn(lambda: pair.old.made.phase == "ended", 3_000_000)
@@ -310,14 +310,14 @@
     kept.sendall(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
     assert pair.new.rig.reply(kept).startswith(b"HTTP/1.1 200")
     pair.both = (pair.old, pair.new)
-    pair.old.made.handover.leave()
+    pair.old.made.upgrade_state.leave()
 
 
 def test_health_speaks_for_the_dispatcher_once_another_process_has_taken_over(pair):
-    pair.old.made.door.succeeded, pair.old.made.door.leaving = True, 1
+    pair.old.made.listener.succeeded, pair.old.made.listener.leaving = True, 1
     conn, theirs = pair.old.rig.pair()
     conn.loop = pair.old.made.loop
-    conn.owner = pair.old.made.loop.spawn(pair.old.made.door.serve(conn, False))
+    conn.owner = pair.old.made.loop.spawn(pair.old.made.listener.serve(conn, False))
     theirs.sendall(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
     assert pair.old.rig.reply(theirs).startswith(b"HTTP/1.1 200")
     assert pair.old.call("/api/ready")[0] == 503
@@ -328,11 +328,11 @@
 def test_what_was_shared_after_a_death_of_all_is_out_by_hand_only(drained, tmp_path, folder):
     old = begun(tmp_path, folder).serving()
     assert calls(old, "/api/exclude/s-1", *["/api/evacuate"] * drained) == [200] * (1 + drained)
-    old.made.handover.leave()
+    old.made.upgrade_state.leave()
     old.close()
     new = begun(tmp_path, folder, listen="{}:{}".format(*old.made.told["listen"]))
     assert new.turn(lambda: new.made.phase == SERVING)
-    assert new.made.router.out == {"s-1"} and not new.made.door.draining
+    assert new.made.router.out == {"s-1"} and not new.made.listener.draining
     new.close()
 
 
@@ -343,7 +343,7 @@
         new.made.loop.once(2_000)
     assert new.made.accepting is None
     assert all(old.health() == 200 for _ in range(10))
-    new.made.handover.leave()
+    new.made.upgrade_state.leave()
     assert old.turn(lambda: not old.made.beside)
     for served in (old, new):
         served.close()
@@ -430,7 +430,7 @@
     # It was looked for every 0.1 s only, and the old process served on as if none had come.
     old, new = pair.old.made, pair.new.made
     new.says(ready=False)
-    assert pair.turn(lambda: old.handover.told["ready"] == [old.handover.seat])
+    assert pair.turn(lambda: old.upgrade_state.told["ready"] == [old.upgrade_state.seat])
     monkeypatch.setattr(lifecycle, "BESIDE", 600_000)
     old.signalled = True
     if not late:
@@ -441,21 +441,21 @@
     assert pair.turn(lambda: old.phase != SERVING)
     pair.turn(lambda: False, late)
     if late:
-        assert not old.door.succeeded
+        assert not old.listener.succeeded
         new.says(ready=True)
-    assert pair.turn(lambda: old.phase == "ended", 1_500_000) and old.door.succeeded
+    assert pair.turn(lambda: old.phase == "ended", 1_500_000) and old.listener.succeeded
 
 
 def test_who_hands_over_leaves_most_of_the_cold_budget_to_the_other(pair):
     # Halves until the old one was gone starved the new one of cold workers: 16 jobs a second, then 34 alone.
     old, new = pair.old.made, pair.new.made
     client = pair.new.connect()
-    pair.turn(lambda: new.door.clients)
+    pair.turn(lambda: new.listener.clients)
     client.close()
-    old.door.leaving, most = 1, []
+    old.listener.leaving, most = 1, []
     old.signalled = True
     held = old.loop.spawn(iter(()))
-    old.door.clients.add(held)
+    old.listener.clients.add(held)
     old.loop.wake(old.life)
 
     def divided():
@@ -464,8 +464,8 @@
 
     assert pair.turn(divided) and max(most) <= 1
     assert (old.router.balancer.share, new.router.balancer.share) == (0.125, 0.875)
-    old.handover.leave()
-    assert pair.turn(lambda: new.router.balancer.share == 1) and new.handover.told["leaving"] == []
+    old.upgrade_state.leave()
+    assert pair.turn(lambda: new.router.balancer.share == 1) and new.upgrade_state.told["leaving"] == []
 
 
 def test_flags_of_who_died_in_a_seat_are_not_those_of_the_next(tmp_path, folder):
@@ -473,13 +473,13 @@
     listen = "{}:{}".format(*old.made.told["listen"])
     dead = begun(tmp_path, folder, listen=listen).serving()
     dead.made.says(leaving=True)
-    assert dead.made.handover.told["ready"] == [0, 1]
-    dead.made.handover.leave()
+    assert dead.made.upgrade_state.told["ready"] == [0, 1]
+    dead.made.upgrade_state.leave()
     new = begun(tmp_path, folder, listen=listen, known={})
     for _ in range(3):
         new.made.loop.once(2_000)
-    told = new.made.handover.told
-    assert new.made.handover.seat == 1 and told["ready"] == [0] and told["leaving"] == []
+    told = new.made.upgrade_state.told
+    assert new.made.upgrade_state.seat == 1 and told["ready"] == [0] and told["leaving"] == []
     for served in (old, dead, new):
         served.close()
 
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -375,7 +375,7 @@
 )
 def test_the_last_byte_is_withheld_without_lease_from_who_is_out_and_after_its_time(lawful, out, left, how):
     # A process that was stopped may wake with the walltime over, and its lease not.
-    rig, peer = Rig(), protocol_workers.Peer("s-1", out)
+    rig, peer = Rig(), protocol_workers.WorkerEndpoint("s-1", out)
     made = workers(rig)
     made.rule = type("Rule", (), {"may_act": lambda self, now: lawful})()
     near, far = socket.socketpair()
