--- /dev/null
+++ b/tests/form_names.py
@@ -0,0 +1,353 @@
+"""The names of the program that the guard of stored and wire forms needs, in one place.
+
+Nothing else of the guard (`forms.py`, `form_samples.py`, `test_stored_and_wire_forms.py`) imports from the
+program or calls anything of it by a name of its own: a rename changes this file alone.
+"""
+
+import io
+import socket
+from pathlib import Path
+from types import SimpleNamespace
+from typing import get_args
+
+from helpers import HERE, Rig, balancer
+
+from mastledge.adapter import frames as adapter_frames
+from mastledge.agreement import kept as agreement_kept
+from mastledge.agreement import messages as agreement_messages
+from mastledge.agreement import rules as agreement_rules
+from mastledge.agreement.member import Member
+from mastledge.copies import kept as copies_kept
+from mastledge.copies import messages as copies_messages
+from mastledge.peers import links
+from mastledge.program import copying, recovering, relay
+from mastledge.program.beside import Notes
+from mastledge.program.fleet_calls import FleetCalls
+from mastledge.program.handover import Handover
+from mastledge.protocol import messages as balance_messages
+from mastledge.recovery import belief, snapshots
+from mastledge.recovery import messages as recovery_messages
+from mastledge.repeats import book
+from mastledge.store import journal
+from mastledge.store.folder import Folder
+from mastledge.transport import passing
+
+ADAPTER_MODULE = "mastledge.adapter"
+RECOVERY_MESSAGE = recovery_messages.Ask | recovery_messages.Load
+
+
+class MessageFamily:
+    """One set of messages: what stands before a message, its union type, and its decoder and encoder."""
+
+    def __init__(self, union, decode, encode, mark=b""):
+        self.union, self.decode, self.encode, self.mark = union, decode, encode, mark
+
+    def classes(self):
+        """Message classes by the tag that the decoder knows them by."""
+        return {one.__struct_config__.tag: one for one in get_args(self.union)}
+
+    def read(self, raw):
+        if not raw.startswith(self.mark):
+            raise ValueError(f"it does not begin with {self.mark!r}")
+        return self.decode(raw[len(self.mark) :])
+
+    def written(self, message):
+        return self.mark + self.encode(message)
+
+
+MESSAGES = {
+    "agreement": MessageFamily(agreement_messages.ANY, agreement_messages.decode, agreement_messages.encode),
+    "copies": MessageFamily(copies_messages.ANY, copies_messages.decode, copies_messages.encode),
+    "recovery": MessageFamily(
+        RECOVERY_MESSAGE, recovery_messages.decode, recovery_messages.encode, recovering.FRAME
+    ),
+}
+COPIES_FRAME = MessageFamily(copies_messages.ANY, copying.decode, copying.encode, copying.MARK)
+COPIES_LIST = MessageFamily(copies_messages.ANY, copies_messages.decode_all, copies_messages.encode_all)
+HELLO = MessageFamily(links.Hello, links.decode_hello, links.encode_hello)
+frame_on_link = links.framed
+LONGEST_FRAME_BYTES = links.MOST
+
+frame_of_records, records_of_content, whole_frame = journal.frame, journal.decode, journal.whole_frame
+JOURNAL_MAGIC, JOURNAL_FRAME_HEAD = journal.MAGIC, journal.HEAD
+JOURNAL_NOW = 1_700_000_000_000_000  # Unix microseconds at which samples of keys are written anew
+JOURNALS = {
+    "agreement": agreement_kept.Kept,
+    "repeats": lambda: book.Kept(lambda: JOURNAL_NOW),
+    "copies": lambda: copies_kept.Kept(lambda: JOURNAL_NOW),
+    "recovery": belief.Keeper,
+}
+
+
+def open_journal(directory, name, owner, kept):
+    return journal.Journal(Folder(str(directory)).hold(), name, owner, kept).open()
+
+
+def close_journal(opened):
+    opened.close()
+    opened.folder.release()
+
+
+def journal_head(owner):
+    return journal.head_of(owner)
+
+
+def book_of_keys():
+    return book.Book(60_000_000, 100, 1 << 20, 1_000)
+
+
+def records_of_book(keys, claim):
+    """What a book hands out for a claim that is answered, one that may have run, and one that is dropped."""
+    records = []
+    for number, fate in enumerate(("answered", "unsure", "dropped", "claimed")):
+        _, record = keys.offer(5_000, "tenant", b"key-%d" % number, bytes([number]) * 16, 9_000_000, claim)
+        if fate == "answered":
+            keys.ended(6_000, record, 200, b"\x00content\xff")
+        elif fate == "unsure":
+            keys.unsure(7_000, record)
+        elif fate == "dropped":
+            keys.dropped(record)
+        records += keys.records()
+    return records
+
+
+def records_of_member(state, contents):
+    """What a member has written that is restored with `state` and then hears messages from the member n1."""
+    listed = {name: one["address"] for name, one in state["members"].items()}
+    member = Member("n0", listed, False, {}, 1_000_000, None, ("life-0", "fleet-0"), 7, 1_000_000)
+    steps = [("restore", "fleet-1", "life-n0", state)]
+    steps += [("heard", "n1", "life-n1", agreement_messages.decode(content)) for content in contents]
+    records = []
+    for step in steps:
+        for what, *fields in member.step(1_000_001, *step):
+            if what == "save":
+                records += fields[1]
+    return records
+
+
+def genesis_state(settings, lease, members):
+    return agreement_rules.genesis(settings, lease, members)
+
+
+def fleet_snapshot(state, fleet, by, at):
+    """The document that an operator is given."""
+    return FleetCalls.json(None, snapshots.packed(state, fleet, by, at)).text.encode()
+
+
+def fleet_snapshot_again(raw):
+    told = snapshots.unpacked(raw)
+    return fleet_snapshot(told["state"], told["fleet"], told["by"], told["at"])
+
+
+def handover(directory):
+    made = Handover(str(directory), ("127.0.0.1", 8080), lambda event, **fields: None)
+    made.sit()
+    return made
+
+
+HANDOVER_STATE, HANDOVER_LEARNED = "mastledge-127.0.0.1-8080.state", "mastledge-127.0.0.1-8080.learned"
+
+
+def write_handover_state(directory, shared):
+    made = handover(directory)
+    try:
+        assert made.change(lambda told: (told.clear(), told.update(shared)), news=False)
+    finally:
+        made.leave()
+
+
+def read_handover_state(directory):
+    made = handover(directory)
+    try:
+        assert made.look()
+        return made.told
+    finally:
+        made.leave()
+
+
+def write_handover_learned(directory, learned):
+    made = handover(directory)
+    try:
+        made.teach(learned)
+    finally:
+        made.leave()
+
+
+def read_handover_learned(directory):
+    made = handover(directory)
+    try:
+        return made.taught()
+    finally:
+        made.leave()
+
+
+def notes(directory):
+    return Notes(str(directory), lambda event, **fields: None)
+
+
+def write_said(directory, told):
+    assert notes(directory).say(told["to"], told["index"], told["lease_until"], told["state"])
+
+
+def read_said(directory):
+    return notes(directory).hear()
+
+
+def write_taken(directory, told):
+    notes(directory).take(told["index"])
+
+
+def read_taken(directory):
+    process, index = notes(directory).listener()
+    return {"from": process, "index": index}
+
+
+def handed_on(directory, job):
+    """The datagram by which a job is handed to another process: {name, kind, until, headed, rest}."""
+    path = str(Path(directory) / "inlet")
+    inlet, client, worker = passing.inlet(path), *socket.socketpair()
+    quiet = SimpleNamespace(trailing_data=(b"", False))
+    ends = [
+        SimpleNamespace(
+            sock=sock, fd=sock.fileno(), http=quiet, whole=True, owner=None, quiet=lambda: True, buffer=None
+        )
+        for sock in (client, worker)
+    ]
+    ends[1].buffer = SimpleNamespace(peek=lambda: job["rest"])
+    exchange = SimpleNamespace(
+        name=job["name"], kind=job["kind"], until=job["until"], open=True, conn=ends[0]
+    )
+    launch = SimpleNamespace(ended=False, sent=True, conn=ends[1], headed=job["headed"])
+    one = SimpleNamespace(exchange=exchange, launches=[launch])
+    router = SimpleNamespace(jobs={1: one}, handed_on=lambda now, job, launch: None)
+    loop = SimpleNamespace(let_go=lambda fd: None, now=lambda: 0, cancel=lambda task: None)
+    made = relay.Relay(loop, None, None, balancer().settings, lambda event, **fields: None)
+    try:
+        assert made.hand_on(router, path) == 1
+        raw, socks = passing.taken(inlet, 2)
+        for sock in socks:
+            sock.close()
+        return raw
+    finally:
+        for sock in (inlet, client, worker):
+            sock.close()
+
+
+def taken_up(raw):
+    """The job as the process that takes it up has it, in the form that `handed_on` takes."""
+    rig, jobs = Rig(), []
+    door = SimpleNamespace(resumed=lambda conn, exchange: iter(()))
+    made = relay.Relay(rig.loop, rig.budget, door, balancer().settings, rig.log)
+    made.carried = lambda launch, exchange: jobs.append((launch, exchange)) or iter(())
+    here = socket.create_server((HERE, 0))
+    ends = [socket.create_connection(here.getsockname()) for _ in range(2)]
+    try:
+        made.take_up(raw, ends)
+        (launch, exchange) = jobs[0]
+        assert launch.name == exchange.name
+        return {
+            "name": exchange.name,
+            "kind": exchange.kind,
+            "until": exchange.until + relay.EARLY,
+            "headed": launch.headed,
+            "rest": launch.conn.buffer.peek(),
+        }
+    finally:
+        for sock in (here, *ends):
+            sock.close()
+
+
+class LinkEnds:
+    """Real links over loopback: what they put on the wire, and what they take from it."""
+
+    def __init__(self, fleet, name, life):
+        self.rig, self.heard, self.sock = Rig(), [], socket.create_server((HERE, 0))
+        self.links = links.Links(
+            self.rig.loop,
+            lambda: (fleet, name, life),
+            lambda other: self.sock.getsockname(),
+            lambda *told: self.heard.append(told),
+            3,
+            7,
+            self.rig.log,
+        )
+
+    def close(self):
+        self.links.close()
+        self.sock.close()
+
+    def sends(self, contents, count):
+        """The first `count` bytes on the wire to another dispatcher that is sent these."""
+        for content in contents:
+            self.links.send("other", content)
+        got, conn = bytearray(), []
+        self.sock.setblocking(False)
+
+        def whole():
+            try:
+                if not conn:
+                    conn.append(self.sock.accept()[0])
+                    conn[0].setblocking(False)
+                got.extend(conn[0].recv(65536))
+            except BlockingIOError:
+                pass
+            return len(got) >= count
+
+        self.rig.turn(whole)
+        for one in conn:
+            one.close()
+        return bytes(got)
+
+    def receives(self, raw, frames):
+        """[(name, life, content)] of what comes as these bytes, and what is sent back for it."""
+        self.sock.close()
+        self.links.begin((HERE, 0))
+        theirs = socket.create_connection(self.links.sock.getsockname())
+        theirs.sendall(raw)
+        theirs.setblocking(False)
+        back = bytearray()
+
+        def answered():
+            try:
+                back.extend(theirs.recv(4096))
+            except BlockingIOError:
+                pass
+            return len(back) >= frames
+
+        self.rig.turn(answered)
+        theirs.close()
+        return self.heard, bytes(back)
+
+
+def balance_message(told_at, loads, wants):
+    return balance_messages.encoded(told_at, loads, wants)
+
+
+def balance_message_again(raw):
+    return balance_messages.encoded(*balance_messages.decoded(raw))
+
+
+EVENT_LAYOUTS, EVENT_RECORD_BYTES = adapter_frames.EVENTS, adapter_frames.RECORD
+ANSWER_HEAD, ACTION_BYTES = adapter_frames.REPLY, adapter_frames.ACTION
+EVENT_HEAD = adapter_frames.HEADER
+ACTION_LAYOUTS = {
+    1: adapter_frames.PASS_ON,
+    2: adapter_frames.BOUNCE,
+    3: adapter_frames.GIVE_UP,
+    4: adapter_frames.REVOKE,
+    5: adapter_frames.NOTIFY_ME,
+    8: adapter_frames.MEMO_TO,
+    10: adapter_frames.TEXT,
+    11: adapter_frames.TRACK,
+}
+answer_of = adapter_frames.reply
+
+
+def event_frames(raw):
+    """(clock in milliseconds, records as (code, fields...), tail) of each frame of the input."""
+    stream, out = io.BytesIO(raw), []
+    while (frame := adapter_frames.frame_from(stream)) is not None:
+        clock, body, count = frame
+        records = [(code, *fields) for _, code, fields in adapter_frames.events(body, count)]
+        out.append((clock / 1000, records, bytes(body[count * EVENT_RECORD_BYTES :])))
+    return out
--- /dev/null
+++ b/tests/forms.py
@@ -0,0 +1,238 @@
+"""Fixtures of every stored file and every frame on a wire: bytes, each under a label.
+
+`python tests/forms.py` writes those that are missing below `tests/fixtures/forms`; it never replaces one.
+`test_stored_and_wire_forms.py` compares the program with the files and makes none.
+"""
+
+import json
+import os
+import subprocess
+import sys
+import tempfile
+import time
+from pathlib import Path
+from unittest import mock
+
+import msgspec
+
+ROOT = Path(__file__).resolve().parent.parent
+if str(ROOT) not in sys.path:
+    sys.path.insert(0, str(ROOT))
+
+import form_names as program  # noqa: E402
+import form_samples as samples  # noqa: E402
+
+FIXTURES = ROOT / "tests" / "fixtures" / "forms"
+
+
+def adapter_answers(session):
+    """What the program answers on standard output to these frames on standard input."""
+    done = subprocess.run(
+        [sys.executable, "-m", program.ADAPTER_MODULE],
+        input=session,
+        capture_output=True,
+        timeout=60,
+        cwd=ROOT,
+    )
+    assert done.returncode == 0, done.stderr.decode()
+    return done.stdout
+
+
+def answers_of(raw):
+    """(records, tail) of each answer."""
+    out, at = [], 0
+    while at < len(raw):
+        count, length = program.ANSWER_HEAD.unpack_from(raw, at)
+        body = raw[at + program.ANSWER_HEAD.size : at + length]
+        records = [body[n * program.ACTION_BYTES : (n + 1) * program.ACTION_BYTES] for n in range(count)]
+        out.append((records, body[count * program.ACTION_BYTES :]))
+        at += length
+    return out
+
+
+def pack(plain):
+    return msgspec.msgpack.encode(plain)
+
+
+def as_this_process():
+    """Times and the process id as they stand in the samples."""
+    return (
+        mock.patch.object(os, "getpid", lambda: samples.PROCESS),
+        mock.patch.object(time, "monotonic_ns", lambda: samples.MONOTONIC_NS),
+    )
+
+
+def by_file(directory, name, write, told):
+    """What `write` leaves in the file of this name."""
+    directory.mkdir(parents=True, exist_ok=True)
+    process, clock = as_this_process()
+    with process, clock:
+        write(directory, told)
+    return (directory / name).read_bytes()
+
+
+def messages_of(family):
+    """{label: {"bytes", "read"}}; `read` is a shorter form of an older version."""
+    made, out = program.MESSAGES[family], {}
+    for full, least in samples.SAMPLES[family]:
+        label = f"{full[0]}, all set"
+        out[label] = {"bytes": made.written(made.read(made.mark + pack(full)))}
+        if least is not None:
+            short = made.mark + pack(least)
+            out[f"{full[0]}, by default"] = {"bytes": made.written(made.read(short)), "read": short}
+    return out
+
+
+def frames_of():
+    """Messages in what is wrapped round them."""
+    copies = [full for full, _ in samples.SAMPLES["copies"]]
+    frame = program.COPIES_FRAME.mark + pack(["holder-0", copies])
+    empty = program.COPIES_FRAME.mark + pack(["", []])
+    hello = pack([*samples.OLD_HELLO, 2])
+    return {
+        "copies: frame, all messages": {
+            "bytes": program.COPIES_FRAME.written(program.COPIES_FRAME.read(frame))
+        },
+        "copies: frame, nothing": {"bytes": program.COPIES_FRAME.written(program.COPIES_FRAME.read(empty))},
+        "copies: list, all messages": {
+            "bytes": program.COPIES_LIST.written(program.COPIES_LIST.read(pack(copies)))
+        },
+        "hello: all set": {"bytes": program.HELLO.written(program.HELLO.read(hello))},
+        "hello: by default": {
+            "bytes": program.HELLO.written(program.HELLO.read(pack(samples.OLD_HELLO))),
+            "read": pack(samples.OLD_HELLO),
+        },
+    }
+
+
+def link_stream():
+    """All that a link sends: its hello, then frames."""
+    hello = program.frame_on_link(program.HELLO.written(program.HELLO.read(pack(samples.OLD_HELLO))))
+    return hello + b"".join(program.frame_on_link(content) for content in samples.LINK_CONTENTS)
+
+
+def journal_file(name):
+    head = program.journal_head(samples.JOURNAL_OWNERS[name])
+    return head + b"".join(program.frame_of_records(records) for records in samples.JOURNAL_FRAMES[name])
+
+
+def rewritten_journal(directory, name, raw):
+    """The journal with these bytes, as it is after being read and written anew."""
+    directory.mkdir(parents=True, exist_ok=True)
+    path = directory / name
+    path.write_bytes(raw)
+    kept = program.JOURNALS[name]()
+    opened = program.open_journal(directory, name, samples.JOURNAL_OWNERS[name], kept)
+    try:
+        opened.rewrite(kept.records())
+    finally:
+        program.close_journal(opened)
+    return path.read_bytes()
+
+
+def heard_by_member():
+    """Messages that make a member write each kind of its records."""
+    longer = [*samples.SAMPLES["agreement"][5][0][:1], 8, 1, 1, [samples.NOOP, samples.ENTRY], 1, 5, 0, 1, 0]
+    other = ["Append", 9, 2, 3, [[9, "c", {"kind": "noop"}]], 1, 6, 0, 1, 0]
+    poll = ["Poll", 10, 9, 3, False]
+    install = ["Install", 10, 9, 9, samples.STATE, 7]
+    return [pack(message) for message in (longer, other, poll, install)]
+
+
+def produced():
+    """What the program itself hands to a journal: one frame of records for each source."""
+    return {
+        "agreement: a member": {
+            "bytes": program.frame_of_records(program.records_of_member(samples.STATE, heard_by_member()))
+        },
+        "repeats: a book": {
+            "bytes": program.frame_of_records(program.records_of_book(program.book_of_keys(), ""))
+        },
+        "copies: a book": {
+            "bytes": program.frame_of_records(program.records_of_book(program.book_of_keys(), "1.run-1.n0"))
+        },
+    }
+
+
+def handed_over(directory):
+    """Files between two processes, and datagrams."""
+    out = {
+        "state": by_file(directory, program.HANDOVER_STATE, program.write_handover_state, samples.HANDOVER),
+        "learned": by_file(
+            directory, program.HANDOVER_LEARNED, program.write_handover_learned, samples.LEARNED
+        ),
+        "said": by_file(directory, "said", program.write_said, samples.SAID),
+        "taken": by_file(directory, "taken", program.write_taken, samples.TAKEN),
+    }
+    out.update(
+        {f"datagram: {label}": program.handed_on(directory, job) for label, job in samples.JOBS.items()}
+    )
+    return {label: {"bytes": raw} for label, raw in out.items()}
+
+
+def snapshots_of():
+    state = program.genesis_state({"balancers": 1}, 1_000_000, {"n0": ("127.0.0.1:7000", "life-n0")})
+    return {
+        "all set": {"bytes": program.fleet_snapshot(samples.STATE, "fleet-1", "n0", program.JOURNAL_NOW)},
+        "as formed": {"bytes": program.fleet_snapshot(state, "fleet-1", "n0", 0)},
+    }
+
+
+def everything(directory):
+    """{family: {label: {"bytes", "read"}}} by the program as it is."""
+    session = samples.adapter_session()
+    journals = {}
+    for name in program.JOURNALS:
+        raw = journal_file(name)
+        journals[name] = {"bytes": raw}
+        journals[f"{name}, written anew"] = {"bytes": rewritten_journal(directory / "journals", name, raw)}
+    return {
+        **{f"messages-{family}": messages_of(family) for family in program.MESSAGES},
+        "frames": frames_of(),
+        "link": {"stream": {"bytes": link_stream()}},
+        "journals": journals,
+        "journal-records": produced(),
+        "snapshots": snapshots_of(),
+        "handover": handed_over(directory / "handover"),
+        "balance-messages": {
+            label: {"bytes": program.balance_message(*told)}
+            for label, told in samples.BALANCE_MESSAGES.items()
+        },
+        "adapter": {"session": {"read": session, "bytes": adapter_answers(session)}},
+    }
+
+
+def load(family):
+    """{label: {"bytes", "read"}} of a committed fixture; `read` is `bytes` where it is not told."""
+    told = json.loads((FIXTURES / f"{family}.json").read_text())
+    out = {}
+    for label, forms in told.items():
+        forms = {name: bytes.fromhex("".join(lines)) for name, lines in forms.items()}
+        out[label] = {"read": forms["bytes"], **forms}
+    return out
+
+
+HEX_A_LINE = 100
+
+
+def lines_of(raw):
+    text = raw.hex()
+    return [text[at : at + HEX_A_LINE] for at in range(0, len(text), HEX_A_LINE)]
+
+
+def write_missing(directory):
+    """Writes the fixtures that are not there yet."""
+    FIXTURES.mkdir(parents=True, exist_ok=True)
+    for family, told in everything(Path(directory)).items():
+        path = FIXTURES / f"{family}.json"
+        if path.exists():
+            print(f"{path.name} is there and stays")
+            continue
+        plain = {label: {name: lines_of(raw) for name, raw in forms.items()} for label, forms in told.items()}
+        path.write_text(json.dumps(plain, indent=1) + "\n")
+        print(f"{path.name} is written")
+
+
+if __name__ == "__main__":
+    with tempfile.TemporaryDirectory() as place:
+        write_missing(place)
--- /dev/null
+++ b/tests/test_stored_and_wire_forms.py
@@ -0,0 +1,357 @@
+"""Every stored file and every frame on a wire is read, and written back byte for byte as it was committed.
+
+The fixtures are bytes under labels; `form_names.py` alone names the program.
+"""
+
+import struct
+
+import form_names as program
+import form_samples as samples
+import forms
+import msgspec
+import pytest
+
+ALL_SET, BY_DEFAULT = ", all set", ", by default"
+FAMILIES = list(program.MESSAGES)
+TORN = [b"\xa5", b"\xa5frm\x00\x00\x01\x00half", b"\xa5frm\x00\x00\x00\x01\x00\x00\x00\x00\x90"]
+JOURNAL_KINDS = {
+    "agreement": {"identity", "hard", "snapshot", "entry", "cut"},
+    "repeats": {"claim", "end", "drop"},
+    "copies": {"holder", "fence", "claim", "end", "drop"},
+    "recovery": {"list", "out", "learned"},
+}
+ADAPTER_ACTIONS = {1, 2, 3, 4, 5, 8, 10, 11}
+
+
+def cases(*families):
+    """(family, label) of each committed form."""
+    return [
+        pytest.param(family, label, id=f"{family}: {label}")
+        for family in families
+        for label in forms.load(family)
+    ]
+
+
+def form(family, label):
+    return forms.load(family)[label]
+
+
+@pytest.mark.parametrize(("family", "label"), cases(*(f"messages-{family}" for family in FAMILIES)))
+def test_a_message_is_read_and_written_back(family, label):
+    made, told = program.MESSAGES[family.removeprefix("messages-")], form(family, label)
+    assert made.written(made.read(told["read"])) == told["bytes"]
+    assert made.written(made.read(told["bytes"])) == told["bytes"]
+
+
+def wire_form(family, label):
+    """A message as the plain list that is on the wire."""
+    raw = form(f"messages-{family}", label)["bytes"]
+    return msgspec.msgpack.decode(raw[len(program.MESSAGES[family].mark) :])
+
+
+@pytest.mark.parametrize("family", FAMILIES)
+def test_each_message_that_a_decoder_knows_has_its_fixtures(family):
+    known = program.MESSAGES[family].classes()
+    wanted = {f"{tag}{ALL_SET}" for tag in known}
+    wanted |= {f"{tag}{BY_DEFAULT}" for tag, made in known.items() if optional_fields(made)}
+    labels = set(forms.load(f"messages-{family}"))
+    # One that is short by what it holds alone, as a batch of short records, comes on top.
+    assert wanted <= labels <= {tag + suffix for tag in known for suffix in (ALL_SET, BY_DEFAULT)}
+    for label in labels:
+        assert wire_form(family, label)[0] == label.rpartition(",")[0]
+
+
+def optional_fields(made):
+    """(place on the wire, what stands in) of each field that may be missing."""
+    out = {}
+    for place, field in enumerate(msgspec.structs.fields(made), 1):
+        if not field.required:
+            has_factory = field.default_factory is not msgspec.NODEFAULT
+            out[place] = field.default_factory() if has_factory else field.default
+    return out
+
+
+@pytest.mark.parametrize("family", FAMILIES)
+def test_a_full_fixture_sets_each_optional_field_and_a_short_one_none(family):
+    for tag, made in program.MESSAGES[family].classes().items():
+        full, optional = wire_form(family, f"{tag}{ALL_SET}"), optional_fields(made)
+        assert len(full) == 1 + len(msgspec.structs.fields(made))
+        for place, default in optional.items():
+            assert full[place] != msgspec.to_builtins(default), (tag, place)
+        if optional:
+            short = form(f"messages-{family}", f"{tag}{BY_DEFAULT}")["read"]
+            plain = msgspec.msgpack.decode(short[len(program.MESSAGES[family].mark) :])
+            assert len(plain) == min(optional)
+
+
+@pytest.mark.parametrize("family", FAMILIES)
+def test_a_message_of_an_unknown_tag_is_refused(family):
+    made = program.MESSAGES[family]
+    with pytest.raises((msgspec.MsgspecError, ValueError)):
+        made.read(made.mark + msgspec.msgpack.encode(["NoSuchMessage", 1]))
+
+
+WRAPPED = {"copies: frame": program.COPIES_FRAME, "copies: list": program.COPIES_LIST, "hello": program.HELLO}
+
+
+@pytest.mark.parametrize(("family", "label"), cases("frames"))
+def test_what_is_wrapped_round_messages_is_read_and_written_back(family, label):
+    (made,) = [made for name, made in WRAPPED.items() if label.startswith(name)]
+    told = form(family, label)
+    assert made.written(made.read(told["read"])) == told["bytes"]
+    assert made.written(made.read(told["bytes"])) == told["bytes"]
+
+
+def test_frames_of_copies_hold_each_message_that_their_decoder_knows():
+    frame = form("frames", "copies: frame, all messages")["bytes"]
+    listed = form("frames", "copies: list, all messages")["bytes"]
+    _, messages = msgspec.msgpack.decode(frame[len(program.COPIES_FRAME.mark) :])
+    known = set(program.MESSAGES["copies"].classes())
+    assert {one[0] for one in messages} == {one[0] for one in msgspec.msgpack.decode(listed)} == known
+
+
+def test_the_first_bytes_tell_frames_apart():
+    # Agreement begins with a list of MessagePack; C1 is no MessagePack, and C1 R is of a start.
+    assert (program.COPIES_FRAME.mark, program.MESSAGES["recovery"].mark) == (b"\xc1", b"\xc1R")
+    for forms_of in (forms.load("messages-agreement"), forms.load("frames")):
+        for label, told in forms_of.items():
+            assert (told["bytes"][:1] == b"\xc1") == label.startswith("copies: frame")
+    assert all(told["bytes"][1:2] != b"R" for told in forms.load("frames").values())
+
+
+@pytest.fixture
+def link_ends():
+    made = program.LinkEnds(*samples.LINK_WHO)
+    yield made
+    made.close()
+
+
+def test_a_link_sends_these_bytes(link_ends):
+    stream = form("link", "stream")["bytes"]
+    assert link_ends.sends(samples.LINK_CONTENTS, len(stream)) == stream
+
+
+def test_a_link_takes_these_bytes_and_answers_each_frame_with_one():
+    stream, receiver = form("link", "stream")["bytes"], program.LinkEnds("fleet-1", "n1", "life-n1")
+    try:
+        heard, back = receiver.receives(stream, len(samples.LINK_CONTENTS))
+    finally:
+        receiver.close()
+    assert heard == [("n0", "life-n0", content) for content in samples.LINK_CONTENTS]
+    assert back == b"." * len(samples.LINK_CONTENTS)
+
+
+# Journals
+
+
+def opened(directory, name, raw):
+    """What is on the disk after a journal of these bytes was opened, and its fewest records."""
+    directory.mkdir(exist_ok=True)
+    (directory / name).write_bytes(raw)
+    kept = program.JOURNALS[name]()
+    made = program.open_journal(directory, name, samples.JOURNAL_OWNERS[name], kept)
+    program.close_journal(made)
+    return (directory / name).read_bytes(), kept.records()
+
+
+def frame_contents(raw):
+    """Content of each frame of a journal, beginning with its head."""
+    at, out = len(program.JOURNAL_MAGIC), []
+    assert raw.startswith(b"mastledge journal\n") and program.JOURNAL_MAGIC == b"mastledge journal\n"
+    while at < len(raw):
+        content = program.whole_frame(raw, at)
+        assert content is not None
+        out.append((raw[at : at + program.JOURNAL_FRAME_HEAD.size + len(content)], content))
+        at += program.JOURNAL_FRAME_HEAD.size + len(content)
+    return out
+
+
+@pytest.mark.parametrize("name", program.JOURNALS)
+@pytest.mark.parametrize("suffix", ["", ", written anew"])
+def test_each_frame_of_a_journal_is_read_and_written_back(name, suffix):
+    raw = form("journals", name + suffix)["bytes"]
+    (head, _), *frames = frame_contents(raw)
+    assert program.journal_head(samples.JOURNAL_OWNERS[name]) == program.JOURNAL_MAGIC + head
+    for frame, content in frames:
+        assert program.frame_of_records(program.records_of_content(content)) == frame
+
+
+@pytest.mark.parametrize("name", program.JOURNALS)
+def test_a_journal_has_each_kind_of_record(name):
+    _, *frames = frame_contents(form("journals", name)["bytes"])
+    assert {
+        record[0] for _, content in frames for record in msgspec.msgpack.decode(content)
+    } == JOURNAL_KINDS[name]
+
+
+@pytest.mark.parametrize("name", program.JOURNALS)
+def test_a_journal_that_is_opened_stays_as_it_is(name, tmp_path):
+    raw = form("journals", name)["bytes"]
+    assert opened(tmp_path, name, raw)[0] == raw
+
+
+@pytest.mark.parametrize("name", program.JOURNALS)
+def test_a_journal_is_written_anew_with_these_bytes(name, tmp_path):
+    anew = form("journals", f"{name}, written anew")["bytes"]
+    assert forms.rewritten_journal(tmp_path, name, form("journals", name)["bytes"]) == anew
+    assert forms.rewritten_journal(tmp_path, name, anew) == anew
+
+
+@pytest.mark.parametrize("name", program.JOURNALS)
+@pytest.mark.parametrize("torn", TORN, ids=["a byte", "half a frame", "a spoilt frame"])
+def test_a_torn_end_of_a_journal_is_cut_off(name, torn, tmp_path):
+    raw = form("journals", name)["bytes"]
+    after, records = opened(tmp_path / "torn", name, raw + torn)
+    whole, expected = opened(tmp_path / "whole", name, raw)
+    assert after == whole == raw
+    assert program.frame_of_records(records) == program.frame_of_records(expected)
+
+
+@pytest.mark.parametrize("name", program.JOURNALS)
+def test_a_journal_that_is_cut_in_its_last_frame_keeps_those_before(name, tmp_path):
+    raw = form("journals", name)["bytes"]
+    last, _ = frame_contents(raw)[-1]
+    after, _ = opened(tmp_path, name, raw[:-1])
+    assert after == raw[: -len(last)]
+
+
+def test_a_member_hands_these_records_to_its_journal():
+    made = program.frame_of_records(program.records_of_member(samples.STATE, forms.heard_by_member()))
+    told = form("journal-records", "agreement: a member")["bytes"]
+    assert made == told
+    assert {record[0] for record in msgspec.msgpack.decode(told[12:])} == JOURNAL_KINDS["agreement"]
+
+
+@pytest.mark.parametrize(("label", "claim"), [("repeats: a book", ""), ("copies: a book", "1.run-1.n0")])
+def test_a_book_of_keys_hands_these_records_to_its_journal(label, claim):
+    made = program.frame_of_records(program.records_of_book(program.book_of_keys(), claim))
+    told = form("journal-records", label)["bytes"]
+    assert made == told
+    assert {record[0] for record in msgspec.msgpack.decode(told[12:])} == JOURNAL_KINDS["repeats"]
+
+
+# Documents and files between two processes
+
+
+@pytest.mark.parametrize(("family", "label"), cases("snapshots"))
+def test_a_snapshot_of_a_fleet_is_read_and_written_back(family, label):
+    raw = form(family, label)["bytes"]
+    assert program.fleet_snapshot_again(raw) == raw
+
+
+def test_a_snapshot_of_these_values_has_these_bytes():
+    assert forms.snapshots_of() == {
+        label: {"bytes": told["bytes"]} for label, told in forms.load("snapshots").items()
+    }
+
+
+FILES = {
+    "state": (program.HANDOVER_STATE, program.read_handover_state, program.write_handover_state),
+    "learned": (program.HANDOVER_LEARNED, program.read_handover_learned, program.write_handover_learned),
+    "said": ("said", program.read_said, program.write_said),
+    "taken": ("taken", program.read_taken, program.write_taken),
+}
+
+
+@pytest.mark.parametrize("label", FILES)
+def test_a_file_between_two_processes_is_read_and_written_back(label, tmp_path):
+    raw, (name, read, write) = form("handover", label)["bytes"], FILES[label]
+    there, back = tmp_path / "there", tmp_path / "back"
+    there.mkdir()
+    (there / name).write_bytes(raw)
+    # Who says that it has taken something up is heard by the other process alone.
+    process, clock = forms.as_this_process()
+    with clock:
+        if label == "taken":
+            told = read(there)
+            assert told == {"from": samples.PROCESS, "index": samples.TAKEN["index"]}
+        else:
+            with process:
+                told = read(there)
+    assert told
+    assert forms.by_file(back, name, write, told) == raw
+
+
+@pytest.mark.parametrize("job", samples.JOBS)
+def test_a_job_that_is_handed_on_is_taken_up_and_handed_on_again(job, tmp_path):
+    raw = form("handover", f"datagram: {job}")["bytes"]
+    told = program.taken_up(raw)
+    assert told == samples.JOBS[job]
+    assert program.handed_on(tmp_path, told) == raw
+
+
+def test_each_file_and_datagram_between_two_processes_has_its_test():
+    assert set(forms.load("handover")) == {*FILES, *(f"datagram: {job}" for job in samples.JOBS)}
+
+
+# Messages of the decisions, and the bench
+
+
+@pytest.mark.parametrize("label", samples.BALANCE_MESSAGES)
+def test_what_the_decisions_tell_one_another_is_read_and_written_back(label):
+    raw = form("balance-messages", label)["bytes"]
+    assert program.balance_message(*samples.BALANCE_MESSAGES[label]) == raw
+    assert program.balance_message_again(raw) == raw
+
+
+def test_the_adapter_answers_this_session_with_these_bytes():
+    told = form("adapter", "session")
+    assert forms.adapter_answers(told["read"]) == told["bytes"]
+
+
+def test_the_session_has_each_kind_of_event_and_leads_to_each_kind_of_answer():
+    told = form("adapter", "session")
+    events = {code for _, records, _ in program.event_frames(told["read"]) for code, *_ in records}
+    assert events == set(program.EVENT_LAYOUTS) and len(events) == 12
+    answers = {
+        struct.unpack(">H", one[:2])[0] for records, _ in forms.answers_of(told["bytes"]) for one in records
+    }
+    assert answers == set(program.ACTION_LAYOUTS) == ADAPTER_ACTIONS
+
+
+def test_each_frame_of_the_session_is_read_and_written_back():
+    raw = form("adapter", "session")["read"]
+    again = [samples.event_frame(clock, records, tail) for clock, records, tail in program.event_frames(raw)]
+    assert b"".join(again) == raw
+
+
+def test_each_answer_of_the_session_is_read_and_written_back():
+    raw = form("adapter", "session")["bytes"]
+    assert b"".join(program.answer_of(records, tail) for records, tail in forms.answers_of(raw)) == raw
+
+
+@pytest.mark.parametrize("code", ADAPTER_ACTIONS)
+def test_each_record_of_an_answer_is_read_and_written_back(code):
+    pack = program.ACTION_LAYOUTS[code]
+    layout = pack.__self__
+    for records, _ in forms.answers_of(form("adapter", "session")["bytes"]):
+        for record in records:
+            if record[:2] == struct.pack(">H", code):
+                assert len(record) == program.ACTION_BYTES
+                assert pack(*layout.unpack(record)) == record
+
+
+# The guard itself
+
+
+def test_every_fixture_file_is_used_by_a_test_here():
+    used = {f"messages-{family}" for family in FAMILIES} | {
+        "frames",
+        "link",
+        "journals",
+        "journal-records",
+        "snapshots",
+        "handover",
+        "balance-messages",
+        "adapter",
+    }
+    assert {path.stem for path in forms.FIXTURES.iterdir()} == used
+
+
+def test_a_fixture_is_never_replaced(tmp_path, monkeypatch, capsys):
+    monkeypatch.setattr(forms, "FIXTURES", tmp_path)
+    monkeypatch.setattr(forms, "everything", lambda directory: {"one": {"label": {"bytes": b"new"}}})
+    (tmp_path / "one.json").write_text("{}")
+    forms.write_missing(tmp_path)
+    assert (tmp_path / "one.json").read_text() == "{}"
+    assert "stays" in capsys.readouterr().out
