--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -10,7 +10,7 @@
 from types import SimpleNamespace
 from typing import get_args
 
-from helpers import HERE, Rig, balancer
+from helpers import HERE, Rig, arrive, balancer, entry, pull
 
 from mastledge.adapter import frames as adapter_frames
 from mastledge.agreement import kept as agreement_kept
@@ -19,12 +19,14 @@
 from mastledge.agreement.member import Member
 from mastledge.copies import kept as copies_kept
 from mastledge.copies import messages as copies_messages
+from mastledge.copies.node import Node
 from mastledge.peers import links
 from mastledge.program import copying, recovering, relay
 from mastledge.program.beside import Notes
 from mastledge.program.fleet_calls import FleetCalls
 from mastledge.program.handover import Handover
 from mastledge.protocol import messages as balance_messages
+from mastledge.protocol.workers import Peer
 from mastledge.recovery import belief, snapshots
 from mastledge.recovery import messages as recovery_messages
 from mastledge.repeats import book
@@ -125,6 +127,70 @@
     return records
 
 
+def records_of_holder(copies, heard):
+    """What a holder of copies has written that is told its placement and then hears (name, id, message)."""
+    node = Node("n0", "holder-0", "run-1", book_of_keys(), 0, 1, 1_000_000, 0)
+    steps = [("placed", copies)]
+    steps += [("heard", name, id_, copies_messages.decode(content)) for name, id_, content in heard]
+    records = copies_kept.head("holder-0", 2, 1)
+    for now, step in enumerate(steps, 10_000):
+        for what, *fields in node.step(now, *step):
+            if what == "save":
+                records += fields[1]
+    return records
+
+
+def three_workers():
+    peers = [Peer(f"s-{number}") for number in range(3)]
+    for number, peer in enumerate(peers):
+        peer.address, peer.born = ("127.0.0.1", 8001 + number), 1_000_000 * number
+    return [(0, peer, *entry(0)[2:]) for peer in peers]
+
+
+def decisions_that_learned():
+    """Decisions that have set each of three workers aside for another reason, and have a job out."""
+    made = balancer(workers=0)
+    made.members(0, "whole", three_workers())
+    for job, how in enumerate(("unreachable", "lost", "error"), 1):
+        arrive(made, 1_000 * job, job)
+        (sent,) = [decision for decision in pull(made, 1_000 * job) if decision[0] == "launch"]
+        made.ended(1_000 * job + 500, job, 0, how, 500, True, [])
+    arrive(made, 900_000, 9)
+    pull(made, 900_000)
+    return made
+
+
+def learned_of_decisions():
+    """What decisions hand to the process that takes over, as it stands in the file."""
+    return decisions_that_learned().learned()
+
+
+def learned_again(told):
+    """The same by decisions that have been handed this."""
+    made = balancer(workers=0)
+    made.members(0, "whole", three_workers())
+    made.inherited(0, told)
+    return made.learned()
+
+
+def records_of_start():
+    """What a dispatcher keeps of its list, of what is out and of what it has learned."""
+    made = recovering.Recovering.__new__(recovering.Recovering)
+    discovery = SimpleNamespace(
+        answered=True, generation=42, zones={"a": 0}, kinds={"m": 0}, since=1_699_999_000_000_000
+    )
+    router = SimpleNamespace(balancer=decisions_that_learned())
+    saved = []
+    made.loop, made.boot, made.last, made.failing, made.token = Rig().loop, "boot-1", {}, False, 0
+    made.program = SimpleNamespace(
+        discovery=discovery, router=router, told={"discovery": ("127.0.0.1", 9000), "peers": None}
+    )
+    made.belief = SimpleNamespace(generation=0, restricted={"s-9": 5})
+    made.writer = SimpleNamespace(save=lambda token, records: saved.extend(records))
+    made.keep(True)
+    return saved
+
+
 def genesis_state(settings, lease, members):
     return agreement_rules.genesis(settings, lease, members)
 
@@ -257,66 +323,23 @@
             sock.close()
 
 
-class LinkEnds:
-    """Real links over loopback: what they put on the wire, and what they take from it."""
+def links_of(rig, who, address, heard):
+    """Links of a dispatcher that is `who`, which finds each other one at the address that `address()` gives."""
+    return links.Links(rig.loop, lambda: who, lambda other: address(), heard, 3, 7, rig.log)
+
+
+def send_on_link(made, content):
+    made.send("other", content)
+
+
+def listen_on_links(made):
+    """Where other dispatchers reach these links from here on."""
+    made.begin((HERE, 0))
+    return made.sock.getsockname()
 
-    def __init__(self, fleet, name, life):
-        self.rig, self.heard, self.sock = Rig(), [], socket.create_server((HERE, 0))
-        self.links = links.Links(
-            self.rig.loop,
-            lambda: (fleet, name, life),
-            lambda other: self.sock.getsockname(),
-            lambda *told: self.heard.append(told),
-            3,
-            7,
-            self.rig.log,
-        )
 
-    def close(self):
-        self.links.close()
-        self.sock.close()
-
-    def sends(self, contents, count):
-        """The first `count` bytes on the wire to another dispatcher that is sent these."""
-        for content in contents:
-            self.links.send("other", content)
-        got, conn = bytearray(), []
-        self.sock.setblocking(False)
-
-        def whole():
-            try:
-                if not conn:
-                    conn.append(self.sock.accept()[0])
-                    conn[0].setblocking(False)
-                got.extend(conn[0].recv(65536))
-            except BlockingIOError:
-                pass
-            return len(got) >= count
-
-        self.rig.turn(whole)
-        for one in conn:
-            one.close()
-        return bytes(got)
-
-    def receives(self, raw, frames):
-        """[(name, life, content)] of what comes as these bytes, and what is sent back for it."""
-        self.sock.close()
-        self.links.begin((HERE, 0))
-        theirs = socket.create_connection(self.links.sock.getsockname())
-        theirs.sendall(raw)
-        theirs.setblocking(False)
-        back = bytearray()
-
-        def answered():
-            try:
-                back.extend(theirs.recv(4096))
-            except BlockingIOError:
-                pass
-            return len(back) >= frames
-
-        self.rig.turn(answered)
-        theirs.close()
-        return self.heard, bytes(back)
+def close_links(made):
+    made.close()
 
 
 def balance_message(told_at, loads, wants):
--- a/tests/form_samples.py
+++ b/tests/form_samples.py
@@ -116,6 +116,7 @@
 WORKERS = {
     "s-1": ["ready", 1_699_999_000_000_000, ["127.0.0.1", 8001], "a", "m", 3, 1.5],
     "s-2": ["draining", 0, ["127.0.0.1", 8002], "", "", 0, 1.0],
+    "s-3": ["gone", 0, ["", 0]],  # of an older version, or of one that is only known to be off
 }
 ASIDE = {"pause": 100_000, "trickle": 0.5, "good": 2, "back_at": 30_000}
 WHEN = [1_699_999_999_000_000, 5_000_000, "boot-1"]
@@ -287,21 +288,21 @@
     frames.append(event_frame(1002.0, [(LIST, SECOND, 3, 0, 0), (INBOX, FIRST, 1, 0, len(told))], told))
     jobs = [new_job(number, number % 3, 4000.0) for number in range(1, 13)]
     frames.append(event_frame(1004.0, jobs))
-    frames.append(event_frame(1006.0, [(STARTED, FIRST, 1, 1, WORKER_IDS[0], 0.0)]))
-    notes_of = [(NOTE, FIRST, job, 1, 0.0, 1, b"") for job in (1, 2, 4)]
-    notes_of.append((NOTE, FIRST, 1, 1, 0.5, 2, b""))
+    frames.append(event_frame(1006.0, [(STARTED, FIRST, 1, 0, WORKER_IDS[0], 0.0)]))
+    notes_of = [(NOTE, FIRST, job, 0, 0.0, 1, b"") for job in (1, 2, 4)]
+    notes_of.append((NOTE, FIRST, 1, 0, 0.5, 2, b""))
     frames.append(event_frame(1050.0, notes_of))
     ends = [
-        end_of(1, 0, 1, 200, 1),
-        end_of(3, 0, 1, 503, 0),
-        end_of(5, 1, 1, 502, 0),
-        end_of(6, 1, 1, 500, 0),
+        end_of(1, 0, 0, 200, 1),
+        end_of(3, 0, 0, 503, 0),
+        end_of(5, 1, 0, 502, 0),
+        end_of(6, 1, 0, 500, 0),
     ]
     ends += [
-        end_of(2, 1, 1, 504, 0),
-        end_of(8, 1, 1, 598, 0),
-        end_of(9, 1, 1, 410, 0),
-        end_of(10, 1, 1, 499, 0),
+        end_of(2, 1, 0, 504, 0),
+        end_of(8, 1, 0, 598, 0),
+        end_of(9, 1, 0, 410, 0),
+        end_of(10, 1, 0, 499, 0),
     ]
     frames.append(event_frame(1080.0, ends))
     frames.append(
--- a/tests/forms.py
+++ b/tests/forms.py
@@ -62,6 +62,30 @@
     )
 
 
+def at_this_time():
+    """Unix time as it stands in the samples."""
+    return mock.patch.object(time, "time_ns", lambda: program.JOURNAL_NOW * 1_000)
+
+
+def frame_of_start():
+    """What a dispatcher keeps for its next start."""
+    _, clock = as_this_process()
+    with clock, at_this_time():
+        return program.frame_of_records(program.records_of_start())
+
+
+def frame_of_holder():
+    """What a holder of copies keeps of messages of keys."""
+    prints = b"\x01" * 16
+    heard = [["Claim", n, 3, "t", b"key-%d" % n, prints, f"{n}.run-1.n1", 9_000_000] for n in range(3)]
+    heard.append(["End", 5, 3, "t", b"key-1", prints, "1.run-1.n1", True, 200, b"content", 9_000_000])
+    heard.append(["Drop", 6, "t", b"key-2", "2.run-1.n1"])
+    told = [("n1", "holder-1", pack(message)) for message in heard]
+    # Who becomes a holder asks for its copies, so nothing of earlier placements is let in any more.
+    told.append(("n2", "holder-2", pack(["Scan", 3, 0])))
+    return program.frame_of_records(program.records_of_holder(samples.STATE["copies"], told))
+
+
 def by_file(directory, name, write, told):
     """What `write` leaves in the file of this name."""
     directory.mkdir(parents=True, exist_ok=True)
@@ -145,6 +169,8 @@
         "agreement: a member": {
             "bytes": program.frame_of_records(program.records_of_member(samples.STATE, heard_by_member()))
         },
+        "copies: a holder": {"bytes": frame_of_holder()},
+        "recovery: a dispatcher": {"bytes": frame_of_start()},
         "repeats: a book": {
             "bytes": program.frame_of_records(program.records_of_book(program.book_of_keys(), ""))
         },
@@ -161,6 +187,12 @@
         "learned": by_file(
             directory, program.HANDOVER_LEARNED, program.write_handover_learned, samples.LEARNED
         ),
+        "learned by decisions": by_file(
+            directory,
+            program.HANDOVER_LEARNED,
+            program.write_handover_learned,
+            program.learned_of_decisions(),
+        ),
         "said": by_file(directory, "said", program.write_said, samples.SAID),
         "taken": by_file(directory, "taken", program.write_taken, samples.TAKEN),
     }
--- a/tests/test_stored_and_wire_forms.py
+++ b/tests/test_stored_and_wire_forms.py
@@ -10,6 +10,7 @@
 import forms
 import msgspec
 import pytest
+from form_links import LinkEnds
 
 ALL_SET, BY_DEFAULT = ", all set", ", by default"
 FAMILIES = list(program.MESSAGES)
@@ -121,7 +122,7 @@
 
 @pytest.fixture
 def link_ends():
-    made = program.LinkEnds(*samples.LINK_WHO)
+    made = LinkEnds(*samples.LINK_WHO)
     yield made
     made.close()
 
@@ -132,7 +133,7 @@
 
 
 def test_a_link_takes_these_bytes_and_answers_each_frame_with_one():
-    stream, receiver = form("link", "stream")["bytes"], program.LinkEnds("fleet-1", "n1", "life-n1")
+    stream, receiver = form("link", "stream")["bytes"], LinkEnds("fleet-1", "n1", "life-n1")
     try:
         heard, back = receiver.receives(stream, len(samples.LINK_CONTENTS))
     finally:
@@ -230,6 +231,28 @@
     assert {record[0] for record in msgspec.msgpack.decode(told[12:])} == JOURNAL_KINDS["repeats"]
 
 
+def test_a_holder_of_copies_hands_these_records_to_its_journal():
+    told = form("journal-records", "copies: a holder")["bytes"]
+    assert forms.frame_of_holder() == told
+    assert {record[0] for record in msgspec.msgpack.decode(told[12:])} == JOURNAL_KINDS["copies"]
+
+
+def test_a_dispatcher_hands_these_records_of_a_start_to_its_journal():
+    told = form("journal-records", "recovery: a dispatcher")["bytes"]
+    assert forms.frame_of_start() == told
+    assert {record[0] for record in msgspec.msgpack.decode(told[12:])} == JOURNAL_KINDS["recovery"]
+
+
+@pytest.mark.parametrize(
+    "label", ["agreement: a member", "repeats: a book", "copies: a holder", "recovery: a dispatcher"]
+)
+def test_what_was_handed_to_a_journal_is_read_at_the_next_start(label, tmp_path):
+    name, frame = label.partition(":")[0], form("journal-records", label)["bytes"]
+    raw = program.journal_head(samples.JOURNAL_OWNERS[name]) + frame
+    after, records = opened(tmp_path, name, raw)
+    assert after == raw and records
+
+
 # Documents and files between two processes
 
 
@@ -272,6 +295,16 @@
     assert forms.by_file(back, name, write, told) == raw
 
 
+def test_what_decisions_have_learned_is_read_and_written_back(tmp_path):
+    raw = form("handover", "learned by decisions")["bytes"]
+    name, write = program.HANDOVER_LEARNED, program.write_handover_learned
+    assert forms.by_file(tmp_path / "there", name, write, program.learned_of_decisions()) == raw
+    _, clock = forms.as_this_process()
+    with clock:
+        told = program.read_handover_learned(tmp_path / "there")
+    assert forms.by_file(tmp_path / "back", name, write, program.learned_again(told)) == raw
+
+
 @pytest.mark.parametrize("job", samples.JOBS)
 def test_a_job_that_is_handed_on_is_taken_up_and_handed_on_again(job, tmp_path):
     raw = form("handover", f"datagram: {job}")["bytes"]
@@ -281,7 +314,11 @@
 
 
 def test_each_file_and_datagram_between_two_processes_has_its_test():
-    assert set(forms.load("handover")) == {*FILES, *(f"datagram: {job}" for job in samples.JOBS)}
+    assert set(forms.load("handover")) == {
+        *FILES,
+        "learned by decisions",
+        *(f"datagram: {job}" for job in samples.JOBS),
+    }
 
 
 # Messages of the decisions, and the bench
