--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -324,7 +324,7 @@
 
 
 def links_of(rig, who, address, heard):
-    """Links of a dispatcher that is `who`, which finds each other one at the address that `address()` gives."""
+    """Links of a dispatcher that is `who`; each other one is at the address that `address()` gives."""
     return links.Links(rig.loop, lambda: who, lambda other: address(), heard, 3, 7, rig.log)
 
 
