--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -12,6 +12,7 @@
 
 from helpers import HERE, Rig, arrive, balancer, entry, pull
 
+from mastledge.adapter import __main__ as adapter_main
 from mastledge.adapter import frames as adapter_frames
 from mastledge.agreement import kept as agreement_kept
 from mastledge.agreement import messages as agreement_messages
@@ -23,6 +24,7 @@
 from mastledge.peers import links
 from mastledge.program import copying, recovering, relay
 from mastledge.program.beside import Notes
+from mastledge.program.fleet import Fleet
 from mastledge.program.fleet_calls import FleetCalls
 from mastledge.program.handover import Handover
 from mastledge.protocol import messages as balance_messages
@@ -35,6 +37,7 @@
 from mastledge.transport import passing
 
 ADAPTER_MODULE = "mastledge.adapter"
+ENDINGS = adapter_main.ENDING
 RECOVERY_MESSAGE = recovery_messages.Ask | recovery_messages.Load
 
 
@@ -259,6 +262,12 @@
     return notes(directory).hear()
 
 
+def brief_of_fleet(state):
+    """What of the agreed state is told to the process beside this one."""
+    rules = SimpleNamespace(state=state)
+    return Fleet.brief(SimpleNamespace(member=SimpleNamespace(rules=rules)))
+
+
 def write_taken(directory, told):
     notes(directory).take(told["index"])
 
--- a/tests/form_samples.py
+++ b/tests/form_samples.py
@@ -268,12 +268,31 @@
     return (END_OF, FIRST, job, WORKER_IDS[worker], lag_ms, launch, 0, final, how, 2, 3.0, 2.0, 0.0, 0.0)
 
 
-def adapter_session():
-    """Frames that hold every kind of input and lead to every kind of answer."""
-    settings = ADAPTER_SETTINGS.encode()
-    pool = b"".join(
+ENDING_CODES = (200, 500, 503, 504, 502, 598, 499, 410)
+
+
+def ending_session(how):
+    """Jobs of each queue type end like this, and more come after: what follows depends on how."""
+    settings, pool = ADAPTER_SETTINGS.encode(), pool_of_workers()
+    frames = [event_frame(1000.0, [(BEGIN, FIRST, 7, 0, len(settings))], settings)]
+    frames.append(event_frame(1001.0, [(POOL, 1, 0, len(WORKER_IDS)), (LIST, FIRST, 1, 0, 1)], pool))
+    frames.append(event_frame(1004.0, [new_job(job, job % 3, 900.0) for job in range(6)]))
+    frames.append(event_frame(1300.0, [end_of(job, job % 3, 0, how, 0) for job in range(6)]))
+    for step in range(1, 12):
+        records = [(DUE, FIRST, 1300 + 100 * step), new_job(10 + step, step % 3, 900.0)]
+        frames.append(event_frame(1300.0 + 100 * step, records))
+    return b"".join(frames)
+
+
+def pool_of_workers():
+    return b"".join(
         POOL_ENTRY.pack(number % 2, name, 1, 0.0, 0, 0, 1.0) for number, name in enumerate(WORKER_IDS)
     )
+
+
+def adapter_session():
+    """Frames that hold every kind of input and lead to every kind of answer."""
+    settings, pool = ADAPTER_SETTINGS.encode(), pool_of_workers()
     told = program.balance_message(900_000, [(0, 1.5)], [(9, 40_000)])
     begin = [(BEGIN, one, 7 + one, 0, len(settings)) for one in (FIRST, SECOND)]
     frames = [event_frame(1000.0, begin, settings)]
--- a/tests/forms.py
+++ b/tests/forms.py
@@ -193,6 +193,12 @@
             program.write_handover_learned,
             program.learned_of_decisions(),
         ),
+        "said by a fleet": by_file(
+            directory,
+            "said",
+            program.write_said,
+            {**samples.SAID, "state": program.brief_of_fleet(samples.STATE)},
+        ),
         "said": by_file(directory, "said", program.write_said, samples.SAID),
         "taken": by_file(directory, "taken", program.write_taken, samples.TAKEN),
     }
@@ -210,9 +216,14 @@
     }
 
 
+def adapter_sessions():
+    sessions = {"session": samples.adapter_session()}
+    sessions.update({f"ending {how}": samples.ending_session(how) for how in samples.ENDING_CODES})
+    return {label: {"read": raw, "bytes": adapter_answers(raw)} for label, raw in sessions.items()}
+
+
 def everything(directory):
     """{family: {label: {"bytes", "read"}}} by the program as it is."""
-    session = samples.adapter_session()
     journals = {}
     for name in program.JOURNALS:
         raw = journal_file(name)
@@ -230,7 +241,7 @@
             label: {"bytes": program.balance_message(*told)}
             for label, told in samples.BALANCE_MESSAGES.items()
         },
-        "adapter": {"session": {"read": session, "bytes": adapter_answers(session)}},
+        "adapter": adapter_sessions(),
     }
 
 
--- a/tests/test_stored_and_wire_forms.py
+++ b/tests/test_stored_and_wire_forms.py
@@ -21,6 +21,7 @@
     "copies": {"holder", "fence", "claim", "end", "drop"},
     "recovery": {"list", "out", "learned"},
 }
+DIFFERENT_SESSIONS = 7  # of 9: after these frames 502 leads to the same as 503, and 499 to the same as 504
 ADAPTER_ACTIONS = {1, 2, 3, 4, 5, 8, 10, 11}
 
 
@@ -295,6 +296,12 @@
     assert forms.by_file(back, name, write, told) == raw
 
 
+def test_a_fleet_tells_the_process_beside_this_one_these_parts_of_its_state(tmp_path):
+    told = {**samples.SAID, "state": program.brief_of_fleet(samples.STATE)}
+    raw = form("handover", "said by a fleet")["bytes"]
+    assert forms.by_file(tmp_path, "said", program.write_said, told) == raw
+
+
 def test_what_decisions_have_learned_is_read_and_written_back(tmp_path):
     raw = form("handover", "learned by decisions")["bytes"]
     name, write = program.HANDOVER_LEARNED, program.write_handover_learned
@@ -317,6 +324,7 @@
     assert set(forms.load("handover")) == {
         *FILES,
         "learned by decisions",
+        "said by a fleet",
         *(f"datagram: {job}" for job in samples.JOBS),
     }
 
@@ -331,11 +339,19 @@
     assert program.balance_message_again(raw) == raw
 
 
-def test_the_adapter_answers_this_session_with_these_bytes():
-    told = form("adapter", "session")
+@pytest.mark.parametrize(("family", "label"), cases("adapter"))
+def test_the_adapter_answers_a_session_with_these_bytes(family, label):
+    told = form(family, label)
     assert forms.adapter_answers(told["read"]) == told["bytes"]
 
 
+def test_each_ending_has_a_session_and_they_differ_in_what_follows():
+    assert set(program.ENDINGS) == set(samples.ENDING_CODES)
+    sessions = {label: told["bytes"] for label, told in forms.load("adapter").items()}
+    assert set(sessions) == {"session", *(f"ending {how}" for how in samples.ENDING_CODES)}
+    assert len(set(sessions.values())) == DIFFERENT_SESSIONS
+
+
 def test_the_session_has_each_kind_of_event_and_leads_to_each_kind_of_answer():
     told = form("adapter", "session")
     events = {code for _, records, _ in program.event_frames(told["read"]) for code, *_ in records}
