--- a/mastledge/consensus/bootstrap.py
+++ b/mastledge/consensus/bootstrap.py
@@ -78,7 +78,7 @@
             # It has said what its folder does not know of, so the folder is an old one; another life
             # remembers nothing.
             self.event(
-                "folder_is_old",
+                "data_directory_stale",
                 heard_term=told.heard_term,
                 heard_last=told.heard_last,
                 term=self.term,
@@ -88,13 +88,13 @@
             fleet = self.fleet
             self.forget_all(self.fresh[0])
             self.held, self.told, self.seen, self.phase = [], {}, {}, EMPTY
-            self.event("new_life", life=self.life, fleet=fleet)
+            self.event("new_incarnation", life=self.life, fleet=fleet)
             return
         others = [name for name, one in self.told.items() if name in self.voters() and not one.empty]
         count = len(set(others) | ({self.name} if self.is_voter() else set()))
         if count > len(self.voters()) // 2:
             self.phase = PART
-            self.event("takes_part", life=self.life, term=self.term, last=self.log.last)
+            self.event("joined", life=self.life, term=self.term, last=self.log.last)
 
     def on_BootstrapCluster(self, now, sender, life, form):
         one = form.state["members"].get(self.name)
@@ -128,7 +128,7 @@
         """An operator's word that its fleet is no more: it comes to the next one as an empty folder does."""
         if self.role != FOLLOWER:
             self.follow(self.term, None)
-        self.event("deserts", fleet=self.fleet, life=self.life)
+        self.event("abandoned", fleet=self.fleet, life=self.life)
         self.forget_all(life)
         self.held, self.told, self.seen, self.lives, self.heard, self.waiting = [], {}, {}, {}, {}, []
         self.leader, self.votes, self.ballots, self.stopped = None, None, {}, ""
--- a/mastledge/consensus/elections.py
+++ b/mastledge/consensus/elections.py
@@ -34,7 +34,7 @@
             self.term, self.vote = term, ""
             self.records.append(("hard", term, ""))
         if self.role == LEADER:
-            self.event("leads_no_more", term=self.term)
+            self.event("lost_leadership", term=self.term)
             self.leases = self.next = self.match = self.echo = self.beat_at = None
             self.waiting = []
         if leader is not None and leader != self.leader:
@@ -112,7 +112,7 @@
         # Who heard from here as a follower goes on doing so until it has found another relay.
         self.adopted = {name: now + ADOPTED_LEASES * self.lease for name in self.children}
         self.children, self.parent = {}, None
-        self.event("leads", term=self.term, last=self.log.last)
+        self.event("became_leader", term=self.term, last=self.log.last)
         self.extend(m.Entry(self.term, "", {"kind": "noop"}))
         self.began = self.log.last
         for id, change in self.mine.items():
--- a/mastledge/consensus/follower.py
+++ b/mastledge/consensus/follower.py
@@ -120,7 +120,7 @@
                 self.records.append(("identity", self.fleet, self.life))
                 self.records.append(("hard", self.term, self.vote))
                 self.phase = PART
-                self.event("taken_in", fleet=self.fleet, life=self.life)
+                self.event("admitted", fleet=self.fleet, life=self.life)
             if self.log.term(install.last) == install.last_term:
                 # What stands behind it may have been said to be safe here, and counts.
                 self.log.compact(install.last)
@@ -131,7 +131,7 @@
             self.rules, self.ends = StateMachine(install.state, install.last), None
             self.base_state, self.commit = self.rules.snapshot(), install.last
             self.records.append(("snapshot", install.last, install.last_term, self.base_state))
-            self.event("installed", last=install.last)
+            self.event("snapshot_installed", last=install.last)
             for id in [id for id in self.mine if id in self.rules.results]:
                 del self.mine[id]
                 self.out.append(("agreed", id, self.commit, self.rules.results[id]))
@@ -147,11 +147,11 @@
             except (ValueError, KeyError, TypeError) as error:
                 # To go on without it would be to act on other rules than the rest.
                 self.stopped = f"cannot follow what is agreed: {error}"
-                self.event("stopped", why=self.stopped)
+                self.event("halted", why=self.stopped)
                 return
             self.commit += 1
             self.event(
-                "agreed",
+                "entry_committed",
                 index=self.commit,
                 version=result["version"],
                 kind=entry.change["kind"],
--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -18,7 +18,7 @@
     def take(self, id, change):
         """A leader takes a change, once. Changes of the members wait for the one before."""
         if not sound(change):
-            self.event("unsound", id=id, kind=str(change.get("kind"))[:40])
+            self.event("invalid_change", id=id, kind=str(change.get("kind"))[:40])
             return
         if any(entry.id == id for entry in self.log.behind(self.rules.applied, len(self.log.entries))):
             return
--- a/mastledge/consensus/member.py
+++ b/mastledge/consensus/member.py
@@ -201,7 +201,7 @@
                 self.mend_at = now
             else:
                 self.broken, self.mend_at = False, None
-                self.event("disk_mended")
+                self.event("disk_recovered")
         if self.phase == PART and self.role == FOLLOWER and self.leader and self.acked < self.safe:
             self.ack(self.told_by or self.leader, True, self.last_stamp)
 
--- a/mastledge/lab/crossing.py
+++ b/mastledge/lab/crossing.py
@@ -191,7 +191,7 @@
             self.passes(self.clock.due())
 
     def log(self, event, **fields):
-        if event == "fault":
+        if event == "internal_error":
             self.faults.append(f"{fields.get('call', '')} {fields['why']}")
 
     def to_discovery(self, fd):
--- a/mastledge/lab/scale/processes.py
+++ b/mastledge/lab/scale/processes.py
@@ -118,7 +118,7 @@
     def faults(self):
         """Lines of the log that tell of an error of the program itself."""
         with open(os.path.join(self.folder, "log"), "rb") as file:
-            return sum(b'"event":"fault"' in line for line in file)
+            return sum(b'"event":"internal_error"' in line for line in file)
 
     def last_line(self):
         with open(os.path.join(self.folder, "log"), "rb") as file:
--- a/mastledge/peers/links.py
+++ b/mastledge/peers/links.py
@@ -139,7 +139,7 @@
                     break
                 if not self.room.take("peers"):
                     if not self.strangers:
-                        self.grumble("peers_full", used=self.room.used)
+                        self.grumble("peer_connection_limit", used=self.room.used)
                         one.close()
                         continue
                     # Who has not said yet who it is goes for the next.
--- a/mastledge/program/connection_handoff.py
+++ b/mastledge/program/connection_handoff.py
@@ -68,7 +68,7 @@
             try:
                 passing.put(path, raw, (exchange.conn.sock, launch.conn.sock))
             except OSError as error:
-                self.log("not_handed_on", job=exchange.name, why=str(error))
+                self.log("connection_not_handed_off", job=exchange.name, why=str(error))
                 break
             for conn in (exchange.conn, launch.conn):
                 self.loop.let_go(conn.fd)
@@ -84,7 +84,7 @@
             self.sock = passing.inlet(path)
         except OSError as error:
             # A folder whose path is too long for it, say: what outlasts the old process is killed with it.
-            self.log("relay_off", why=str(error))
+            self.log("handoff_disabled", why=str(error))
             return
         while True:
             yield (self.sock.fileno(), READ, None)
@@ -101,7 +101,7 @@
             exchange.name, exchange.kind, exchange.until = told["name"], told["kind"], told["until"] - EARLY
             headed, rest = bool(told["headed"]), base64.b64decode(told["rest"])
         except (ValueError, KeyError, TypeError, binascii.Error) as error:
-            self.log("not_taken_up", why=f"{type(error).__name__}: {error}")
+            self.log("connection_not_received", why=f"{type(error).__name__}: {error}")
             for one in socks:
                 one.close()
             return
@@ -110,7 +110,7 @@
             for one, kind, role in zip(socks, ("clients", "workers"), (h11.SERVER, h11.CLIENT), strict=True):
                 ends.append(self.attached(one, kind, role))
         except OSError as error:
-            self.log("not_taken_up", why=str(error))
+            self.log("connection_not_received", why=str(error))
             for one in (*ends, *socks):
                 one.close()
             return
@@ -123,7 +123,7 @@
         task = self.loop.spawn(self.carried(launch, exchange))
         exchange.answer = lambda *answer: self.loop.wake(client.owner, answer)
         exchange.job = task
-        self.log("taken_up", job=exchange.name)
+        self.log("connection_received", job=exchange.name)
 
     def attached(self, sock, kind, role):
         # Beyond the budget for a moment, but the process that hands it on closes its own at once.
@@ -140,7 +140,7 @@
         finally:
             conn.close()
             self.exchanges.discard(exchange)
-        self.log("carried", job=exchange.name, how=how)
+        self.log("handed_off_launch_ended", job=exchange.name, how=how)
         if how == "completed":
             exchange.completed(result)
         else:
--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -78,7 +78,7 @@
         except DataDirectoryError:
             if not self.program.beside:
                 raise
-            self.log("fleet_listens", folder=self.told["folder"])
+            self.log("fleet_standby", folder=self.told["folder"])
             self.tasks = [self.loop.spawn(self.program.vital(self.listens()), first=True)]
             return
         self.speak()
@@ -129,7 +129,7 @@
             return
         self.heard_until = max(self.heard_until, self.member.lease_until if self.held else 0)
         self.index = max(self.index, self.member.rules.applied if self.member.rules else 0)
-        self.log("fleet_hands_over", index=self.index, leads=self.member.role == LEADER)
+        self.log("fleet_handed_over", index=self.index, leads=self.member.role == LEADER)
         self.leave()
         self.end()
         self.member = None
@@ -187,7 +187,7 @@
                 self.folder.hold()
             except DataDirectoryError:
                 continue
-            self.log("fleet_speaks", index=self.index)
+            self.log("fleet_active", index=self.index)
             self.loop.spawn(self.program.vital(self.takes_over()), first=True)
             return
 
@@ -317,7 +317,7 @@
             del self.answers[next(iter(self.answers))]
 
     def do_event(self, name, fields):
-        if name == "agreed" and fields["kind"] == "noop":
+        if name == "entry_committed" and fields["kind"] == "noop":
             return
         self.log("fleet_" + name, **fields)
 
@@ -359,7 +359,12 @@
         out = self.own_list.out(self.news)
         if out != self.program.heard_out:
             generation = self.news and self.news.generation
-            self.log("heard_out", out=sorted(out), generation=generation, own=self.own_list.generation)
+            self.log(
+                "workers_restricted_by_peers",
+                out=sorted(out),
+                generation=generation,
+                own=self.own_list.generation,
+            )
             self.program.heard_out = out
             self.program.recompose()
 
@@ -386,7 +391,7 @@
             # Read well where it was handed in, so this program is of another version: better nothing than
             # half of it.
             self.unreadable = f"cannot read settings of version {state['settings_version']}: {error}"
-            self.log("fleet_unreadable", why=self.unreadable)
+            self.log("fleet_settings_unreadable", why=self.unreadable)
             self.program.lapse()
             return
         self.program.agreed(settings, state)
--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -57,7 +57,7 @@
         except DataDirectoryError:
             if not self.program.beside:
                 raise
-            self.log("repeats_wait", folder=self.told["folder"])
+            self.log("idempotency_waiting", folder=self.told["folder"])
             self.tasks = [self.loop.spawn(self.program.vital(self.waits()))]
             return
         self.open()
@@ -68,7 +68,7 @@
         now = self.loop.now()
         book = KeyTable(self.told["keep"], self.told["entries"], self.told["bytes"], unix() - now)
         book.recovered(now, kept.held)
-        self.log("repeats", held=len(book.held), bytes=journal.size)
+        self.log("idempotency_keys_loaded", held=len(book.held), bytes=journal.size)
         self.writer, self.book = Writer(journal), book
         self.tasks = [self.loop.spawn(self.program.vital(self.written()), first=True)]
 
@@ -116,7 +116,7 @@
             yield (self.writer.fd, READ, None)
             for token, error in self.writer.done():
                 if error is not None and not self.failing:
-                    self.log("repeats_disk_failed", why=str(error))
+                    self.log("idempotency_disk_failed", why=str(error))
                     self.failing = True
                     self.mending = self.loop.spawn(self.program.vital(self.mended()))
                     self.tasks.append(self.mending)
@@ -134,7 +134,7 @@
             self.writer.rewrite(self.token, self.book.everything())
             if (yield (-1, 0, None)) is True:
                 self.failing = False
-                self.log("repeats_disk_mended")
+                self.log("idempotency_disk_recovered")
                 return
 
     # Jobs
@@ -232,7 +232,7 @@
         self.inbox.put("arrived", exchange, *told)
         reply = yield (-1, 0, exchange.until + MARGIN)
         if not isinstance(reply, tuple):
-            self.log("late", job=exchange.name)
+            self.log("answer_late", job=exchange.name)
             exchange.open = False
             self.inbox.put("abandoned", exchange)
             reply = KILLED, [], b""
--- a/mastledge/program/lifecycle.py
+++ b/mastledge/program/lifecycle.py
@@ -154,7 +154,7 @@
     def agreed(self, settings, state):
         """Rules in force from here on: settings, and who is out by hand at all dispatchers."""
         if settings != self.told["settings"]:
-            self.log("settings_agreed", version=state["settings_version"])
+            self.log("settings_committed", version=state["settings_version"])
             self.switch(settings)
         self.agreed_out, self.agreed_back = tuple(state["out"]), dict(state["back"])
         self.recompose()
@@ -172,7 +172,7 @@
         self.inbox.put("lapsed")
 
     def fault(self, error):
-        self.log("fault", why=f"{type(error).__name__}: {error}")
+        self.log("internal_error", why=f"{type(error).__name__}: {error}")
 
     def go(self, phase):
         if phase not in NEXT[self.phase]:
@@ -255,7 +255,7 @@
             self.share()
         except Exception as error:
             # Whoever replaces a file under load must not end the service with a slip in it.
-            self.log("configuration_kept", why=str(error) or type(error).__name__)
+            self.log("configuration_rejected", why=str(error) or type(error).__name__)
             return
         self.discovery.move(told["discovery"])
         switched = told["settings"] != self.told["settings"] and self.fleet is None
@@ -268,10 +268,10 @@
                 for key in {*told["document"], *self.told["document"]}
                 if told["document"].get(key) != self.told["document"].get(key)
             )
-            self.log("settings_not_taken", differs=differs, why="settings are agreed on: fleet settings FILE")
+            self.log("settings_ignored", differs=differs, why="settings are agreed on: fleet settings FILE")
         restart = [part for part in ("name", "listen", "control") if told[part] != self.told[part]]
         self.log(
-            "configuration",
+            "configuration_loaded",
             discovery=told["discovery"],
             sockets=told["sockets"],
             settings=switched,
@@ -331,7 +331,7 @@
             self.beside = not handover.alone()
             if self.beside != shared:
                 shared = self.beside
-                self.log("beside", other=shared)
+                self.log("other_process", other=shared)
                 self.share()
                 if not shared:
                     handover.change(handover.says(1 - handover.seat, ready=False, leaving=False))
@@ -392,7 +392,7 @@
         """Takes in clients from now on; all new ones where the process before is still there."""
         self.sock.listen(BACKLOG)
         if self.beside:
-            self.log("steered", done=steer(self.sock, 1))
+            self.log("connections_steered", done=steer(self.sock, 1))
         self.accepting = self.loop.spawn(self.listener.listen(self.sock))
 
     def hand_over(self):
@@ -417,7 +417,7 @@
             self.discovery.apply(self.told["known"], "cached")
         except BadList as error:
             # Discovery has the list as well.
-            self.log("known_unusable", why=str(error))
+            self.log("cached_list_invalid", why=str(error))
         if self.following or self.discovery.generation is None:
             self.discovery.follow()
         self.go(WAITING)
@@ -464,7 +464,7 @@
                 # First it takes less itself, then the other hears that it may take more.
                 self.divide()
                 self.says(leaving=True)
-                self.log("succeeded")
+                self.log("successor_ready")
             if door.succeeded:
                 self.hand_over()
             yield (-1, 0, min(closing, loop.now() + BESIDE))
--- a/mastledge/program/logs.py
+++ b/mastledge/program/logs.py
@@ -13,7 +13,11 @@
     """Its descriptor may be read slowly or not at all: the dispatcher never waits for its log."""
 
     def __init__(self, fd, name, level="info"):
-        self.fd, self.name, self.quiet = fd, name, {"job", "launch_ended"} if level == "brief" else ()
+        self.fd, self.name, self.quiet = (
+            fd,
+            name,
+            {"job_finished", "launch_ended"} if level == "brief" else (),
+        )
         self.poll, self.lost, self.pid = select.poll(), 0, os.getpid()  # two processes may have one name
         self.poll.register(fd, select.POLLOUT)
 
@@ -34,7 +38,8 @@
         except TypeError as error:
             # A line that cannot be written must not cost what it tells of.
             raw = orjson.dumps(
-                {"event": "unwritable", "of": event, "why": ascii(error)}, option=orjson.OPT_APPEND_NEWLINE
+                {"event": "line_unwritable", "of": event, "why": ascii(error)},
+                option=orjson.OPT_APPEND_NEWLINE,
             )
         if len(raw) > MOST:
             short = {**{key: line[key] for key in ("at", "name", "pid", "event")}, "cut": len(raw)}
--- a/mastledge/program/operator_api.py
+++ b/mastledge/program/operator_api.py
@@ -90,7 +90,7 @@
         last = program.loop.now() + PATIENCE
         while (program.holds or 0) < serial or not program.upgrade_state.other_saw(serial):
             if program.loop.now() >= last:
-                program.log("not_seen", serial=serial, holds=program.holds)
+                program.log("change_not_seen", serial=serial, holds=program.holds)
                 return
             yield (-1, 0, program.loop.now() + LOOK)
 
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -164,7 +164,7 @@
             self.belief.generation, self.belief.restricted = heard.generation, heard.restricted
         self.writer = Writer(self.journal)
         self.log(
-            "believed",
+            "state_restored",
             age_ms=self.belief.age // 1000,
             workers=len(self.belief.workers),
             out=len(self.belief.out),
@@ -220,7 +220,7 @@
         if step != self.logged:
             self.logged = step
             self.log(
-                "recovering",
+                "startup_stage",
                 step=step,
                 lesser=list(steps.lesser.values()),
                 ms=(now - self.began) // 1000,
@@ -287,7 +287,7 @@
                 off = frozenset()
         if off != self.program.kept_off:
             generation, newest = discovery.generation, self.belief.generation
-            self.log("kept_off", out=sorted(off), generation=generation, newest=newest)
+            self.log("workers_excluded_by_newer_list", out=sorted(off), generation=generation, newest=newest)
             self.program.kept_off = off
             self.program.recompose()
 
@@ -305,7 +305,7 @@
                 for why, aside in asides
             ]
             out[id] = [slots, peak, slow, some, load]
-        self.log("taken_over", workers=len(out), load=round(sum(one[4] for one in out.values()), 1))
+        self.log("load_restored", workers=len(out), load=round(sum(one[4] for one in out.values()), 1))
         return out
 
     # What others tell
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -64,7 +64,9 @@
         self.timer = spawn(vital(self.timed()), first=True)
         self.flusher = spawn(vital(self.flushed()))
         self.tasks = [spawn(vital(self.written()), first=True), self.timer, self.flusher]
-        self.log("copies", held=len(self.book.held), bytes=journal.size, id=self.id, starts=self.starts)
+        self.log(
+            "replicas_loaded", held=len(self.book.held), bytes=journal.size, id=self.id, starts=self.starts
+        )
         self.join()
 
     def journal(self, kept):
@@ -93,7 +95,7 @@
             return
         if "why" in result and self.name in self.fleet.member.rules.members:
             # What others count on is not in it, so it comes as an empty one.
-            self.log("copies_folder_is_old", why=result["why"])
+            self.log("replica_directory_stale", why=result["why"])
             kept = PersistedReplica(unix)
             self.begins(self.loop.now(), kept, uuid.uuid4().hex[:16], 1)
             self.token += 1
@@ -128,12 +130,12 @@
             if self.failing:
                 self.node.broken = True
             if copies["count"] != self.told["copies"]:
-                self.log("copies_differ", agreed=copies["count"], here=self.told["copies"])
+                self.log("replica_count_differs", agreed=copies["count"], here=self.told["copies"])
         if (copies["epoch"], copies["caught"]) != (
             self.node.placement.epoch,
             sorted(self.node.placement.caught),
         ):
-            self.log("copies_placed", epoch=copies["epoch"], moving=copies["next"] is not None)
+            self.log("replica_placement", epoch=copies["epoch"], moving=copies["next"] is not None)
             self.input("placed", copies)
 
     def written(self):
@@ -142,7 +144,7 @@
             for token, error in self.writer.done():
                 if error is not None:
                     if not self.failing:
-                        self.log("copies_disk_failed", why=str(error))
+                        self.log("replication_disk_failed", why=str(error))
                         self.failing = True
                         self.input("broken")
                         self.tasks.append(self.loop.spawn(self.program.vital(self.mended())))
@@ -174,7 +176,7 @@
             if (yield (-1, 0, self.loop.now() + self.MENDS)) is True:
                 self.failing = False
                 self.lasts = True
-                self.log("copies_disk_mended")
+                self.log("replication_disk_recovered")
                 self.input("mended")
                 self.join()
 
--- a/mastledge/program/shared_lease.py
+++ b/mastledge/program/shared_lease.py
@@ -31,7 +31,7 @@
                 file.write(orjson.dumps({"format": VERSION, "from": self.pid, **told}))
             os.replace(place, self.place(name))
         except OSError as error:
-            self.log("beside_unwritten", why=str(error))
+            self.log("shared_lease_unwritten", why=str(error))
             return False
         return True
 
--- a/mastledge/program/upgrade_state.py
+++ b/mastledge/program/upgrade_state.py
@@ -67,7 +67,7 @@
                     return
                 time.sleep(SOON)
         except OSError as error:
-            self.log("handover_off", why=str(error))
+            self.log("upgrade_state_disabled", why=str(error))
             self.base = None
             return
         raise OSError(errno.EADDRINUSE, "two processes serve here already")
@@ -134,12 +134,12 @@
         except FileNotFoundError:
             return None
         except (OSError, ValueError) as error:
-            self.log("handover_unreadable", why=str(error))
+            self.log("upgrade_state_unreadable", why=str(error))
             return None
         if sound(told):
             return told
         # What a later version or a slip has left must not be guessed at.
-        self.log("handover_unreadable", why=f"not of version {VERSION}")
+        self.log("upgrade_state_unreadable", why=f"not of version {VERSION}")
         return None
 
     def change(self, edit, news=True):
@@ -160,7 +160,7 @@
                 if lock is not None:
                     os.close(lock)
         except OSError as error:
-            self.log("handover_unwritten", why=str(error))
+            self.log("upgrade_state_unwritten", why=str(error))
             if not self.alone():
                 return False
             edit(self.told)
@@ -175,7 +175,7 @@
             try:
                 self.put("learned", {"version": VERSION, "at": time.monotonic_ns(), "workers": learned})
             except OSError as error:
-                self.log("handover_unwritten", why=str(error))
+                self.log("upgrade_state_unwritten", why=str(error))
 
     def taught(self):
         """What the other process has learned, or nothing: not what one before it has left."""
@@ -187,7 +187,7 @@
         except FileNotFoundError:
             return {}
         except (OSError, ValueError, KeyError, TypeError) as error:
-            self.log("handover_unreadable", why=f"{type(error).__name__}: {error}")
+            self.log("upgrade_state_unreadable", why=f"{type(error).__name__}: {error}")
         return {}
 
     def locked(self):
--- a/mastledge/protocol/client_listener.py
+++ b/mastledge/protocol/client_listener.py
@@ -148,7 +148,7 @@
                     return
                 except Exception as error:
                     # Who is closed on with no answer sends again, while what is out for it may run.
-                    self.log("fault", call="serve", why=f"{type(error).__name__}: {error}")
+                    self.log("internal_error", call="serve", why=f"{type(error).__name__}: {error}")
                     reply = KILLED, [], b""
                 else:
                     idle = "clients"
@@ -214,7 +214,7 @@
             size = http.framed(head)
             self.rests(None, conn)
             if not self.budget.hold(size):
-                self.log("no_memory", held=self.budget.bytes, clients=len(self.clients))
+                self.log("memory_limit", held=self.budget.bytes, clients=len(self.clients))
                 self.count(self.requests.name_of(head), REJECTED)
                 return self.no_room
             try:
@@ -249,7 +249,7 @@
             raise BadRequest(409, "X-Txn is in use")
         if beyond or self.in_hand >= self.most_held or self.crowded() or not self.lawful():
             # Nothing of it was sent anywhere, so trying again is harmless.
-            self.log("no_room", job=exchange.name, clients=len(self.clients))
+            self.log("connection_limit", job=exchange.name, clients=len(self.clients))
             self.count(exchange.kind, REJECTED)
             return self.no_room
         if self.gate is None:
@@ -343,5 +343,5 @@
         if got != ():
             return got
         # The decisions end each job before this; should they fail at it, the client still gets its answer.
-        self.log("late", job=exchange.name)
+        self.log("answer_late", job=exchange.name)
         return KILLED, [], b""
--- a/mastledge/protocol/control.py
+++ b/mastledge/protocol/control.py
@@ -100,7 +100,7 @@
                 status, headers, text = error.error_status_hint, [], str(error)
             self.callers[conn] = True
             if status >= 300:
-                self.log("call_refused", status=status, why=text[:200])
+                self.log("operator_call_refused", status=status, why=text[:200])
             headers.append((b"content-type", kind.encode()))
             head_only = head is not None and head.method == b"HEAD"
             content = b"" if head_only else text.removesuffix("\n").encode() + b"\n"
--- a/mastledge/protocol/discovery.py
+++ b/mastledge/protocol/discovery.py
@@ -78,7 +78,7 @@
                 except (KeyError, TypeError, AttributeError, ValueError) as error:
                     if whole is None:
                         raise
-                    self.log("bad_entry", why=f"{type(error).__name__}: {error}")
+                    self.log("discovery_entry_invalid", why=f"{type(error).__name__}: {error}")
         except (KeyError, TypeError, AttributeError, ValueError) as error:
             raise BadList(f"{type(error).__name__}: {error}") from None
         self.generation = generation
@@ -121,7 +121,7 @@
         if why != self.trouble:
             # Taken up again several times a second, it must not fill the log while it is down.
             self.trouble = why
-            self.log("discovery_broken", why=why, generation=self.generation)
+            self.log("discovery_watch_failed", why=why, generation=self.generation)
         self.inbox.put("members", "failed", ())
 
     def asked(self, target):
@@ -197,7 +197,7 @@
         conn = yield from self.asked(b"/registry/instances?follow=1&since=%d" % self.generation)
         try:
             self.trouble, self.answered = None, True
-            self.log("discovery_followed", generation=self.generation)
+            self.log("discovery_watch_started", generation=self.generation)
             # That it answers is news as well: it ends a failure.
             self.inbox.put("members", "changes", ())
             while (told := (yield from self.change(conn))) is not None:
--- a/mastledge/protocol/worker_connections.py
+++ b/mastledge/protocol/worker_connections.py
@@ -135,7 +135,7 @@
                         proof = (named or not stood) and (yield from self.ended_alone(conn, named, until))
                         how = "full" if proof else "doubted"
                         if not proof:
-                            self.log("doubted", worker=peer.id, kept=stood)
+                            self.log("rejection_doubted", worker=peer.id, kept=stood)
                     whole = how in ("completed", "error", "full")
                 except TimedOut:
                     how = "timeout"
@@ -143,9 +143,14 @@
                     # One that stood idle may long have ended at the other side, in good health or not.
                     how = "dropped" if conn.stood else "lost"
                     self.held(conn, False)
-                    self.log("broken", worker=peer.id, how=how, why=str(error) or type(error).__name__)
+                    self.log(
+                        "worker_connection_broken",
+                        worker=peer.id,
+                        how=how,
+                        why=str(error) or type(error).__name__,
+                    )
                 except (ValueError, http.TooLarge) as error:
-                    self.log("malformed", worker=peer.id, why=str(error))
+                    self.log("worker_answer_malformed", worker=peer.id, why=str(error))
                     how = "error"
             if conn is not None and not whole:
                 # Still out for its worker until the connection ends, and the job may go elsewhere at once.
@@ -177,7 +182,7 @@
             content = http.request(conn, exchange.method, exchange.target, headers, exchange.body)
             if life != peer.life():
                 # A drain counts from its news, and a new life takes less: both hold for the first byte.
-                self.log("withheld", worker=peer.id)
+                self.log("launch_withheld", worker=peer.id)
                 raise Withheld
             if exchange.once:
                 # No worker begins before the last byte, and what broke before it may be launched again.
@@ -201,7 +206,7 @@
         except (OSError, TimedOut) as error:
             # Not all of it was written, so it cannot have run. That a connection which stood idle breaks,
             # or that the job's time was too short to connect, says nothing of the worker.
-            self.log("not_sent", worker=peer.id, why=str(error) or "timed out")
+            self.log("launch_not_sent", worker=peer.id, why=str(error) or "timed out")
             if conn is not None and loop.now() < send_by:
                 self.held(conn, False)
             if not fresh or loop.now() >= send_by:
@@ -219,7 +224,7 @@
             if self.loop.now() >= until:
                 raise TimedOut
             if self.rule is not None and not self.rule.may_act(self.loop.now()) or peer.out:
-                self.log("withheld", worker=peer.id)
+                self.log("launch_withheld", worker=peer.id)
                 raise Withheld
             if exchange is not None and exchange.left():
                 raise Left
--- a/mastledge/routing/router.py
+++ b/mastledge/routing/router.py
@@ -66,7 +66,7 @@
         except Exception as error:
             self.faults += 1
             self.log(
-                "fault",
+                "internal_error",
                 call=call.__name__,
                 why=f"{type(error).__name__}: {error}",
                 trace=traceback.format_exc(limit=-4),
@@ -97,7 +97,7 @@
         if entries:
             brief = [(e[0], e[3], e[4] and (now - e[4]) / 1e6) for e in entries[:12]]
             generation = self.discovery.generation
-            self.log("members", kind=kind, generation=generation, count=len(entries), first=brief)
+            self.log("endpoint_list", kind=kind, generation=generation, count=len(entries), first=brief)
         if self.listed is not None:
             self.listed(kind, entries)
 
@@ -167,7 +167,7 @@
     def on_by_hand(self, now, out, back, held):
         """Nothing new goes to who is out from here on, also what was decided and is not written yet."""
         if out != self.out:
-            self.log("by_hand", out=sorted(out))
+            self.log("workers_excluded", out=sorted(out))
         self.out = out
         self.balancer.by_hand(now, out, back)
         for peer in self.peers.values():
@@ -251,7 +251,7 @@
         except Exception as error:
             # Whatever went wrong here, the decisions have to hear of one end of each launch.
             self.faults += 1
-            self.log("fault", call="launch", why=f"{type(error).__name__}: {error}")
+            self.log("internal_error", call="launch", why=f"{type(error).__name__}: {error}")
             self.inbox.put("ended", launch, "error" if launch.sent else "unsent", None, ())
 
     def do_reject(self, now, job_id, hold_off):
@@ -287,7 +287,7 @@
         self.totals[how] += 1
         last = job.launches[-1] if job.launches else None
         self.log(
-            "job",
+            "job_finished",
             job=job.exchange.name,
             type=job.exchange.kind,
             how=how,
--- a/mastledge/storage/write_ahead_log.py
+++ b/mastledge/storage/write_ahead_log.py
@@ -77,7 +77,7 @@
             self.size = self.read(raw)
             self.file = os.open(self.path, os.O_RDWR | os.O_CLOEXEC)
             if self.size < len(raw):
-                self.log("journal_cut", file=self.path, at=self.size, bytes=len(raw) - self.size)
+                self.log("log_truncated", file=self.path, at=self.size, bytes=len(raw) - self.size)
                 os.ftruncate(self.file, self.size)
                 os.fsync(self.file)
             os.lseek(self.file, self.size, os.SEEK_SET)
--- a/tests/test_connection_handoff.py
+++ b/tests/test_connection_handoff.py
@@ -69,7 +69,7 @@
     # It ran for seconds, and was killed with the old process.
     handing.worker.sendall(before)
     handing.ends(lambda: handing.old.made.phase == "ended")
-    assert [fields["how"] for fields in handing.logged(handing.old, "job")] == ["handed_on"]
+    assert [fields["how"] for fields in handing.logged(handing.old, "job_finished")] == ["handed_on"]
     assert handing.new.figures()["svc.in_progress"] == 1
     handing.old.made.upgrade_state.leave()
     handing.both = (handing.new,)
@@ -99,11 +99,11 @@
     handing.worker.sendall(sent)
     handing.ends(lambda: handing.old.made.phase == "ended")
     assert handing.old.rig.reply(handing.client).startswith(b"HTTP/1.1 503")
-    assert not handing.logged(handing.new, "taken_up")
+    assert not handing.logged(handing.new, "connection_received")
 
 
 def test_a_client_that_leaves_takes_its_handed_job_with_it(handing):
-    handing.ends(lambda: handing.logged(handing.new, "taken_up"))
+    handing.ends(lambda: handing.logged(handing.new, "connection_received"))
     handing.client.close()
     assert handing.turn(lambda: not handing.new.made.listener.in_hand)
 
@@ -111,14 +111,16 @@
 def test_the_time_of_a_job_goes_on_in_the_other_process(handing, monkeypatch):
     exchange = next(iter(handing.old.made.router.jobs.values())).exchange
     exchange.until = handing.old.made.loop.now() + 1_600_000
-    handing.ends(lambda: handing.logged(handing.new, "taken_up"))
+    handing.ends(lambda: handing.logged(handing.new, "connection_received"))
     handing.both = (handing.new,)
     assert handing.new.rig.reply(handing.client).startswith(b"HTTP/1.1 500")
     assert handing.new.made.loop.now() <= exchange.until
 
 
 def test_a_process_that_ends_with_jobs_it_took_up_answers_them(handing):
-    handing.ends(lambda: handing.old.made.phase == "ended" and handing.logged(handing.new, "taken_up"))
+    handing.ends(
+        lambda: handing.old.made.phase == "ended" and handing.logged(handing.new, "connection_received")
+    )
     handing.old.made.upgrade_state.leave()
     handing.both = (handing.new,)
     assert handing.turn(lambda: not handing.new.made.beside)
@@ -135,7 +137,7 @@
     monkeypatch.setattr(passing, "put", refused)
     handing.ends(lambda: handing.old.made.phase == "ended")
     assert handing.old.rig.reply(handing.client).startswith(b"HTTP/1.1 503")
-    assert handing.logged(handing.old, "not_handed_on")
+    assert handing.logged(handing.old, "connection_not_handed_off")
 
 
 @pytest.mark.parametrize(
@@ -158,7 +160,7 @@
     passing.put(new.upgrade_state.place("jobs", new.upgrade_state.seat), raw, ours)
     for one in ours:
         one.close()
-    assert handing.turn(lambda: handing.logged(handing.new, "not_taken_up"))
+    assert handing.turn(lambda: handing.logged(handing.new, "connection_not_received"))
     for one in callers:
         one.settimeout(2)
         assert one.recv(1) == b""
@@ -189,7 +191,7 @@
 def test_a_folder_that_cannot_hold_the_inlet_turns_handing_on_off(handing, tmp_path):
     relay = handing.new.made.handoff
     task = handing.new.made.loop.spawn(relay.listen(str(tmp_path / ("x" * 200))))
-    assert handing.turn(lambda: task.ended) and handing.logged(handing.new, "relay_off")
+    assert handing.turn(lambda: task.ended) and handing.logged(handing.new, "handoff_disabled")
     assert not handing.new.rig.errors
 
 
@@ -199,10 +201,10 @@
     raw = b'{"name":"x","kind":"render","until":9000000000000,"headed":true,"rest":""}'
     before = dict(new.budget.used)
     passing.put(new.upgrade_state.place("jobs", new.upgrade_state.seat), raw, ours)
-    assert handing.turn(lambda: handing.logged(handing.new, "not_taken_up"))
+    assert handing.turn(lambda: handing.logged(handing.new, "connection_not_received"))
     monkeypatch.undo()
     passing.put(new.upgrade_state.place("jobs", new.upgrade_state.seat), b"{}", ours)
-    assert handing.turn(lambda: len(handing.logged(handing.new, "not_taken_up")) == 2)
+    assert handing.turn(lambda: len(handing.logged(handing.new, "connection_not_received")) == 2)
     assert new.budget.used == before and not handing.new.rig.errors
     for one in ours:
         one.close()
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -166,7 +166,7 @@
     assert node.member.life != life and not node.member.is_voter()
     assert fleet.run(fleet.now + 3_000_000, lambda: settled(fleet) and node.member.is_voter())
     told = [name for _, who, name, _ in fleet.log if who == node.name]
-    assert "taken_in" in told and node.member.life == fleet.leader().member.members()[node.name]["life"]
+    assert "admitted" in told and node.member.life == fleet.leader().member.members()[node.name]["life"]
 
 
 def test_a_folder_of_before_is_noticed_by_what_the_others_have_heard():
@@ -180,7 +180,7 @@
     node.disk = old
     node.start()
     assert fleet.run(fleet.now + 3_000_000, lambda: settled(fleet) and node.member.is_voter())
-    assert node.member.life != life and "folder_is_old" in [name for _, _, name, _ in fleet.log]
+    assert node.member.life != life and "data_directory_stale" in [name for _, _, name, _ in fleet.log]
 
 
 @pytest.mark.parametrize(("form", "formed_"), [(True, True), (False, False)])
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -328,7 +328,7 @@
     path, (host, port) = pathlib.Path(served.path), served.made.told["control"]
     path.write_text(path.read_text().replace(f"{host}:{port}", "nowhere"))
     served.made.reconfigure()
-    assert [what for what, _ in served.rig.logged if what.startswith("config")] == ["configuration_kept"]
+    assert [what for what, _ in served.rig.logged if what.startswith("config")] == ["configuration_rejected"]
     assert served.call("/api/ready")[0] == 200
 
 
@@ -346,6 +346,6 @@
     served.call("/api/evacuate", "POST")
     served.made.reconfigure()
     assert served.turn(lambda: served.made.phase == DRAINING)
-    assert [what for what, _ in served.rig.logged if what.startswith("config")] == ["configuration"]
+    assert [what for what, _ in served.rig.logged if what.startswith("config")] == ["configuration_loaded"]
     assert served.call("/api/ready")[0] == 503 and served.call("/api/rejoin", "POST")[0] == 200
     assert served.health() == 200
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1063,7 +1063,7 @@
         client.sendall(b"x")
     assert b" 500 " in made.rig.reply(client)
     assert made.turn(lambda: not made.made.router.jobs)
-    assert [event for event, _ in made.rig.logged].count("fault") == 1
+    assert [event for event, _ in made.rig.logged].count("internal_error") == 1
 
 
 @pytest.mark.parametrize("short", ["descriptors", "memory", "idle", "the end"])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -303,9 +303,7 @@
         processes["n0"].send_signal(signal.SIGHUP)
         line = until(
             lambda: [
-                line
-                for line in (tmp_path / "n0.log").read_text().splitlines()
-                if "settings_not_taken" in line
+                line for line in (tmp_path / "n0.log").read_text().splitlines() if "settings_ignored" in line
             ]
         )
         assert orjson.loads(line[0])["differs"] == ["stepMs"]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -137,7 +137,7 @@
     rig = Rig()
     made, _ = router(rig)
     made.guarded(made.do_launch, 0, 99, None, 0)
-    assert made.faults == 1 and rig.logged[-1][0] == "fault"
+    assert made.faults == 1 and rig.logged[-1][0] == "internal_error"
 
 
 GOOD = {
@@ -256,13 +256,13 @@
 @pytest.mark.parametrize(
     ("changed", "moves", "event"),
     [
-        ({"discovery": "127.0.0.1:8501"}, 1, "configuration"),
-        ({}, 0, "configuration"),
-        ({"listen": "127.0.0.1:7071"}, 0, "configuration"),
-        ({"seed": None}, 0, "configuration_kept"),
-        ({"settings": {}}, 0, "configuration_kept"),
-        ({"limits": {"sockets": "x"}}, 0, "configuration_kept"),
-        (None, 0, "configuration_kept"),
+        ({"discovery": "127.0.0.1:8501"}, 1, "configuration_loaded"),
+        ({}, 0, "configuration_loaded"),
+        ({"listen": "127.0.0.1:7071"}, 0, "configuration_loaded"),
+        ({"seed": None}, 0, "configuration_rejected"),
+        ({"settings": {}}, 0, "configuration_rejected"),
+        ({"limits": {"sockets": "x"}}, 0, "configuration_rejected"),
+        (None, 0, "configuration_rejected"),
     ],
 )
 def test_a_new_configuration_moves_discovery_and_a_bad_one_changes_nothing(changed, moves, event, tmp_path):
@@ -286,7 +286,7 @@
     assert (made.discovery.task is not task) == bool(moves) and not signals.ended
     assert made.discovery.address == ("127.0.0.1", 8500 + moves) and task.ended == bool(moves)
     assert [what for what, _ in rig.logged if what.startswith("configuration")] == 2 * [event]
-    assert (made.budget.most["clients"] > size) == (event == "configuration")
+    assert (made.budget.most["clients"] > size) == (event == "configuration_loaded")
     restart = next(fields for what, fields in rig.logged if what == event).get("needs_restart", [])
     assert restart == (["listen"] if changed and "listen" in changed else [])
 
@@ -444,7 +444,10 @@
     clients.append(socket.create_connection(made.told["listen"], 2))
     clients[2].sendall(helpers.job("/file-final", X_Txn="aa03"))
     assert rig.reply(clients[2]).startswith(b"HTTP/1.1 404")
-    assert [fields["settings"] for what, fields in rig.logged if what == "configuration"] == [True, True]
+    assert [fields["settings"] for what, fields in rig.logged if what == "configuration_loaded"] == [
+        True,
+        True,
+    ]
     assert made.router.totals["completed"] == 2 and not made.router.jobs and not made.router.faults
     assert made.router.count == 2 and made.told["settings"] == configuration(path, {})["settings"]
     for one in (*clients, open_before, open_between, sock, made.sock):
@@ -469,7 +472,7 @@
     file(tmp_path, settings={**GOOD["settings"], **changed})
     made.reconfigure()
     ((what, fields),) = rig.logged
-    assert what == "configuration_kept" and says in fields["why"] and "\n" not in fields["why"]
+    assert what == "configuration_rejected" and says in fields["why"] and "\n" not in fields["why"]
     assert made.told["settings"] is before and not any(item[0] == "configured" for item in made.inbox.items)
 
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -206,7 +206,7 @@
     assert agent.clock.run(agent.heard, TOLD, agent.serves)
     agent.rig.logged.clear()
     agent.goes_on(1_000_000)
-    assert not [fields for event, fields in agent.rig.logged if event == "discovery_broken"]
+    assert not [fields for event, fields in agent.rig.logged if event == "discovery_watch_failed"]
 
 
 @pytest.mark.parametrize("raw", [b'{\n "generation": 9\n\n', b"{\n" + told(9)])
@@ -214,9 +214,9 @@
     (watch,) = agent.calls
     watch.sendall(chunk(raw))
     agent.goes_on(100_000)
-    assert [fields["why"] for event, fields in agent.rig.logged if event == "discovery_broken"][0].startswith(
-        "bad list: cut off"
-    )
+    assert [fields["why"] for event, fields in agent.rig.logged if event == "discovery_watch_failed"][
+        0
+    ].startswith("bad list: cut off")
 
 
 class InTurn:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -72,7 +72,7 @@
     one = shares(tmp_path, lambda event, **fields: logged.append(event))
     with open(one.base + ".state", "wb") as state:
         state.write(left)
-    assert not one.look() and one.told == nothing() and logged == ["handover_unreadable"]
+    assert not one.look() and one.told == nothing() and logged == ["upgrade_state_unreadable"]
     assert not one.look() and len(logged) == 1
     assert one.change(lambda told: told.update(out=["s-1"]))
     other = shares(tmp_path)
@@ -353,7 +353,7 @@
     monkeypatch.setattr(operator_api, "PATIENCE", 100_000)
     pair.both = (pair.old,)
     assert pair.old.call("/api/exclude/s-1", "POST")[0] == 200
-    assert "not_seen" in [what for what, _ in pair.old.rig.logged]
+    assert "change_not_seen" in [what for what, _ in pair.old.rig.logged]
     pair.both = (pair.old, pair.new)
 
 
