--- /dev/null
+++ b/tests/write_stored_folders.py
@@ -0,0 +1,128 @@
+"""Writes tests/fixtures/folders: data folders of real dispatcher processes, for test_stored_folders.py.
+
+Run by hand from the root, and only to add a kind or to take up folders of a newer format beside the old
+ones:
+
+    python tests/write_stored_folders.py [KIND ...]
+
+A folder that is committed stays as it was written: it stands for what operators have on their disks.
+Each process is killed (SIGKILL) at its end, so the files are as a crash leaves them. `written.json`
+beside the folders names the version that wrote them and the answer that was given to the key.
+
+Agreement: settings of version 2 name a further queue type; w1 is excluded. So many changes follow that
+the journal begins with a snapshot and has entries behind it. Repeats and copies: one key is answered,
+the job of another one runs when the process is killed; `copies` is a fleet of one, as it has the same
+records as one of three. Recovery: a list of generation 7 in which w1 is draining, what was learned of
+the workers, and a job out at w0.
+"""
+
+import json
+import shutil
+import subprocess
+import sys
+import tempfile
+import threading
+from pathlib import Path
+
+from folder_processes import (
+    AGREED_TYPE,
+    ANSWERED_KEY,
+    KINDS,
+    OPEN_KEY,
+    RESTRICTED,
+    ROOT,
+    STORED_GENERATION,
+    Site,
+    queue_type,
+    settings,
+    wait_until,
+)
+
+FOLDERS = Path(__file__).resolve().parent / "fixtures" / "folders"
+SNAPSHOT_AFTER = 300
+"""Pairs of changes: more entries than those after which a member makes a snapshot."""
+
+
+def open_job(site):
+    """Hands a job in that is still at its worker when the process is killed."""
+
+    def handed_in():
+        try:
+            site.job(OPEN_KEY)
+        except OSError:
+            pass  # its dispatcher is killed
+
+    threading.Thread(target=handed_in, daemon=True).start()
+    wait_until(
+        lambda: any(key == OPEN_KEY for one in site.workers for key, _ in one.ran), "the open job runs"
+    )
+
+
+def write_agreement(site):
+    site.start(form=True)
+    body = json.dumps({**settings(), "queueTypes": [*settings()["queueTypes"], queue_type(AGREED_TYPE)]})
+    status, _, content = site.call("POST", "/api/settings", body.encode(), {"If-Match": '"1"'})
+    assert status == 200, content
+    for _ in range(SNAPSHOT_AFTER):
+        for call in ("exclude", "include"):
+            status, _, content = site.call("POST", f"/api/{call}/{RESTRICTED}")
+            assert status == 200, content
+    status, _, content = site.call("POST", f"/api/exclude/{RESTRICTED}")
+    assert status == 200, content
+    return {}
+
+
+def write_keys(site):
+    site.start(form=True)
+    status, content = site.job(ANSWERED_KEY)
+    assert status == 200, content
+    open_job(site)
+    return {"answer": content.decode()}
+
+
+def write_recovery(site):
+    site.discovery.generation = STORED_GENERATION
+    site.worker(RESTRICTED).lifecycle = "draining"
+    site.start()
+    for _ in range(5):
+        assert site.job()[0] == 200
+    open_job(site)
+    path = site.place / "recovery" / "recovery"
+    # What was learned is written once in two seconds, and stands behind the job that is out.
+    wait_until(
+        lambda: path.read_bytes().rfind(b"learned") > path.read_bytes().rfind(b"\xa3out") > 0, "all kept"
+    )
+    return {}
+
+
+WRITE = {
+    "agreement": write_agreement,
+    "repeats": write_keys,
+    "copies": write_keys,
+    "recovery": write_recovery,
+}
+
+
+def write(kind):
+    version = subprocess.run(
+        ["git", "rev-parse", "HEAD"], capture_output=True, text=True, cwd=ROOT, check=True
+    )
+    with tempfile.TemporaryDirectory() as place:
+        site = Site(place, kind)
+        try:
+            told = WRITE[kind](site)
+            site.kill()
+            shutil.rmtree(FOLDERS / kind, ignore_errors=True)
+            for name in ("peers", "repeats", "recovery"):
+                if (site.place / name).exists():
+                    skipped = shutil.ignore_patterns("lock", "said", "taken")
+                    shutil.copytree(site.place / name, FOLDERS / kind / name, ignore=skipped)
+            written = {"commit": version.stdout.strip(), **told}
+            (FOLDERS / kind / "written.json").write_text(json.dumps(written, indent=1) + "\n")
+        finally:
+            site.end()
+
+
+if __name__ == "__main__":
+    for kind in sys.argv[1:] or KINDS:
+        write(kind)
