--- a/tests/folder_processes.py
+++ b/tests/folder_processes.py
@@ -28,7 +28,10 @@
 """The worker that is excluded by hand (agreement) or draining by the newest list (recovery)."""
 
 FILE_TYPE, AGREED_TYPE = "render", "report"
-"""Queue types: the one of the configuration file, and one that only the agreed settings of version 2 name."""
+"""Queue types: the one of the configuration file, and one that only the agreed settings name."""
+
+PATCHED_UTILITY = 0.25
+"""The `excessUtility` of the newest agreed settings; the file names none."""
 
 ANSWERED_KEY, OPEN_KEY, BODY = "key-answered", "key-open", b"the body"
 """Keys of a job that was answered, and of one that ran when its dispatcher was killed."""
--- a/tests/test_stored_folders.py
+++ b/tests/test_stored_folders.py
@@ -24,8 +24,10 @@
     AGREED_TYPE,
     ANSWERED_KEY,
     BODY,
+    DISPATCHER,
     HOST,
     OPEN_KEY,
+    PATCHED_UTILITY,
     RESTRICTED,
     STORED_GENERATION,
     WORKERS,
@@ -129,13 +131,23 @@
     assert kinds_of_records(FOLDERS / journal) >= kinds
 
 
+def test_the_committed_agreement_holds_changes_of_these_kinds_behind_its_snapshot():
+    _, frames = Frames.read(FOLDERS / "agreement" / "peers" / "agreement")
+    entries = [record[2] for records in frames for record in records if record[0] == "entry"]
+    kinds = {change["kind"] for _, _, change in entries}
+    assert kinds >= {"out", "back", "settings", "patch", "relays", "add", "remove"}
+
+
 def test_agreed_settings_and_the_worker_excluded_by_hand_are_in_force_again(stored):
     site = stored("agreement")
     site.start()
     agreed = site.told("/api/agreed")
-    assert agreed["settings_version"] == 2 and agreed["out"] == [RESTRICTED]
-    status, headers, _ = site.call("GET", "/api/settings")
-    assert status == 200 and headers["ETag"] == '"2"'
+    version = written("agreement")["settings_version"]
+    assert agreed["settings_version"] == version and agreed["out"] == [RESTRICTED]
+    assert set(agreed["members"]) == {DISPATCHER} and agreed["fan_out"] == 4
+    status, headers, content = site.call("GET", "/api/settings")
+    assert status == 200 and headers["ETag"] == f'"{version}"'
+    assert json.loads(content)["excessUtility"] == PATCHED_UTILITY
     # The file names no such type: only the agreed settings do.
     status, content = site.job(kind=AGREED_TYPE)
     assert status == 200, content
--- a/tests/write_stored_folders.py
+++ b/tests/write_stored_folders.py
@@ -9,11 +9,11 @@
 Each process is killed (SIGKILL) at its end, so the files are as a crash leaves them. `written.json`
 beside the folders names the version that wrote them and the answer that was given to the key.
 
-Agreement: settings of version 2 name a further queue type; w1 is excluded. So many changes follow that
-the journal begins with a snapshot and has entries behind it. Repeats and copies: one key is answered,
-the job of another one runs when the process is killed; `copies` is a fleet of one, as it has the same
-records as one of three. Recovery: a list of generation 7 in which w1 is draining, what was learned of
-the workers, and a job out at w0.
+Agreement: settings of version 2 name a further queue type. So many changes of w1 follow that the journal
+begins with a snapshot; behind it stand entries of each kind that a fleet of one can make without copies,
+and the last one excludes w1. Repeats and copies: one key is answered, the job of another one runs when
+the process is killed; `copies` is a fleet of one, as it has the same records as one of three. Recovery:
+a list of generation 7 in which w1 is draining, what was learned of the workers, and a job out at w0.
 """
 
 import json
@@ -29,6 +29,7 @@
     ANSWERED_KEY,
     KINDS,
     OPEN_KEY,
+    PATCHED_UTILITY,
     RESTRICTED,
     ROOT,
     STORED_GENERATION,
@@ -58,18 +59,31 @@
     )
 
 
+def change(site, path, told=None, headers=None):
+    """One change of what is agreed, by an operator's call."""
+    body = b"" if told is None else json.dumps(told).encode()
+    status, _, content = site.call("POST", path, body, headers)
+    assert status == 200, (path, content)
+
+
 def write_agreement(site):
     site.start(form=True)
-    body = json.dumps({**settings(), "queueTypes": [*settings()["queueTypes"], queue_type(AGREED_TYPE)]})
-    status, _, content = site.call("POST", "/api/settings", body.encode(), {"If-Match": '"1"'})
-    assert status == 200, content
+    agreed = {**settings(), "queueTypes": [*settings()["queueTypes"], queue_type(AGREED_TYPE)]}
+    change(site, "/api/settings", agreed, {"If-Match": '"1"'})
     for _ in range(SNAPSHOT_AFTER):
-        for call in ("exclude", "include"):
-            status, _, content = site.call("POST", f"/api/{call}/{RESTRICTED}")
-            assert status == 200, content
-    status, _, content = site.call("POST", f"/api/exclude/{RESTRICTED}")
-    assert status == 200, content
-    return {}
+        change(site, f"/api/exclude/{RESTRICTED}")
+        change(site, f"/api/include/{RESTRICTED}")
+    version = site.told("/api/agreed")["settings_version"]
+    change(site, "/api/settings", {**agreed, "excessUtility": 0.5}, {"If-Match": f'"{version}"'})
+    # With relays, settings are agreed as what differs.
+    change(site, "/api/relays", {"fan_out": 4})
+    version = site.told("/api/agreed")["settings_version"]
+    patched = {**agreed, "excessUtility": PATCHED_UTILITY}
+    change(site, "/api/settings", patched, {"If-Match": f'"{version}"'})
+    change(site, "/api/members", {"kind": "add", "name": "n1", "address": site.free()})
+    change(site, "/api/members", {"kind": "remove", "name": "n1"})
+    change(site, f"/api/exclude/{RESTRICTED}")
+    return {"settings_version": site.told("/api/agreed")["settings_version"]}
 
 
 def write_keys(site):
