--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -5,7 +5,7 @@
 import helpers
 import pytest
 from helpers import HERE
-from test_handover import Pair, folder  # noqa: F401
+from test_handover import Pair, folder  # noqa: F401 - a fixture, which pytest finds by its name here
 
 from mastledge.program import phases
 from mastledge.program.phases import SERVING
@@ -24,7 +24,7 @@
 class Handing(Pair):
     """A job open in the old process, which is about to end."""
 
-    def __init__(self, path, folder, monkeypatch):  # noqa: F811
+    def __init__(self, path, folder, monkeypatch):  # noqa: F811 - the parameter is that fixture
         monkeypatch.setattr(phases, "LONGEST", 300_000)
         monkeypatch.setattr(phases, "LAST", 700_000)
         monkeypatch.setattr(phases, "HANDS_ON", 500_000)
@@ -49,7 +49,7 @@
 
 
 @pytest.fixture
-def handing(tmp_path, folder, monkeypatch):  # noqa: F811
+def handing(tmp_path, folder, monkeypatch):  # noqa: F811 - the parameter is that fixture
     made = Handing(tmp_path, folder, monkeypatch)
     yield made
     made.close()
@@ -151,7 +151,10 @@
     door.setblocking(True)
     callers = [socket.create_connection(door.getsockname(), 2) for _ in range(count)]
     ours = [door.accept()[0] for _ in callers]
-    taken = lambda: {kind: new.budget.used[kind] for kind in ("clients", "workers")}  # noqa: E731
+
+    def taken():
+        return {kind: new.budget.used[kind] for kind in ("clients", "workers")}
+
     before = taken()  # discovery is tried again and again meanwhile
     passing.put(new.handover.place("jobs", new.handover.seat), raw, ours)
     for one in ours:
