--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -2,10 +2,12 @@
 
 import errno
 import os
+import pathlib
 import signal
 import socket
 import subprocess
 import sys
+import tempfile
 import time
 import tomllib
 
@@ -206,10 +208,11 @@
 
 
 @pytest.fixture
-def folder(tmp_path, monkeypatch):
+def folder(monkeypatch):
     monkeypatch.setattr(phases, "FIRST_NEWS", 0)
-    (tmp_path / "shared").mkdir()
-    return tmp_path / "shared"
+    # Sockets stand in it, whose paths have 107 bytes at most: below the folder of a test they may be longer.
+    with tempfile.TemporaryDirectory(prefix="shared-") as path:
+        yield pathlib.Path(path)
 
 
 def begun(path, folder, **changed):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -9,6 +9,7 @@
 HERE = pathlib.Path(__file__).parent
 
 
+@pytest.mark.parametrize("how", [(), ("-n", "2", "--dist", "loadfile")], ids=["one process", "workers"])
 @pytest.mark.parametrize(
     ("red", "code", "says"),
     [
@@ -24,7 +25,7 @@
         ("a | b | 1\nc | d | 2\ne | f | 3\ng | h | 4", 4, "4 lines, 3 at most"),
     ],
 )
-def test_only_what_is_named_is_passed_over(red, code, says, tmp_path):
+def test_only_what_is_named_is_passed_over(red, code, says, how, tmp_path):
     (tmp_path / "tests").mkdir()
     (tmp_path / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
     (tmp_path / "tests" / "conftest.py").write_text((HERE / "conftest.py").read_text())
@@ -34,9 +35,11 @@
     if red is not None:
         (tmp_path / "KNOWN-RED.txt").write_text(red + "\n")
     done = subprocess.run(
-        [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"],
+        [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *how],
         cwd=tmp_path,
         capture_output=True,
         text=True,
     )
     assert done.returncode == code and says in done.stdout + done.stderr, done.stdout + done.stderr
+    if code < 4:
+        assert done.stdout.count("known red: ") == (red is not None)
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -1,10 +1,11 @@
-"""What the linter passes over: only files that exist, and only lines that say why."""
+"""What the linter passes over, and which tests run alone: only what exists, and only what says why."""
 
 import pathlib
 import re
 import tomllib
 
 import pytest
+from conftest import SERIAL
 
 ROOT = pathlib.Path(__file__).parent.parent
 IGNORES = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["ruff"]["lint"]["per-file-ignores"]
@@ -55,3 +56,10 @@
         assert without_a_reason("x = 1  " + begin + "qa" + rest) == (
             [] if reasoned else [begin + "qa" + rest]
         )
+
+
+@pytest.mark.parametrize("test", SERIAL)
+def test_what_runs_alone_exists_and_says_why(test):
+    path, _, name = test.partition("::")
+    assert f"\ndef {name}(" in (ROOT / path).read_text()
+    assert len(SERIAL[test].split()) > 2
