--- a/tests/form_links.py
+++ b/tests/form_links.py
@@ -1,5 +1,6 @@
 """Both ends of a real link between dispatchers, over loopback."""
 
+import contextlib
 import socket
 
 import form_names as program
@@ -49,10 +50,8 @@
         back = bytearray()
 
         def answered():
-            try:
+            with contextlib.suppress(BlockingIOError):
                 back.extend(theirs.recv(4096))
-            except BlockingIOError:
-                pass
             return len(back) >= frames
 
         self.rig.turn(answered)
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -14,26 +14,27 @@
 
 from mastledge.adapter import __main__ as adapter_main
 from mastledge.adapter import frames as adapter_frames
-from mastledge.agreement import kept as agreement_kept
-from mastledge.agreement import messages as agreement_messages
-from mastledge.agreement import rules as agreement_rules
-from mastledge.agreement.member import Member
-from mastledge.copies import kept as copies_kept
-from mastledge.copies import messages as copies_messages
-from mastledge.copies.node import Node
+from mastledge.consensus import messages as consensus_messages
+from mastledge.consensus import persisted_state as consensus_persisted
+from mastledge.consensus import state_machine
+from mastledge.consensus.member import Member
+from mastledge.idempotency import key_table
 from mastledge.peers import links
-from mastledge.program import copying, recovering, relay
-from mastledge.program.beside import Notes
+from mastledge.program import connection_handoff, recovery_service, replication_service
 from mastledge.program.fleet import Fleet
-from mastledge.program.fleet_calls import FleetCalls
-from mastledge.program.handover import Handover
-from mastledge.protocol import messages as balance_messages
-from mastledge.protocol.workers import Peer
-from mastledge.recovery import belief, snapshots
+from mastledge.program.fleet_api import FleetApi
+from mastledge.program.shared_lease import SharedLease
+from mastledge.program.upgrade_state import UpgradeState
+from mastledge.protocol import load_messages
+from mastledge.protocol.worker_connections import WorkerEndpoint
+from mastledge.recovery import fleet_snapshot as snapshot_format
 from mastledge.recovery import messages as recovery_messages
-from mastledge.repeats import book
-from mastledge.store import journal
-from mastledge.store.folder import Folder
+from mastledge.recovery import restored_state
+from mastledge.replication import messages as replication_messages
+from mastledge.replication import persisted_state as replica_persisted
+from mastledge.replication.node import Node
+from mastledge.storage import write_ahead_log
+from mastledge.storage.data_directory import DataDirectory
 from mastledge.transport import passing
 
 ADAPTER_MODULE = "mastledge.adapter"
@@ -61,31 +62,46 @@
 
 
 MESSAGES = {
-    "agreement": MessageFamily(agreement_messages.ANY, agreement_messages.decode, agreement_messages.encode),
-    "copies": MessageFamily(copies_messages.ANY, copies_messages.decode, copies_messages.encode),
+    "agreement": MessageFamily(
+        consensus_messages.AnyMessage, consensus_messages.decode, consensus_messages.encode
+    ),
+    "copies": MessageFamily(
+        replication_messages.AnyMessage, replication_messages.decode, replication_messages.encode
+    ),
     "recovery": MessageFamily(
-        RECOVERY_MESSAGE, recovery_messages.decode, recovery_messages.encode, recovering.FRAME
+        RECOVERY_MESSAGE, recovery_messages.decode, recovery_messages.encode, recovery_service.FRAME
     ),
 }
-COPIES_FRAME = MessageFamily(copies_messages.ANY, copying.decode, copying.encode, copying.MARK)
-COPIES_LIST = MessageFamily(copies_messages.ANY, copies_messages.decode_all, copies_messages.encode_all)
+COPIES_FRAME = MessageFamily(
+    replication_messages.AnyMessage,
+    replication_service.decode,
+    replication_service.encode,
+    replication_service.MARK,
+)
+COPIES_LIST = MessageFamily(
+    replication_messages.AnyMessage, replication_messages.decode_all, replication_messages.encode_all
+)
 HELLO = MessageFamily(links.Hello, links.decode_hello, links.encode_hello)
 frame_on_link = links.framed
 LONGEST_FRAME_BYTES = links.MOST
 
-frame_of_records, records_of_content, whole_frame = journal.frame, journal.decode, journal.whole_frame
-JOURNAL_MAGIC, JOURNAL_FRAME_HEAD = journal.MAGIC, journal.HEAD
+frame_of_records, records_of_content, whole_frame = (
+    write_ahead_log.frame,
+    write_ahead_log.decode,
+    write_ahead_log.whole_frame,
+)
+JOURNAL_MAGIC, JOURNAL_FRAME_HEAD = write_ahead_log.MAGIC, write_ahead_log.HEAD
 JOURNAL_NOW = 1_700_000_000_000_000  # Unix microseconds at which samples of keys are written anew
 JOURNALS = {
-    "agreement": agreement_kept.Kept,
-    "repeats": lambda: book.Kept(lambda: JOURNAL_NOW),
-    "copies": lambda: copies_kept.Kept(lambda: JOURNAL_NOW),
-    "recovery": belief.Keeper,
+    "agreement": consensus_persisted.PersistedState,
+    "repeats": lambda: key_table.PersistedKeys(lambda: JOURNAL_NOW),
+    "copies": lambda: replica_persisted.PersistedReplica(lambda: JOURNAL_NOW),
+    "recovery": restored_state.PersistedRecovery,
 }
 
 
 def open_journal(directory, name, owner, kept):
-    return journal.Journal(Folder(str(directory)).hold(), name, owner, kept).open()
+    return write_ahead_log.WriteAheadLog(DataDirectory(str(directory)).hold(), name, owner, kept).open()
 
 
 def close_journal(opened):
@@ -94,11 +110,11 @@
 
 
 def journal_head(owner):
-    return journal.head_of(owner)
+    return write_ahead_log.head_of(owner)
 
 
 def book_of_keys():
-    return book.Book(60_000_000, 100, 1 << 20, 1_000)
+    return key_table.KeyTable(60_000_000, 100, 1 << 20, 1_000)
 
 
 def records_of_book(keys, claim):
@@ -121,7 +137,7 @@
     listed = {name: one["address"] for name, one in state["members"].items()}
     member = Member("n0", listed, False, {}, 1_000_000, None, ("life-0", "fleet-0"), 7, 1_000_000)
     steps = [("restore", "fleet-1", "life-n0", state)]
-    steps += [("heard", "n1", "life-n1", agreement_messages.decode(content)) for content in contents]
+    steps += [("heard", "n1", "life-n1", consensus_messages.decode(content)) for content in contents]
     records = []
     for step in steps:
         for what, *fields in member.step(1_000_001, *step):
@@ -134,8 +150,8 @@
     """What a holder of copies has written that is told its placement and then hears (name, id, message)."""
     node = Node("n0", "holder-0", "run-1", book_of_keys(), 0, 1, 1_000_000, 0)
     steps = [("placed", copies)]
-    steps += [("heard", name, id_, copies_messages.decode(content)) for name, id_, content in heard]
-    records = copies_kept.head("holder-0", 2, 1)
+    steps += [("heard", name, id_, replication_messages.decode(content)) for name, id_, content in heard]
+    records = replica_persisted.head("holder-0", 2, 1)
     for now, step in enumerate(steps, 10_000):
         for what, *fields in node.step(now, *step):
             if what == "save":
@@ -144,7 +160,7 @@
 
 
 def three_workers():
-    peers = [Peer(f"s-{number}") for number in range(3)]
+    peers = [WorkerEndpoint(f"s-{number}") for number in range(3)]
     for number, peer in enumerate(peers):
         peer.address, peer.born = ("127.0.0.1", 8001 + number), 1_000_000 * number
     return [(0, peer, *entry(0)[2:]) for peer in peers]
@@ -178,7 +194,7 @@
 
 def records_of_start():
     """What a dispatcher keeps of its list, of what is out and of what it has learned."""
-    made = recovering.Recovering.__new__(recovering.Recovering)
+    made = recovery_service.RecoveryService.__new__(recovery_service.RecoveryService)
     discovery = SimpleNamespace(
         answered=True, generation=42, zones={"a": 0}, kinds={"m": 0}, since=1_699_999_000_000_000
     )
@@ -195,21 +211,21 @@
 
 
 def genesis_state(settings, lease, members):
-    return agreement_rules.genesis(settings, lease, members)
+    return state_machine.genesis(settings, lease, members)
 
 
 def fleet_snapshot(state, fleet, by, at):
     """The document that an operator is given."""
-    return FleetCalls.json(None, snapshots.packed(state, fleet, by, at)).text.encode()
+    return FleetApi.json(None, snapshot_format.packed(state, fleet, by, at)).text.encode()
 
 
 def fleet_snapshot_again(raw):
-    told = snapshots.unpacked(raw)
+    told = snapshot_format.unpacked(raw)
     return fleet_snapshot(told["state"], told["fleet"], told["by"], told["at"])
 
 
 def handover(directory):
-    made = Handover(str(directory), ("127.0.0.1", 8080), lambda event, **fields: None)
+    made = UpgradeState(str(directory), ("127.0.0.1", 8080), lambda event, **fields: None)
     made.sit()
     return made
 
@@ -251,7 +267,7 @@
 
 
 def notes(directory):
-    return Notes(str(directory), lambda event, **fields: None)
+    return SharedLease(str(directory), lambda event, **fields: None)
 
 
 def write_said(directory, told):
@@ -296,7 +312,9 @@
     one = SimpleNamespace(exchange=exchange, launches=[launch])
     router = SimpleNamespace(jobs={1: one}, handed_on=lambda now, job, launch: None)
     loop = SimpleNamespace(let_go=lambda fd: None, now=lambda: 0, cancel=lambda task: None)
-    made = relay.Relay(loop, None, None, balancer().settings, lambda event, **fields: None)
+    made = connection_handoff.ConnectionHandoff(
+        loop, None, None, balancer().settings, lambda event, **fields: None
+    )
     try:
         assert made.hand_on(router, path) == 1
         raw, socks = passing.taken(inlet, 2)
@@ -312,7 +330,7 @@
     """The job as the process that takes it up has it, in the form that `handed_on` takes."""
     rig, jobs = Rig(), []
     door = SimpleNamespace(resumed=lambda conn, exchange: iter(()))
-    made = relay.Relay(rig.loop, rig.budget, door, balancer().settings, rig.log)
+    made = connection_handoff.ConnectionHandoff(rig.loop, rig.budget, door, balancer().settings, rig.log)
     made.carried = lambda launch, exchange: jobs.append((launch, exchange)) or iter(())
     here = socket.create_server((HERE, 0))
     ends = [socket.create_connection(here.getsockname()) for _ in range(2)]
@@ -323,7 +341,7 @@
         return {
             "name": exchange.name,
             "kind": exchange.kind,
-            "until": exchange.until + relay.EARLY,
+            "until": exchange.until + connection_handoff.EARLY,
             "headed": launch.headed,
             "rest": launch.conn.buffer.peek(),
         }
@@ -352,11 +370,11 @@
 
 
 def balance_message(told_at, loads, wants):
-    return balance_messages.encoded(told_at, loads, wants)
+    return load_messages.encoded(told_at, loads, wants)
 
 
 def balance_message_again(raw):
-    return balance_messages.encoded(*balance_messages.decoded(raw))
+    return load_messages.encoded(*load_messages.decoded(raw))
 
 
 EVENT_LAYOUTS, EVENT_RECORD_BYTES = adapter_frames.EVENTS, adapter_frames.RECORD
--- a/tests/forms.py
+++ b/tests/forms.py
@@ -19,8 +19,8 @@
 if str(ROOT) not in sys.path:
     sys.path.insert(0, str(ROOT))
 
-import form_names as program  # noqa: E402
-import form_samples as samples  # noqa: E402
+import form_names as program  # noqa: E402 - the path is set first
+import form_samples as samples  # noqa: E402 - the path is set first
 
 FIXTURES = ROOT / "tests" / "fixtures" / "forms"
 
@@ -57,14 +57,14 @@
 def as_this_process():
     """Times and the process id as they stand in the samples."""
     return (
-        mock.patch.object(os, "getpid", lambda: samples.PROCESS),
-        mock.patch.object(time, "monotonic_ns", lambda: samples.MONOTONIC_NS),
+        mock.patch.object(os, "getpid", return_value=samples.PROCESS),
+        mock.patch.object(time, "monotonic_ns", return_value=samples.MONOTONIC_NS),
     )
 
 
 def at_this_time():
     """Unix time as it stands in the samples."""
-    return mock.patch.object(time, "time_ns", lambda: program.JOURNAL_NOW * 1_000)
+    return mock.patch.object(time, "time_ns", return_value=program.JOURNAL_NOW * 1_000)
 
 
 def frame_of_start():
--- a/tests/test_stored_and_wire_forms.py
+++ b/tests/test_stored_and_wire_forms.py
@@ -159,7 +159,8 @@
 def frame_contents(raw):
     """Content of each frame of a journal, beginning with its head."""
     at, out = len(program.JOURNAL_MAGIC), []
-    assert raw.startswith(b"mastledge journal\n") and program.JOURNAL_MAGIC == b"mastledge journal\n"
+    assert raw.startswith(b"mastledge journal\n")
+    assert program.JOURNAL_MAGIC == b"mastledge journal\n"
     while at < len(raw):
         content = program.whole_frame(raw, at)
         assert content is not None
@@ -251,7 +252,8 @@
     name, frame = label.partition(":")[0], form("journal-records", label)["bytes"]
     raw = program.journal_head(samples.JOURNAL_OWNERS[name]) + frame
     after, records = opened(tmp_path, name, raw)
-    assert after == raw and records
+    assert after == raw
+    assert records
 
 
 # Documents and files between two processes
@@ -355,7 +357,8 @@
 def test_the_session_has_each_kind_of_event_and_leads_to_each_kind_of_answer():
     told = form("adapter", "session")
     events = {code for _, records, _ in program.event_frames(told["read"]) for code, *_ in records}
-    assert events == set(program.EVENT_LAYOUTS) and len(events) == 12
+    assert events == set(program.EVENT_LAYOUTS)
+    assert len(events) == 12
     answers = {
         struct.unpack(">H", one[:2])[0] for records, _ in forms.answers_of(told["bytes"]) for one in records
     }
--- a/tests/test_stored_folders.py
+++ b/tests/test_stored_folders.py
@@ -55,7 +55,8 @@
             mark, length, checksum = cls.HEAD.unpack_from(raw, at)
             at += cls.HEAD.size
             content = raw[at : at + length]
-            assert mark == cls.MARK and checksum == cls.checksum(content)
+            assert mark == cls.MARK
+            assert checksum == cls.checksum(content)
             contents.append(content)
             at += length
         return contents[0], [msgspec.msgpack.decode(content) for content in contents[1:]]
@@ -143,10 +144,13 @@
     site.start()
     agreed = site.told("/api/agreed")
     version = written("agreement")["settings_version"]
-    assert agreed["settings_version"] == version and agreed["out"] == [RESTRICTED]
-    assert set(agreed["members"]) == {DISPATCHER} and agreed["fan_out"] == 4
+    assert agreed["settings_version"] == version
+    assert agreed["out"] == [RESTRICTED]
+    assert set(agreed["members"]) == {DISPATCHER}
+    assert agreed["fan_out"] == 4
     status, headers, content = site.call("GET", "/api/settings")
-    assert status == 200 and headers["ETag"] == f'"{version}"'
+    assert status == 200
+    assert headers["ETag"] == f'"{version}"'
     assert json.loads(content)["excessUtility"] == PATCHED_UTILITY
     # The file names no such type: only the agreed settings do.
     status, content = site.job(kind=AGREED_TYPE)
@@ -181,8 +185,10 @@
     brought_to_now(site.place / "recovery" / "recovery", site)
     site.start()
     told = site.told("/api/recovery")
-    assert told["believed"]["not"] == {} and told["believed"]["workers"] == len(WORKERS)
-    assert told["believed"]["learned"] and told["believed"]["out"] == 1
+    assert told["believed"]["not"] == {}
+    assert told["believed"]["workers"] == len(WORKERS)
+    assert told["believed"]["learned"]
+    assert told["believed"]["out"] == 1
     assert wait_until(lambda: site.told("/api/recovery")["kept_off"], "kept off") == [RESTRICTED]
     assert served_by_the_free_one(site)
     # The list of now calls it ready; once that is a newer one than the stored, it counts.
--- a/tests/write_stored_folders.py
+++ b/tests/write_stored_folders.py
@@ -16,6 +16,7 @@
 a list of generation 7 in which w1 is draining, what was learned of the workers, and a job out at w0.
 """
 
+import contextlib
 import json
 import shutil
 import subprocess
@@ -48,10 +49,8 @@
     """Hands a job in that is still at its worker when the process is killed."""
 
     def handed_in():
-        try:
+        with contextlib.suppress(OSError):  # its dispatcher is killed
             site.job(OPEN_KEY)
-        except OSError:
-            pass  # its dispatcher is killed
 
     threading.Thread(target=handed_in, daemon=True).start()
     wait_until(
