--- /dev/null
+++ b/tests/decision_players.py
@@ -0,0 +1,245 @@
+"""The scripts' inputs, given to the decisions by calls or by frames of the adapter's wire."""
+
+import io
+from struct import Struct
+
+from mastledge.adapter.__main__ import Host
+from mastledge.adapter.frames import frame_from
+from mastledge.balance import Balancer
+from mastledge.program.settings import pairs_of, plain_map
+
+# The only names of the program that the scripts use: a rename in the program is a change here alone.
+
+PROGRAM = {
+    "new": Balancer,
+    "read settings": lambda text: plain_map(pairs_of(text)),
+    "members": lambda made, *given: made.members(*given),
+    "arrived": lambda made, *given: made.arrived(*given),
+    "started": lambda made, *given: made.started(*given),
+    "silent": lambda made, *given: made.silent(*given),
+    "progress": lambda made, *given: made.progress(*given),
+    "ended": lambda made, *given: made.ended(*given),
+    "message": lambda made, *given: made.message(*given),
+    "configured": lambda made, *given: made.configured(*given),
+    "abandoned": lambda made, *given: made.abandoned(*given),
+    "by hand": lambda made, *given: made.by_hand(*given),
+    "sharing": lambda made, *given: made.sharing(*given),
+    "leaving": lambda made, *given: made.leaving(*given),
+    "inherited": lambda made, *given: made.inherited(*given),
+    "learned": lambda made: made.learned(),
+    "skipped": lambda made, now: made.skipped(now),
+    "wake at": lambda made: made.wake_at(),
+    "decide": lambda made, now: made.decide(now),
+    "new host": Host,
+    "host's instance": lambda host, number: host.instances.get(number),
+    "host's turn": lambda host, raw: host.turn(*frame_from(io.BytesIO(raw))),
+}
+ASIDE_FIELDS = ("pause", "trickle", "good", "back_at")
+
+
+def plain_decision(decision):
+    """A decision as plain values that JSON holds: its kind, then what it says."""
+    return [part.decode() if isinstance(part, bytes) else part for part in decision]
+
+
+def plain_learned(learned):
+    """What was learned, by worker, without the names of the program's own fields."""
+    return {
+        worker: [slots, peak, slow, [[why, [aside[name] for name in ASIDE_FIELDS]] for why, aside in asides]]
+        for worker, (slots, peak, slow, asides) in learned.items()
+    }
+
+
+def changed_learned(learned):
+    """What was learned, for some workers with load that a former life has there, for others with nothing."""
+    changed = {}
+    for at, (worker, (slots, peak, slow, asides)) in enumerate(learned.items()):
+        figures = (0, 0, 0) if at % 5 == 1 else (slots, peak, slow)
+        changed[worker] = [*figures, asides, *([2.0] if at % 3 == 0 else [])]
+    return changed
+
+
+# Below, nothing is a name of the program. The wire is written out here, as it has to stay.
+
+MS = 1000
+STEP = 2 * MS
+LIST_KINDS = {"changes": 0, "whole": 1, "cached": 2, "failed": 3}
+WORKER_STATES = {"gone": 0, "ready": 1, "draining": 2}
+END_CODES = {
+    "completed": 200,
+    "error": 500,
+    "full": 503,
+    "timeout": 504,
+    "unreachable": 502,
+    "lost": 598,
+    "revoked": 499,
+    "unsent": 410,
+}
+INPUTS = {
+    "new": (10, Struct(">IIdQHHfHdf")),
+    "end": (12, Struct(">II6sdBIBHB4f")),
+    "note": (9, Struct(">IIBfB6s")),
+    "due": (8, Struct(">IQ")),
+    "pool": (4, Struct(">HII")),
+    "membership": (11, Struct(">IBIH")),
+    "power on": (7, Struct(">IQII")),
+    "teardown": (6, Struct(">I")),
+    "abandoned": (1, Struct(">II")),
+    "inbox": (5, Struct(">IIII")),
+}
+OUTPUTS = {
+    1: ("launch", Struct(">II6sd")),
+    2: ("reject", Struct(">IId")),
+    3: ("kill", Struct(">II")),
+    4: ("revoke", Struct(">IIB")),
+    5: ("notify", Struct(">IQd")),
+    8: ("message", Struct(">IHII")),
+    11: ("follow", Struct(">IB")),
+}
+LIST_ENTRY = Struct(">H6sBdHHf")
+FRAME_HEAD, REPLY_HEAD = Struct(">IId"), Struct(">II")
+RECORD_BYTES, ACTION_BYTES = 56, 24
+STARTED_TOPIC, PROGRESS_TOPIC = 1, 2
+
+
+class DirectPlayer:
+    """Inputs are calls on the decisions themselves."""
+
+    def __init__(self):
+        self.instances, self.touched, self.inputs = {}, {}, 0
+
+    def instance(self, number):
+        return self.instances.get(number)
+
+    def power_on(self, now, number, seed, text):
+        self.instances[number] = PROGRAM["new"](PROGRAM["read settings"](text), seed, now)
+        self.touched[number] = True
+
+    def teardown(self, number):
+        self.instances.pop(number, None)
+        self.touched.pop(number, None)
+
+    def due(self, number):
+        self.touched[number] = True
+
+    def call(self, what, number, *given):
+        if number in self.instances:
+            PROGRAM[what](self.instances[number], *given)
+            self.touched[number] = True
+            self.inputs += 1
+
+    def members(self, now, number, kind, entries):
+        self.call("members", number, now, kind, entries)
+
+    def arrived(self, now, number, *given):
+        self.call("arrived", number, now, *given)
+
+    def started(self, now, number, job, launch):
+        self.call("started", number, now, job, launch)
+
+    def progress(self, now, number, job, launch, share):
+        self.call("progress", number, now, job, launch, share)
+
+    def ended(self, now, number, *given):
+        self.call("ended", number, now, *given)
+
+    def abandoned(self, now, number, job):
+        self.call("abandoned", number, now, job)
+
+    def message(self, now, number, sender, content):
+        self.call("message", number, now, sender, *content)
+
+    def turn(self, now):
+        """All decisions of the instances that were given something."""
+        decisions = []
+        for number in self.touched:
+            made = self.instances[number]
+            while (decision := PROGRAM["decide"](made, now)) is not None:
+                what, *says = plain_decision(decision)
+                decisions.append([what, number, *says])
+        self.touched = {}
+        return decisions
+
+
+class WirePlayer:
+    """Inputs are records of one frame to the adapter's host; decisions are read from its reply."""
+
+    def __init__(self):
+        self.host = PROGRAM["new host"]()
+        self.records, self.tail, self.pools, self.alive = [], bytearray(), 0, set()
+        self.inputs = 0
+
+    def instance(self, number):
+        return PROGRAM["host's instance"](self.host, number) if number in self.alive else None
+
+    def add(self, what, *fields):
+        self.inputs += what not in ("pool", "due")
+        code, layout = INPUTS[what]
+        self.records.append((code.to_bytes(2, "big") + layout.pack(*fields)).ljust(RECORD_BYTES, b"\0"))
+
+    def attach(self, content):
+        self.tail += content
+        return len(self.tail) - len(content)
+
+    def power_on(self, now, number, seed, text):
+        raw = text.encode()
+        self.add("power on", number, seed, self.attach(raw), len(raw))
+        self.alive.add(number)
+
+    def teardown(self, number):
+        self.add("teardown", number)
+        self.alive.discard(number)
+
+    def due(self, number):
+        self.add("due", number, 0)
+
+    def members(self, now, number, kind, entries):
+        self.pools = self.pools % 60_000 + 1
+        rows = [
+            LIST_ENTRY.pack(zone, worker, WORKER_STATES[state], born / MS, machine, cell, units)
+            for zone, worker, state, born, machine, cell, units in entries
+        ]
+        self.add("pool", self.pools, self.attach(b"".join(rows)), len(rows))
+        self.add("membership", number, LIST_KINDS[kind], 0, self.pools)
+
+    def arrived(self, now, number, job, queue_type, hint, key, width, memory, tenant, patience):
+        hinted = 1 if hint else 0
+        self.add("new", number, job, hint / MS, key, queue_type, hinted, width, tenant, patience / MS, memory)
+
+    def started(self, now, number, job, launch):
+        self.add("note", number, job, launch, 0.0, STARTED_TOPIC, b"")
+
+    def progress(self, now, number, job, launch, share):
+        self.add("note", number, job, launch, share, PROGRESS_TOPIC, b"")
+
+    def ended(self, now, number, job, launch, how, lag, final, report):
+        figures = [*report, 0.0, 0.0, 0.0, 0.0][:4]
+        code = END_CODES[how]
+        self.add("end", number, job, b"", lag / MS, launch, 0, final, code, len(report), *figures)
+
+    def abandoned(self, now, number, job):
+        self.add("abandoned", number, job)
+
+    def message(self, now, number, sender, content):
+        self.add("inbox", number, sender, self.attach(content), len(content))
+
+    def turn(self, now):
+        """The decisions in the reply to one frame with all that was added."""
+        records, size = b"".join(self.records), RECORD_BYTES * len(self.records)
+        head = FRAME_HEAD.pack(len(self.records), FRAME_HEAD.size + size + len(self.tail), now / MS)
+        reply = PROGRAM["host's turn"](self.host, head + records + bytes(self.tail))
+        self.records, self.tail = [], bytearray()
+        count, length = REPLY_HEAD.unpack_from(reply)
+        assert length == len(reply)
+        tail, decisions = reply[REPLY_HEAD.size + count * ACTION_BYTES :], []
+        for at in range(count):
+            start = REPLY_HEAD.size + at * ACTION_BYTES
+            code = int.from_bytes(reply[start : start + 2], "big")
+            assert code in OUTPUTS, f"no output: {reply[start:]}"
+            what, layout = OUTPUTS[code]
+            number, *says = layout.unpack_from(reply, start + 2)
+            if what == "message":
+                _, offset, size = says
+                says = [tail[offset : offset + size].hex()]
+            decisions.append([what, number, *(p.decode() if isinstance(p, bytes) else p for p in says)])
+        return decisions
