--- a/mastledge/balance.py
+++ b/mastledge/balance.py
@@ -48,9 +48,37 @@
 
 
 class Worker:
-    __slots__ = ("id", "name", "zone", "kind", "cell", "units", "state", "born", "out", "curve", "load",
-                 "running", "slots", "peak", "slow", "extra", "extra_at", "usual", "told", "last", "shared",
-                 "heard", "quick", "aside", "credit", "draw", "drawn_at", "asked_at", "cold")
+    __slots__ = (
+        "id",
+        "name",
+        "zone",
+        "kind",
+        "cell",
+        "units",
+        "state",
+        "born",
+        "out",
+        "curve",
+        "load",
+        "running",
+        "slots",
+        "peak",
+        "slow",
+        "extra",
+        "extra_at",
+        "usual",
+        "told",
+        "last",
+        "shared",
+        "heard",
+        "quick",
+        "aside",
+        "credit",
+        "draw",
+        "drawn_at",
+        "asked_at",
+        "cold",
+    )
 
     def __init__(self, wkr_id, slots, born, now):
         self.id, self.slots, self.out, self.state = wkr_id, slots, {}, "ready"
@@ -69,13 +97,44 @@
 
 
 class Job:
-    __slots__ = ("id", "qt", "key", "hint", "load", "tenant", "arrived", "target_at", "last", "launches",
-                 "out", "ended", "mean", "var", "work", "again")
+    __slots__ = (
+        "id",
+        "qt",
+        "key",
+        "hint",
+        "load",
+        "tenant",
+        "arrived",
+        "target_at",
+        "last",
+        "launches",
+        "out",
+        "ended",
+        "mean",
+        "var",
+        "work",
+        "again",
+    )
 
 
 class Launch:
-    __slots__ = ("job", "wkr", "n", "sent", "began", "heard", "load", "mean", "fetch", "clear", "sure",
-                 "entry", "ended", "may_have_run", "revoked")
+    __slots__ = (
+        "job",
+        "wkr",
+        "n",
+        "sent",
+        "began",
+        "heard",
+        "load",
+        "mean",
+        "fetch",
+        "clear",
+        "sure",
+        "entry",
+        "ended",
+        "may_have_run",
+        "revoked",
+    )
 
 
 class Balancer:
@@ -327,8 +386,9 @@
                 if len(self.keys) >= KEYS_KEPT:
                     del self.keys[next(iter(self.keys))]
                 others = list(self.keys.values()) or [qt["run"]]
-                known = self.keys[job.key] = Estimate(sum(k.mean for k in others) / len(others),
-                                                      sum(k.var for k in others) / len(others))
+                known = self.keys[job.key] = Estimate(
+                    sum(k.mean for k in others) / len(others), sum(k.var for k in others) / len(others)
+                )
         job.mean, job.var = max(unit * known.mean, 1.0), SPREAD * unit * known.var
 
     def judge(self, now, launch, how, lag):
@@ -446,8 +506,15 @@
 
     def learned(self):
         """What a process that takes over starts from, in plain values and by the text of ids."""
-        return {str(wkr.id): [wkr.slots, wkr.peak, wkr.slow,
-                              [[why, vars(aside)] for why, aside in wkr.aside.items()]] for wkr in self.ready}
+        return {
+            str(wkr.id): [
+                wkr.slots,
+                wkr.peak,
+                wkr.slow,
+                [[why, vars(aside)] for why, aside in wkr.aside.items()],
+            ]
+            for wkr in self.ready
+        }
 
     def inherited(self, now, told):
         for wkr in self.ready:
@@ -459,8 +526,11 @@
 
     def skipped(self, now):
         """How many workers of the list get nothing now."""
-        return sum(wkr not in self.ready or any(now < aside.back_at for aside in wkr.aside.values())
-                   for wkr in self.workers.values() if wkr.state != "gone")
+        return sum(
+            wkr not in self.ready or any(now < aside.back_at for aside in wkr.aside.values())
+            for wkr in self.workers.values()
+            if wkr.state != "gone"
+        )
 
     # Decisions
 
@@ -614,7 +684,7 @@
         best = self.one_of(near)
         if self.beyond and not special and best not in part:
             # None of the part was free, so any of it may go for the one that was.
-            part[(at := int(self.chance() * len(part))):at + 1] = [best]
+            part[(at := int(self.chance() * len(part))) : at + 1] = [best]
         slow, slots = self.slowness(best, now), best.slots
         above = best.load + load + self.extra(best, now) - max(slots, load)
         return best, above * self.run.mean * slow / slots if above > 0 else 0.0
@@ -676,7 +746,7 @@
             self.value += GAIN * (value - self.value)
         if self.pressure > 0 and self.chance() < self.pressure ** (value / self.value):
             return True
-        return wait > max(slack, self.settings["step"]) * value ** 0.5 * (0.5 + 0.5 * self.chance())
+        return wait > max(slack, self.settings["step"]) * value**0.5 * (0.5 + 0.5 * self.chance())
 
     def press(self, now):
         """By the mean of the last waits, summed up over time: a short trouble common to all passes."""
@@ -717,8 +787,10 @@
         """Figures over the whole fleet, once a second: taken for each job they cost more than deciding."""
         ready = self.ready
         # The most that was free in more than one report in fifty, as they are noisy.
-        most = {kind: max(free for free, n in frees.items() if 50 * n > sum(frees.values()))
-                for kind, frees in self.frees.items()}
+        most = {
+            kind: max(free for free, n in frees.items() if 50 * n > sum(frees.values()))
+            for kind, frees in self.frees.items()
+        }
         for wkr in ready if most else ():
             slots = max(1.0, most.get(wkr.kind, wkr.slots))
             wkr.peak = max(wkr.peak, slots) if self.settings["tells_start"] else slots
--- a/tests/decision_scripts.py
+++ b/tests/decision_scripts.py
@@ -76,7 +76,7 @@
         "cached": True,
         "list_fails": 0.5,
         "reports": True,
-        "course": [(after, *rest) for after, *rest in CHURN],
+        "course": list(CHURN),
         "trouble_every": 300,
         "troubles": ["mute", "error", "lost", "unreachable"],
         "settings": {
