--- a/tests/decision_scripts.py
+++ b/tests/decision_scripts.py
@@ -59,6 +59,7 @@
             **TELLS,
             **queue_types(PURE, TOKEN, ONCE, TOKEN_ALL),
             "limits.peerMessages": "true",
+            "prices.peer": 0.025,
             "familyInfo.classStretch": "0,1.5,1",
         },
     },
