--- a/mastledge/consensus/bootstrap.py
+++ b/mastledge/consensus/bootstrap.py
@@ -4,6 +4,7 @@
 """
 
 from mastledge.consensus import messages as m
+from mastledge.consensus import outputs
 from mastledge.consensus.log import Log
 from mastledge.consensus.state_machine import StateMachine, genesis
 from mastledge.consensus.timing import ASKED_AT_ONCE, ASKING, ASKS, EMPTY, FOLLOWER, FRESH, LEADER, PART
@@ -35,7 +36,7 @@
             return f"{self.name} is no member of the fleet"
         return "" if self.now < self.lease_until else "no lease: no majority is heard"
 
-    def on_DiscoverRequest(self, now, sender, life, ask):
+    def on_discover_request(self, now, sender, life, ask):
         if ask.fleet and self.fleet and ask.fleet != self.fleet:
             return
         self.seen[sender], self.lives[sender] = (now, ask), life
@@ -66,7 +67,7 @@
         if self.settled():
             self.take(f"life {name} {life} {self.log.last}", {"kind": "life", "name": name, "life": life})
 
-    def on_DiscoverResponse(self, now, sender, life, told):
+    def on_discover_response(self, now, sender, life, told):
         if self.fleet and told.fleet and told.fleet != self.fleet:
             return
         self.told[sender], self.lives[sender], self.seen[sender] = told, life, (now, told)
@@ -96,7 +97,7 @@
             self.phase = PART
             self.event("joined", life=self.life, term=self.term, last=self.log.last)
 
-    def on_BootstrapCluster(self, now, sender, life, form):
+    def on_bootstrap_cluster(self, now, sender, life, form):
         one = form.state["members"].get(self.name)
         if not self.fleet and one and one["life"] == self.life:
             self.begin(form.fleet, form.state)
@@ -109,34 +110,34 @@
         self.event("formed", fleet=fleet, members=len(state["members"]))
         self.draw_election(self.now)
 
-    def on_restore(self, now, fleet, life, state):
+    def on_restore(self, now, restore):
         """An operator's word that a majority is lost: this one alone begins another fleet, with this state.
 
         Those of before are of another fleet from here on, and none of their words counts.
         """
         if self.role != FOLLOWER:
             self.follow(self.term, None)
-        self.forget_all(life)
+        self.forget_all(restore.incarnation)
         self.held, self.told, self.seen, self.lives, self.heard, self.waiting = [], {}, {}, {}, {}, []
         self.leader, self.votes, self.ballots, self.stopped = None, None, {}, ""
         self.lease_until = self.in_force = self.left_until = self.given = 0
         self.forget_relays()
-        self.begin(fleet, state)
+        self.begin(restore.fleet, restore.state)
         self.elect_at = now + self.beat
 
-    def on_desert(self, now, life):
+    def on_abandon(self, now, abandon):
         """An operator's word that its fleet is no more: it comes to the next one as an empty folder does."""
         if self.role != FOLLOWER:
             self.follow(self.term, None)
         self.event("abandoned", fleet=self.fleet, life=self.life)
-        self.forget_all(life)
+        self.forget_all(abandon.incarnation)
         self.held, self.told, self.seen, self.lives, self.heard, self.waiting = [], {}, {}, {}, {}, []
         self.leader, self.votes, self.ballots, self.stopped = None, None, {}, ""
         self.lease_until = self.in_force = self.left_until = 0
         self.forget_relays()
         self.records, self.pending, self.phase, self.form = [], {}, EMPTY, False
         self.token += 1
-        self.out.append(("rewrite", self.token, []))
+        self.out.append(outputs.Rewrite(self.token, []))
 
     def there(self, now):
         """Members that have said something within a second and have not lost their folders."""
--- a/mastledge/consensus/elections.py
+++ b/mastledge/consensus/elections.py
@@ -9,7 +9,7 @@
 class ElectionRole:
     """The part of `Member` that elects a leader."""
 
-    def on_leaves(self, now):
+    def on_leave(self, now, leave):
         """This process ends: the voter that has most of the log leads next, and nobody waits for a word in
         vain.
         """
@@ -21,7 +21,7 @@
         if ready:
             self.send(max(ready, key=lambda name: (self.echo.get(name, 0), name)), m.TimeoutNow(self.term))
 
-    def on_TimeoutNow(self, now, sender, life, lead):
+    def on_timeout_now(self, now, sender, life, lead):
         if lead.term == self.term and sender == self.leader and self.is_voter() and not self.broken:
             self.campaign(now, False)
 
@@ -51,7 +51,7 @@
         lt, li = max((lt, li), (last_term, last))
         self.heard[sender] = (life, max(t, term), lt, li)
 
-    def on_VoteRequest(self, now, sender, life, poll):
+    def on_vote_request(self, now, sender, life, poll):
         heard = self.leader is not None and now < self.heard_at + (FEW - 1) * self.beat
         if poll.pre:
             yes = poll.term > self.term and self.up_to_date(poll) and not heard and self.role != LEADER
@@ -68,7 +68,7 @@
             self.draw_election(now)
         self.send(sender, m.VoteResponse(self.term, yes, False), safe=yes)
 
-    def on_VoteResponse(self, now, sender, life, ballot):
+    def on_vote_response(self, now, sender, life, ballot):
         if not ballot.yes:
             self.raise_term(ballot.term)
             return
--- a/mastledge/consensus/follower.py
+++ b/mastledge/consensus/follower.py
@@ -1,6 +1,7 @@
 """What a member takes from the leader: entries, snapshots, what is agreed, and its lease."""
 
 from mastledge.consensus import messages as m
+from mastledge.consensus import outputs
 from mastledge.consensus.leases import shortest
 from mastledge.consensus.log import Log
 from mastledge.consensus.state_machine import MEMBERSHIP, StateMachine
@@ -10,7 +11,7 @@
 class FollowerRole:
     """The part of `Member` that follows a leader."""
 
-    def on_AppendEntries(self, now, sender, life, append):
+    def on_append_entries(self, now, sender, life, append):
         if append.term < self.term:
             self.ack(sender, False, 0)
             return
@@ -74,7 +75,7 @@
         if self.fan_out:
             news = self.lists.told(news)
         if news is not None:
-            self.out.append(("news", news))
+            self.out.append(outputs.RestrictionsReceived(news))
 
     def listens(self):
         """Whether this is a member in the life that the fleet knows."""
@@ -102,7 +103,7 @@
             ),
         )
 
-    def on_InstallSnapshot(self, now, sender, life, install):
+    def on_install_snapshot(self, now, sender, life, install):
         if install.term < self.term:
             self.ack(sender, False, 0)
             return
@@ -134,7 +135,7 @@
             self.event("snapshot_installed", last=install.last)
             for id in [id for id in self.mine if id in self.rules.results]:
                 del self.mine[id]
-                self.out.append(("agreed", id, self.commit, self.rules.results[id]))
+                self.out.append(outputs.Committed(id, self.commit, self.rules.results[id]))
         if not self.records or self.broken:
             self.ack(sender, True, install.stamp)
 
@@ -159,7 +160,7 @@
             )
             if entry.id in self.mine:
                 del self.mine[entry.id]
-                self.out.append(("agreed", entry.id, self.commit, result))
+                self.out.append(outputs.Committed(entry.id, self.commit, result))
         if self.commit - self.log.base >= self.compact:
             self.log.compact(self.commit)
             self.base_state, self.ends = self.rules.snapshot(), None
--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -1,6 +1,7 @@
 """What a leader does: it takes changes, tells the others of them, and knows what is in force."""
 
 from mastledge.consensus import messages as m
+from mastledge.consensus import outputs
 from mastledge.consensus.leases import shortest
 from mastledge.consensus.state_machine import GONE, MEMBERSHIP, sound, wanted_voters
 from mastledge.consensus.timing import BEATS, LEADER, MANY, NEWS, SLOW_BEATS, WAITING
@@ -61,7 +62,7 @@
         gone = self.gone()
         return change["kind"] != "remove" or len(gone) < GONE or self.leases.left(gone[0]["name"], self.now)
 
-    def on_AppendResponse(self, now, sender, life, ack):
+    def on_append_response(self, now, sender, life, ack):
         if ack.term > self.term:
             self.raise_term(ack.term)
             return
@@ -101,11 +102,11 @@
         self.next[sender] = max(self.next.get(sender, 1), self.match.get(sender, 0) + 1)
         self.leases.heard(sender, now, ack.clock, ack.applied, ack.process)
 
-    def on_Propose(self, now, sender, life, propose):
+    def on_propose(self, now, sender, life, propose):
         if self.role == LEADER:
             self.take(propose.id, propose.change)
 
-    def on_WorkerRestrictions(self, now, sender, life, news):
+    def on_worker_restrictions(self, now, sender, life, news):
         if self.fan_out:
             self.hear_news(news)
             return
@@ -114,7 +115,7 @@
             if last is None or news.generation >= last.generation:
                 # What an older list kept out is told again by the newer one, as far as it still holds.
                 self.newest[news.registry], self.news_until = news, now + NEWS
-                self.out.append(("news", news))
+                self.out.append(outputs.RestrictionsReceived(news))
                 self.hurry()
         elif self.leader is not None:
             self.send(self.leader, news)
--- a/mastledge/consensus/member.py
+++ b/mastledge/consensus/member.py
@@ -8,8 +8,10 @@
 
 from bisect import insort
 from copy import deepcopy
+from typing import ClassVar
 from zlib import crc32
 
+from mastledge.consensus import inputs, outputs
 from mastledge.consensus import messages as m
 from mastledge.consensus.bootstrap import Startup
 from mastledge.consensus.elections import ElectionRole
@@ -35,15 +37,8 @@
 
 
 class Member(Startup, ElectionRole, FollowerRole, LeaderRole, Relaying):
-    """`step(now, what, ...)` takes one input and gives a list of what follows from it; `wake_at()` when it
-    must be called again with "time" at the latest.
-
-    Inputs: ("time",); ("heard", sender, life, message); ("saved", token) and ("broken",) from the disk,
-    tokens in their order; ("listed", registry, kind, entries, generation); ("propose", id,
-    change); ("forget", id); ("restore", fleet, life, state) and ("desert", life) by an operator.
-    Outputs: ("send", to, message); ("save", token, records); ("rewrite", token, records): all that is on the
-    disk is replaced by these; ("agreed", id, index, result); ("news", message); ("event", name, fields) for
-    the log.
+    """`step(now, input)` takes one of `inputs` and gives the `outputs` that follow from it, in their order;
+    `wake_at()` is when it must be called with `Tick` at the latest.
 
     `kept`: what the disk held as {"fleet", "life", "term", "vote", "last", "last_term", "state", "entries"},
     None for an empty folder. `fresh`: a name for a life and one for a fleet, both of chance, to be taken
@@ -150,14 +145,14 @@
 
     # One step
 
-    def step(self, now, what, *fields):
+    def step(self, now, input: inputs.Input) -> list[outputs.Output]:
         self.now = now
-        getattr(self, "on_" + what)(now, *fields)
+        self.input_handlers[type(input)](self, now, input)
         self.run(now)
         if self.records and not self.broken:
             self.token += 1
             self.pending[self.token] = self.log.last
-            self.out.append(("save", self.token, self.records))
+            self.out.append(outputs.Persist(self.token, self.records))
         self.dirty = self.broken and (self.dirty or bool(self.records))
         self.records = []
         for to, message in self.held_now:
@@ -175,20 +170,21 @@
         if safe:
             self.held_now = [*self.held_now, (to, message)]
         else:
-            self.out.append(("send", to, message))
+            self.out.append(outputs.Send(to, message))
 
     def release(self):
         while self.held and self.held[0][0] <= self.synced:
             _, to, message = self.held.pop(0)
-            self.out.append(("send", to, message))
+            self.out.append(outputs.Send(to, message))
 
     def event(self, name, **fields):
-        self.out.append(("event", name, fields))
+        self.out.append(outputs.LogEvent(name, fields))
 
-    def on_time(self, now):
+    def on_tick(self, now, tick):
         pass
 
-    def on_saved(self, now, token):
+    def on_persisted(self, now, persisted):
+        token = persisted.token
         if token > self.synced:
             self.synced = token
             last = [index for t, index in self.pending.items() if t <= token]
@@ -205,7 +201,7 @@
         if self.phase == PART and self.role == FOLLOWER and self.leader and self.acked < self.safe:
             self.ack(self.told_by or self.leader, True, self.last_stamp)
 
-    def on_broken(self, now):
+    def on_disk_failed(self, now, failed):
         """Nothing that depends on the disk is said from now on; what is heard is still acted on."""
         if not self.broken:
             self.event("disk_failed")
@@ -222,22 +218,22 @@
             *(("entry", self.log.base + n, entry) for n, entry in enumerate(self.log.entries, 1)),
         ]
 
-    def on_propose(self, now, id, change):
-        self.mine[id] = change
-        self.hand_in(id, change)
+    def on_proposal(self, now, proposal):
+        self.mine[proposal.id] = proposal.change
+        self.hand_in(proposal.id, proposal.change)
         self.again_at = self.again_at or now + AGAIN
 
-    def on_forget(self, now, id):
-        self.mine.pop(id, None)
+    def on_forget_proposal(self, now, forget):
+        self.mine.pop(forget.id, None)
 
-    def on_passed(self, now, message):
+    def on_share_restrictions(self, now, share):
         """News of workers that this one's own registry has told."""
         if not self.fan_out:
-            self.on_WorkerRestrictions(now, self.name, self.life, message)
+            self.on_worker_restrictions(now, self.name, self.life, share.restrictions)
 
-    def on_listed(self, now, registry, kind, entries, generation):
+    def on_endpoint_list_update(self, now, update):
         """This one's own registry has told a list or a change: entries as (worker, state)."""
-        self.lists.own(registry, kind, entries, generation)
+        self.lists.own(update.registry, update.kind, update.entries, update.generation)
 
     def hand_in(self, id, change):
         if self.role == LEADER:
@@ -247,22 +243,23 @@
 
     # Messages
 
-    def on_heard(self, now, sender, life, message):
+    def on_message_received(self, now, received):
+        sender, life, message = received.sender, received.incarnation, received.message
         if sender == self.name:
             return
-        call = getattr(self, "on_" + type(message).__name__)
+        call = self.message_handlers[type(message)]
         self.words[sender] = (
             now,
             isinstance(message, m.DiscoverRequest | m.DiscoverResponse) and message.empty,
         )
         if isinstance(message, m.DiscoverRequest | m.DiscoverResponse | m.BootstrapCluster):
-            call(now, sender, life, message)
+            call(self, now, sender, life, message)
         elif (
             self.phase == PART
             or isinstance(message, m.AppendEntries | m.InstallSnapshot)
             and self.phase == EMPTY
         ):
-            call(now, sender, life, message)
+            call(self, now, sender, life, message)
 
     base_state, compact = None, COMPACT
 
@@ -277,7 +274,7 @@
             if self.rules:
                 self.token += 1
                 self.pending = {self.token: self.log.last}
-                self.out.append(("rewrite", self.token, self.all_records()))
+                self.out.append(outputs.Rewrite(self.token, self.all_records()))
                 self.records, self.dirty = [], False
         if self.again_at is not None and now >= self.again_at:
             self.again_at = now + AGAIN if self.mine else None
@@ -302,8 +299,35 @@
 
     newest = resent = won_at = None
 
+    input_handlers: ClassVar = {
+        inputs.Tick: on_tick,
+        inputs.MessageReceived: on_message_received,
+        inputs.Persisted: on_persisted,
+        inputs.DiskFailed: on_disk_failed,
+        inputs.EndpointListUpdate: on_endpoint_list_update,
+        inputs.ShareRestrictions: on_share_restrictions,
+        inputs.Propose: on_proposal,
+        inputs.ForgetProposal: on_forget_proposal,
+        inputs.Restore: Startup.on_restore,
+        inputs.Abandon: Startup.on_abandon,
+        inputs.Leave: ElectionRole.on_leave,
+    }
+    message_handlers: ClassVar = {
+        m.DiscoverRequest: Startup.on_discover_request,
+        m.DiscoverResponse: Startup.on_discover_response,
+        m.BootstrapCluster: Startup.on_bootstrap_cluster,
+        m.VoteRequest: ElectionRole.on_vote_request,
+        m.VoteResponse: ElectionRole.on_vote_response,
+        m.TimeoutNow: ElectionRole.on_timeout_now,
+        m.AppendEntries: lambda member, *fields: member.on_append_entries(*fields),
+        m.InstallSnapshot: FollowerRole.on_install_snapshot,
+        m.AppendResponse: LeaderRole.on_append_response,
+        m.Propose: LeaderRole.on_propose,
+        m.WorkerRestrictions: LeaderRole.on_worker_restrictions,
+    }
+
     def wake_at(self):
-        """When "time" has to be the input at the latest."""
+        """When `Tick` has to be the input at the latest."""
         times = [self.ask_at if self.phase != PART else self.elect_at]
         if self.role == LEADER:
             times = [*self.beat_at.values(), self.now + self.beat]
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -538,8 +538,8 @@
 class Member(schedule.Node):
     """A dispatcher's part in the agreement, on the schedule's simulated links and disks."""
 
-    def step(self, what, member, *fields):
-        super().step(what, member, *fields)
+    def step(self, member, input):
+        super().step(member, input)
         world = self.fleet
         dispatcher = world.dispatchers.get(self.name)
         if self.up and dispatcher is not None and dispatcher.balancer is not None:
--- a/mastledge/lab/explore.py
+++ b/mastledge/lab/explore.py
@@ -9,6 +9,7 @@
 import pickle
 from collections import deque
 
+from mastledge.consensus import inputs, outputs
 from mastledge.consensus.member import Member
 from mastledge.consensus.messages import AppendEntries, decode, encode
 from mastledge.consensus.persisted_state import PersistedState
@@ -47,30 +48,31 @@
             name, self.listed, False, {}, LEASE, kept.value(), (f"{name}.x", "g"), 1, self.clocks[name]
         )
 
-    def input(self, name, what, *fields):
+    def input(self, name, input):
         """One step; what goes to the disk is there at once, and what waited for it is sent."""
         member = self.members[name]
-        inputs = [(what, *fields)]
-        while inputs:
-            for output in member.step(self.clocks[name], *inputs.pop(0)):
-                if output[0] == "send":
-                    message = output[2]
+        due = [input]
+        while due:
+            for output in member.step(self.clocks[name], due.pop(0)):
+                if isinstance(output, outputs.Send):
+                    message = output.message
                     if (
                         isinstance(message, AppendEntries)
                         and not message.entries
-                        and message.commit <= self.known(output[1])
+                        and message.commit <= self.known(output.to)
                     ):
                         continue  # a beat that says nothing new leads nowhere new
                     if isinstance(message, AppendEntries):
                         message.heard, message.left = {}, 0  # of no use but at a start, and to a caller
-                    item = (output[1], name, member.life, encode(message))
+                    item = (output.to, name, member.life, encode(message))
                     if item not in self.wire:  # what comes twice is a move of its own
                         self.wire.append(item)
-                elif output[0] in ("save", "rewrite"):
-                    self.disks[name] = [*(self.disks[name] if output[0] == "save" else ()), *output[2]]
-                    inputs.append(("saved", output[1]))
-                elif output[0] == "agreed":
-                    self.agreed[output[1]] = output[3]["version"]
+                elif isinstance(output, outputs.Persist | outputs.Rewrite):
+                    before = self.disks[name] if isinstance(output, outputs.Persist) else ()
+                    self.disks[name] = [*before, *output.records]
+                    due.append(inputs.Persisted(output.token))
+                elif isinstance(output, outputs.Committed):
+                    self.agreed[output.id] = output.result["version"]
         self.check(name)
 
     def known(self, name):
@@ -132,10 +134,10 @@
             if what == "lose":
                 self.left["lose"] -= 1
             elif to in self.members:
-                self.input(to, "heard", sender, life, decode(raw))
+                self.input(to, inputs.MessageReceived(sender, life, decode(raw)))
         elif what == "propose":
             id, change = self.todo.pop(0)
-            self.input(which, "propose", id, change)
+            self.input(which, inputs.Propose(id, change))
         elif what == "crash":
             self.left["crash"] -= 1
             del self.members[which]
@@ -145,7 +147,7 @@
         else:
             self.left["wait"] -= 1
             self.clocks[which] += 2 * MANY * self.members[which].beat
-            self.input(which, "time")
+            self.input(which, inputs.Tick())
 
     def mark(self):
         """What its future depends on."""
--- a/mastledge/lab/relaying.py
+++ b/mastledge/lab/relaying.py
@@ -5,6 +5,7 @@
 
 import numpy
 
+from mastledge.consensus import inputs
 from mastledge.lab.schedule import LEASE, Broken, back, settled
 from mastledge.lab.sized import Sized, begun
 
@@ -29,10 +30,12 @@
             if name in self.deaf or not node.up:
                 continue
             if node.member.lists.registries:
-                node.step("listed", node.member, "r", "changes", [(worker, state)], self.generation)
+                change = [(worker, state)]
+                update = inputs.EndpointListUpdate("r", "changes", change, self.generation)
             else:
                 drained = [(one, "draining") for one in sorted(self.drained)]
-                node.step("listed", node.member, "r", "whole", drained, self.generation)
+                update = inputs.EndpointListUpdate("r", "whole", drained, self.generation)
+            node.step(node.member, update)
 
     def heard(self):
         """Whether all that were deaf know the list as it is now."""
@@ -126,7 +129,7 @@
         if name.startswith("x"):
             fleet.propose(node.name, f"remove{fleet.now}", {"kind": "remove", "name": name})
     elif fault == "lead" and (leader := fleet.leader()) is not None:
-        leader.step("leaves", leader.member)
+        leader.step(leader.member, inputs.Leave())
     elif fault == "off" and node.up:
         fleet.propose(node.name, f"off{fleet.now}", {"kind": "relays", "fan_out": 0})
         fleet.at(spell, again, fleet)
--- a/mastledge/lab/scale/hollow.py
+++ b/mastledge/lab/scale/hollow.py
@@ -10,7 +10,7 @@
 from copy import deepcopy
 from zlib import crc32
 
-from mastledge.consensus import messages
+from mastledge.consensus import inputs, messages, outputs
 from mastledge.consensus.persisted_state import PersistedState
 from mastledge.consensus.timing import LEADER
 from mastledge.consensus.worker_restrictions import OwnList
@@ -73,32 +73,31 @@
         return None if text is None else address_of(text)
 
     def heard(self, name, life, content):
-        self.input("heard", name, life, messages.decode(content))
+        self.input(inputs.MessageReceived(name, life, messages.decode(content)))
 
     def timed(self):
-        self.input("time")
+        self.input(inputs.Tick())
         while True:
             yield (-1, 0, max(self.member.wake_at(), self.loop.now() + 500))
             if self.loop.now() >= self.member.wake_at():
-                self.input("time")
-
-    def input(self, what, *fields):
-        due, inputs = self.member.wake_at(), [(what, *fields)]
-        while inputs:
-            for output, *rest in self.member.step(self.loop.now(), *inputs.pop(0)):
-                if output == "send":
-                    to, message = rest
-                    self.links.send(to, messages.encode(message))
-                elif output in ("save", "rewrite"):
-                    inputs.append(("saved", rest[0]))
-        if what != "time" and self.member.wake_at() < due:
+                self.input(inputs.Tick())
+
+    def input(self, input):
+        wake_before, due = self.member.wake_at(), [input]
+        while due:
+            for output in self.member.step(self.loop.now(), due.pop(0)):
+                if isinstance(output, outputs.Send):
+                    self.links.send(output.to, messages.encode(output.message))
+                elif isinstance(output, outputs.Persist | outputs.Rewrite):
+                    due.append(inputs.Persisted(output.token))
+        if not isinstance(input, inputs.Tick) and self.member.wake_at() < wake_before:
             self.loop.wake(self.timer)
 
     def listed(self, kind, entries, generation):
         """As `Fleet.listed`: the list is passed on as a whole dispatcher does it."""
-        self.input("listed", REGISTRY, kind, entries, generation)
+        self.input(inputs.EndpointListUpdate(REGISTRY, kind, entries, generation))
         if self.own_list.listed(kind, entries, generation):
-            self.input("passed", self.own_list.news(REGISTRY))
+            self.input(inputs.ShareRestrictions(self.own_list.news(REGISTRY)))
 
     def leave(self, successor):
         """Hands the lead on, as a leader that ends does, but to a member that is named."""
--- a/mastledge/lab/scale/meter.py
+++ b/mastledge/lab/scale/meter.py
@@ -170,12 +170,12 @@
         some[0] += 1
         some[1] += FRAME_HEAD + len(content)
 
-    def metered_send(self, to, message):
-        content = encode(message)
-        count(meter.sent, content, message)
+    def metered_send(self, output):
+        content = encode(output.message)
+        count(meter.sent, content, output.message)
         meter.received["read"][0] += 1
         meter.received["read"][1] += READ_BYTE
-        self.links.send(to, content)
+        self.links.send(output.to, content)
 
     def metered_heard(self, name, life, content):
         from mastledge.consensus import messages
--- a/mastledge/lab/schedule.py
+++ b/mastledge/lab/schedule.py
@@ -9,6 +9,7 @@
 
 import numpy
 
+from mastledge.consensus import inputs, outputs
 from mastledge.consensus.member import Member
 from mastledge.consensus.messages import decode, encode
 from mastledge.consensus.persisted_state import PersistedState
@@ -53,24 +54,22 @@
             self.fleet.draw(1 << 30),
             self.clock(),
         )
-        self.fleet.at(0, self.step, "time", self.member)
+        self.fleet.at(0, self.step, self.member, inputs.Tick())
 
     def crash(self):
         self.up, self.member = False, None
 
-    def step(self, what, member, *fields):
+    def step(self, member, input):
         """One input, unless the process it was meant for has died, or is stopped: then it comes when it goes
         on.
         """
         if member is not self.member or not self.up:
             return
         if self.until > self.fleet.now:
-            self.fleet.at(
-                self.until - self.fleet.now + self.fleet.draw(2000), self.step, what, member, *fields
-            )
+            self.fleet.at(self.until - self.fleet.now + self.fleet.draw(2000), self.step, member, input)
             return
-        for output in member.step(self.clock(), what, *fields):
-            getattr(self, "do_" + output[0])(*output[1:])
+        for output in member.step(self.clock(), input):
+            self.carry_out(output)
         self.fleet.check(self)
         wait = int(max(0, member.wake_at() - self.clock()) / self.rate) + 1
         at = self.fleet.now + wait
@@ -81,27 +80,38 @@
     def wake(self, at, member):
         if self.fleet.wakes.get(self.name) == (at, member):
             self.fleet.wakes.pop(self.name)
-            self.step("time", member)
-
-    def do_send(self, to, message):
-        self.fleet.send(self, to, message)
-
-    def do_save(self, token, records, whole=False):
+            self.step(member, inputs.Tick())
+
+    def carry_out(self, output):
+        """Does what a step of the member asks for."""
+        match output:
+            case outputs.Send(to, message):
+                self.fleet.send(self, to, message)
+            case outputs.Persist(token, records):
+                self.save(token, records)
+            case outputs.Rewrite(token, records):
+                self.save(token, records, whole=True)
+            case outputs.Committed(id, index, result):
+                self.fleet.answered[id] = (self.fleet.now, index, result)
+            case outputs.RestrictionsReceived(restrictions):
+                self.fleet.news.append((self.fleet.now, self.name, restrictions))
+            case outputs.LogEvent(name, fields):
+                if self.fleet.log is not None:
+                    self.fleet.log.append((self.fleet.now, self.name, name, fields))
+
+    def save(self, token, records, whole=False):
         records = deepcopy(records)
         # One after the other, as they were given.
         self.idle_at = max(self.idle_at, self.fleet.now) + self.fleet.slow_disk()
         self.fleet.at(self.idle_at - self.fleet.now, self.saved, token, records, whole, self.member)
 
-    def do_rewrite(self, token, records):
-        self.do_save(token, records, True)
-
     def saved(self, token, records, whole, member):
         if member is not self.member or not self.up:
             return
         # After one record that is missing none can follow until all is written anew.
         self.failed = self.full or self.failed and not whole
         if self.failed:
-            self.step("broken", member)
+            self.step(member, inputs.DiskFailed())
             return
         self.disk = records if whole else [*self.disk, *records]
         if any(record[0] == "snapshot" for record in records):
@@ -109,17 +119,7 @@
             for record in self.disk:
                 kept.take(deepcopy(record))
             self.disk = kept.records()
-        self.step("saved", member, token)
-
-    def do_agreed(self, id, index, result):
-        self.fleet.answered[id] = (self.fleet.now, index, result)
-
-    def do_news(self, news):
-        self.fleet.news.append((self.fleet.now, self.name, news))
-
-    def do_event(self, name, fields):
-        if self.fleet.log is not None:
-            self.fleet.log.append((self.fleet.now, self.name, name, fields))
+        self.step(member, inputs.Persisted(token))
 
 
 class Fleet(Simulated):
@@ -153,7 +153,7 @@
     def arrive(self, to, sender, life, raw):
         node = self.nodes[to]
         if node.up and (sender, to) not in self.cut:
-            node.step("heard", node.member, sender, life, decode(raw))
+            node.step(node.member, inputs.MessageReceived(sender, life, decode(raw)))
 
     def start(self):
         for node in self.nodes.values():
@@ -163,7 +163,7 @@
     def propose(self, name, id, change):
         node = self.nodes[name]
         if node.up:
-            node.step("propose", node.member, id, change)
+            node.step(node.member, inputs.Propose(id, change))
 
     def leader(self):
         leads = [node for node in self.nodes.values() if node.up and node.member.role == LEADER]
--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -7,7 +7,7 @@
 import uuid
 from copy import deepcopy
 
-from mastledge.consensus import messages
+from mastledge.consensus import inputs, messages, outputs
 from mastledge.consensus.leases import longest
 from mastledge.consensus.member import Member
 from mastledge.consensus.persisted_state import PersistedState
@@ -139,7 +139,7 @@
         moment.
         """
         if self.member is not None:
-            self.input("leaves")
+            self.input(inputs.Leave())
             self.links.flush()
 
     def end(self):
@@ -249,32 +249,32 @@
                 self.copies.heard(name, content[1:])
             return
         message = messages.decode(content)
-        self.input("heard", name, life, message)
+        self.input(inputs.MessageReceived(name, life, message))
 
     def timed(self):
-        self.input("time")
+        self.input(inputs.Tick())
         while True:
             yield (-1, 0, max(self.member.wake_at(), self.loop.now() + 500))
             if self.loop.now() >= self.member.wake_at():
-                self.input("time")
+                self.input(inputs.Tick())
 
     def written(self):
         while True:
             yield (self.writer.fd, READ, None)
             for token, error in self.writer.done():
                 if error is None:
-                    self.input("saved", token)
+                    self.input(inputs.Persisted(token))
                 else:
                     self.links.grumble("disk_failed", why=str(error))
-                    self.input("broken")
+                    self.input(inputs.DiskFailed())
 
-    def input(self, what, *fields):
+    def input(self, input):
         if self.member is None:
             return
         now = self.loop.now()
         due = self.member.wake_at()
-        for output, *rest in self.member.step(now, what, *fields):
-            getattr(self, "do_" + output)(*rest)
+        for output in self.member.step(now, input):
+            self.carry_out(output)
         rules = self.member.rules
         if rules is not None and rules.applied != self.applied and rules.applied >= self.index:
             # Behind what the process before has told it would go back in time.
@@ -282,27 +282,37 @@
             self.links.resize(len(rules.members))
             self.take_rules(rules.state)
         self.tell_lease(now)
-        if self.timer is not None and self.member.wake_at() < due and what != "time":
+        if self.timer is not None and self.member.wake_at() < due and not isinstance(input, inputs.Tick):
             self.loop.wake(self.timer)
         self.longest = max(self.longest, self.loop.now() - now)
 
-    def do_send(self, to, message):
-        self.links.send(to, messages.encode(message))
-
-    def do_save(self, token, records):
-        self.writer.save(token, records)
-
-    def do_rewrite(self, token, records):
-        self.writer.rewrite(token, records)
+    def carry_out(self, output):
+        """Does what a step of the member asks for."""
+        match output:
+            case outputs.Send():
+                self.do_send(output)
+            case outputs.Persist(token, records):
+                self.writer.save(token, records)
+            case outputs.Rewrite(token, records):
+                self.writer.rewrite(token, records)
+            case outputs.Committed(id, index, result):
+                self.do_agreed(id, index, result)
+            case outputs.RestrictionsReceived(restrictions):
+                self.do_news(restrictions)
+            case outputs.LogEvent(name, fields):
+                self.do_event(name, fields)
+
+    def do_send(self, output):
+        self.links.send(output.to, messages.encode(output.message))
 
     def propose(self, id, change, told=None):
         """A change that the program itself wants; `told` gets what became of it, in a turn of its own."""
         self.proposals[id] = told
-        self.input("propose", id, {**change, "by": self.name, "at": 0})
+        self.input(inputs.Propose(id, {**change, "by": self.name, "at": 0}))
 
     def proposed(self, id, result):
         told = self.proposals.pop(id, None)
-        self.input("forget", id)
+        self.input(inputs.ForgetProposal(id))
         if told is not None and self.member is not None:
             told(result)
         return
@@ -340,13 +350,13 @@
         """
         brief = [(entry[0], entry[3]) for entry in entries]
         generation = self.program.discovery.generation
-        self.input("listed", self.registry(), kind, brief, generation)
+        self.input(inputs.EndpointListUpdate(self.registry(), kind, brief, generation))
         if self.own_list.listed(kind, brief, generation):
             self.pass_on()
         self.take_news()
 
     def pass_on(self):
-        self.input("passed", self.own_list.news(self.registry()))
+        self.input(inputs.ShareRestrictions(self.own_list.news(self.registry())))
 
     def retold(self):
         while True:
--- a/mastledge/program/fleet_api.py
+++ b/mastledge/program/fleet_api.py
@@ -5,6 +5,7 @@
 
 import orjson
 
+from mastledge.consensus import inputs
 from mastledge.consensus.settings_patch import difference
 from mastledge.consensus.state_machine import LEAST_FAN_OUT, MOST_FAN_OUT, fan_out_is_good
 from mastledge.consensus.timing import LEADER
@@ -180,7 +181,7 @@
                 raise No(409, "this fleet runs: its majority answers")
             if known is None:
                 raise No(409, "nothing is kept here that could be left")
-            self.input("desert", uuid.uuid4().hex[:16])
+            self.input(inputs.Abandon(uuid.uuid4().hex[:16]))
             return f"{self.name} has left its fleet, and comes to the next one as new"
         no = fleet_snapshot.refused(self.name, state, member.fleet, known, lease, heard, told)
         if no:
@@ -198,7 +199,7 @@
         )
         self.log("fleet_restored", version=after["version"], before=member.fleet, what=what)
         self.applied = -1
-        self.input("restore", uuid.uuid4().hex[:16], life, after)
+        self.input(inputs.Restore(uuid.uuid4().hex[:16], life, after))
         return f"version {after['version']}: {what}; the others come with empty folders, or by fleet desert"
 
     def exclude(self, worker):
@@ -219,7 +220,7 @@
         id = f"{self.name}.{self.member.life}.{self.seed & 0xffff}.{time.time_ns()}.{self.count}"
         change = {**change, "by": self.name, "at": change.get("at") or time.time_ns() // 1000}
         last = self.loop.now() + PATIENCE
-        self.input("propose", id, change)
+        self.input(inputs.Propose(id, change))
         try:
             while id not in self.answers:
                 self.speaking()
@@ -234,7 +235,7 @@
         finally:
             self.answers.pop(id, None)
             if self.member is not None:
-                self.input("forget", id)
+                self.input(inputs.ForgetProposal(id))
         text = f"version {result['version']}" + (f": {result['why']}" if "why" in result else "")
         etag = [(b"etag", b'"%d"' % result["version"])]
         if self.member.in_force >= index:
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -14,9 +14,9 @@
 
 from mastledge.adapter import __main__ as adapter_main
 from mastledge.adapter import frames as adapter_frames
+from mastledge.consensus import inputs, outputs, state_machine
 from mastledge.consensus import messages as consensus_messages
 from mastledge.consensus import persisted_state as consensus_persisted
-from mastledge.consensus import state_machine
 from mastledge.consensus.member import Member
 from mastledge.idempotency import key_table
 from mastledge.peers import links
@@ -136,13 +136,15 @@
     """What a member has written that is restored with `state` and then hears messages from the member n1."""
     listed = {name: one["address"] for name, one in state["members"].items()}
     member = Member("n0", listed, False, {}, 1_000_000, None, ("life-0", "fleet-0"), 7, 1_000_000)
-    steps = [("restore", "fleet-1", "life-n0", state)]
-    steps += [("heard", "n1", "life-n1", consensus_messages.decode(content)) for content in contents]
+    steps = [inputs.Restore("fleet-1", "life-n0", state)]
+    steps += [
+        inputs.MessageReceived("n1", "life-n1", consensus_messages.decode(content)) for content in contents
+    ]
     records = []
     for step in steps:
-        for what, *fields in member.step(1_000_001, *step):
-            if what == "save":
-                records += fields[1]
+        for output in member.step(1_000_001, step):
+            if isinstance(output, outputs.Persist):
+                records += output.records
     return records
 
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -7,6 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from mastledge.consensus import inputs, outputs
 from mastledge.consensus import messages as m
 from mastledge.consensus.leases import Leases
 from mastledge.consensus.member import Member
@@ -60,10 +61,11 @@
 class Forgetful(Member):
     """Says that it is saved before it is."""
 
-    def step(self, now, what, *fields):
-        out = super().step(now, what, *fields)
-        if any(one[0] == "save" for one in out):
-            out = [one for one in out if one[0] != "save"] + super().step(now, "saved", self.token)
+    def step(self, now, input):
+        out = super().step(now, input)
+        if any(isinstance(one, outputs.Persist) for one in out):
+            out = [one for one in out if not isinstance(one, outputs.Persist)]
+            out += super().step(now, inputs.Persisted(self.token))
         return out
 
 
@@ -147,7 +149,7 @@
     leader = fleet.leader()
     fleet.run(fleet.now + 500_000)
     began = fleet.now
-    leader.step("leaves", leader.member)
+    leader.step(leader.member, inputs.Leave())
     assert fleet.run(
         began + 100_000,
         lambda: fleet.leader() is not None
@@ -226,7 +228,7 @@
 def test_what_others_know_of_a_list_reaches_all():
     fleet = formed()
     news = m.WorkerRestrictions("r", 7, [("w0", "draining")])
-    fleet.nodes["n2"].step("passed", fleet.nodes["n2"].member, news)
+    fleet.nodes["n2"].step(fleet.nodes["n2"].member, inputs.ShareRestrictions(news))
     assert fleet.run(fleet.now + 1_000_000, lambda: {who for _, who, _ in fleet.news} == {"n0", "n1", "n2"})
     # As they were said: a plain list in their place ended the step that heard it.
     assert all(heard == news for _, _, heard in fleet.news)
@@ -291,7 +293,7 @@
         0,
         0,
     )
-    member.step(node.clock(), "heard", member.leader, "l", append)
+    member.step(node.clock(), inputs.MessageReceived(member.leader, "l", append))
     assert member.lease_until == 0
 
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -2,6 +2,7 @@
 
 import pytest
 
+from mastledge.consensus import inputs, outputs
 from mastledge.consensus.member import Member
 from mastledge.lab.explore import explore, led
 from mastledge.lab.schedule import Broken
@@ -39,11 +40,12 @@
         self.safe = self.log.last
         super().lead(now)
 
-    def step(self, now, what, *fields):
-        out = super().step(now, what, *fields)
-        return [one for one in out if one[0] != "save"] + (
-            super().step(now, "saved", self.token) if any(one[0] == "save" for one in out) else []
-        )
+    def step(self, now, input):
+        out = super().step(now, input)
+        if any(isinstance(one, outputs.Persist) for one in out):
+            out = [one for one in out if not isinstance(one, outputs.Persist)]
+            out += super().step(now, inputs.Persisted(self.token))
+        return out
 
 
 class Alone(Member):
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -5,6 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from mastledge.consensus import inputs
 from mastledge.consensus.state_machine import genesis
 from mastledge.lab.schedule import Fleet
 from mastledge.recovery import fleet_snapshot as s
@@ -127,7 +128,7 @@
     node = fleet.nodes["n0"]
     after = s.succeeding(node.member.rules.snapshot(), "n0", "again", "", "formed", "n0", 1)
     fleet.order, fleet.sums, fleet.leaders, fleet.in_force = {}, {}, {}, 0  # another fleet, judged anew
-    node.step("restore", node.member, "f2", "again", after)
+    node.step(node.member, inputs.Restore("f2", "again", after))
     return node
 
 
@@ -160,6 +161,6 @@
     other.start()
     fleet.run(fleet.now + 5_000_000)
     assert not other.member.may_act(other.clock()) and node.member.may_act(node.clock())
-    other.step("desert", other.member, "fresh")
+    other.step(other.member, inputs.Abandon("fresh"))
     assert fleet.run(fleet.now + 10_000_000, lambda: other.member.may_act(other.clock()))
     assert other.member.fleet == "f2" and other.member.life == "fresh"
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from mastledge.consensus import inputs, outputs
 from mastledge.consensus import messages as m
 from mastledge.consensus.relays import Tree
 from mastledge.consensus.settings_patch import difference, patched
@@ -105,8 +106,8 @@
 class Credulous(Sized):
     """A follower takes a lease without what was agreed when it was granted."""
 
-    def on_AppendEntries(self, now, sender, life, append):
-        super().on_AppendEntries(now, sender, life, append)
+    def on_append_entries(self, now, sender, life, append):
+        super().on_append_entries(now, sender, life, append)
         grant = append.grant - self.offset
         if append.leader and self.started <= grant <= now and self.listens():
             self.lease_until = max(self.lease_until, grant + self.lease - self.lease // 100)
@@ -189,7 +190,7 @@
     fleet.run(fleet.now + LEASE)  # it asks the leader, which speaks to it
     assert child in leader.member.adopted and fleet.nodes[child].member.may_act(fleet.nodes[child].clock())
     cut_off(fleet, child)
-    leader.step("leaves", leader.member)
+    leader.step(leader.member, inputs.Leave())
     assert fleet.run(fleet.now + LEASE, lambda: fleet.leader() not in (None, leader))
     changed(fleet)
 
@@ -273,15 +274,15 @@
 class Older(Sized):
     """A version that knows no relays: its words have none of the fields that were added."""
 
-    def step(self, now, what, *fields):
-        out = super().step(now, what, *fields)
+    def step(self, now, input):
+        out = super().step(now, input)
         for n, output in enumerate(out):
-            if output[0] == "send" and isinstance(output[2], m.AppendResponse):
-                ack = output[2]
+            if isinstance(output, outputs.Send) and isinstance(output.message, m.AppendResponse):
+                ack = output.message
                 older = m.AppendResponse(
                     ack.term, ack.yes, ack.safe, ack.safe_term, ack.applied, ack.stamp, ack.clock, ack.hint
                 )
-                out[n] = ("send", output[1], older)
+                out[n] = outputs.Send(output.to, older)
         return out
 
 
