--- a/mastledge/consensus/persisted_state.py
+++ b/mastledge/consensus/persisted_state.py
@@ -9,19 +9,19 @@
     """
 
     def __init__(self):
-        self.clear()
+        self.reset()
 
-    def clear(self):
+    def reset(self):
         self.fleet = self.life = self.vote = ""
         self.term = self.last = self.last_term = 0
         self.state, self.entries = None, []
 
-    def take(self, record):
+    def apply(self, record):
         what, *fields = record
         if what == "identity":
             if fields[1] != self.life:
                 # Another life: what the former one had promised is not this one's.
-                self.clear()
+                self.reset()
             self.fleet, self.life = fields
         elif what == "hard":
             self.term, self.vote = fields
@@ -42,7 +42,7 @@
         else:
             raise ValueError(f"a record of a later version: {what}")
 
-    def records(self):
+    def compacted_records(self):
         """The fewest that lead to the same."""
         if not self.fleet:
             return []
--- a/mastledge/idempotency/key_table.py
+++ b/mastledge/idempotency/key_table.py
@@ -241,10 +241,10 @@
     def __init__(self, now):
         self.now, self.held = now, {}
 
-    def clear(self):
+    def reset(self):
         self.held = {}
 
-    def take(self, record):
+    def apply(self, record):
         what, tenant, key, *fields = record
         if what == "claim":
             self.held[tenant, key] = Row(*fields)
@@ -260,7 +260,7 @@
         else:
             raise ValueError(f"a record of a later version: {what}")
 
-    def records(self):
+    def compacted_records(self):
         """The fewest that lead to the same. A claim stays, however old: who made it may still be at it."""
         now, out = self.now(), []
         for (tenant, key), row in self.held.items():
--- a/mastledge/lab/copying.py
+++ b/mastledge/lab/copying.py
@@ -40,7 +40,7 @@
         fleet = self.fleet
         kept = PersistedReplica(lambda: fleet.now)
         for record in self.disk:
-            kept.take(deepcopy(record))
+            kept.apply(deepcopy(record))
         self.runs += 1
         self.up, self.failed, self.applied = True, False, 0
         kept.id = kept.id or f"{self.name}-{self.runs}"
--- a/mastledge/lab/explore.py
+++ b/mastledge/lab/explore.py
@@ -42,7 +42,7 @@
     def start(self, name):
         kept = PersistedState()
         for record in self.disks[name]:
-            kept.take(pickle.loads(pickle.dumps(record)))
+            kept.apply(pickle.loads(pickle.dumps(record)))
         self.members[name] = self.make(
             name, self.listed, False, {}, LEASE, kept.value(), (f"{name}.x", "g"), 1, self.clocks[name]
         )
--- a/mastledge/lab/scale/hollow.py
+++ b/mastledge/lab/scale/hollow.py
@@ -33,7 +33,7 @@
         self.loop, self.name = loop, name
         kept = PersistedState()
         for record in deepcopy(told["records"][name]):
-            kept.take(record)
+            kept.apply(record)
         seed = crc32(f"{told['seed']} {name}".encode())
         now = loop.now()
         self.member = Sized(
--- a/mastledge/lab/schedule.py
+++ b/mastledge/lab/schedule.py
@@ -38,7 +38,7 @@
     def start(self):
         kept = PersistedState()
         for record in self.disk:
-            kept.take(deepcopy(record))
+            kept.apply(deepcopy(record))
         self.lives += 1
         self.failed, self.up = False, True
         fresh = (f"{self.name}.{self.lives}.{self.fleet.draw(1 << 30)}", f"f{self.fleet.draw(1 << 30)}")
@@ -107,8 +107,8 @@
         if any(record[0] == "snapshot" for record in records):
             kept = PersistedState()
             for record in self.disk:
-                kept.take(deepcopy(record))
-            self.disk = kept.records()
+                kept.apply(deepcopy(record))
+            self.disk = kept.compacted_records()
         self.step("saved", member, token)
 
     def do_agreed(self, id, index, result):
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -104,7 +104,7 @@
         except OSError as error:
             # What is spoilt here is worth nothing, and nothing was promised by it.
             self.trouble = str(error)
-            self.keeper.clear()
+            self.keeper.reset()
             try:
                 self.journal.rewrite([])
             except OSError as failure:
--- a/mastledge/recovery/restored_state.py
+++ b/mastledge/recovery/restored_state.py
@@ -151,10 +151,10 @@
     def __init__(self):
         self.kept = RecoveryRecord()
 
-    def clear(self):
+    def reset(self):
         self.kept = RecoveryRecord()
 
-    def take(self, record):
+    def apply(self, record):
         """ValueError for what makes no sense, or is a later version's."""
         what, at, mono, boot, *fields = record
         kept = self.kept
@@ -171,7 +171,7 @@
             raise ValueError(f"a record of a later version: {what}")
         kept.at, kept.mono, kept.boot = int(at), int(mono), str(boot)
 
-    def records(self):
+    def compacted_records(self):
         """The fewest that lead to the same."""
         kept, when = self.kept, (self.kept.at, self.kept.mono, self.kept.boot)
         if not kept.at:
--- a/mastledge/replication/persisted_state.py
+++ b/mastledge/replication/persisted_state.py
@@ -12,21 +12,21 @@
         super().__init__(now)
         self.id, self.starts, self.fence = "", 0, 0
 
-    def clear(self):
-        super().clear()
+    def reset(self):
+        super().reset()
         self.id, self.starts, self.fence = "", 0, 0
 
-    def take(self, record):
+    def apply(self, record):
         what, *fields = record
         if what == "holder":
             self.id, self.starts = fields
         elif what == "fence":
             self.fence = max(self.fence, *fields)
         else:
-            super().take(record)
+            super().apply(record)
 
-    def records(self):
-        return head(self.id, self.starts, self.fence) + super().records()
+    def compacted_records(self):
+        return head(self.id, self.starts, self.fence) + super().compacted_records()
 
 
 def head(id_, starts, fence):
--- a/mastledge/storage/write_ahead_log.py
+++ b/mastledge/storage/write_ahead_log.py
@@ -58,7 +58,7 @@
 
 class WriteAheadLog:
     """`owner`: a map of names, told from others' by each of its figures. `keep` takes a record, and gives
-    the fewest that lead to the same by `records()`.
+    the fewest that lead to the same by `compacted_records()`.
     """
 
     def __init__(self, folder, name, owner, keep, log=lambda event, **fields: None):
@@ -116,7 +116,7 @@
                 break
             for record in decode(content):
                 try:
-                    self.keep.take(record)
+                    self.keep.apply(record)
                 except (ValueError, TypeError, IndexError) as error:
                     raise DamagedLogError(0, f"{self.path} can't be followed at byte {at}: {error}") from None
             at += HEAD.size + len(content)
--- a/mastledge/storage/writer.py
+++ b/mastledge/storage/writer.py
@@ -95,9 +95,9 @@
         """Keeps what the file amounts to, so that a long one can be written anew by itself."""
         keep = self.journal.keep
         if whole:
-            keep.clear()
+            keep.reset()
         for record in records:
-            keep.take(record)
+            keep.apply(record)
         if self.journal.size > self.compact_at:
-            self.journal.rewrite(keep.records())
+            self.journal.rewrite(keep.compacted_records())
             self.compact_at = max(COMPACT, 2 * self.journal.size)
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -104,6 +104,10 @@
     return write_ahead_log.WriteAheadLog(DataDirectory(str(directory)).hold(), name, owner, kept).open()
 
 
+def compacted_records(kept):
+    return kept.compacted_records()
+
+
 def close_journal(opened):
     opened.close()
     opened.folder.release()
--- a/tests/forms.py
+++ b/tests/forms.py
@@ -148,7 +148,7 @@
     kept = program.JOURNALS[name]()
     opened = program.open_journal(directory, name, samples.JOURNAL_OWNERS[name], kept)
     try:
-        opened.rewrite(kept.records())
+        opened.rewrite(program.compacted_records(kept))
     finally:
         program.close_journal(opened)
     return path.read_bytes()
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -298,21 +298,21 @@
 @given(st.lists(st.sampled_from(["hard", "entry", "cut", "snapshot"]), max_size=30), st.integers(0, 99))
 def test_fewest_records_lead_to_the_same(kinds, seed):
     kept, again = PersistedState(), PersistedState()
-    kept.take(("identity", "f", "l"))
-    kept.take(("snapshot", 1, 1, {"v": 1}))
+    kept.apply(("identity", "f", "l"))
+    kept.apply(("snapshot", 1, 1, {"v": 1}))
     for n, kind in enumerate(kinds):
         last = kept.last + len(kept.entries)
         if kind == "hard":
-            kept.take(("hard", n, "x"))
+            kept.apply(("hard", n, "x"))
         elif kind == "entry":
-            kept.take(("entry", last + 1, m.Entry(n, f"{n}", {"kind": "noop"})))
+            kept.apply(("entry", last + 1, m.Entry(n, f"{n}", {"kind": "noop"})))
         elif kind == "cut" and kept.entries:
-            kept.take(("cut", kept.last + 1 + seed % len(kept.entries)))
+            kept.apply(("cut", kept.last + 1 + seed % len(kept.entries)))
         elif kind == "snapshot" and kept.entries:
             at = 1 + seed % len(kept.entries)
-            kept.take(("snapshot", kept.last + at, kept.entries[at - 1].term, {"v": n}))
-    for record in kept.records():
-        again.take(record)
+            kept.apply(("snapshot", kept.last + at, kept.entries[at - 1].term, {"v": n}))
+    for record in kept.compacted_records():
+        again.apply(record)
     assert again.value() == kept.value()
 
 
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -30,10 +30,10 @@
     """As after a restart: by what was handed out for the disk alone."""
     kept = b.PersistedKeys(lambda: now + 5)
     for record in book.records():
-        kept.take(record)
+        kept.apply(record)
     other = b.PersistedKeys(lambda: now + 5)
-    for record in kept.records():
-        other.take(record)
+    for record in kept.compacted_records():
+        other.apply(record)
     after = made()
     after.recovered(now, other.held)
     return after
@@ -117,7 +117,7 @@
                 may_run[key], claims[key] = float("inf"), record
         elif what == "crash":
             for record in book.records():
-                disk.take(record)
+                disk.apply(record)
             book = made()
             book.recovered(now, disk.held)
             may_run.update({key: now + KEEP for key in claims})
@@ -132,7 +132,7 @@
                 book.dropped(record)
             may_run[key] = 0 if what == "drop" else now + KEEP
         for record in book.records():
-            disk.take(record)
+            disk.apply(record)
         assert book.used == sum(one.cost for one in book.held.values())
 
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -89,10 +89,10 @@
     made.end(1, end(A))
     made.drop(1, m.ReleaseClaim(1, "t", b"l", B))
     for record in head("i", 3, 7) + made.book.records():
-        kept.take(record)
+        kept.apply(record)
     other = PersistedReplica(lambda: 10)
-    for record in kept.records():
-        other.take(record)
+    for record in kept.compacted_records():
+        other.apply(record)
     assert (other.id, other.starts, other.fence) == ("i", 3, 7)
     after = holder(5, other)
     assert after.look(5, m.ReadKey(1, "t", b"k")).content == b"r"
--- a/tests/test_startup_stages.py
+++ b/tests/test_startup_stages.py
@@ -156,14 +156,14 @@
         ["learned", 11, 10, "x", {"w0": [1.0, 1.0, 1.0, []]}],
     ]
     for record in records[:cut]:
-        keeper.take(msgspec.msgpack.decode(msgspec.msgpack.encode(record)))
+        keeper.apply(msgspec.msgpack.decode(msgspec.msgpack.encode(record)))
     other = b.PersistedRecovery()
-    for record in keeper.records():
-        other.take(msgspec.msgpack.decode(msgspec.msgpack.encode(record)))
+    for record in keeper.compacted_records():
+        other.apply(msgspec.msgpack.decode(msgspec.msgpack.encode(record)))
     assert other.kept.workers == keeper.kept.workers and other.kept.out == keeper.kept.out
     assert other.kept.learned == keeper.kept.learned and other.kept.at == keeper.kept.at
     with pytest.raises(ValueError, match="later version"):
-        keeper.take(["what", *when])
+        keeper.apply(["what", *when])
 
 
 # The door
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -19,14 +19,14 @@
     def __init__(self):
         self.sums = {}
 
-    def clear(self):
+    def reset(self):
         self.sums = {}
 
-    def take(self, record):
+    def apply(self, record):
         name, n = record
         self.sums[name] = self.sums.get(name, 0) + n
 
-    def records(self):
+    def compacted_records(self):
         return sorted(self.sums.items())
 
 
--- a/tests/test_stored_and_wire_forms.py
+++ b/tests/test_stored_and_wire_forms.py
@@ -153,7 +153,7 @@
     kept = program.JOURNALS[name]()
     made = program.open_journal(directory, name, samples.JOURNAL_OWNERS[name], kept)
     program.close_journal(made)
-    return (directory / name).read_bytes(), kept.records()
+    return (directory / name).read_bytes(), program.compacted_records(kept)
 
 
 def frame_contents(raw):
