--- a/mastledge/lab/schedule.py
+++ b/mastledge/lab/schedule.py
@@ -39,7 +39,7 @@
     def start(self):
         kept = PersistedState()
         for record in self.disk:
-            kept.take(deepcopy(record))
+            kept.apply(deepcopy(record))
         self.lives += 1
         self.failed, self.up = False, True
         fresh = (f"{self.name}.{self.lives}.{self.fleet.draw(1 << 30)}", f"f{self.fleet.draw(1 << 30)}")
@@ -117,8 +117,8 @@
         if any(record[0] == "snapshot" for record in records):
             kept = PersistedState()
             for record in self.disk:
-                kept.take(deepcopy(record))
-            self.disk = kept.records()
+                kept.apply(deepcopy(record))
+            self.disk = kept.compacted_records()
         self.step(member, inputs.Persisted(token))
 
 
