--- a/mastledge/consensus/bootstrap.py
+++ b/mastledge/consensus/bootstrap.py
@@ -1,202 +1,207 @@
-"""What a member does until it takes part: it asks the others, is taken in, or begins a fleet.
-
-Lives and the word at the start are this project's; docs/consensus.md.
-"""
-
-from mastledge.consensus import messages as m
-from mastledge.consensus import outputs
-from mastledge.consensus.log import Log
-from mastledge.consensus.state_machine import StateMachine, genesis
-from mastledge.consensus.timing import ASKED_AT_ONCE, ASKING, ASKS, EMPTY, FOLLOWER, FRESH, LEADER, PART
-
-
-class Startup:
-    """The part of `Member` that begins, and begins anew."""
-
-    def why(self):
-        """Why there is no lease, in a few words; "" where one is held."""
-        if self.stopped:
-            return self.stopped
-        if self.phase == EMPTY or not self.fleet:
-            empty = [name for name, (_, seen) in self.seen.items() if seen.empty]
-            missing = sorted(set(self.listed) - set(self.seen) - {self.name})
-            if any(not told.empty for told in self.told.values()):
-                known = any(told.member for told in self.told.values() if not told.empty)
-                return "asks to be taken in again" if known else f"{self.name} is no member of the fleet"
-            if not self.form:
-                return (
-                    f"no fleet: {len(empty) + 1} of {len(self.listed)} folders are empty, and form is not set"
-                )
-            return (
-                "a fleet is to be formed: nothing is heard of " + ", ".join(missing) if missing else "forming"
-            )
-        if self.phase == ASKING:
-            return "asks the others what they know of this one"
-        if self.rules and self.name not in self.members():
-            return f"{self.name} is no member of the fleet"
-        return "" if self.now < self.lease_until else "no lease: no majority is heard"
-
-    def on_discover_request(self, now, sender, life, ask):
-        if ask.fleet and self.fleet and ask.fleet != self.fleet:
+"""What a member does until it takes part: it is taken in, or begins a fleet. See docs/consensus.md."""
+
+from mastledge.consensus.configuration import MemberConfiguration
+from mastledge.consensus.core import Core
+from mastledge.consensus.discovery import Discovery
+from mastledge.consensus.elections import Elections
+from mastledge.consensus.messages import BootstrapCluster, DiscoverRequest, DiscoverResponse
+from mastledge.consensus.observed_state import ObservedState
+from mastledge.consensus.roles import Phase
+from mastledge.consensus.state_machine import initial_state
+
+DISCOVERY_INTERVAL_US = 100_000  # between two times that a member asks the others at its start
+
+
+class Bootstrap:
+    """Owns the phase of the member: whether it takes part in a fleet yet."""
+
+    def __init__(
+        self,
+        core: Core,
+        configuration: MemberConfiguration,
+        discovery: Discovery,
+        elections: Elections,
+        observed: ObservedState,
+    ):
+        """Begin by asking the others, whatever the disk holds."""
+        self.core, self.configuration = core, configuration
+        self.discovery, self.elections, self.observed = discovery, elections, observed
+        self.phase = Phase.ASKING
+        self.ask_at = core.clock.now
+
+    # What others ask
+
+    def on_discover_request(self, sender: str, incarnation: str, request: DiscoverRequest) -> None:
+        """Tell another member what is known of it; who is to hear of the fleet is helped to."""
+        state, roles = self.core.state, self.core.roles
+        if request.fleet and state.fleet and request.fleet != state.fleet:
             return
-        self.seen[sender], self.lives[sender] = (now, ask), life
-        known = self.heard.get(sender)
-        heard = known[1:] if known and known[0] == life else (0, 0, 0)
-        # Who is empty here as well knows nothing of members but what its file says.
-        there = sender in (self.members() if self.rules else self.listed)
-        self.send(
-            sender, m.DiscoverResponse(self.fleet, not self.fleet, self.form, self.digest, there, *heard)
+        self.discovery.record_contact(sender, incarnation, request)
+        # A member without a fleet knows nothing of members but what its configuration says.
+        is_member = sender in (state.members() if state.state_machine else self.discovery.configured)
+        self._answer(sender, incarnation, is_member)
+        if roles.leadership is not None and is_member:
+            if state.knows(sender, incarnation):
+                roles.leadership.adopt(sender)
+            else:
+                roles.leadership.admit(sender, incarnation)
+        elif request.empty and self._missed_bootstrap(sender, incarnation):
+            self._send_bootstrap(sender)
+
+    def _answer(self, name: str, incarnation: str, is_member: bool) -> None:
+        state, observed = self.core.state, self.observed.of(name, incarnation)
+        response = DiscoverResponse(
+            fleet=state.fleet,
+            empty=not state.fleet,
+            may_bootstrap=self.discovery.may_bootstrap,
+            members_digest=self.discovery.digest,
+            is_member=is_member,
+            observed_term=observed.term,
+            observed_last_term=observed.last_term,
+            observed_last_index=observed.last_index,
+        )
+        self.core.outbox.send(name, response)
+
+    def _missed_bootstrap(self, name: str, incarnation: str) -> bool:
+        """Tell whether a member was there when the fleet began and has not been told, as far as is known."""
+        state = self.core.state
+        is_new = (
+            bool(state.fleet) and state.state_machine is not None and state.state_machine.applied_index <= 1
         )
-        if self.role == LEADER and there and not self.knows(sender, life):
-            self.admit(sender, life)
-        elif self.role == LEADER and there:
-            self.adopt(now, sender)
-        elif (
-            self.fleet
-            and self.rules
-            and self.rules.applied <= 1
-            and ask.empty
-            and self.knows(sender, life)
-            and not self.leader
-        ):
-            # It was there when the fleet began and has not been told.
-            self.send(sender, m.BootstrapCluster(self.fleet, self.rules.snapshot()), safe=True)
-
-    def admit(self, name, life):
-        """A member comes as a new life; what the former one has promised is not expected of it."""
-        if self.settled():
-            self.take(f"life {name} {life} {self.log.last}", {"kind": "life", "name": name, "life": life})
-
-    def on_discover_response(self, now, sender, life, told):
-        if self.fleet and told.fleet and told.fleet != self.fleet:
+        return is_new and state.knows(name, incarnation) and not self.core.roles.leader
+
+    def _send_bootstrap(self, name: str) -> None:
+        state = self.core.state
+        message = BootstrapCluster(state.fleet, state.state_machine.snapshot())
+        self.core.persistence.send_when_persisted(name, message)
+
+    # What others tell
+
+    def on_discover_response(self, sender: str, incarnation: str, response: DiscoverResponse) -> None:
+        """Take part once a majority has told what it knows of this incarnation."""
+        state = self.core.state
+        if state.fleet and response.fleet and response.fleet != state.fleet:
             return
-        self.told[sender], self.lives[sender], self.seen[sender] = told, life, (now, told)
-        if self.phase != ASKING or not self.fleet or told.empty:
+        self.discovery.responses[sender] = response
+        self.discovery.record_contact(sender, incarnation, response)
+        if self.phase != Phase.ASKING or not state.fleet or response.empty:
             return
-        if (told.heard_term, 0, 0) > (self.term, 0, 0) or (
-            (told.heard_last_term, told.heard_last) > (self.log.last_term, self.log.last)
-        ):
-            # It has said what its folder does not know of, so the folder is an old one; another life
-            # remembers nothing.
-            self.event(
-                "data_directory_stale",
-                heard_term=told.heard_term,
-                heard_last=told.heard_last,
-                term=self.term,
-                last=self.log.last,
-                heard_by=sender,
+        if self._knows_more(response):
+            self._begin_incarnation(sender, response)
+        elif self._has_majority():
+            self.phase = Phase.PART
+            self.core.outbox.log_event(
+                "joined", life=state.incarnation, term=state.term, last=state.log.last_index
             )
-            fleet = self.fleet
-            self.forget_all(self.fresh[0])
-            self.held, self.told, self.seen, self.phase = [], {}, {}, EMPTY
-            self.event("new_incarnation", life=self.life, fleet=fleet)
-            return
-        others = [name for name, one in self.told.items() if name in self.voters() and not one.empty]
-        count = len(set(others) | ({self.name} if self.is_voter() else set()))
-        if count > len(self.voters()) // 2:
-            self.phase = PART
-            self.event("joined", life=self.life, term=self.term, last=self.log.last)
-
-    def on_bootstrap_cluster(self, now, sender, life, form):
-        one = form.state["members"].get(self.name)
-        if not self.fleet and one and one["life"] == self.life:
-            self.begin(form.fleet, form.state)
-
-    def begin(self, fleet, state):
-        self.fleet, self.rules, self.log = fleet, StateMachine(state, 1), Log(1, 1)
-        self.base_state, self.ends = self.rules.snapshot(), None
-        self.term, self.commit, self.phase = 1, 1, PART
-        self.records += [("identity", fleet, self.life), ("hard", 1, ""), ("snapshot", 1, 1, self.base_state)]
-        self.event("formed", fleet=fleet, members=len(state["members"]))
-        self.draw_election(self.now)
-
-    def on_restore(self, now, restore):
-        """An operator's word that a majority is lost: this one alone begins another fleet, with this state.
-
-        Those of before are of another fleet from here on, and none of their words counts.
-        """
-        if self.role != FOLLOWER:
-            self.follow(self.term, None)
-        self.forget_all(restore.incarnation)
-        self.held, self.told, self.seen, self.lives, self.heard, self.waiting = [], {}, {}, {}, {}, []
-        self.leader, self.votes, self.ballots, self.stopped = None, None, {}, ""
-        self.lease_until = self.in_force = self.left_until = self.given = 0
-        self.forget_relays()
-        self.begin(restore.fleet, restore.state)
-        self.elect_at = now + self.beat
-
-    def on_abandon(self, now, abandon):
-        """An operator's word that its fleet is no more: it comes to the next one as an empty folder does."""
-        if self.role != FOLLOWER:
-            self.follow(self.term, None)
-        self.event("abandoned", fleet=self.fleet, life=self.life)
-        self.forget_all(abandon.incarnation)
-        self.held, self.told, self.seen, self.lives, self.heard, self.waiting = [], {}, {}, {}, {}, []
-        self.leader, self.votes, self.ballots, self.stopped = None, None, {}, ""
-        self.lease_until = self.in_force = self.left_until = 0
-        self.forget_relays()
-        self.records, self.pending, self.phase, self.form = [], {}, EMPTY, False
-        self.token += 1
-        self.out.append(outputs.Rewrite(self.token, []))
-
-    def there(self, now):
-        """Members that have said something within a second and have not lost their folders."""
-        return {name for name, (at, empty) in self.words.items() if now - at < FRESH and not empty}
-
-    def ask(self, now):
-        ask = m.DiscoverRequest(
-            self.fleet, not self.fleet, self.form, self.digest, self.term, self.log.last_term, self.log.last
+
+    def _knows_more(self, response: DiscoverResponse) -> bool:
+        """Tell whether this incarnation has promised what its disk does not know: the disk is an old one."""
+        log = self.core.state.log
+        observed = response.observed_last_term, response.observed_last_index
+        return response.observed_term > self.core.state.term or observed > (log.last_term, log.last_index)
+
+    def _begin_incarnation(self, sender: str, response: DiscoverResponse) -> None:
+        """Come as a new incarnation, which has promised nothing."""
+        state, outbox = self.core.state, self.core.outbox
+        outbox.log_event(
+            "data_directory_stale",
+            heard_term=response.observed_term,
+            heard_last=response.observed_last_index,
+            term=state.term,
+            last=state.log.last_index,
+            heard_by=sender,
         )
-        for name in self.to_be_asked():
-            self.send(name, ask)
-
-    def to_be_asked(self):
-        """The voters, the first name, which forms a fleet, and some of the others in turn.
-
-        All of them at each time would be as many messages as the square of the members.
-        """
-        first = {*self.voters(), *([min(self.listed)] if self.listed else [])} - {self.name}
-        others = sorted({*self.listed} - first - {self.name})
-        if len(others) > ASKED_AT_ONCE:
-            self.asked = (self.asked + ASKED_AT_ONCE) % len(others)
-            others = [*others[self.asked :], *others[: self.asked]][:ASKED_AT_ONCE]
-        return sorted({*first, *others})
-
-    asked = 0
-
-    def begin_anew(self, now):
-        if self.fleet and self.phase == ASKING and self.voters() == [self.name] and self.is_voter():
-            self.phase = PART  # nobody else can know better
-            self.draw_election(now)
-            return
-        if not self.fleet and self.phase == ASKING:
-            self.phase = EMPTY
+        fleet = state.fleet
+        state.reset(self.configuration.new_incarnation)
+        self.core.persistence.forget_log()
+        self.discovery.forget()
+        self.phase = Phase.EMPTY
+        outbox.log_event("new_incarnation", life=state.incarnation, fleet=fleet)
+
+    def _has_majority(self) -> bool:
+        state, responses = self.core.state, self.discovery.responses
+        voters = state.voters()
+        heard = {name for name, response in responses.items() if name in voters and not response.empty}
+        if state.is_voter():
+            heard.add(state.name)
+        return len(heard) > len(voters) // 2
+
+    # A fleet begins, or takes this member in
+
+    def on_bootstrap_cluster(self, sender: str, incarnation: str, message: BootstrapCluster) -> None:
+        """Another member has begun the fleet, with this incarnation in it."""
+        state = self.core.state
+        me = message.state["members"].get(state.name)
+        if not state.fleet and me and me["life"] == state.incarnation:
+            self.begin_fleet(message.fleet, message.state)
+
+    def begin_fleet(self, fleet: str, first_state: dict) -> None:
+        """Take part in a new fleet from its first state on."""
+        self.core.state.bootstrap(fleet, first_state)
+        self.phase = Phase.PART
+        self.core.outbox.log_event("formed", fleet=fleet, members=len(first_state["members"]))
+        self.elections.restart_timeout()
+
+    def join_fleet_of(self, sender: str) -> bool:
+        """Take part in the fleet that a leader has sent a snapshot of, where its name is known."""
+        state = self.core.state
+        fleet = self.discovery.fleet_told_by(sender)
+        if not fleet:
+            return False
+        state.join(fleet)
+        self.phase = Phase.PART
+        self.core.outbox.log_event("admitted", fleet=fleet, life=state.incarnation)
+        return True
+
+    def abandon(self) -> None:
+        """Wait for a fleet that others begin."""
+        self.phase = Phase.EMPTY
+        self.discovery.forbid_bootstrap()
+
+    def run(self) -> None:
+        """Go on towards taking part."""
+        state, now = self.core.state, self.core.clock.now
+        if self.phase == Phase.ASKING and state.fleet:
+            if state.voters() == [state.name] and state.is_voter():
+                self.phase = Phase.PART  # nobody else can know better
+                self.elections.restart_timeout()
+                return
+        elif self.phase == Phase.ASKING:
+            self.phase = Phase.EMPTY
         if now >= self.ask_at:
-            self.ask_at = now + ASKS
-            self.ask(now)
-        if self.phase != EMPTY or self.fleet or not self.form or self.name not in self.listed:
+            self.ask_at = now + DISCOVERY_INTERVAL_US
+            self.discovery.ask_members()
+        if self.phase == Phase.EMPTY and not state.fleet:
+            self._begin_if_all_are_ready()
+
+    def _begin_if_all_are_ready(self) -> None:
+        """Begin a fleet, where all members are there without one; the first name does so for all."""
+        state, configured = self.core.state, self.discovery.configured
+        if not self.discovery.may_bootstrap or state.name not in configured or state.name != min(configured):
             return
-        others = [self.seen.get(name) for name in self.listed if name != self.name]
-        if all(
-            one and now - one[0] < FRESH and one[1].empty and one[1].form and one[1].digest == self.digest
-            for one in others
-        ):
-            if self.name == min(self.listed):
-                lives = {
-                    name: (address, self.life if name == self.name else self.lives[name])
-                    for name, address in self.listed.items()
-                }
-                state = genesis(self.settings, self.first_lease, lives)
-                self.begin(self.fresh[1], state)
-                self.elect_at = now + self.beat
-                for name in self.listed:
-                    if name != self.name:
-                        self.send(name, m.BootstrapCluster(self.fleet, self.rules.snapshot()), safe=True)
-
-    def told_fleet(self, sender):
-        told = self.told.get(sender)
-        return (
-            told.fleet
-            if told and told.fleet
-            else next((one.fleet for one in self.told.values() if one.fleet), "")
-        )
+        others = self.discovery.ready_members()
+        if others is None:
+            return
+        own = {state.name: (configured[state.name], state.incarnation)}
+        members = {name: (own | others)[name] for name in configured}
+        first_state = initial_state(self.configuration.settings, self.configuration.lease_us, members)
+        self.begin_fleet(self.configuration.new_fleet, first_state)
+        self.elections.campaign_soon()
+        for name in others:
+            self._send_bootstrap(name)
+
+    def waiting_reason(self) -> str:
+        """Give why a member without a fleet has none, in a few words."""
+        state, configured = self.core.state, self.discovery.configured
+        fleets = [response for response in self.discovery.responses.values() if not response.empty]
+        if fleets:
+            is_known = any(response.is_member for response in fleets)
+            return "asks to be taken in again" if is_known else f"{state.name} is no member of the fleet"
+        contacts = self.discovery.contacts
+        if not self.discovery.may_bootstrap:
+            empty = sum(contact.message.empty for contact in contacts.values())
+            return f"no fleet: {empty + 1} of {len(configured)} folders are empty, and form is not set"
+        missing = sorted(set(configured) - set(contacts) - {state.name})
+        if missing:
+            return "a fleet is to be formed: nothing is heard of " + ", ".join(missing)
+        return "forming"
--- a/mastledge/consensus/elections.py
+++ b/mastledge/consensus/elections.py
@@ -1,119 +1,132 @@
-"""Terms, votes, and the vote before the vote: Ongaro (2014), 3.4 and 9.6."""
+"""Election timeouts, votes and pre-votes: Ongaro (2014), 3.4 and 9.6."""
 
-from mastledge.consensus import messages as m
-from mastledge.consensus.leases import Leases
-from mastledge.consensus.relays import ADOPTED_LEASES
-from mastledge.consensus.timing import CANDIDATE, FEW, FOLLOWER, LEADER, MANY
+from collections.abc import Callable
 
+from mastledge.consensus.clock import RandomDraws
+from mastledge.consensus.core import Core
+from mastledge.consensus.messages import TimeoutNow, VoteRequest, VoteResponse
+from mastledge.consensus.observed_state import Observation, ObservedState
+from mastledge.consensus.role_state import Candidacy
+from mastledge.consensus.timing import MAX_ELECTION_TIMEOUT, MIN_ELECTION_TIMEOUT
 
-class ElectionRole:
-    """The part of `Member` that elects a leader."""
+VOTE = 1
 
-    def on_leave(self, now, leave):
-        """This process ends: the voter that has most of the log leads next, and nobody waits for a word in
-        vain.
-        """
-        ready = (
-            [name for name in self.voters() if name != self.name and self.match.get(name, 0) == self.log.last]
-            if self.role == LEADER
-            else []
-        )
-        if ready:
-            self.send(max(ready, key=lambda name: (self.echo.get(name, 0), name)), m.TimeoutNow(self.term))
-
-    def on_timeout_now(self, now, sender, life, lead):
-        if lead.term == self.term and sender == self.leader and self.is_voter() and not self.broken:
-            self.campaign(now, False)
-
-    def raise_term(self, term):
-        if term > self.term:
-            self.follow(term, None)
-
-    def follow(self, term, leader):
-        if term > self.term:
-            self.term, self.vote = term, ""
-            self.records.append(("hard", term, ""))
-        if self.role == LEADER:
-            self.event("lost_leadership", term=self.term)
-            self.leases = self.next = self.match = self.echo = self.beat_at = None
-            self.waiting = []
-        if leader is not None and leader != self.leader:
-            self.again_at = self.now if self.mine else None
-        self.role, self.leader, self.ballots = FOLLOWER, leader, {}
-
-    def up_to_date(self, message):
-        return (message.last_term, message.last) >= (self.log.last_term, self.log.last)
-
-    def remember(self, sender, life, term, last_term=0, last=0):
-        """What it has said and its disk must know; the highest of each."""
-        known = self.heard.get(sender)
-        _, t, lt, li = known if known and known[0] == life else (life, 0, 0, 0)
-        lt, li = max((lt, li), (last_term, last))
-        self.heard[sender] = (life, max(t, term), lt, li)
-
-    def on_vote_request(self, now, sender, life, poll):
-        heard = self.leader is not None and now < self.heard_at + (FEW - 1) * self.beat
-        if poll.pre:
-            yes = poll.term > self.term and self.up_to_date(poll) and not heard and self.role != LEADER
-            self.send(sender, m.VoteResponse(poll.term if yes else self.term, yes, True))
+
+class Elections:
+    """When this member campaigns, and whom it votes for."""
+
+    def __init__(
+        self, core: Core, draws: RandomDraws, observed: ObservedState, begin_leadership: Callable[[], None]
+    ):
+        """Begin with a first timeout; `begin_leadership` is called when an election is won."""
+        self.core, self.draws, self.observed, self.begin_leadership = core, draws, observed, begin_leadership
+        self.timeout_at = 0
+        self.restart_timeout()
+
+    def restart_timeout(self) -> None:
+        """Draw anew how long this member waits for a leader."""
+        spread = MAX_ELECTION_TIMEOUT - MIN_ELECTION_TIMEOUT
+        heartbeats = MIN_ELECTION_TIMEOUT + spread * self.draws.next()
+        self.timeout_at = self.core.clock.now + int(heartbeats * self.core.state.heartbeat_us)
+
+    def campaign_soon(self) -> None:
+        """Wait for one heartbeat only: nobody else can lead yet."""
+        self.timeout_at = self.core.clock.now + self.core.state.heartbeat_us
+
+    # As a voter
+
+    def on_vote_request(self, sender: str, incarnation: str, request: VoteRequest) -> None:
+        """Vote for a candidate whose log has all that may be committed."""
+        if request.pre_vote:
+            self._answer_pre_vote(sender, request)
             return
-        self.raise_term(poll.term)
-        self.remember(sender, life, poll.term)
-        yes = (
-            poll.term == self.term and self.vote in ("", sender) and self.up_to_date(poll) and not self.broken
+        state = self.core.state
+        self.core.roles.raise_term(request.term)
+        self.observed.record(sender, Observation(incarnation, request.term, 0, 0))
+        granted = (
+            request.term == state.term
+            and state.voted_for in ("", sender)
+            and self._is_up_to_date(request)
+            and not self.core.persistence.failed
         )
-        if yes and not self.vote:
-            self.vote = sender
-            self.records.append(("hard", self.term, sender))
-            self.draw_election(now)
-        self.send(sender, m.VoteResponse(self.term, yes, False), safe=yes)
-
-    def on_vote_response(self, now, sender, life, ballot):
-        if not ballot.yes:
-            self.raise_term(ballot.term)
-            return
-        if not ballot.pre:
-            self.remember(sender, life, ballot.term)
-        # A life that forgot what it had voted must not be counted as the one that remembers.
-        if self.role == CANDIDATE and self.knows(sender, life):
-            if ballot.pre == self.pre and ballot.term == self.term + self.pre:
-                self.ballots[sender] = 1
-
-    def draw_election(self, now):
-        wait = FEW + (MANY - FEW) * self.chance()
-        self.elect_at = now + int(wait * self.beat)
-
-    def campaign(self, now, pre):
-        self.role, self.leader, self.pre, self.ballots = CANDIDATE, None, pre, {}
-        if not pre:
-            self.term, self.vote = self.term + 1, self.name
-            self.records.append(("hard", self.term, self.name))
-            self.vote_token = self.token + 1
-        poll = m.VoteRequest(self.term + pre, self.log.last_term, self.log.last, pre)
-        for name in self.voters():
-            if name != self.name:
-                self.send(name, poll, safe=not pre)
-        self.count(now)
-
-    def count(self, now):
-        if self.pre or self.synced >= self.vote_token:
-            self.ballots[self.name] = 1
-        if self.majority_of(self.ballots) == 1:
-            if self.pre:
-                self.campaign(now, False)
+        if granted and not state.voted_for:
+            state.set_hard_state(state.term, sender)
+            self.restart_timeout()
+        response = VoteResponse(state.term, granted, pre_vote=False)
+        if granted:
+            self.core.persistence.send_when_persisted(sender, response)
+        else:
+            self.core.outbox.send(sender, response)
+
+    def _answer_pre_vote(self, sender: str, request: VoteRequest) -> None:
+        state, roles = self.core.state, self.core.roles
+        granted = (
+            request.term > state.term
+            and self._is_up_to_date(request)
+            and not self._has_leader()
+            and roles.leadership is None
+        )
+        term = request.term if granted else state.term
+        self.core.outbox.send(sender, VoteResponse(term, granted, pre_vote=True))
+
+    def _has_leader(self) -> bool:
+        """Tell whether a leader was heard within the shortest election timeout, less a heartbeat."""
+        roles, span = self.core.roles, (MIN_ELECTION_TIMEOUT - 1) * self.core.state.heartbeat_us
+        return roles.leader is not None and self.core.clock.now < roles.contact.heard_at + span
+
+    def _is_up_to_date(self, request: VoteRequest) -> bool:
+        log = self.core.state.log
+        return (request.last_term, request.last_index) >= (log.last_term, log.last_index)
+
+    # As a candidate
+
+    def on_timeout_now(self, sender: str, incarnation: str, request: TimeoutNow) -> None:
+        """The leader hands its leadership to this member."""
+        state = self.core.state
+        is_leader = request.term == state.term and sender == self.core.roles.leader
+        if is_leader and state.is_voter() and not self.core.persistence.failed:
+            self.campaign(pre_vote=False)
+
+    def campaign(self, pre_vote: bool) -> None:
+        """Ask the voters for their votes, or whether they would vote."""
+        state, persistence = self.core.state, self.core.persistence
+        self.core.roles.become_candidate(Candidacy(pre_vote, persistence.token + 1))
+        if not pre_vote:
+            state.set_hard_state(state.term + 1, state.name)
+        term = state.term + 1 if pre_vote else state.term
+        request = VoteRequest(term, state.log.last_term, state.log.last_index, pre_vote)
+        for name in state.voters():
+            if name == state.name:
+                continue
+            if pre_vote:
+                self.core.outbox.send(name, request)
             else:
-                self.win(now)
-
-    def win(self, now):
-        self.role, self.leader = LEADER, self.name
-        self.leases = Leases(self.lease, now)
-        self.next, self.match, self.echo, self.beat_at, self.newest, self.resent = {}, {}, {}, {}, {}, {}
-        self.won_at, self.processes, self.led_fan_out = now, {}, self.fan_out
-        # Who heard from here as a follower goes on doing so until it has found another relay.
-        self.adopted = {name: now + ADOPTED_LEASES * self.lease for name in self.children}
-        self.children, self.parent = {}, None
-        self.event("became_leader", term=self.term, last=self.log.last)
-        self.extend(m.Entry(self.term, "", {"kind": "noop"}))
-        self.began = self.log.last
-        for id, change in self.mine.items():
-            self.take(id, change)
+                persistence.send_when_persisted(name, request)
+        self.count_votes()
+
+    def on_vote_response(self, sender: str, incarnation: str, response: VoteResponse) -> None:
+        """Count a vote of the campaign that runs."""
+        if not response.granted:
+            self.core.roles.raise_term(response.term)
+            return
+        if not response.pre_vote:
+            self.observed.record(sender, Observation(incarnation, response.term, 0, 0))
+        candidacy, state = self.core.roles.candidacy, self.core.state
+        # An incarnation that forgot what it had voted must not count as the one that remembers.
+        if candidacy is None or not state.knows(sender, incarnation):
+            return
+        asked_term = state.term + 1 if candidacy.pre_vote else state.term
+        if response.pre_vote == candidacy.pre_vote and response.term == asked_term:
+            candidacy.votes[sender] = VOTE
+
+    def count_votes(self) -> None:
+        """Go on with the campaign, or lead, once a majority is for it."""
+        candidacy, state = self.core.roles.candidacy, self.core.state
+        if candidacy.pre_vote or self.core.persistence.persisted_token >= candidacy.write_token:
+            candidacy.votes[state.name] = VOTE
+        if state.majority_of(candidacy.votes) != VOTE:
+            return
+        if candidacy.pre_vote:
+            self.campaign(pre_vote=False)
+        else:
+            self.begin_leadership()
--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -1,245 +1,313 @@
-"""What a leader does: it takes changes, tells the others of them, and knows what is in force."""
+"""What a leader does: it takes changes, replicates them, and knows what is committed and in force."""
 
-from mastledge.consensus import messages as m
-from mastledge.consensus import outputs
-from mastledge.consensus.leases import shortest
-from mastledge.consensus.state_machine import GONE, MEMBERSHIP, sound, wanted_voters
-from mastledge.consensus.timing import BEATS, LEADER, MANY, NEWS, SLOW_BEATS, WAITING
+from dataclasses import dataclass
 
+from mastledge.consensus.applier import Applier
+from mastledge.consensus.changes import (
+    MEMBERSHIP_KINDS,
+    ChangeKind,
+    grant_vote,
+    is_valid,
+    new_incarnation,
+    noop,
+)
+from mastledge.consensus.core import Core
+from mastledge.consensus.direct_members import DirectMembers
+from mastledge.consensus.elections import Elections
+from mastledge.consensus.heartbeats import HeartbeatContents, Heartbeats
+from mastledge.consensus.in_force import InForceTracker
+from mastledge.consensus.lease_holder import LeaseHolder
+from mastledge.consensus.leases import GrantedLeases
+from mastledge.consensus.membership import MAX_DEPARTED, wanted_voters
+from mastledge.consensus.messages import AppendResponse, Entry, WorkerRestrictions
+from mastledge.consensus.observed_state import Observation, ObservedState
+from mastledge.consensus.relay_children import RelayChildren
+from mastledge.consensus.relay_choice import RelayChoice
+from mastledge.consensus.replication_progress import ReplicationProgress
+from mastledge.consensus.restriction_sharing import RestrictionSharing
+from mastledge.consensus.timing import LEARNER_HEARTBEATS_PER_LEASE, LOST_AFTER_HEARTBEATS, SOON_US
 
-class LeaderRole:
-    """The part of `Member` that leads."""
+MAX_WAITING_CHANGES = 64  # of the members, which wait for the one before
+MAX_LOGGED_KIND = 40  # characters of a change that cannot be read
 
-    def news_of(self, now, name):
-        """The news of workers that go with the next word to a member."""
-        if self.fan_out:
-            return self.lists.news_for(name)
-        return list(self.newest.values()) if now < self.news_until else []
 
-    def take(self, id, change):
-        """A leader takes a change, once. Changes of the members wait for the one before."""
-        if not sound(change):
-            self.event("invalid_change", id=id, kind=str(change.get("kind"))[:40])
-            return
-        if any(entry.id == id for entry in self.log.behind(self.rules.applied, len(self.log.entries))):
+@dataclass(frozen=True, slots=True)
+class LeaderParts:
+    """The parts of a member that a leadership works with."""
+
+    applier: Applier
+    children: RelayChildren
+    choice: RelayChoice
+    elections: Elections
+    lease: LeaseHolder
+    observed: ObservedState
+    sharing: RestrictionSharing
+
+
+class Leadership:
+    """The state of a leader; there is one only while a member leads."""
+
+    direct_members_type = DirectMembers
+    in_force_type = InForceTracker
+
+    def __init__(self, core: Core, parts: LeaderParts):
+        """Begin in the term that was won, without knowing anything of the others."""
+        self.core, self.parts = core, parts
+        state, self.won_at = core.state, core.clock.now
+        self.leases = GrantedLeases(state.lease_us, self.won_at)
+        self.progress = ReplicationProgress(state)
+        contents = HeartbeatContents(self.leases, parts.lease, parts.observed, parts.sharing)
+        self.heartbeats = Heartbeats(core, self.progress, contents)
+        self.latest_restrictions = contents.latest_restrictions
+        self.direct_members = self.direct_members_type(core, self.leases, parts.choice.tree)
+        self.in_force = self.in_force_type(core, self.leases, parts.children)
+        self.echoed_at: dict[str, int] = {}  # the latest own time that each member has sent back
+        self.process_ids: dict[str, int] = {}  # of each member; 0 for a version that knows no relays
+        self.waiting_changes: list[tuple[str, dict]] = []  # of the members
+        self.last_fan_out = state.fan_out
+        self.first_index = 0  # of this term
+
+    def begin(self, proposals: dict[str, dict]) -> None:
+        """Begin the term with an entry of its own, and with the changes that this member has proposed."""
+        state = self.core.state
+        # Who heard from here as a follower goes on doing so until it has found another relay.
+        for name in self.parts.children.release():
+            self.direct_members.adopt(name)
+        self.parts.choice.leave()
+        self.core.outbox.log_event("became_leader", term=state.term, last=state.log.last_index)
+        self._append(Entry(state.term, "", noop()))
+        self.first_index = state.log.last_index
+        for id, change in proposals.items():
+            self.take(id, change)
+
+    # Changes
+
+    def take(self, id: str, change: dict) -> None:
+        """Append a change to the log, once. Changes of the members wait for the one before."""
+        if not is_valid(change):
+            kind = str(change.get("kind"))[:MAX_LOGGED_KIND]
+            self.core.outbox.log_event("invalid_change", id=id, kind=kind)
             return
-        if id in self.rules.results:
+        if self._is_known(id):
             return
-        if change["kind"] == "relays" and (older := self.without_relays()):
-            self.event("relays_refused", members=older)
+        kind = change["kind"]
+        if kind == ChangeKind.FAN_OUT and (older := self.members_without_relays()):
+            self.core.outbox.log_event("relays_refused", members=older)
             return
-        if change["kind"] in MEMBERSHIP and not (self.settled() and self.remembers(change)):
-            if len(self.waiting) < WAITING and all(waits != id for waits, _ in self.waiting):
-                self.waiting.append((id, change))
+        if kind in MEMBERSHIP_KINDS and not (self.is_settled() and self._may_depart(change)):
+            self._wait(id, change)
             return
-        self.extend(m.Entry(self.term, id, change))
-
-    def extend(self, entry):
-        index = self.log.append(entry)
-        self.records.append(("entry", index, entry))
-        if entry.change["kind"] in MEMBERSHIP:
-            self.ends = None
-        self.hurry()
-
-    def hurry(self):
-        """Nobody waits for the next beat."""
-        if self.beat_at is not None:
-            self.beat_at = dict.fromkeys(self.beat_at, 0)
-
-    def without_relays(self):
-        """Members of a version that knows no relays, or that have said nothing to this leader yet."""
-        return sorted(name for name in self.members() if name != self.name and not self.processes.get(name))
-
-    def settled(self):
-        """No change of the members is under way, and this leader has had an entry agreed (4.1, and its
-        erratum).
+        self._append(Entry(self.core.state.term, id, change))
+
+    def _is_known(self, id: str) -> bool:
+        state = self.core.state
+        uncommitted = state.log.all_after(state.state_machine.applied_index)
+        return any(entry.id == id for entry in uncommitted) or id in state.state_machine.results
+
+    def _wait(self, id: str, change: dict) -> None:
+        is_waiting = any(waiting_id == id for waiting_id, _ in self.waiting_changes)
+        if len(self.waiting_changes) < MAX_WAITING_CHANGES and not is_waiting:
+            self.waiting_changes.append((id, change))
+
+    def _append(self, entry: Entry) -> None:
+        self.core.state.append(entry)
+        self.progress.hurry()
+
+    def is_settled(self) -> bool:
+        """Tell whether the members may change: an entry of this term is committed, and no change under way.
+
+        Ongaro (2014), 4.1, and the erratum to it.
         """
-        entries = self.log.behind(self.commit, len(self.log.entries))
-        return self.commit >= self.began and not any(entry.change["kind"] in MEMBERSHIP for entry in entries)
+        state = self.core.state
+        uncommitted = state.log.all_after(state.commit_index)
+        is_changing = any(entry.change["kind"] in MEMBERSHIP_KINDS for entry in uncommitted)
+        return self._knows_all_committed() and not is_changing
 
-    def remembers(self, change):
-        """Whether one more may leave: so many are kept, and the first may act until its lease is over."""
-        gone = self.gone()
-        return change["kind"] != "remove" or len(gone) < GONE or self.leases.left(gone[0]["name"], self.now)
+    def _may_depart(self, change: dict) -> bool:
+        """Tell whether one more may leave: so many are remembered, until the first one's lease is over."""
+        if change["kind"] != ChangeKind.REMOVE_MEMBER:
+            return True
+        departed = self.core.state.departed()
+        if len(departed) < MAX_DEPARTED:
+            return True
+        return self.leases.has_expired(departed[0]["name"], self.core.clock.now)
 
-    def on_append_response(self, now, sender, life, ack):
-        if ack.term > self.term:
-            self.raise_term(ack.term)
-            return
-        if self.role != LEADER:
-            self.child_acked(now, sender, life, ack)
-            return
-        if ack.term < self.term and not self.fan_out:
+    def members_without_relays(self) -> list[str]:
+        """Give the members of a version without relays, or that have said nothing to this leader yet."""
+        state = self.core.state
+        return sorted(
+            name for name in state.members() if name != state.name and not self.process_ids.get(name)
+        )
+
+    def admit(self, name: str, incarnation: str) -> None:
+        """Have a member count in a new incarnation; what the former one promised is not expected of it."""
+        if self.is_settled():
+            id = f"life {name} {incarnation} {self.core.state.log.last_index}"
+            self.take(id, new_incarnation(name, incarnation))
+
+    def adopt(self, name: str) -> None:
+        """Speak to a follower that has no relay, or none that its version could hear."""
+        if self.core.state.fan_out:
+            self.direct_members.adopt(name)
+            self.progress.schedule(name, 0)
+
+    # What members tell
+
+    def on_append_response(self, sender: str, incarnation: str, response: AppendResponse) -> None:
+        """Take over what a member has on disk and applied, and its clock."""
+        state, now = self.core.state, self.core.clock.now
+        is_of_term = response.term == state.term
+        if not is_of_term and not state.fan_out:
             return
-        if not self.knows(sender, life):
-            if sender in self.members():
-                # Its name is known in another life; what this one says counts for nothing until it is taken
-                # in.
-                self.admit(sender, life)
+        if not state.knows(sender, incarnation):
+            if sender in state.members():
+                # Known in another incarnation; what this one says does not count until it is taken in.
+                self.admit(sender, incarnation)
                 return
-            if not any(one["name"] == sender for one in self.gone()):
+            if all(departed["name"] != sender for departed in state.departed()):
                 return
-        if not ack.process:
-            self.adopt(now, sender)  # an older version hears from nobody else
-        elif sender not in self.leases.holders and self.is_below(sender):
-            self.adopt(now, sender)
-        if ack.term < self.term:
-            return
-        self.lists.reported(sender, ack.lists)
-        self.processes[sender] = ack.process
-        self.echo[sender] = max(self.echo.get(sender, 0), ack.stamp)
-        if not ack.yes:
-            self.next[sender] = min(ack.hint, self.next.get(sender, 1) - 1, self.log.last) + 1
-            self.next[sender] = max(1, self.next[sender])
-            self.leases.heard(sender, now, ack.clock, ack.applied, ack.process)
-            if ack.stamp and self.resent.get(sender) != ack.stamp:
-                self.resent[sender] = ack.stamp
-                self.beat_at[sender] = 0
+        if not response.process_id or (sender not in self.leases.holders and state.is_learner(sender)):
+            self.adopt(sender)  # an older version hears from nobody else
+        if not is_of_term:
             return
-        self.remember(sender, life, 0, ack.safe_term, ack.safe)
-        if ack.safe > self.match.get(sender, 0) and self.log.term(ack.safe) == ack.safe_term:
-            self.match[sender] = ack.safe
-        self.next[sender] = max(self.next.get(sender, 1), self.match.get(sender, 0) + 1)
-        self.leases.heard(sender, now, ack.clock, ack.applied, ack.process)
-
-    def on_propose(self, now, sender, life, propose):
-        if self.role == LEADER:
-            self.take(propose.id, propose.change)
-
-    def on_worker_restrictions(self, now, sender, life, news):
-        if self.fan_out:
-            self.hear_news(news)
+        self._record_response(sender, incarnation, response)
+        applied, process_id = response.applied_index, response.process_id
+        self.leases.record_report(sender, now, response.clock, applied, process_id)
+
+    def _record_response(self, sender: str, incarnation: str, response: AppendResponse) -> None:
+        self.parts.sharing.lists.record_report(sender, response.list_generations)
+        self.process_ids[sender] = response.process_id
+        self.echoed_at[sender] = max(self.echoed_at.get(sender, 0), response.sent_at)
+        if not response.success:
+            self.progress.on_refusal(sender, response)
             return
-        if self.role == LEADER:
-            last = self.newest.get(news.registry)
-            if last is None or news.generation >= last.generation:
-                # What an older list kept out is told again by the newer one, as far as it still holds.
-                self.newest[news.registry], self.news_until = news, now + NEWS
-                self.out.append(outputs.RestrictionsReceived(news))
-                self.hurry()
-        elif self.leader is not None:
-            self.send(self.leader, news)
-
-    def lead(self, now):
-        self.match[self.name], self.echo[self.name] = self.safe, now
-        majority = self.majority_of(self.echo)
-        if majority < now - 2 * MANY * self.beat and now > self.won_at + 2 * MANY * self.beat:
+        position = response.persisted_term, response.persisted_index
+        self.parts.observed.record(sender, Observation(incarnation, 0, *position))
+        self.progress.on_success(sender, response)
+
+    def on_restrictions(self, restrictions: WorkerRestrictions) -> None:
+        """Without relays: tell all members what one of them tells."""
+        if self.latest_restrictions.record(restrictions, self.core.clock.now):
+            self.core.outbox.deliver_restrictions(restrictions)
+            self.progress.hurry()
+
+    # What follows
+
+    def run(self) -> None:
+        """Commit, count what is in force, and speak to who is due; or lead no longer."""
+        state, roles = self.core.state, self.core.roles
+        self.progress.on_persisted(state.name, self.core.persistence.persisted_index)
+        self.echoed_at[state.name] = self.core.clock.now
+        majority_heard_at = state.majority_of(self.echoed_at)
+        if self._has_lost_majority(majority_heard_at):
             # A majority may have another leader by now, and whoever calls here had better know.
-            self.follow(self.term, None)
-            self.draw_election(now)
+            roles.step_down()
+            self.parts.elections.restart_timeout()
             return
-        commit = self.majority_of(self.match)
-        if commit > self.commit and self.log.term(commit) == self.term:
-            self.agree(commit)
-            self.hurry()
-        if self.stopped:
-            self.follow(self.term, None)
+        self._commit()
+        if self.parts.applier.halt_reason:
+            roles.step_down()
             return
-        if self.name not in self.members() and self.commit >= self.log.last:
-            self.event("left", term=self.term)
-            self.hurry()
-            self.beats(now, majority, now)
-            self.follow(self.term, None)
+        if state.name not in state.members() and state.commit_index >= state.log.last_index:
+            self.core.outbox.log_event("left", term=state.term)
+            self.progress.hurry()
+            self._send_heartbeats(majority_heard_at)
+            roles.step_down()
             return
-        if self.fan_out != self.led_fan_out:
-            # Relays begin, and until they do their part the leader goes on speaking to each.
-            self.led_fan_out = self.fan_out
-            for name in self.members():
-                self.adopt(now, name)
-        # Until an entry of its own term is agreed it does not know all that was agreed before.
-        if majority > 0 and self.listens() and self.commit >= self.began:
-            self.lease_until = max(self.lease_until, majority + shortest(self.lease))
-        self.enforce(now)
-        if self.waiting and self.settled():
-            self.take(*self.waiting.pop(0))
-        self.promote(now)
-        self.beats(now, majority, now)
-
-    def enforce(self, now):
-        if self.fan_out:
-            reached, over = self.enforce_tree(now)
+        self._follow_fan_out()
+        self._hold_lease(majority_heard_at)
+        self.update_in_force()
+        if self.waiting_changes and self.is_settled():
+            self.take(*self.waiting_changes.pop(0))
+        self.promote_learner()
+        self._send_heartbeats(majority_heard_at)
+
+    def _has_lost_majority(self, majority_heard_at: int) -> bool:
+        now, span = self.core.clock.now, LOST_AFTER_HEARTBEATS * self.core.state.heartbeat_us
+        return majority_heard_at < now - span and now > self.won_at + span
+
+    def _commit(self) -> None:
+        """Commit what a majority has on disk, if it is of this term (Ongaro 2014, 3.6.2)."""
+        state = self.core.state
+        index = state.majority_of(self.progress.match_index)
+        if index > state.commit_index and state.log.term_at(index) == state.term:
+            self.parts.applier.advance_to(index)
+            self.progress.hurry()
+
+    def _follow_fan_out(self) -> None:
+        """Once relays begin, go on speaking to each member until they do their part."""
+        state = self.core.state
+        if state.fan_out != self.last_fan_out:
+            self.last_fan_out = state.fan_out
+            for name in state.members():
+                self.adopt(name)
+
+    def _hold_lease(self, majority_heard_at: int) -> None:
+        """Hold a lease, once it is known what is committed."""
+        state = self.core.state
+        if majority_heard_at > 0 and state.is_admitted() and self._knows_all_committed():
+            self.parts.lease.extend(majority_heard_at, state.lease_us)
+
+    def _knows_all_committed(self) -> bool:
+        """Tell whether an entry of this term is committed, and so all that was before it."""
+        return self.core.state.commit_index >= self.first_index
+
+    def update_in_force(self) -> None:
+        """Count up to which entry the state is in force."""
+        lease, fan_out = self.parts.lease, self.core.state.fan_out
+        if fan_out:
+            reached, by = self.in_force.of_holders(lease.in_force_index)
         else:
-            reached, over = self.enforce_each(now)
-        self.left_until = over
-        if reached > self.in_force:
-            self.in_force = reached
-            if not self.fan_out:
-                self.hurry()  # relays hear it with the next beat: nobody acts on it
-
-    def enforce_each(self, now):
-        """(up to which entry all is in force, when the rest is at the latest)"""
-        reached, over = min(self.commit, self.cover()), now
-        for name in {*self.rules.members, *self.members(), *(one["name"] for one in self.gone())}:
-            if name != self.name:
-                at = self.leases.reached(name, now)
-                reached = reached if at is None else min(reached, at)
-                if at is not None and at < self.commit:
-                    over = max(over, self.leases.over(name, self.commit))
-        return reached, over
-
-    def promote(self, now):
-        members, voters = self.members(), self.voters()
-        if len(voters) >= wanted_voters(len(members)) or not self.settled():
+            reached, by = self.in_force.of_all_members()
+        if reached > lease.in_force_index and not fan_out:
+            self.progress.hurry()  # relays hear it with the next heartbeat: nobody acts on it
+        lease.record_in_force(reached, by)
+
+    def promote_learner(self) -> None:
+        """Give a vote to a member that has caught up, while voters are missing."""
+        state = self.core.state
+        members = state.members()
+        if len(state.voters()) >= wanted_voters(len(members)) or not self.is_settled():
             return
-        for name, one in sorted(members.items()):
-            # It has caught up, and its disk holds what it says.
-            if (
-                not one["votes"]
-                and one["life"]
-                and self.match.get(name, 0) >= self.began
-                and name != self.name
-            ):
-                if now - self.echo.get(name, 0) < 2 * SLOW_BEATS * self.beat:
-                    change = {"kind": "vote", "name": name, "life": one["life"]}
-                    self.take(f"vote {name} {one['life']} {self.term}.{self.log.last}", change)
-                    return
-
-    def beats(self, now, majority, at):
-        members = self.members()
-        heard = {
-            name: known for name, known in self.heard.items() if name in members and members[name]["votes"]
-        }
-        names = self.direct(now) if self.fan_out else {*members, *(one["name"] for one in self.gone())}
-        for name in self.beat_at.keys() - names:
-            del self.beat_at[name]  # nobody wakes for it
-        for name in sorted(names - {self.name}):
-            if self.beat_at.get(name, 0) > at:
-                continue
-            voter = name in members and members[name]["votes"]
-            self.beat_at[name] = now + self.beat * (1 if voter else BEATS // SLOW_BEATS)
-            if name not in members and self.leases.left(name, now):
-                continue
-            following = self.next.get(name, self.log.last + 1 if voter else self.commit + 1)
-            if following <= self.log.base:
-                self.send(
-                    name,
-                    m.InstallSnapshot(self.term, self.log.base, self.log.base_term, self.base_state, now),
-                )
-                self.next[name] = self.log.base + 1
-                continue
-            entries = self.log.behind(following - 1)
-            grant = 0
-            if name in self.rules.members and self.commit >= self.began:
-                # Only what the receiver has, or gets with this, may make its lease good.
-                grant = self.leases.grant(name, majority, self.commit)
-            self.send(
-                name,
-                m.AppendEntries(
-                    self.term,
-                    following - 1,
-                    self.log.term(following - 1) or 0,
-                    entries,
-                    self.commit,
-                    now,
-                    grant,
-                    self.in_force,
-                    max(0, self.left_until - now),
-                    heard if voter else {},
-                    self.news_of(now, name),
-                    "",
-                    self.lists.generations() if self.fan_out else {},
-                ),
-            )
-            self.next[name] = following + len(entries)
-            if self.next[name] <= self.log.last:
-                self.beat_at[name] = now + 1_000
+        for name, member in sorted(members.items()):
+            if name != state.name and self._may_vote(name, member):
+                incarnation = member["life"]
+                id = f"vote {name} {incarnation} {state.term}.{state.log.last_index}"
+                self.take(id, grant_vote(name, incarnation))
+                return
+
+    def _may_vote(self, name: str, member: dict) -> bool:
+        """Tell whether a learner has caught up, on its disk, and answers."""
+        if member["votes"] or not member["life"]:
+            return False
+        if self.progress.match_index.get(name, 0) < self.first_index:
+            return False
+        span = 2 * LEARNER_HEARTBEATS_PER_LEASE * self.core.state.heartbeat_us
+        return self.core.clock.now - self.echoed_at.get(name, 0) < span
+
+    def _send_heartbeats(self, majority_heard_at: int) -> None:
+        state = self.core.state
+        if state.fan_out:
+            names = self.direct_members.names()
+        else:
+            names = {*state.members(), *(departed["name"] for departed in state.departed())}
+        self.heartbeats.send_due(names, majority_heard_at if self._knows_all_committed() else None)
+
+    def successor(self) -> str | None:
+        """Give the voter that is to lead next: it has all of the log, and was heard last."""
+        state, match_index = self.core.state, self.progress.match_index
+        ready = [
+            name
+            for name in state.voters()
+            if name != state.name and match_index.get(name, 0) == state.log.last_index
+        ]
+        return max(ready, key=lambda name: (self.echoed_at.get(name, 0), name), default=None)
+
+    def wake_at(self) -> int:
+        """Give when the leader has something to do."""
+        now, lease = self.core.clock.now, self.parts.lease
+        times = [*self.progress.heartbeat_at.values(), now + self.core.state.heartbeat_us]
+        if lease.in_force_index < self.core.state.commit_index:
+            times.append(lease.in_force_by)
+        # What is due already has been looked at in this very step.
+        return max(now + SOON_US, min(times))
--- a/mastledge/consensus/log.py
+++ b/mastledge/consensus/log.py
@@ -1,44 +1,62 @@
-"""The log of one member: entries numbered from 1, of which the oldest may be gone into a snapshot."""
+"""The log of one member: entries numbered from 1, of which the oldest may be replaced by a snapshot."""
+
+from collections.abc import Iterable
+
+from mastledge.consensus.messages import Entry
+
+MAX_ENTRIES_AT_ONCE = 64  # a long log must not become one frame
 
 
 class Log:
-    __slots__ = ("base", "base_term", "entries")
+    """Entries after `base_index`, the last one that the snapshot stands for."""
 
-    def __init__(self, base=0, base_term=0, entries=()):
-        self.base, self.base_term, self.entries = base, base_term, list(entries)
+    __slots__ = ("base_index", "base_term", "entries")
+
+    def __init__(self, base_index: int = 0, base_term: int = 0, entries: Iterable[Entry] = ()):
+        """Begin after a snapshot, or empty."""
+        self.base_index, self.base_term, self.entries = base_index, base_term, list(entries)
 
     @property
-    def last(self):
-        return self.base + len(self.entries)
+    def last_index(self) -> int:
+        """The index of the last entry, or of the snapshot."""
+        return self.base_index + len(self.entries)
 
     @property
-    def last_term(self):
+    def last_term(self) -> int:
+        """The term of the last entry, or of the snapshot."""
         return self.entries[-1].term if self.entries else self.base_term
 
-    def term(self, index):
-        """The term of an entry; None where it is not here, neither whole nor as the snapshot's last."""
-        if index == self.base:
+    def term_at(self, index: int) -> int | None:
+        """Give the term of an entry; None where it is neither here nor the snapshot's last one."""
+        if index == self.base_index:
             return self.base_term
-        return self.entries[index - self.base - 1].term if self.base < index <= self.last else None
+        held = self.base_index < index <= self.last_index
+        return self.entries[index - self.base_index - 1].term if held else None
+
+    def entry_at(self, index: int) -> Entry:
+        """Give an entry that is held here."""
+        return self.entries[index - self.base_index - 1]
 
-    def entry(self, index):
-        return self.entries[index - self.base - 1]
+    def entries_after(self, index: int, limit: int = MAX_ENTRIES_AT_ONCE) -> list[Entry]:
+        """Give the entries after an index, `limit` of them at the most."""
+        first = index - self.base_index
+        return self.entries[first : first + limit]
 
-    def behind(self, index, most=64):
-        """Entries after `index`, some at a time: a long log must not become one frame."""
-        at = index - self.base
-        return self.entries[at : at + most]
+    def all_after(self, index: int) -> list[Entry]:
+        """Give all entries after an index."""
+        return self.entries_after(index, len(self.entries))
 
-    def append(self, entry):
+    def append(self, entry: Entry) -> int:
+        """Add an entry and give its index."""
         self.entries.append(entry)
-        return self.last
+        return self.last_index
 
-    def cut(self, index):
-        """Drops all from `index` on."""
-        del self.entries[index - self.base - 1 :]
+    def truncate_from(self, index: int) -> None:
+        """Drop the entries from `index` on."""
+        del self.entries[index - self.base_index - 1 :]
 
-    def compact(self, index):
-        """Drops all up to `index`, which a snapshot holds."""
-        term = self.term(index)
-        del self.entries[: index - self.base]
-        self.base, self.base_term = index, term
+    def compact(self, index: int) -> None:
+        """Drop the entries up to `index`, for which a snapshot stands."""
+        term = self.term_at(index)
+        del self.entries[: index - self.base_index]
+        self.base_index, self.base_term = index, term
--- a/mastledge/consensus/member.py
+++ b/mastledge/consensus/member.py
@@ -1,340 +1,398 @@
-"""One member's part in the agreement: a pure step from state and input to what is to be sent, saved and told.
+"""One member of a fleet: a pure step from its state and an input to outputs, without I/O or a clock.
 
-Ongaro, "Consensus: Bridging Theory and Practice" (2014): terms, votes and a log (3.4 to 3.6), the vote
-before the vote (9.6), members one at a time (4.1), snapshots (5.1). Leases, lives and the word at the start
-are this project's;
-docs/consensus.md.
+Raft as in Ongaro, "Consensus: Bridging Theory and Practice" (2014): terms, votes and a log (3.4 to 3.6), the
+pre-vote (9.6), members one at a time (4.1), snapshots (5.1). Leases, relays and what happens at a start are
+this project's; docs/consensus.md.
 """
 
-from bisect import insort
-from copy import deepcopy
-from typing import ClassVar
-from zlib import crc32
-
-from mastledge.consensus import inputs, outputs
-from mastledge.consensus import messages as m
-from mastledge.consensus.bootstrap import Startup
-from mastledge.consensus.elections import ElectionRole
-from mastledge.consensus.follower import FollowerRole
-from mastledge.consensus.leader import LeaderRole
+from collections.abc import Callable
+
+from mastledge.consensus import inputs, messages
+from mastledge.consensus.acknowledgements import Acknowledgements
+from mastledge.consensus.applier import SNAPSHOT_INTERVAL, Applier
+from mastledge.consensus.bootstrap import Bootstrap
+from mastledge.consensus.clock import MemberClock, RandomDraws
+from mastledge.consensus.configuration import MemberConfiguration
+from mastledge.consensus.core import Core
+from mastledge.consensus.discovery import Discovery
+from mastledge.consensus.elections import Elections
+from mastledge.consensus.follower import Follower, FollowerParts
+from mastledge.consensus.leader import LeaderParts, Leadership
+from mastledge.consensus.lease_holder import LeaseHolder
 from mastledge.consensus.log import Log
-from mastledge.consensus.relays import Relaying
-from mastledge.consensus.state_machine import MEMBERSHIP, StateMachine, membership
-from mastledge.consensus.timing import (
-    AGAIN,
-    ASKING,
-    BEATS,
-    CANDIDATE,
-    COMPACT,
-    EMPTY,
-    FOLLOWER,
-    LEADER,
-    MANY,
-    MENDS,
-    PART,
-)
-from mastledge.consensus.worker_restrictions import ListExchange
-
-
-class Member(Startup, ElectionRole, FollowerRole, LeaderRole, Relaying):
-    """`step(now, input)` takes one of `inputs` and gives the `outputs` that follow from it, in their order;
-    `wake_at()` is when it must be called with `Tick` at the latest.
-
-    `kept`: what the disk held as {"fleet", "life", "term", "vote", "last", "last_term", "state", "entries"},
-    None for an empty folder. `fresh`: a name for a life and one for a fleet, both of chance, to be taken
-    where a new one
-    begins.
+from mastledge.consensus.observed_state import ObservedState
+from mastledge.consensus.outbox import Outbox, Persistence
+from mastledge.consensus.outputs import Output
+from mastledge.consensus.persisted_state import PersistedMember
+from mastledge.consensus.proposals import Proposals
+from mastledge.consensus.raft_state import RaftState
+from mastledge.consensus.relay_children import RelayChildren
+from mastledge.consensus.relay_choice import RelayChoice
+from mastledge.consensus.restriction_sharing import RestrictionSharing
+from mastledge.consensus.role_state import RoleState
+from mastledge.consensus.roles import Phase, Role
+from mastledge.consensus.state_machine import StateMachine
+from mastledge.consensus.timing import LOST_AFTER_HEARTBEATS
+
+Handler = Callable[..., None]
+
+
+class Member:
+    """Composes the parts, hands each input to the part that it is for, and runs what is due.
+
+    The classes of parts that a laboratory replaces are attributes of this one.
     """
 
-    def __init__(self, name, listed, form, settings, lease, kept, fresh, seed, now):
-        self.name, self.listed, self.form, self.settings, self.seed = name, listed, form, settings, seed
-        self.first_lease, self.fresh, self.draws, self.out = lease, fresh, 0, []
-        self.digest = crc32(repr(sorted(listed)).encode())
-        self.role, self.leader, self.votes, self.ballots, self.heard = FOLLOWER, None, None, {}, {}
-        self.told, self.seen, self.lives, self.mine, self.waiting, self.broken = {}, {}, {}, {}, [], False
-        self.records, self.held, self.token, self.synced, self.pending = [], [], 0, 0, {}
-        self.lease_until = self.in_force = self.left_until = self.given = 0
-        self.shown = None  # where another process acts on these rules as well: the entry that it has
-        self.stopped = ""  # why this member can't go on by what is agreed
-        self.leases = self.next = self.match = self.echo = self.beat_at = None
-        self.mend_at = self.again_at = None
-        self.ask_at, self.now, self.started, self.news_until = now, now, now, 0
-        # Times of another process of this name, which may run on the clock of before a restart, are none of
-        # its.
-        self.offset = crc32(fresh[0].encode()) << 16
-        self.process = crc32(fresh[0].encode()) or 1
-        self.lists = ListExchange()
-        self.children, self.passed = {}, None  # who hears from here, and the leases that came through here
-        self.granted = 0  # the latest time of one's own from which a lease was granted here
-        self.parent, self.told_by, self.joined_at, self.tried = None, None, now, 0
-        self.adopted, self.parent_mark, self.parent_at, self.parent_heard = {}, (0, 0), now, False
-        self.words = {}  # when each other one has said anything last, and whether that its folder is empty
-        self.forget_all(None)
-        if kept:
-            self.load(kept)
-        self.phase = ASKING
-        self.draw_election(now)
-
-    def forget_all(self, life):
-        self.fleet, self.life, self.term, self.vote = "", life or self.fresh[0], 0, ""
-        self.log, self.commit, self.safe, self.rules, self.ends = Log(), 0, 0, None, None
-
-    def load(self, kept):
-        self.fleet, self.life, self.term, self.vote = (kept[x] for x in ("fleet", "life", "term", "vote"))
-        self.log = Log(kept["last"], kept["last_term"], kept["entries"])
-        self.rules, self.base_state = StateMachine(kept["state"], kept["last"]), deepcopy(kept["state"])
-        self.commit, self.safe, self.ends = kept["last"], self.log.last, None
-
-    # What is known
-
-    def chance(self):
-        self.draws += 1
-        return crc32(b"%d %s %d" % (self.seed, self.name.encode(), self.draws)) / 4294967296.0
+    state_type = RaftState
+    leadership_type = Leadership
+    sharing_type = RestrictionSharing
+    children_type = RelayChildren
+    follower_type = Follower
+    snapshot_interval = SNAPSHOT_INTERVAL
+
+    def __init__(self, configuration: MemberConfiguration, persisted: PersistedMember | None, now: int):
+        """Begin with what the disk holds, None for an empty one; `now` is the own time in microseconds."""
+        self.configuration = configuration
+        incarnation = configuration.new_incarnation
+        self.clock = MemberClock(incarnation, now)
+        self.outbox = Outbox()
+        self.persistence = Persistence(self.outbox)
+        self.state = self.state_type(
+            configuration.name, configuration.lease_us, incarnation, self.persistence
+        )
+        self.proposals = Proposals()
+        self.roles = RoleState(self.clock, self.outbox, self.state, self.proposals)
+        self.core = Core(self.clock, self.outbox, self.persistence, self.state, self.roles)
+        if persisted is not None:
+            self.state.load(persisted)
+        self._compose_parts()
+        self.input_handlers = self._make_input_handlers()
+        self.message_handlers = self._make_message_handlers()
+
+    def _compose_parts(self) -> None:
+        core, draws = self.core, RandomDraws(self.configuration.seed, self.configuration.name)
+        self.lease, self.observed = LeaseHolder(), ObservedState()
+        self.sharing = self.sharing_type(self.state, self.outbox)
+        self.applier = Applier(self.state, self.outbox, self.proposals, self.snapshot_interval)
+        self.elections = Elections(core, draws, self.observed, self._begin_leadership)
+        self.discovery = Discovery(core, self.configuration)
+        self.bootstrap = Bootstrap(core, self.configuration, self.discovery, self.elections, self.observed)
+        self.relay_children = self.children_type(core, self.lease, self.sharing)
+        self.acknowledgements = Acknowledgements(core, self.relay_children, self.sharing)
+        ask_members = self.discovery.ask_members
+        self.relay_choice = RelayChoice(core, draws, self.acknowledgements, self.sharing, ask_members)
+        self.follower = self.follower_type(
+            core,
+            FollowerParts(
+                acknowledgements=self.acknowledgements,
+                applier=self.applier,
+                bootstrap=self.bootstrap,
+                children=self.relay_children,
+                choice=self.relay_choice,
+                elections=self.elections,
+                lease=self.lease,
+                observed=self.observed,
+                sharing=self.sharing,
+            ),
+        )
+
+    def _begin_leadership(self) -> None:
+        parts = LeaderParts(
+            applier=self.applier,
+            children=self.relay_children,
+            choice=self.relay_choice,
+            elections=self.elections,
+            lease=self.lease,
+            observed=self.observed,
+            sharing=self.sharing,
+        )
+        leadership = self.leadership_type(self.core, parts)
+        self.roles.become_leader(leadership)
+        leadership.begin(self.proposals.pending)
+
+    # One step
+
+    def step(self, now: int, input: inputs.Input) -> list[Output]:
+        """Take one input at a time of the own clock; give what follows, in its order."""
+        self.clock.now = now
+        self.input_handlers[type(input)](input)
+        self._run()
+        self.persistence.finish_step(self.state.log.last_index)
+        return self.outbox.take()
+
+    def _make_input_handlers(self) -> dict[type, Handler]:
+        return {
+            inputs.Tick: self._on_tick,
+            inputs.MessageReceived: self._on_message_received,
+            inputs.Persisted: self._on_persisted,
+            inputs.DiskFailed: self._on_disk_failed,
+            inputs.EndpointListUpdate: self._on_endpoint_list_update,
+            inputs.ShareRestrictions: self._on_share_restrictions,
+            inputs.Propose: self._on_proposal,
+            inputs.ForgetProposal: self._on_forget_proposal,
+            inputs.Restore: self._on_restore,
+            inputs.Abandon: self._on_abandon,
+            inputs.Leave: self._on_leave,
+        }
+
+    def _make_message_handlers(self) -> dict[type, Handler]:
+        return {
+            messages.DiscoverRequest: self.bootstrap.on_discover_request,
+            messages.DiscoverResponse: self.bootstrap.on_discover_response,
+            messages.BootstrapCluster: self.bootstrap.on_bootstrap_cluster,
+            messages.VoteRequest: self.elections.on_vote_request,
+            messages.VoteResponse: self.elections.on_vote_response,
+            messages.TimeoutNow: self.elections.on_timeout_now,
+            messages.AppendEntries: self.follower.on_append_entries,
+            messages.InstallSnapshot: self.follower.on_install_snapshot,
+            messages.AppendResponse: self._on_append_response,
+            messages.Propose: self._on_propose,
+            messages.WorkerRestrictions: self._on_worker_restrictions,
+        }
+
+    def _run(self) -> None:
+        """Do what is due."""
+        persistence, now = self.persistence, self.clock.now
+        if persistence.is_retry_due(now) and self.state.state_machine:
+            persistence.rewrite(self.state.all_records(), self.state.log.last_index)
+        for id, change in self.proposals.due(now):
+            self._hand_in(id, change)
+        if self.phase != Phase.PART:
+            self.bootstrap.run()
+            return
+        if self.roles.candidacy is not None:
+            self.elections.count_votes()
+        if self.roles.leadership is not None:
+            self.roles.leadership.run()
+        elif now >= self.elections.timeout_at:
+            self._on_election_timeout()
+        self.relay_choice.run()
+        if not self.fan_out and (self.relay_children.children or self.relay_choice.relay):
+            self._forget_relays()
+        self.relay_children.run()
+
+    def _on_election_timeout(self) -> None:
+        """Campaign, or look for the leader."""
+        self.elections.restart_timeout()
+        if self.state.is_voter() and not self.persistence.failed and not self.applier.halt_reason:
+            self.elections.campaign(pre_vote=True)
+            return
+        lost_at = self.roles.contact.heard_at + LOST_AFTER_HEARTBEATS * self.state.heartbeat_us
+        if not self.state.is_admitted() or not self.roles.leader or self.clock.now > lost_at:
+            # Taken out while it was away, or known in another incarnation: who leads has to be found.
+            self.discovery.ask_members()
+
+    def wake_at(self) -> int:
+        """Give when `Tick` has to be the input at the latest."""
+        takes_part = self.phase == Phase.PART
+        times = [self.elections.timeout_at if takes_part else self.bootstrap.ask_at]
+        if self.roles.leadership is not None:
+            times = [self.roles.leadership.wake_at()]
+        times += [at for at in (self.persistence.retry_at, self.proposals.retry_at) if at is not None]
+        if self.fan_out and takes_part and self.roles.is_follower():
+            times += self.relay_children.wake_times() + self.relay_choice.wake_times()
+        return min(times)
+
+    # Inputs
+
+    def _on_tick(self, tick: inputs.Tick) -> None:
+        """What is due is done after each input."""
+
+    def _on_message_received(self, received: inputs.MessageReceived) -> None:
+        sender, message = received.sender, received.message
+        if sender == self.configuration.name:
+            return
+        self.discovery.record_message(sender, message)
+        if self._takes(message):
+            self.message_handlers[type(message)](sender, received.incarnation, message)
+
+    def _takes(self, message: messages.AnyMessage) -> bool:
+        """Tell whether a message is heard in this phase."""
+        match message:
+            case messages.DiscoverRequest() | messages.DiscoverResponse() | messages.BootstrapCluster():
+                return True
+            case messages.AppendEntries() | messages.InstallSnapshot():
+                return self.phase in (Phase.PART, Phase.EMPTY)
+        return self.phase == Phase.PART
+
+    def _on_persisted(self, persisted: inputs.Persisted) -> None:
+        self.persistence.on_persisted(persisted.token, self.clock.now)
+        if self.phase == Phase.PART:
+            self.acknowledgements.send_persisted()
+
+    def _on_disk_failed(self, failed: inputs.DiskFailed) -> None:
+        """Say nothing that depends on the disk from now on; what is heard is still acted on."""
+        self.persistence.on_failed(self.clock.now)
+        self.roles.step_down_if_active()
+
+    def _on_endpoint_list_update(self, update: inputs.EndpointListUpdate) -> None:
+        self.sharing.lists.update_own(update.registry, update.kind, update.entries, update.generation)
+
+    def _on_share_restrictions(self, share: inputs.ShareRestrictions) -> None:
+        if not self.fan_out:
+            self._on_worker_restrictions(self.configuration.name, self.incarnation, share.restrictions)
+
+    def _on_proposal(self, proposal: inputs.Propose) -> None:
+        self.proposals.add(proposal.id, proposal.change)
+        self._hand_in(proposal.id, proposal.change)
+        self.proposals.await_result(self.clock.now)
+
+    def _hand_in(self, id: str, change: dict) -> None:
+        if self.roles.leadership is not None:
+            self.roles.leadership.take(id, change)
+        elif self.roles.leader is not None:
+            self.outbox.send(self.roles.leader, messages.Propose(id, change))
+
+    def _on_forget_proposal(self, forget: inputs.ForgetProposal) -> None:
+        self.proposals.forget(forget.id)
+
+    def _on_restore(self, restore: inputs.Restore) -> None:
+        """Begin another fleet alone; nothing that members of the former one say counts from here on."""
+        self.roles.step_down_if_active()
+        self._forget_fleet(restore.incarnation)
+        self.bootstrap.begin_fleet(restore.fleet, restore.state)
+        self.elections.campaign_soon()
+
+    def _on_abandon(self, abandon: inputs.Abandon) -> None:
+        """Come to the next fleet as a member with an empty disk does."""
+        self.roles.step_down_if_active()
+        self.outbox.log_event("abandoned", fleet=self.fleet, life=self.incarnation)
+        self._forget_fleet(abandon.incarnation)
+        self.bootstrap.abandon()
+        self.persistence.erase()
+
+    def _forget_fleet(self, incarnation: str) -> None:
+        self.state.reset(incarnation)
+        self.persistence.forget_log()
+        self.discovery.forget()
+        self.observed.clear()
+        self.roles.forget_leader()
+        self.applier.resume()
+        self.lease.clear()
+        self._forget_relays()
+
+    def _forget_relays(self) -> None:
+        """Hear and speak to no relay any more; what was granted goes on counting."""
+        self.relay_children.release()
+        self.relay_choice.forget()
+        self.roles.contact.forget_sender()
+
+    def _on_leave(self, leave: inputs.Leave) -> None:
+        """Have the voter that has all of the log lead, so that nobody waits for a timeout."""
+        successor = self.roles.leadership.successor() if self.roles.leadership is not None else None
+        if successor is not None:
+            self.outbox.send(successor, messages.TimeoutNow(self.state.term))
+
+    # Messages that are for one part or another, by the role
+
+    def _on_append_response(self, sender: str, incarnation: str, response: messages.AppendResponse) -> None:
+        if response.term > self.state.term:
+            self.roles.raise_term(response.term)
+        elif self.roles.leadership is not None:
+            self.roles.leadership.on_append_response(sender, incarnation, response)
+        else:
+            self.relay_children.on_response(sender, incarnation, response)
+
+    def _on_propose(self, sender: str, incarnation: str, propose: messages.Propose) -> None:
+        if self.roles.leadership is not None:
+            self.roles.leadership.take(propose.id, propose.change)
+
+    def _on_worker_restrictions(
+        self, sender: str, incarnation: str, restrictions: messages.WorkerRestrictions
+    ) -> None:
+        if self.fan_out:
+            self.sharing.deliver(restrictions)
+        elif self.roles.leadership is not None:
+            self.roles.leadership.on_restrictions(restrictions)
+        elif self.roles.leader is not None:
+            self.outbox.send(self.roles.leader, restrictions)
+
+    # What the host may know
 
     @property
-    def lease(self):
-        return self.rules.state["lease"] if self.rules else self.first_lease
+    def fleet(self) -> str:
+        """The fleet that this member belongs to, "" for none."""
+        return self.state.fleet
 
     @property
-    def beat(self):
-        return self.lease // BEATS
-
-    def members(self):
-        """As the last entry here has them, agreed or not: from there on they count (4.1)."""
-        if self.ends is None:
-            self.ends = self.rules.members if self.rules else {}
-            if self.rules:
-                for entry in self.log.behind(self.rules.applied, len(self.log.entries)):
-                    if entry.change["kind"] in MEMBERSHIP and entry.id not in self.rules.results:
-                        after, _ = membership(self.ends, entry.change)
-                        self.ends = self.ends if after is None else after
-        return self.ends
-
-    def voters(self):
-        return [name for name, one in self.members().items() if one["votes"]]
-
-    def is_voter(self):
-        me = self.members().get(self.name)
-        return me is not None and me["votes"] and me["life"] == self.life
-
-    def majority_of(self, figures):
-        """The highest figure that a majority of the voters has reached; what is missing counts as -1."""
-        reached = []
-        for name in self.voters():
-            insort(reached, figures.get(name, -1))
-        return reached[(len(reached) - 1) // 2] if reached else -1
-
-    def knows(self, sender, life):
-        one = self.members().get(sender)
-        return one is not None and one["life"] == life
-
-    def may_act(self, now):
-        """Whether what this member has applied may be acted on."""
-        return now < self.lease_until and not self.stopped
-
-    def address(self, name):
-        one = self.members().get(name) or next((o for o in self.gone() if o["name"] == name), None)
-        # One that was there from the start stands in each file, maybe under other addresses: who was added
-        # does not.
-        if name in self.listed and (one is None or one.get("listed")):
-            return self.listed[name]
-        return one["address"] if one else None
-
-    def gone(self):
-        return self.rules.state["gone"] if self.rules else []
+    def incarnation(self) -> str:
+        """The name of this incarnation of the member."""
+        return self.state.incarnation
 
-    # One step
+    @property
+    def phase(self) -> Phase:
+        """Whether it takes part in its fleet yet."""
+        return self.bootstrap.phase
 
-    def step(self, now, input: inputs.Input) -> list[outputs.Output]:
-        self.now = now
-        self.input_handlers[type(input)](self, now, input)
-        self.run(now)
-        if self.records and not self.broken:
-            self.token += 1
-            self.pending[self.token] = self.log.last
-            self.out.append(outputs.Persist(self.token, self.records))
-        self.dirty = self.broken and (self.dirty or bool(self.records))
-        self.records = []
-        for to, message in self.held_now:
-            if not self.broken:
-                self.held.append((self.token, to, message))
-        self.held_now = []
-        self.release()
-        out, self.out = self.out, []
-        return out
-
-    held_now = ()
-
-    def send(self, to, message, safe=False):
-        """`safe`: it depends on what is not on the disk yet, and is sent once it is."""
-        if safe:
-            self.held_now = [*self.held_now, (to, message)]
-        else:
-            self.out.append(outputs.Send(to, message))
-
-    def release(self):
-        while self.held and self.held[0][0] <= self.synced:
-            _, to, message = self.held.pop(0)
-            self.out.append(outputs.Send(to, message))
-
-    def event(self, name, **fields):
-        self.out.append(outputs.LogEvent(name, fields))
-
-    def on_tick(self, now, tick):
-        pass
-
-    def on_persisted(self, now, persisted):
-        token = persisted.token
-        if token > self.synced:
-            self.synced = token
-            last = [index for t, index in self.pending.items() if t <= token]
-            self.pending = {t: index for t, index in self.pending.items() if t > token}
-            if last:
-                self.safe = max(self.safe, last[-1])
-        if self.broken and token >= self.token:
-            if self.dirty:
-                # What came while all was written anew is not on the disk yet.
-                self.mend_at = now
-            else:
-                self.broken, self.mend_at = False, None
-                self.event("disk_recovered")
-        if self.phase == PART and self.role == FOLLOWER and self.leader and self.acked < self.safe:
-            self.ack(self.told_by or self.leader, True, self.last_stamp)
-
-    def on_disk_failed(self, now, failed):
-        """Nothing that depends on the disk is said from now on; what is heard is still acted on."""
-        if not self.broken:
-            self.event("disk_failed")
-        self.broken, self.dirty, self.held, self.pending = True, True, [], {}
-        self.mend_at = now + MENDS
-        if self.role != FOLLOWER:
-            self.follow(self.term, None)
-
-    def all_records(self):
-        return [
-            ("identity", self.fleet, self.life),
-            ("hard", self.term, self.vote),
-            ("snapshot", self.log.base, self.log.base_term, self.base_state),
-            *(("entry", self.log.base + n, entry) for n, entry in enumerate(self.log.entries, 1)),
-        ]
-
-    def on_proposal(self, now, proposal):
-        self.mine[proposal.id] = proposal.change
-        self.hand_in(proposal.id, proposal.change)
-        self.again_at = self.again_at or now + AGAIN
-
-    def on_forget_proposal(self, now, forget):
-        self.mine.pop(forget.id, None)
-
-    def on_share_restrictions(self, now, share):
-        """News of workers that this one's own registry has told."""
-        if not self.fan_out:
-            self.on_worker_restrictions(now, self.name, self.life, share.restrictions)
+    @property
+    def role(self) -> Role:
+        """Raft's role."""
+        return self.roles.role
 
-    def on_endpoint_list_update(self, now, update):
-        """This one's own registry has told a list or a change: entries as (worker, state)."""
-        self.lists.own(update.registry, update.kind, update.entries, update.generation)
+    @property
+    def leader(self) -> str | None:
+        """Who leads, as far as is known."""
+        return self.roles.leader
 
-    def hand_in(self, id, change):
-        if self.role == LEADER:
-            self.take(id, change)
-        elif self.leader is not None:
-            self.send(self.leader, m.Propose(id, change))
+    @property
+    def leadership(self) -> Leadership | None:
+        """The state of a leader, while this member leads."""
+        return self.roles.leadership
 
-    # Messages
+    @property
+    def term(self) -> int:
+        """Raft's term."""
+        return self.state.term
 
-    def on_message_received(self, now, received):
-        sender, life, message = received.sender, received.incarnation, received.message
-        if sender == self.name:
-            return
-        call = self.message_handlers[type(message)]
-        self.words[sender] = (
-            now,
-            isinstance(message, m.DiscoverRequest | m.DiscoverResponse) and message.empty,
-        )
-        if isinstance(message, m.DiscoverRequest | m.DiscoverResponse | m.BootstrapCluster):
-            call(self, now, sender, life, message)
-        elif (
-            self.phase == PART
-            or isinstance(message, m.AppendEntries | m.InstallSnapshot)
-            and self.phase == EMPTY
-        ):
-            call(self, now, sender, life, message)
-
-    base_state, compact = None, COMPACT
-
-    # What follows from it
-
-    heard_at = last_stamp = acked = began = 0
-    pre, vote_token, dirty = False, 0, False
-
-    def run(self, now):
-        if self.mend_at is not None and now >= self.mend_at:
-            self.mend_at = now + MENDS
-            if self.rules:
-                self.token += 1
-                self.pending = {self.token: self.log.last}
-                self.out.append(outputs.Rewrite(self.token, self.all_records()))
-                self.records, self.dirty = [], False
-        if self.again_at is not None and now >= self.again_at:
-            self.again_at = now + AGAIN if self.mine else None
-            for id, change in list(self.mine.items()):
-                self.hand_in(id, change)
-        if self.phase != PART:
-            self.begin_anew(now)
-            return
-        if self.role == CANDIDATE:
-            self.count(now)
-        if self.role == LEADER:
-            self.lead(now)
-        elif now >= self.elect_at:
-            self.draw_election(now)
-            if self.is_voter() and not self.broken and not self.stopped:
-                self.campaign(now, True)
-            elif not self.listens() or not self.leader or now > self.heard_at + 2 * MANY * self.beat:
-                # Taken out while it was away, or known by another life: who leads has to be found.
-                self.ask(now)
-        self.look_for_relay(now)
-        self.relay(now)
-
-    newest = resent = won_at = None
-
-    input_handlers: ClassVar = {
-        inputs.Tick: on_tick,
-        inputs.MessageReceived: on_message_received,
-        inputs.Persisted: on_persisted,
-        inputs.DiskFailed: on_disk_failed,
-        inputs.EndpointListUpdate: on_endpoint_list_update,
-        inputs.ShareRestrictions: on_share_restrictions,
-        inputs.Propose: on_proposal,
-        inputs.ForgetProposal: on_forget_proposal,
-        inputs.Restore: Startup.on_restore,
-        inputs.Abandon: Startup.on_abandon,
-        inputs.Leave: ElectionRole.on_leave,
-    }
-    message_handlers: ClassVar = {
-        m.DiscoverRequest: Startup.on_discover_request,
-        m.DiscoverResponse: Startup.on_discover_response,
-        m.BootstrapCluster: Startup.on_bootstrap_cluster,
-        m.VoteRequest: ElectionRole.on_vote_request,
-        m.VoteResponse: ElectionRole.on_vote_response,
-        m.TimeoutNow: ElectionRole.on_timeout_now,
-        m.AppendEntries: lambda member, *fields: member.on_append_entries(*fields),
-        m.InstallSnapshot: FollowerRole.on_install_snapshot,
-        m.AppendResponse: LeaderRole.on_append_response,
-        m.Propose: LeaderRole.on_propose,
-        m.WorkerRestrictions: LeaderRole.on_worker_restrictions,
-    }
-
-    def wake_at(self):
-        """When `Tick` has to be the input at the latest."""
-        times = [self.ask_at if self.phase != PART else self.elect_at]
-        if self.role == LEADER:
-            times = [*self.beat_at.values(), self.now + self.beat]
-            if self.in_force < self.commit:
-                times.append(self.left_until)
-            # What is due already has been looked at in this very step.
-            times = [max(self.now + 1_000, min(times))]
-        times += [at for at in (self.mend_at, self.again_at) if at is not None]
-        times += self.relay_wakes_at()
-        return min(times)
+    @property
+    def log(self) -> Log:
+        """Raft's log."""
+        return self.state.log
+
+    @property
+    def commit_index(self) -> int:
+        """The last entry that is committed, as far as is known; it is applied."""
+        return self.state.commit_index
+
+    @property
+    def state_machine(self) -> StateMachine | None:
+        """The committed state; None where there is no fleet."""
+        return self.state.state_machine
+
+    @property
+    def lease_us(self) -> int:
+        """The span of a lease."""
+        return self.state.lease_us
+
+    @property
+    def fan_out(self) -> int:
+        """How many members hear from one relay; 0: all from the leader."""
+        return self.state.fan_out
+
+    def may_act(self, now: int) -> bool:
+        """Tell whether what this member has applied may be acted on."""
+        return now < self.lease.lease_until and not self.applier.halt_reason
+
+    def address_of(self, name: str) -> str | None:
+        """Give the address of a member, or of one that left; None where it is not known."""
+        member = self.state.members().get(name)
+        if member is None:
+            member = next((departed for departed in self.state.departed() if departed["name"] == name), None)
+        # One that was there from the start stands in each configuration, maybe under other addresses.
+        configured = self.configuration.members.get(name)
+        if configured is not None and (member is None or member.get("listed")):
+            return configured
+        return member["address"] if member else None
+
+    def no_lease_reason(self) -> str:
+        """Give why there is no lease, in a few words; "" where one is held."""
+        name = self.configuration.name
+        if self.applier.halt_reason:
+            return self.applier.halt_reason
+        if self.phase == Phase.EMPTY or not self.fleet:
+            return self.bootstrap.waiting_reason()
+        if self.phase == Phase.ASKING:
+            return "asks the others what they know of this one"
+        if self.state_machine and name not in self.state.members():
+            return f"{name} is no member of the fleet"
+        return "" if self.clock.now < self.lease.lease_until else "no lease: no majority is heard"
--- a/mastledge/consensus/messages.py
+++ b/mastledge/consensus/messages.py
@@ -1,16 +1,17 @@
-"""What dispatchers tell one another about agreement. Times are whole microseconds of the clock of who wrote
-them.
+"""Messages between members. Times are whole microseconds of the clock of the member that wrote them.
 
-Fields are only ever added at the end, with a value that stands in: an older version leaves them unread.
+A message is a list on the wire: its tag, then its fields in the order below, so that names of fields are
+free and their order is not. A field is only ever added at the end, with a default, as older versions neither
+send nor read it.
 """
 
 import msgspec
 
-VERSION = 1  # of the messages; another one is not spoken to
+VERSION = 1  # of the messages; no other one is spoken to
 
 
 class Entry(msgspec.Struct, array_like=True):
-    """One change on its way: the term it was taken in, the name its caller gave it, what changes."""
+    """One entry of the log: the term that it was appended in, the id of its proposal, the change."""
 
     term: int
     id: str
@@ -18,125 +19,134 @@
 
 
 class Message(msgspec.Struct, array_like=True):
-    """A message between dispatchers. The `tag` of each subclass is its name on the wire and stays."""
+    """A message between members. The `tag` of each subclass is its name on the wire and stays."""
 
 
 class DiscoverRequest(Message, tag="Ask"):
-    """At the start: who is there, and what do you know of me? `digest` tells one list of members from
-    another.
+    """A member that starts asks who is there, and what is known of it; its own hard state besides.
+
+    `members_digest` tells one list of configured members from another.
     """
 
     fleet: str
     empty: bool
-    form: bool
-    digest: int
+    may_bootstrap: bool
+    members_digest: int
     term: int = 0
     last_term: int = 0
-    last: int = 0
+    last_index: int = 0
 
 
 class DiscoverResponse(Message, tag="Told"):
-    """The answer: the fleet, and what was heard of the asking one in this life of it."""
+    """The answer: the fleet, and the highest term and log position heard of the asking incarnation."""
 
     fleet: str
     empty: bool
-    form: bool
-    digest: int
-    member: bool = True
-    heard_term: int = 0
-    heard_last_term: int = 0
-    heard_last: int = 0
+    may_bootstrap: bool
+    members_digest: int
+    is_member: bool = True
+    observed_term: int = 0
+    observed_last_term: int = 0
+    observed_last_index: int = 0
 
 
 class BootstrapCluster(Message, tag="Form"):
-    """A fleet begins: the state that all start from, which names the lives that were heard."""
+    """A fleet begins: the state that all start from, which names the incarnations that take part."""
 
     fleet: str
     state: dict
 
 
 class VoteRequest(Message, tag="Poll"):
-    """Asks for a vote; `pre`: only whether there would be one, which changes nothing at either side."""
+    """Raft's RequestVote; `pre_vote`: only whether there would be a vote, which changes nothing."""
 
     term: int
     last_term: int
-    last: int
-    pre: bool
+    last_index: int
+    pre_vote: bool
 
 
 class VoteResponse(Message, tag="Ballot"):
+    """The answer to a vote request."""
+
     term: int
-    yes: bool
-    pre: bool
+    granted: bool
+    pre_vote: bool
 
 
 class AppendEntries(Message, tag="Append"):
-    """From the leader: entries behind `prev`, what is agreed, and the lease.
-
-    `stamp` is the leader's time, to be sent back. `grant` is the latest time of the receiver's own from
-    which its lease runs, 0 for none; it holds only for who has applied `commit`. `left` is how long until
-    what is agreed is in force, 0 where it is. `leader`: who leads, where a relay passes this on; "" from the
-    leader itself.
-    `lists`: up to which generation the sender knows the list of each registry.
+    """Raft's AppendEntries: entries after `prev_index`, what is committed, and a lease.
+
+    `sent_at` is a time of the leader, to be sent back. `lease_grant` is the latest time of the receiver's own
+    clock from which its lease runs, 0 for none; it holds only for who has applied `commit_index`.
+    `in_force_in_us` is how long until what is committed is in force at the latest, 0 where it is.
+    `observed` is what voters have promised: (incarnation, term, last term, last index) by name. `leader` is
+    who leads where a relay passes this on, "" from the leader itself. `list_generations` is up to which
+    generation the sender knows the endpoint list of each registry.
     """
 
     term: int
-    prev: int
+    prev_index: int
     prev_term: int
     entries: list[Entry]
-    commit: int
-    stamp: int
-    grant: int
-    in_force: int
-    left: int
-    heard: dict[str, tuple[str, int, int, int]] = {}
-    news: list["WorkerRestrictions"] = []
+    commit_index: int
+    sent_at: int
+    lease_grant: int
+    in_force_index: int
+    in_force_in_us: int
+    observed: dict[str, tuple[str, int, int, int]] = {}
+    restrictions: list["WorkerRestrictions"] = []
     leader: str = ""
-    lists: dict[str, int] = {}
+    list_generations: dict[str, int] = {}
 
 
 class AppendResponse(Message, tag="Ack"):
-    """`safe` is on the disk here, `applied` is acted on here and by all that hear from this one; `hint`:
-    where to send from after a no. `process` tells one process of a member from the next; 0 where the version
-    knows no relays.
+    """The answer to AppendEntries and InstallSnapshot.
+
+    `persisted_index` is on this disk, `applied_index` is acted on here and by all that hear from here.
+    `sent_at` is the leader's time sent back, `clock` one of the sender's own. `commit_index` is where to send
+    from after a refusal. `process_id` tells one process of a member from the next; 0 where the version knows
+    no relays.
     """
 
     term: int
-    yes: bool
-    safe: int
-    safe_term: int
-    applied: int
-    stamp: int
+    success: bool
+    persisted_index: int
+    persisted_term: int
+    applied_index: int
+    sent_at: int
     clock: int
-    hint: int = 0
-    process: int = 0
-    lists: dict[str, int] = {}
+    commit_index: int = 0
+    process_id: int = 0
+    list_generations: dict[str, int] = {}
 
 
 class InstallSnapshot(Message, tag="Install"):
-    """From the leader, for who is behind its log: all that was agreed up to an entry."""
+    """Raft's InstallSnapshot, for who is behind the leader's log: the state as of one entry."""
 
     term: int
-    last: int
+    last_index: int
     last_term: int
     state: dict
-    stamp: int
+    sent_at: int
     leader: str = ""
 
 
 class Propose(Message, tag="Propose"):
+    """A change that a follower hands to the leader; one that comes again under its id counts once."""
+
     id: str
     change: dict
 
 
 class TimeoutNow(Message, tag="Lead"):
-    """From a leader that ends: the receiver is to ask for votes at once."""
+    """A leader that ends has the receiver campaign at once (Ongaro 2014, 3.10)."""
 
     term: int
 
 
 class WorkerRestrictions(Message, tag="News"):
-    """Workers that a registry has told are draining or gone: (id, state); it has reached `generation`.
+    """Workers that a registry's list, of this generation, has as draining or gone: (id, state).
 
     `since`: only what has changed after this generation, also who is ready again; 0: all that are restricted.
     """
--- a/mastledge/consensus/outputs.py
+++ b/mastledge/consensus/outputs.py
@@ -3,6 +3,7 @@
 from dataclasses import dataclass
 
 from mastledge.consensus.messages import AnyMessage, WorkerRestrictions
+from mastledge.consensus.state_machine import ChangeResult
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +36,7 @@
 
     id: str
     index: int
-    result: dict
+    result: ChangeResult
 
 
 @dataclass(frozen=True, slots=True)
--- /dev/null
+++ b/mastledge/consensus/relay_children.py
@@ -0,0 +1,176 @@
+"""The members that hear from this one as their relay. docs/consensus.md has the design and the proof.
+
+- A grant is a time of the receiver's own clock after which, in truth, a majority has heard the leader. A
+  relay that holds such a time may grant to a child the latest time that the child told it before that. So
+  each lease is as good as one of the leader's own, however many relays stand between.
+- A relay reports as applied the least of what it has applied and of what those have that may hold a lease
+  of it (`covered_index`). So a change is in force for the leader once all that it granted to, directly or
+  not, have it or hold no lease granted before it.
+- A new process of a relay does not know whom the one before granted to, and reports nothing for a lease's
+  time.
+"""
+
+from dataclasses import dataclass
+
+from mastledge.consensus.core import Core
+from mastledge.consensus.lease_holder import LeaseHolder
+from mastledge.consensus.leases import GrantedLeases, longest_lease_us
+from mastledge.consensus.messages import AppendEntries, AppendResponse, InstallSnapshot
+from mastledge.consensus.restriction_sharing import RestrictionSharing
+from mastledge.consensus.timing import LOST_AFTER_HEARTBEATS, SOON_US
+
+MAX_CHILDREN_PER_FAN_OUT = 4  # times the fan-out that one relay takes, while others are away
+MIN_PAUSE_HEARTBEATS = 3, 4  # the part of a heartbeat that lies between two messages to the same child
+CHILD_HEARTBEATS = 2  # of the leader, between two messages to a child that has nothing new to hear
+
+
+@dataclass(slots=True)
+class Child:
+    """One that hears from here: the next entry for it, and when it was last spoken to and heard."""
+
+    next_index: int
+    heard_at: int
+    due_at: int = 0
+    sent_at: int = 0
+    resent_for: int = 0  # the leader's time that its latest refusal was about
+
+
+class RelayChildren:
+    """Passes on what this member has applied, with leases as far as its own goes."""
+
+    def __init__(self, core: Core, lease: LeaseHolder, sharing: RestrictionSharing):
+        """Begin without children."""
+        self.core, self.lease, self.sharing = core, lease, sharing
+        self.children: dict[str, Child] = {}
+        self.granted: GrantedLeases | None = None  # leases that came through here
+
+    def release(self) -> list[str]:
+        """Have no children any more, and give their names; what was granted to them goes on counting."""
+        names = list(self.children)
+        self.children = {}
+        return names
+
+    def covered_index(self) -> int:
+        """Give the entry up to which nobody acts on older state by a lease that came through here."""
+        state_machine, now = self.core.state.state_machine, self.core.clock.now
+        if state_machine is None:
+            return 0
+        applied = state_machine.applied_index
+        if self.lease.standby_index is not None:
+            applied = min(applied, self.lease.standby_index)
+        if "fan_out" not in state_machine.state:
+            return applied
+        if now < self.core.clock.started_at + longest_lease_us(self.core.state.lease_us):
+            return 0  # whom the process before has granted to is not known here
+        return applied if self.granted is None else self._covered_by_children(applied, now)
+
+    def _covered_by_children(self, applied: int, now: int) -> int:
+        for name in list(self.granted.holders):
+            covered = self.granted.covered_index(name, now)
+            if covered is not None:
+                applied = min(applied, covered)
+            elif name not in self.children:
+                del self.granted.holders[name]
+        return applied
+
+    def on_response(self, sender: str, incarnation: str, response: AppendResponse) -> None:
+        """A follower has chosen this one as its relay, or answers it."""
+        state = self.core.state
+        if not state.fan_out or not state.knows(sender, incarnation) or not state.is_learner(sender):
+            return
+        child = self._child(sender, response)
+        if child is None:
+            return
+        now = child.heard_at = self.core.clock.now
+        if self.granted is None:
+            self.granted = GrantedLeases(state.lease_us, self.core.clock.started_at)
+        self.granted.record_report(sender, now, response.clock, response.applied_index, response.process_id)
+        self.sharing.lists.record_report(sender, response.list_generations)
+        if response.success:
+            persisted = min(response.persisted_index, state.commit_index)
+            child.next_index = max(child.next_index, persisted + 1)
+            return
+        child.next_index = max(1, min(response.commit_index, state.commit_index) + 1)
+        if not response.sent_at or child.resent_for != response.sent_at:
+            child.resent_for, child.due_at = response.sent_at, 0
+
+    def _child(self, name: str, response: AppendResponse) -> Child | None:
+        """Give a child, a new one where there is room for it."""
+        if name not in self.children:
+            if len(self.children) >= MAX_CHILDREN_PER_FAN_OUT * self.core.state.fan_out:
+                return None
+            self.children[name] = Child(response.commit_index + 1, self.core.clock.now)
+        return self.children[name]
+
+    def hurry(self) -> None:
+        """There is something new for them."""
+        part, whole = MIN_PAUSE_HEARTBEATS
+        pause = self.core.state.heartbeat_us * part // whole
+        for child in self.children.values():
+            child.due_at = min(child.due_at, child.sent_at + pause)
+
+    def run(self) -> None:
+        """Tell the children what has been heard here."""
+        state, roles, now = self.core.state, self.core.roles, self.core.clock.now
+        if not state.fan_out or not roles.is_follower() or not roles.leader:
+            return
+        self._drop_silent()
+        for name, child in self.children.items():
+            if child.due_at <= now:
+                child.sent_at, child.due_at = now, now + CHILD_HEARTBEATS * state.heartbeat_us
+                self.send_to(name, child)
+
+    def _drop_silent(self) -> None:
+        state, now = self.core.state, self.core.clock.now
+        silence = LOST_AFTER_HEARTBEATS * state.heartbeat_us
+        for name, child in list(self.children.items()):
+            if now > child.heard_at + silence or not state.is_learner(name):
+                del self.children[name]
+                self.sharing.lists.forget(name)
+
+    def send_to(self, name: str, child: Child) -> None:
+        """Send what this one has applied, and nothing that is not committed."""
+        state, now = self.core.state, self.core.clock.now
+        if child.next_index <= state.log.base_index:
+            self._send_snapshot(name, child)
+            return
+        child.next_index = min(child.next_index, state.commit_index + 1)
+        previous = child.next_index - 1
+        entries = state.log.entries_after(previous)[: state.commit_index - previous]
+        message = AppendEntries(
+            term=state.term,
+            prev_index=previous,
+            prev_term=state.log.term_at(previous) or 0,
+            entries=entries,
+            commit_index=state.commit_index,
+            sent_at=self.core.roles.contact.leader_time,
+            lease_grant=self._grant(name),
+            in_force_index=self.lease.in_force_index,
+            in_force_in_us=max(0, self.lease.in_force_by - now),
+            restrictions=self.sharing.lists.restrictions_for(name),
+            leader=self.core.roles.leader,
+            list_generations=self.sharing.lists.generations(),
+        )
+        self.core.outbox.send(name, message)
+        child.next_index += len(entries)
+        if child.next_index <= state.commit_index:
+            child.due_at = now + SOON_US
+
+    def _grant(self, name: str) -> int:
+        """Grant a lease to a child, as far as the own one goes; 0 for none."""
+        state = self.core.state
+        if name not in state.state_machine.members or not state.is_admitted():
+            return 0
+        return self.granted.grant(name, self.lease.latest_grant, state.state_machine.applied_index)
+
+    def _send_snapshot(self, name: str, child: Child) -> None:
+        state, roles = self.core.state, self.core.roles
+        snapshot = state.log.base_index, state.log.base_term, state.snapshot_state
+        message = InstallSnapshot(state.term, *snapshot, roles.contact.leader_time, roles.leader)
+        self.core.outbox.send(name, message)
+        child.next_index = state.log.base_index + 1
+
+    def wake_times(self) -> list[int]:
+        """Give when a child has to be spoken to."""
+        soonest = self.core.clock.now + SOON_US
+        return [max(soonest, child.due_at) for child in self.children.values()]
--- /dev/null
+++ b/mastledge/consensus/replica_placement.py
@@ -0,0 +1,91 @@
+"""Which dispatchers are replicas of keys: its part of the state document ("copies"). See docs/replication.md.
+
+"now" are the replicas that count, "next" those that are to, once each of them is in "caught"; "starts" is how
+often each data directory was opened; "after" is the count of replicas of each key that "next" brings.
+"""
+
+from mastledge.consensus.errors import ChangeRefusedError
+
+ALREADY_SO, CONFLICT = 200, 409
+
+
+def start_replica(state: dict, change: dict) -> None:
+    """Apply that a dispatcher has opened its replica directory for the `starts`th time.
+
+    Another id stands for an empty directory.
+    """
+    name, directory, starts = change["name"], change["id"], change["starts"]
+    if name not in state["members"]:
+        raise ChangeRefusedError(f"{name} is no member", CONFLICT)
+    placement = state.setdefault("copies", _empty_placement(change["count"]))
+    known = placement["starts"].get(name)
+    if known is not None and known[0] == directory and known[1] >= starts:
+        reason = f"the folder of {name} is old: it was opened {known[1]} times, not {starts - 1}"
+        raise ChangeRefusedError(reason, CONFLICT)
+    placement["starts"][name] = [directory, starts]
+    if not placement["epoch"]:
+        _begin_if_enough(state, placement)
+        return
+    latest = placement["next"] or placement["now"]
+    if latest.get(name) != directory:
+        _begin_epoch(placement, {**latest, name: directory})
+
+
+def _empty_placement(count: int) -> dict:
+    return {"epoch": 0, "count": count, "now": {}, "next": None, "caught": [], "starts": {}}
+
+
+def _begin_if_enough(state: dict, placement: dict) -> None:
+    """Begin the first epoch once as many replicas are there as have to hold each key."""
+    if len(placement["starts"]) >= min(placement["count"], len(state["members"])):
+        placement["epoch"] = 1
+        placement["now"] = {name: start[0] for name, start in placement["starts"].items()}
+
+
+def _begin_epoch(placement: dict, latest: dict[str, str]) -> None:
+    """Have other replicas from here on; the old ones count until each new one has caught up."""
+    placement["epoch"] += 1
+    differs = latest != placement["now"] or "after" in placement
+    placement["next"], placement["caught"] = (latest if differs else None), []
+
+
+def remove_replica(state: dict, name: str) -> None:
+    """Take a member that leaves from the replicas."""
+    placement = state.get("copies")
+    if placement is None:
+        return
+    placement["starts"].pop(name, None)
+    if placement["epoch"]:
+        latest = dict(placement["next"] or placement["now"])
+        latest.pop(name, None)
+        _begin_epoch(placement, latest)
+
+
+def change_replica_count(state: dict, change: dict) -> None:
+    """Apply another count of replicas of each key: the same dispatchers hold more of them, or fewer."""
+    placement, count = state.get("copies"), change["count"]
+    if placement is None:
+        raise ChangeRefusedError("no dispatcher holds copies of keys", CONFLICT)
+    if count == placement.get("after", placement["count"]):
+        raise ChangeRefusedError(f"there are {count} copies of each", ALREADY_SO)
+    placement.pop("after", None)
+    if not placement["epoch"]:
+        placement["count"] = count
+        return
+    if count != placement["count"]:
+        placement["after"] = count
+    _begin_epoch(placement, placement["next"] or placement["now"])
+
+
+def complete_catch_up(state: dict, change: dict) -> None:
+    """Apply that a replica of the next epoch has read all that it is to hold."""
+    placement, name = state.get("copies"), change["name"]
+    if placement is None or placement["epoch"] != change["epoch"] or placement["next"] is None:
+        raise ChangeRefusedError("the holders have changed since", CONFLICT)
+    if placement["next"].get(name) != change["id"]:
+        raise ChangeRefusedError(f"{name} is none of the holders", CONFLICT)
+    placement["caught"] = sorted({*placement["caught"], name})
+    if len(placement["caught"]) == len(placement["next"]):
+        placement["epoch"], placement["now"] = placement["epoch"] + 1, placement["next"]
+        placement["next"], placement["caught"] = None, []
+        placement["count"] = placement.pop("after", placement["count"])
--- a/mastledge/consensus/worker_restrictions.py
+++ b/mastledge/consensus/worker_restrictions.py
@@ -1,26 +1,32 @@
-"""Which workers a list of discovery keeps from getting new jobs, and who has to hear of it.
+"""Which workers an endpoint list keeps from new jobs, and who has to hear of it.
 
-A dispatcher keeps off the workers that a newer list than its own restricts. A newer word never
-lets anybody in.
+A dispatcher keeps off the workers that a newer list than its own restricts. A newer list never lets anybody
+in: a worker that it has as ready is only no longer kept off by what it said before.
 """
 
+from collections.abc import Sequence
+
 from mastledge.consensus.messages import WorkerRestrictions
 
 READY, WHOLE, CACHED, CHANGES = "ready", "whole", "cached", "changes"
-MOST_REGISTRIES = 8  # whose lists are passed on; one for each discovery that dispatchers go by
-MOST_RESTRICTED = 4096  # workers that are draining or gone; the oldest ones are forgotten beyond that
+MAX_REGISTRIES = 8  # whose lists are passed on; one for each discovery that dispatchers go by
+MAX_RESTRICTED = 4096  # workers that are draining or gone; the oldest ones are forgotten beyond that
+
+WorkerStates = Sequence[tuple[str, str]]  # (worker, its state in the list)
 
 
 class OwnList:
-    """What a dispatcher's own registry has told it."""
+    """Whom the list of a dispatcher's own registry restricts."""
 
     def __init__(self):
-        self.restricted, self.generation = {}, 0
+        """Begin without a list."""
+        self.restricted: dict[str, str] = {}
+        self.generation = 0
 
-    def listed(self, kind, entries, generation):
-        """Takes over a whole list or a change, entries as (id, state); whether it is a newer one.
+    def listed(self, kind: str, entries: WorkerStates, generation: int | None) -> bool:
+        """Take over a whole list or a change; tell whether it is a newer one.
 
-        `generation` is that of the list, None where nothing is known of it.
+        `generation` is that of the list, None where it is not known.
         """
         if kind == WHOLE:
             # Who is not named any more may be gone, and stays restricted.
@@ -29,81 +35,88 @@
                 worker: state for worker, state in self.restricted.items() if worker not in named
             }
         for worker, state in entries:
-            if state == READY:
-                self.restricted.pop(worker, None)
-            else:
-                self.restricted[worker] = state
-                if len(self.restricted) > MOST_RESTRICTED:
-                    del self.restricted[next(iter(self.restricted))]
+            self._set_state(worker, state)
         if generation is None or kind not in (WHOLE, CHANGES):
             return False
-        fresh, self.generation = generation > self.generation, generation
-        return fresh
+        newer, self.generation = generation > self.generation, generation
+        return newer
+
+    def _set_state(self, worker: str, state: str) -> None:
+        if state == READY:
+            self.restricted.pop(worker, None)
+            return
+        self.restricted[worker] = state
+        if len(self.restricted) > MAX_RESTRICTED:
+            del self.restricted[next(iter(self.restricted))]
 
-    def news(self, registry):
-        """What others of the same registry have to hear."""
+    def news(self, registry: str) -> WorkerRestrictions:
+        """Give what others of the same registry have to hear."""
         return WorkerRestrictions(registry, self.generation, sorted(self.restricted.items()))
 
-    def out(self, news):
-        """Whom another's news keep off here: nobody once the own list is as new."""
-        if news is None or news.generation <= self.generation:
+    def out(self, restrictions: WorkerRestrictions | None) -> frozenset[str]:
+        """Give whom another's list keeps off here: nobody once the own list is as new."""
+        if restrictions is None or restrictions.generation <= self.generation:
             return frozenset()
-        return frozenset(worker for worker, _ in news.workers)
+        return frozenset(worker for worker, _ in restrictions.workers)
 
 
 class ListKnowledge:
-    """What is known of one registry's list, by one's own watch or by others: who has changed since when."""
+    """What is known of one registry's list, by the own watch or by others: who has changed since when."""
 
     def __init__(self):
+        """Begin without a list."""
         self.generation = 0
-        self.floor = 0  # who has not heard this generation gets all that is restricted
-        self.changes = {}  # worker: (state, generation of its last change), the latest change last
+        self.oldest_generation = 0  # who has not heard this one gets all that are restricted
+        self.changes: dict[str, tuple[str, int]] = {}  # (state, generation), the latest change last
 
-    def own(self, kind, entries, generation):
-        """One's own registry has told a list or a change."""
+    def update_own(self, kind: str, entries: WorkerStates, generation: int) -> None:
+        """Take over what the own registry has told, a list or a change of it."""
         if generation < self.generation or kind == CHANGES and not self.generation:
-            return  # of a change alone nobody knows what stands behind it
-        if kind != CHANGES:
-            named = {worker for worker, _ in entries}
-            kept = {
-                worker: (state, generation)
-                for worker, (state, _) in self.changes.items()
-                if worker not in named and state != READY
-            }
-            drains = {worker: (state, generation) for worker, state in entries if state != READY}
-            self.changes, self.floor = {**kept, **drains}, generation
+            return  # nobody knows what a change alone follows
+        if kind == CHANGES:
+            self._record(entries, generation)
         else:
-            self.note(entries, generation)
+            self._replace(entries, generation)
         self.generation = generation
 
-    def note(self, entries, generation):
+    def _replace(self, entries: WorkerStates, generation: int) -> None:
+        named = {worker for worker, _ in entries}
+        unnamed = {
+            worker: (state, generation)
+            for worker, (state, _) in self.changes.items()
+            if worker not in named and state != READY
+        }
+        restricted = {worker: (state, generation) for worker, state in entries if state != READY}
+        self.changes, self.oldest_generation = {**unnamed, **restricted}, generation
+
+    def _record(self, entries: WorkerStates, generation: int) -> None:
         for worker, state in entries:
             self.changes.pop(worker, None)
             self.changes[worker] = state, generation
-        while len(self.changes) > MOST_RESTRICTED:
+        while len(self.changes) > MAX_RESTRICTED:
             oldest = next(iter(self.changes))
-            self.floor = max(self.floor, self.changes.pop(oldest)[1])
+            self.oldest_generation = max(self.oldest_generation, self.changes.pop(oldest)[1])
 
-    def told(self, news):
-        """Another has told; whether that was new here."""
-        if news.generation <= self.generation or news.since > self.generation:
+    def receive(self, restrictions: WorkerRestrictions) -> bool:
+        """Take over what another member tells; tell whether that was new here."""
+        if restrictions.generation <= self.generation or restrictions.since > self.generation:
             return False
-        if not news.since:
-            self.changes, self.floor = {}, news.generation
-        self.note(news.workers, news.generation)
-        self.generation = news.generation
+        if not restrictions.since:
+            self.changes, self.oldest_generation = {}, restrictions.generation
+        self._record(restrictions.workers, restrictions.generation)
+        self.generation = restrictions.generation
         return True
 
-    def since(self, generation, registry):
-        """What one that has heard a generation has to hear."""
-        if generation < self.floor or not generation:
+    def since(self, generation: int, registry: str) -> WorkerRestrictions:
+        """Give what a member has to hear that knows a generation."""
+        if generation < self.oldest_generation or not generation:
             workers = [(worker, state) for worker, (state, _) in self.changes.items() if state != READY]
             return WorkerRestrictions(registry, self.generation, workers)
         workers = [(worker, state) for worker, (state, at) in self.changes.items() if at > generation]
         return WorkerRestrictions(registry, self.generation, workers, generation)
 
-    def restricted_since(self, generation, registry):
-        """Who is restricted by what came after a generation, as news for one's own host."""
+    def restricted_since(self, generation: int, registry: str) -> WorkerRestrictions:
+        """Give who is restricted by what came after a generation, for the own host."""
         workers = [
             (worker, state)
             for worker, (state, at) in self.changes.items()
@@ -119,45 +132,53 @@
     """
 
     def __init__(self):
-        self.registries, self.known, self.offered, self.own_generations = {}, {}, {}, {}
-
-    def own(self, registry, kind, entries, generation):
+        """Begin without lists."""
+        self.registries: dict[str, ListKnowledge] = {}
+        self.peer_generations: dict[str, dict[str, int]] = {}  # as each peer has reported them
+        self.offered_generations: dict[str, dict[str, int]] = {}  # as they were here when it was last told
+        self.own_generations: dict[str, int] = {}  # as the own registry has told them
+
+    def update_own(self, registry: str, kind: str, entries: WorkerStates, generation: int | None) -> None:
+        """Take over what the own registry has told; nothing where the generation is not known."""
         if generation is None or kind not in (WHOLE, CACHED, CHANGES):
             return
-        self.known_list(registry).own(kind, entries, generation)
+        self._list_of(registry).update_own(kind, entries, generation)
         self.own_generations[registry] = generation
 
-    def known_list(self, registry):
+    def _list_of(self, registry: str) -> ListKnowledge:
         if registry not in self.registries:
-            if len(self.registries) >= MOST_REGISTRIES:
+            if len(self.registries) >= MAX_REGISTRIES:
                 del self.registries[next(iter(self.registries))]
             self.registries[registry] = ListKnowledge()
         return self.registries[registry]
 
-    def told(self, news):
-        """News that another has told; those for one's own host, None where nothing is new."""
-        known = self.known_list(news.registry)
-        if not known.told(news):
+    def receive(self, restrictions: WorkerRestrictions) -> WorkerRestrictions | None:
+        """Take over what another member tells; give what the own host has to hear, None if nothing is new."""
+        registry = restrictions.registry
+        known = self._list_of(registry)
+        if not known.receive(restrictions):
             return None
-        return known.restricted_since(self.own_generations.get(news.registry, 0), news.registry)
+        return known.restricted_since(self.own_generations.get(registry, 0), registry)
 
-    def generations(self):
-        return {registry: one.generation for registry, one in self.registries.items()}
+    def generations(self) -> dict[str, int]:
+        """Give up to which generation each list is known here."""
+        return {registry: known.generation for registry, known in self.registries.items()}
 
-    def reported(self, name, generations):
-        """What another says that it knows."""
-        self.known[name] = generations
+    def record_report(self, name: str, generations: dict[str, int]) -> None:
+        """Take over up to which generation another member knows each list."""
+        self.peer_generations[name] = generations
 
-    def news_for(self, name):
-        """What has to be told to one that is still behind what it could have heard the last time."""
-        known, offered = self.known.get(name, {}), self.offered.get(name, {})
-        self.offered[name] = self.generations()
+    def restrictions_for(self, name: str) -> list[WorkerRestrictions]:
+        """Give what to tell a member that is still behind what it could have heard the last time."""
+        known, offered = self.peer_generations.get(name, {}), self.offered_generations.get(name, {})
+        self.offered_generations[name] = self.generations()
         return [
             one.since(known.get(registry, 0), registry)
             for registry, one in self.registries.items()
             if known.get(registry, 0) < offered.get(registry, 0)
         ]
 
-    def forget(self, name):
-        self.known.pop(name, None)
-        self.offered.pop(name, None)
+    def forget(self, name: str) -> None:
+        """A member is not spoken to any more."""
+        self.peer_generations.pop(name, None)
+        self.offered_generations.pop(name, None)
--- a/mastledge/lab/bench.py
+++ b/mastledge/lab/bench.py
@@ -366,8 +366,8 @@
     fleet.run(began + 10_000_000)
     count = len(fleet.nodes)
     out = {
-        "voters": len(leader.member.voters()),
-        "followers": count - len(leader.member.voters()),
+        "voters": len(leader.member.state.voters()),
+        "followers": count - len(leader.member.state.voters()),
         "messages_a_second": round((fleet.sent - sent) / 10 / count, 1),
         "bytes_a_second": round((fleet.bytes - bytes_) / 10 / count),
         "leader_messages_a_second": round((leader.sent - by_leader) / 10, 1),
@@ -375,11 +375,13 @@
     times, elections = [], []
     for n in range(tries):
         leader, began = fleet.leader(), fleet.now
-        last = leader.member.log.last
+        last = leader.member.log.last_index
         fleet.propose(
             leader.name, f"c{n}", {"kind": ("out", "back")[n % 2], "worker": "w", "at": 1, "cold_for": 1}
         )
-        fleet.run(began + 5_000_000, lambda leader=leader, last=last: leader.member.in_force > last)
+        fleet.run(
+            began + 5_000_000, lambda leader=leader, last=last: leader.member.lease.in_force_index > last
+        )
         times.append((fleet.now - began) / 1000)
         fleet.run(fleet.now + 1_000_000)
     for _ in range(tries):
@@ -388,7 +390,7 @@
         fleet.run(
             began + 20_000_000,
             lambda: fleet.leader() is not None
-            and fleet.leader().member.commit >= fleet.leader().member.began,
+            and fleet.leader().member.commit_index >= fleet.leader().member.leadership.first_index,
         )
         elections.append((fleet.now - began) / 1000)
         leader.start()
--- a/mastledge/lab/copying.py
+++ b/mastledge/lab/copying.py
@@ -12,7 +12,7 @@
 import numpy
 
 from mastledge.consensus.messages import Entry
-from mastledge.consensus.state_machine import StateMachine, genesis
+from mastledge.consensus.state_machine import StateMachine, initial_state
 from mastledge.idempotency import key_table as b
 from mastledge.lab.simulated import Simulated
 from mastledge.replication import coordinator as o
@@ -130,7 +130,7 @@
         self.lost, self.doubled, self.delay, self.cut, self.make = lost, doubled, delay, set(), make
         self.sent = self.bytes = 0
         members = {name: (f"127.0.0.1:{n + 1}", name) for n, name in enumerate(names)}
-        self.rules, self.log = StateMachine(genesis({}, 1, members), 0), []
+        self.rules, self.log = StateMachine(initial_state({}, 1, members), 0), []
         self.hosts = {name: Host(self, name) for name in names}
         self.launches, self.answers, self.first = defaultdict(list), defaultdict(set), {}
         self.tries, self.numbers, self.outcomes, self.counts = {}, 0, defaultdict(set), defaultdict(int)
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -252,8 +252,12 @@
         if kept_off is not None:
             self.kept_off = kept_off
         agreed, back = (), {}
-        if world.agreeing and world.nodes[self.name].up and world.nodes[self.name].member.rules is not None:
-            state = world.nodes[self.name].member.rules.state
+        if (
+            world.agreeing
+            and world.nodes[self.name].up
+            and world.nodes[self.name].member.state_machine is not None
+        ):
+            state = world.nodes[self.name].member.state_machine.state
             agreed = state["out"]
         out = frozenset({*agreed, *self.kept_off})
         if out != self.out:
--- a/mastledge/lab/explore.py
+++ b/mastledge/lab/explore.py
@@ -10,11 +10,13 @@
 from collections import deque
 
 from mastledge.consensus import inputs, outputs
+from mastledge.consensus.configuration import MemberConfiguration
 from mastledge.consensus.member import Member
 from mastledge.consensus.messages import AppendEntries, decode, encode
 from mastledge.consensus.persisted_state import PersistedState
-from mastledge.consensus.state_machine import genesis
-from mastledge.consensus.timing import LEADER, MANY, PART
+from mastledge.consensus.roles import Phase, Role
+from mastledge.consensus.state_machine import initial_state
+from mastledge.consensus.timing import LOST_AFTER_HEARTBEATS
 from mastledge.lab.schedule import LEASE, Broken
 
 BEGAN = 1_000_000
@@ -27,7 +29,7 @@
         self.left = {"crash": crashes, "lose": losses, "double": doubles, "overtake": 0, "wait": waits}
         self.make, self.names, self.wire, self.agreed, self.back = make, names, [], {}, {}
         listed = {name: f"127.0.0.1:{n + 1}" for n, name in enumerate(names)}
-        state = genesis({}, LEASE, {name: (address, f"{name}.0") for name, address in listed.items()})
+        state = initial_state({}, LEASE, {name: (address, f"{name}.0") for name, address in listed.items()})
         self.listed = listed
         self.disks = {
             name: [("identity", "f", f"{name}.0"), ("hard", 1, ""), ("snapshot", 1, 1, state)]
@@ -37,16 +39,24 @@
         self.members = {}
         for name in names:
             self.start(name)
-            self.members[name].phase = PART
+            self.members[name].bootstrap.phase = Phase.PART
         self.todo = list(changes)
 
     def start(self, name):
         kept = PersistedState()
         for record in self.disks[name]:
             kept.apply(pickle.loads(pickle.dumps(record)))
-        self.members[name] = self.make(
-            name, self.listed, False, {}, LEASE, kept.value(), (f"{name}.x", "g"), 1, self.clocks[name]
+        configuration = MemberConfiguration(
+            name=name,
+            members=self.listed,
+            may_bootstrap=False,
+            settings={},
+            lease_us=LEASE,
+            new_incarnation=f"{name}.x",
+            new_fleet="g",
+            seed=1,
         )
+        self.members[name] = self.make(configuration, kept.value(), self.clocks[name])
 
     def input(self, name, input):
         """One step; what goes to the disk is there at once, and what waited for it is sent."""
@@ -59,12 +69,15 @@
                     if (
                         isinstance(message, AppendEntries)
                         and not message.entries
-                        and message.commit <= self.known(output.to)
+                        and message.commit_index <= self.known(output.to)
                     ):
                         continue  # a beat that says nothing new leads nowhere new
                     if isinstance(message, AppendEntries):
-                        message.heard, message.left = {}, 0  # of no use but at a start, and to a caller
-                    item = (output.to, name, member.life, encode(message))
+                        message.observed, message.in_force_in_us = (
+                            {},
+                            0,
+                        )  # of no use but at a start, and to a caller
+                    item = (output.to, name, member.incarnation, encode(message))
                     if item not in self.wire:  # what comes twice is a move of its own
                         self.wire.append(item)
                 elif isinstance(output, outputs.Persist | outputs.Rewrite):
@@ -72,20 +85,20 @@
                     self.disks[name] = [*before, *output.records]
                     due.append(inputs.Persisted(output.token))
                 elif isinstance(output, outputs.Committed):
-                    self.agreed[output.id] = output.result["version"]
+                    self.agreed[output.id] = output.result.version
         self.check(name)
 
     def known(self, name):
         member = self.members.get(name)
-        return min(member.commit, member.in_force) if member is not None else 0
+        return min(member.commit_index, member.lease.in_force_index) if member is not None else 0
 
     def check(self, name):
         for one in self.members.values():
             for other in self.members.values():
-                if one.role == other.role == LEADER and one is not other and one.term == other.term:
+                if one.role == other.role == Role.LEADER and one is not other and one.term == other.term:
                     raise Broken(f"two leaders of term {one.term}")
-                for index in range(2, min(one.commit, other.commit) + 1):
-                    if one.log.entry(index).id != other.log.entry(index).id:
+                for index in range(2, min(one.commit_index, other.commit_index) + 1):
+                    if one.log.entry_at(index).id != other.log.entry_at(index).id:
                         raise Broken(f"entry {index} is another at {one.name} and {other.name}")
         # What was told as agreed is on the disks of a majority.
         for id in self.agreed:
@@ -118,7 +131,7 @@
                 yield ("propose", name)
             if self.left["crash"]:
                 yield ("crash", name)
-            if self.left["wait"] and self.members[name].role != LEADER:
+            if self.left["wait"] and self.members[name].role != Role.LEADER:
                 yield ("wait", name)
 
     def after(self, move):
@@ -143,10 +156,10 @@
             del self.members[which]
         elif what == "back":
             self.start(which)
-            self.members[which].phase = PART  # its disk is the one that it had
+            self.members[which].bootstrap.phase = Phase.PART  # its disk is the one that it had
         else:
             self.left["wait"] -= 1
-            self.clocks[which] += 2 * MANY * self.members[which].beat
+            self.clocks[which] += LOST_AFTER_HEARTBEATS * self.members[which].state.heartbeat_us
             self.input(which, inputs.Tick())
 
     def mark(self):
@@ -158,26 +171,8 @@
             tuple(sorted(self.agreed)),
         ]
         for name in self.names:
-            m = self.members.get(name)
-            out.append(
-                m
-                and (
-                    m.role,
-                    m.term,
-                    m.vote,
-                    m.leader,
-                    m.commit,
-                    m.safe,
-                    m.in_force,
-                    m.rules.version,
-                    tuple((e.term, e.id) for e in m.log.entries),
-                    tuple(sorted(m.ballots)),
-                    m.pre,
-                    tuple(sorted((m.match or {}).items())),
-                    tuple(sorted((m.next or {}).items())),
-                    tuple(sorted(m.mine)),
-                )
-            )
+            member = self.members.get(name)
+            out.append(member and member_mark(member))
             out.append(
                 tuple(
                     (r[0], *(r[1:] if r[0] in ("hard", "cut") else (r[1],)))
@@ -188,6 +183,28 @@
         return hash(tuple(out))
 
 
+def member_mark(member):
+    """What the future of one member depends on, but for times."""
+    candidacy, leadership = member.roles.candidacy, member.leadership
+    progress = leadership.progress if leadership else None
+    return (
+        member.role,
+        member.term,
+        member.state.voted_for,
+        member.leader,
+        member.commit_index,
+        member.persistence.persisted_index,
+        member.lease.in_force_index,
+        member.state_machine.version,
+        tuple((entry.term, entry.id) for entry in member.log.entries),
+        tuple(sorted(candidacy.votes)) if candidacy else (),
+        candidacy is not None and candidacy.pre_vote,
+        tuple(sorted(progress.match_index.items())) if progress else (),
+        tuple(sorted(progress.next_index.items())) if progress else (),
+        tuple(sorted(member.proposals.pending)),
+    )
+
+
 def explore(world, most):
     """(states, whether all were reached); raises Broken with the moves that led there."""
     seen, queue = {world.mark()}, deque([(pickle.dumps(world, -1), ())])
@@ -215,7 +232,7 @@
     world.after(("wait", "n0"))
     while world.wire:
         world.after(("come", 0))
-    if world.members["n0"].role != LEADER:
+    if world.members["n0"].role != Role.LEADER:
         raise Broken("nobody leads")
     world.agreed = {}
     world.left = {"crash": 0, "lose": 0, "double": 0, "overtake": 0, "wait": 0, **left}
--- a/mastledge/lab/relaying.py
+++ b/mastledge/lab/relaying.py
@@ -29,7 +29,7 @@
         for name, node in self.fleet.nodes.items():
             if name in self.deaf or not node.up:
                 continue
-            if node.member.lists.registries:
+            if node.member.sharing.lists.registries:
                 change = [(worker, state)]
                 update = inputs.EndpointListUpdate("r", "changes", change, self.generation)
             else:
@@ -41,15 +41,15 @@
         """Whether all that were deaf know the list as it is now."""
         return all(
             node.up
-            and node.member.lists.generations().get("r") == self.generation
+            and node.member.sharing.lists.generations().get("r") == self.generation
             and {
                 worker
-                for worker, (state, _) in node.member.lists.registries["r"].changes.items()
+                for worker, (state, _) in node.member.sharing.lists.registries["r"].changes.items()
                 if state != "ready"
             }
             == self.drained
             for name, node in self.fleet.nodes.items()
-            if name in self.deaf and name in self.fleet.leader().member.rules.members
+            if name in self.deaf and name in self.fleet.leader().member.state_machine.members
         )
 
 
@@ -57,7 +57,7 @@
     """A fleet with relays from its first step, faults and changes; the fleet, its proposals and its lists."""
     dice = numpy.random.Generator(numpy.random.PCG64([seed, 4]))
     if tight:
-        make = type(f"Tight{make.__name__}", (make,), {"compact": 3})
+        make = type(f"Tight{make.__name__}", (make,), {"snapshot_interval": 3})
     fleet = begun(
         voters,
         followers,
@@ -119,7 +119,7 @@
         slowly(fleet, node, spell)
     elif fault == "level" and fleet.leader() is not None:
         # All that stand in one level at once, but for a majority of the voters.
-        tree = fleet.leader().member.tree()
+        tree = fleet.leader().member.relay_choice.tree()
         for name in tree.levels[1] if len(tree.levels) > 1 else ():
             if fleet.nodes[name].up:
                 fleet.nodes[name].crash()
@@ -159,12 +159,14 @@
     """Plays a schedule to its healed end; raises Broken with what was wrong."""
     fleet, proposed, lists = play(seed, tight=bool(seed % 2), **how)
     if not fleet.run(fleet.now + HEALED, lambda: settled(fleet)):
-        raise Broken(f"not settled after all has healed: {[n.member.why() for n in fleet.nodes.values()]}")
-    state = fleet.leader().member.rules.state
+        raise Broken(
+            f"not settled after all has healed: {[n.member.no_lease_reason() for n in fleet.nodes.values()]}"
+        )
+    state = fleet.leader().member.state_machine.state
     known = {id for id, _ in state["names"]}
     for id, (_, _, result) in fleet.answered.items():
-        if "why" not in result and id not in known:
-            raise Broken(f"{id} was agreed as version {result['version']} and is lost")
+        if not result.reason and id not in known:
+            raise Broken(f"{id} was agreed as version {result.version} and is lost")
     if fleet.leader().member.fan_out and lists.generation:
         if not fleet.run(fleet.now + HEALED, lists.heard):
             raise Broken("what others know of a list has not reached all")
--- a/mastledge/lab/scale/hollow.py
+++ b/mastledge/lab/scale/hollow.py
@@ -11,8 +11,9 @@
 from zlib import crc32
 
 from mastledge.consensus import inputs, messages, outputs
+from mastledge.consensus.configuration import MemberConfiguration
 from mastledge.consensus.persisted_state import PersistedState
-from mastledge.consensus.timing import LEADER
+from mastledge.consensus.roles import Role
 from mastledge.consensus.worker_restrictions import OwnList
 from mastledge.lab.scale.delay import DelayedLinks
 from mastledge.lab.sized import Sized
@@ -36,17 +37,17 @@
             kept.apply(record)
         seed = crc32(f"{told['seed']} {name}".encode())
         now = loop.now()
-        self.member = Sized(
-            name,
-            {**told["listed"], name: told["addresses"][name]},
-            False,
-            {},
-            told["lease"],
-            kept.value(),
-            (f"{name}.{os.getpid()}", "none"),
-            seed,
-            now,
+        configuration = MemberConfiguration(
+            name=name,
+            members={**told["listed"], name: told["addresses"][name]},
+            may_bootstrap=False,
+            settings={},
+            lease_us=told["lease"],
+            new_incarnation=f"{name}.{os.getpid()}",
+            new_fleet="none",
+            seed=seed,
         )
+        self.member = Sized(configuration, kept.value(), now)
         self.links = DelayedLinks(
             loop,
             self.who,
@@ -66,10 +67,10 @@
         """Nobody reads the log of a hollow dispatcher."""
 
     def who(self):
-        return self.member.fleet, self.name, self.member.life
+        return self.member.fleet, self.name, self.member.incarnation
 
     def address(self, name):
-        text = self.member.address(name)
+        text = self.member.address_of(name)
         return None if text is None else address_of(text)
 
     def heard(self, name, life, content):
@@ -101,7 +102,7 @@
 
     def leave(self, successor):
         """Hands the lead on, as a leader that ends does, but to a member that is named."""
-        if self.member.role == LEADER:
+        if self.member.role == Role.LEADER:
             self.links.send(successor, messages.encode(messages.TimeoutNow(self.member.term)))
 
 
--- a/mastledge/lab/scale/options.py
+++ b/mastledge/lab/scale/options.py
@@ -4,7 +4,7 @@
 import os
 from dataclasses import asdict, dataclass
 
-from mastledge.consensus.state_machine import MOST_FAN_OUT
+from mastledge.consensus.changes import MAX_FAN_OUT
 
 MOST_PROCESSES = 300
 MEMORY_SHARE = 0.5  # of the machine's memory, at most
@@ -108,7 +108,7 @@
         "settle": (1, MOST_SECONDS),
         "seed": (0, 1 << 32),
         "lease_ms": LEASE_MS,
-        "fan_out": (0, MOST_FAN_OUT),
+        "fan_out": (0, MAX_FAN_OUT),
         "teams": (0, 1000),
         "rack_at": (-1, MOST_SECONDS),
         "zone_at": (-1, MOST_SECONDS),
--- a/mastledge/lab/scale/topology.py
+++ b/mastledge/lab/scale/topology.py
@@ -3,8 +3,8 @@
 import os
 from dataclasses import dataclass
 
-from mastledge.consensus.persisted_state import PersistedState
-from mastledge.consensus.state_machine import genesis
+from mastledge.consensus.persisted_state import PersistedMember, PersistedState, encoded_records
+from mastledge.consensus.state_machine import initial_state
 from mastledge.lab.scale.options import ScaleOptions
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.storage.write_ahead_log import WriteAheadLog
@@ -75,7 +75,7 @@
 def first_state(options: ScaleOptions, fleet: list[Dispatcher], settings: dict) -> dict:
     """The agreed state from which all begin, as if the fleet had been formed."""
     members = {one.name: (one.peers, one.life) for one in fleet}
-    state = genesis(settings, options.lease_ms * 1000, members)
+    state = initial_state(settings, options.lease_ms * 1000, members)
     for one in fleet:
         state["members"][one.name]["votes"] = one.votes
     if options.fan_out:
@@ -85,7 +85,8 @@
 
 def first_records(one: Dispatcher, state: dict) -> list[tuple]:
     """What the disk of one member holds at the start."""
-    return [("identity", FLEET, one.life), ("hard", 1, ""), ("snapshot", 1, 1, state)]
+    member = PersistedMember(FLEET, one.life, 1, "", 1, 1, state, [])
+    return encoded_records(member)
 
 
 def write_folder(one: Dispatcher, path: str, state: dict) -> None:
--- a/mastledge/lab/schedule.py
+++ b/mastledge/lab/schedule.py
@@ -10,11 +10,12 @@
 import numpy
 
 from mastledge.consensus import inputs, outputs
+from mastledge.consensus.configuration import MemberConfiguration
 from mastledge.consensus.member import Member
+from mastledge.consensus.membership import wanted_voters
 from mastledge.consensus.messages import decode, encode
 from mastledge.consensus.persisted_state import PersistedState
-from mastledge.consensus.state_machine import wanted_voters
-from mastledge.consensus.timing import LEADER, PART
+from mastledge.consensus.roles import Phase, Role
 from mastledge.lab.simulated import Simulated
 
 LEASE = 2_000_000
@@ -42,18 +43,17 @@
             kept.apply(deepcopy(record))
         self.lives += 1
         self.failed, self.up = False, True
-        fresh = (f"{self.name}.{self.lives}.{self.fleet.draw(1 << 30)}", f"f{self.fleet.draw(1 << 30)}")
-        self.member = self.fleet.make(
-            self.name,
-            self.fleet.listed,
-            self.fleet.form,
-            {"a": 1},
-            LEASE,
-            kept.value(),
-            fresh,
-            self.fleet.draw(1 << 30),
-            self.clock(),
+        configuration = MemberConfiguration(
+            name=self.name,
+            members=self.fleet.listed,
+            may_bootstrap=self.fleet.form,
+            settings={"a": 1},
+            lease_us=LEASE,
+            new_incarnation=f"{self.name}.{self.lives}.{self.fleet.draw(1 << 30)}",
+            new_fleet=f"f{self.fleet.draw(1 << 30)}",
+            seed=self.fleet.draw(1 << 30),
         )
+        self.member = self.fleet.make(configuration, kept.value(), self.clock())
         self.fleet.at(0, self.step, self.member, inputs.Tick())
 
     def crash(self):
@@ -144,7 +144,7 @@
     def send(self, node, to, message):
         raw = encode(message)
         self.sent, self.bytes, node.sent = self.sent + 1, self.bytes + len(raw), node.sent + 1
-        life = node.member.life
+        life = node.member.incarnation
         for _ in range(1 + (self.random.random() < self.doubled)):
             if (node.name, to) in self.cut or to not in self.nodes or self.random.random() < self.lost:
                 continue
@@ -166,7 +166,7 @@
             node.step(node.member, inputs.Propose(id, change))
 
     def leader(self):
-        leads = [node for node in self.nodes.values() if node.up and node.member.role == LEADER]
+        leads = [node for node in self.nodes.values() if node.up and node.member.role == Role.LEADER]
         return max(leads, key=lambda node: node.member.term, default=None)
 
     # The judge
@@ -174,42 +174,45 @@
     def check(self, node):
         """What may never be, at whatever step: each failure names the rule."""
         member = node.member
-        if member.rules is None:
+        if member.state_machine is None:
             return
-        if member.role == LEADER and self.leaders.setdefault(member.term, (node.name, member.life)) != (
+        if member.role == Role.LEADER and self.leaders.setdefault(
+            member.term, (node.name, member.incarnation)
+        ) != (
             node.name,
-            member.life,
+            member.incarnation,
         ):
             raise Broken(f"two leaders of term {member.term}: {self.leaders[member.term]} and {node.name}")
         # One order of versions: what one has applied at an index all have.
-        last = member.rules.applied
-        if last > member.log.base:
-            entry = member.log.entry(last)
+        last = member.state_machine.applied_index
+        if last > member.log.base_index:
+            entry = member.log.entry_at(last)
             told = (entry.term, entry.id, repr(entry.change))
             if self.order.setdefault(last, told) != told:
                 raise Broken(f"entry {last} is {told} at {node.name}, and was {self.order[last]}")
         # What is agreed is not lost, and nothing is half applied.
         sum_ = (
-            member.rules.version,
-            repr(member.rules.state["out"]),
-            member.rules.state["settings_version"],
-            repr(sorted(member.rules.members)),
+            member.state_machine.version,
+            repr(member.state_machine.state["out"]),
+            member.state_machine.state["settings_version"],
+            repr(sorted(member.state_machine.members)),
         )
         if self.sums.setdefault(last, sum_) != sum_:
             raise Broken(f"the rules of entry {last} differ at {node.name}: {sum_} and {self.sums[last]}")
-        if member.in_force > self.in_force:
-            self.in_force = member.in_force
+        if member.lease.in_force_index > self.in_force:
+            self.in_force = member.lease.in_force_index
             for other in self.nodes.values():
                 self.acts(other)
         self.acts(node)
 
     def acts(self, node):
         """Nobody acts on rules older than those that some leader has called in force."""
-        if not node.up or node.member.rules is None:
+        if not node.up or node.member.state_machine is None:
             return
         member = node.member
-        if member.may_act(node.clock()) and member.rules.applied < self.in_force:
-            raise Broken(f"{node.name} acts on entry {member.rules.applied}, and {self.in_force} is in force")
+        if member.may_act(node.clock()) and member.state_machine.applied_index < self.in_force:
+            applied = member.state_machine.applied_index
+            raise Broken(f"{node.name} acts on entry {applied}, and {self.in_force} is in force")
 
     def act_all(self):
         for node in self.nodes.values():
@@ -282,7 +285,7 @@
         fleet.at(spell, fleet.cut.difference_update, pairs)
     elif fault == "stop":
         node.until = fleet.now + spell
-    elif fault in ("wipe", "old") and node.up and node.member.phase == PART and whole(fleet, node):
+    elif fault in ("wipe", "old") and node.up and node.member.phase == Phase.PART and whole(fleet, node):
         node.crash()
         node.disk = deepcopy(node.backups) if fault == "old" else []
         fleet.at(spell // 4, back, node)
@@ -306,7 +309,8 @@
         settled(fleet)
         and not fleet.cut
         and all(other.until <= fleet.now and not other.full for other in fleet.nodes.values())
-        and len(fleet.leader().member.voters()) == wanted_voters(len(fleet.leader().member.members()))
+        and len(fleet.leader().member.state.voters())
+        == wanted_voters(len(fleet.leader().member.state.members()))
     )
 
 
@@ -320,21 +324,21 @@
     leader = fleet.leader()
     if leader is None:
         return False
-    last = leader.member.log.last
+    last = leader.member.log.last_index
     return all(
         node.up
-        and node.member.rules is not None
-        and node.member.phase == PART
-        and node.member.in_force == last
-        and node.member.rules.applied == last
+        and node.member.state_machine is not None
+        and node.member.phase == Phase.PART
+        and node.member.lease.in_force_index == last
+        and node.member.state_machine.applied_index == last
         for name, node in fleet.nodes.items()
-        if name in leader.member.rules.members
+        if name in leader.member.state_machine.members
     )
 
 
 def tight(make):
     """The same member with a snapshot after every third entry, so that many come by one."""
-    return type(f"Tight{make.__name__}", (make,), {"compact": 3})
+    return type(f"Tight{make.__name__}", (make,), {"snapshot_interval": 3})
 
 
 def judged(seed, **how):
@@ -343,12 +347,11 @@
         how = {**how, "make": tight(how.get("make", Member))}
     fleet, proposed = play(seed, **how)
     if not fleet.run(fleet.now + 30_000_000, lambda: settled(fleet)):
-        raise Broken(
-            f"not settled 30 s after all has healed: {[n.member.why() for n in fleet.nodes.values()]}"
-        )
-    state = fleet.leader().member.rules.state
+        reasons = [node.member.no_lease_reason() for node in fleet.nodes.values()]
+        raise Broken(f"not settled 30 s after all has healed: {reasons}")
+    state = fleet.leader().member.state_machine.state
     known = {id for id, _ in state["names"]}
     for id, (_, _, result) in fleet.answered.items():
-        if "why" not in result and id not in known:
-            raise Broken(f"{id} was agreed as version {result['version']} and is lost")
+        if not result.reason and id not in known:
+            raise Broken(f"{id} was agreed as version {result.version} and is lost")
     return fleet
--- a/mastledge/lab/sized.py
+++ b/mastledge/lab/sized.py
@@ -2,27 +2,41 @@
 
 from collections import Counter
 
+from mastledge.consensus.direct_members import DirectMembers
+from mastledge.consensus.leader import Leadership
 from mastledge.consensus.member import Member
 from mastledge.consensus.messages import encode
-from mastledge.consensus.state_machine import genesis
+from mastledge.consensus.state_machine import initial_state
 from mastledge.lab.schedule import LEASE, Fleet
 
 
-class Sized(Member):
-    """Keeps to the voters that it began with, however many follow."""
-
-    def promote(self, now):
-        """Nobody becomes a voter."""
+class VotersOnly(DirectMembers):
+    """Nobody is to become a voter."""
 
     def recruits(self):
-        """Nobody is to become one."""
+        """Give nobody."""
         return []
 
 
+class SizedLeadership(Leadership):
+    """Keeps to the voters that it began with."""
+
+    direct_members_type = VotersOnly
+
+    def promote_learner(self):
+        """Nobody becomes a voter."""
+
+
+class Sized(Member):
+    """Keeps to the voters that it began with, however many follow."""
+
+    leadership_type = SizedLeadership
+
+
 def state_of(listed, fan_out=0, settings=None):
     """The agreed state of a fleet in which those whose names begin with n vote."""
     lives = {name: (address, f"{name}.0") for name, address in listed.items()}
-    state = genesis(settings or {"a": 1}, LEASE, lives)
+    state = initial_state(settings or {"a": 1}, LEASE, lives)
     for name, one in state["members"].items():
         one["votes"] = name[0] == "n"
     if fan_out:
@@ -54,7 +68,7 @@
 def rests(fleet):
     """All is in force."""
     leader = fleet.leader()
-    return leader is not None and leader.member.in_force == leader.member.log.last > 1
+    return leader is not None and leader.member.lease.in_force_index == leader.member.log.last_index > 1
 
 
 FRAME_HEAD = 4  # bytes of a frame before its content
@@ -108,10 +122,10 @@
 def in_force_after(fleet, n):
     """Milliseconds from one change at the leader to in force."""
     leader, began = fleet.leader(), fleet.now
-    last = leader.member.log.last
+    last = leader.member.log.last_index
     change = {"kind": ("out", "back")[n % 2], "worker": "w", "at": 1, "cold_for": 1}
     fleet.propose(leader.name, f"c{n}", change)
-    fleet.run(began + 20_000_000, lambda: leader.member.in_force > last)
+    fleet.run(began + 20_000_000, lambda: leader.member.lease.in_force_index > last)
     took = (fleet.now - began) // 1000
     fleet.run(fleet.now + 777_000)
     return took
@@ -133,4 +147,4 @@
 def leads(fleet):
     """Somebody leads and has had an entry agreed."""
     leader = fleet.leader()
-    return leader is not None and leader.member.commit >= leader.member.began
+    return leader is not None and leader.member.commit_index >= leader.member.leadership.first_index
--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -8,10 +8,11 @@
 from copy import deepcopy
 
 from mastledge.consensus import inputs, messages, outputs
-from mastledge.consensus.leases import longest
+from mastledge.consensus.configuration import MemberConfiguration
+from mastledge.consensus.leases import longest_lease_us
 from mastledge.consensus.member import Member
 from mastledge.consensus.persisted_state import PersistedState
-from mastledge.consensus.timing import LEADER
+from mastledge.consensus.roles import Role
 from mastledge.consensus.worker_restrictions import OwnList
 from mastledge.peers.links import Links
 from mastledge.program.fleet_api import LOOK, FleetApi
@@ -95,24 +96,24 @@
             raise
         self.writer = Writer(self.journal)
         now = self.spoke_at = self.loop.now()
-        self.member = Member(
-            self.name,
-            self.told["members"],
-            self.told["form"],
-            self.shared(self.document),
-            self.told["lease"],
-            deepcopy(kept.value()),
-            (uuid.uuid4().hex[:16], uuid.uuid4().hex[:16]),
-            self.seed,
-            now,
+        configuration = MemberConfiguration(
+            name=self.name,
+            members=self.told["members"],
+            may_bootstrap=self.told["form"],
+            settings=self.shared(self.document),
+            lease_us=self.told["lease"],
+            new_incarnation=uuid.uuid4().hex[:16],
+            new_fleet=uuid.uuid4().hex[:16],
+            seed=self.seed,
         )
+        self.member = Member(configuration, deepcopy(kept.value()), now)
         self.links = Links(
             self.loop, self.who, self.address, self.heard, len(self.told["members"]), self.seed, log
         )
         if self.index:
             # The process before goes by its last lease for a while: until then nothing newer is said to hold
             # here.
-            self.member.shown = self.index
+            self.member.lease.standby_index = self.index
         self.links.begin(self.told["listen"])
         vital, spawn = self.program.vital, self.loop.spawn
         self.timer = spawn(vital(self.timed()), first=True)
@@ -127,9 +128,11 @@
         """Another process of this dispatcher speaks from here on; this one goes by the lease that it has."""
         if self.member is None:
             return
-        self.heard_until = max(self.heard_until, self.member.lease_until if self.held else 0)
-        self.index = max(self.index, self.member.rules.applied if self.member.rules else 0)
-        self.log("fleet_handed_over", index=self.index, leads=self.member.role == LEADER)
+        self.heard_until = max(self.heard_until, self.member.lease.lease_until if self.held else 0)
+        self.index = max(
+            self.index, self.member.state_machine.applied_index if self.member.state_machine else 0
+        )
+        self.log("fleet_handed_over", index=self.index, leads=self.member.role == Role.LEADER)
         self.leave()
         self.end()
         self.member = None
@@ -161,7 +164,7 @@
     def why(self):
         if self.unreadable or self.member is None:
             return self.unreadable or "the process beside this one has told nothing that holds"
-        return self.member.why()
+        return self.member.no_lease_reason()
 
     # Two processes of one dispatcher
 
@@ -200,29 +203,40 @@
         to = None
         while True:
             member, now = self.member, self.loop.now()
-            if self.program.beside and member.rules is not None:
+            if self.program.beside and member.state_machine is not None:
                 pid, index = self.notes.listener()
-                if pid is not None and self.held and member.rules.applied >= self.index:
+                if pid is not None and self.held and member.state_machine.applied_index >= self.index:
                     if (
-                        self.notes.say(pid, member.rules.applied, member.lease_until, self.brief())
+                        self.notes.say(
+                            pid, member.state_machine.applied_index, member.lease.lease_until, self.brief()
+                        )
                         and pid != to
                     ):
-                        to, member.shown = pid, member.rules.applied
-                    member.shown = max(member.shown or 0, index) if pid == to else member.shown
+                        to, member.lease.standby_index = pid, member.state_machine.applied_index
+                    member.lease.standby_index = (
+                        max(member.lease.standby_index or 0, index)
+                        if pid == to
+                        else member.lease.standby_index
+                    )
             elif not self.program.beside:
                 to = None
                 self.notes.alone()
             # One that has handed over acts by its last lease; a process that has gone acts by none.
             if (
-                member.shown is not None
+                member.lease.standby_index is not None
                 and to is None
-                and (not self.program.beside or now > self.spoke_at + longest(member.lease))
+                and (not self.program.beside or now > self.spoke_at + longest_lease_us(member.lease_us))
             ):
-                member.shown = None
-            yield (-1, 0, now + (4 * LOOK if self.program.beside or member.shown is not None else 20 * LOOK))
+                member.lease.standby_index = None
+            yield (
+                -1,
+                0,
+                now
+                + (4 * LOOK if self.program.beside or member.lease.standby_index is not None else 20 * LOOK),
+            )
 
     def brief(self):
-        state = self.member.rules.state
+        state = self.member.state_machine.state
         return {
             name: state[name]
             for name in ("version", "settings", "settings_version", "lease", "out", "back", "gone", "members")
@@ -231,10 +245,10 @@
     # What the member's decisions need of the program
 
     def who(self):
-        return self.member.fleet, self.name, self.member.life
+        return self.member.fleet, self.name, self.member.incarnation
 
     def address(self, name):
-        text = self.member.address(name)
+        text = self.member.address_of(name)
         if text is None:
             return None
         return address_of(text)
@@ -275,10 +289,10 @@
         due = self.member.wake_at()
         for output in self.member.step(now, input):
             self.carry_out(output)
-        rules = self.member.rules
-        if rules is not None and rules.applied != self.applied and rules.applied >= self.index:
+        rules = self.member.state_machine
+        if rules is not None and rules.applied_index != self.applied and rules.applied_index >= self.index:
             # Behind what the process before has told it would go back in time.
-            self.applied = rules.applied
+            self.applied = rules.applied_index
             self.links.resize(len(rules.members))
             self.take_rules(rules.state)
         self.tell_lease(now)
@@ -296,7 +310,7 @@
             case outputs.Rewrite(token, records):
                 self.writer.rewrite(token, records)
             case outputs.Committed(id, index, result):
-                self.do_agreed(id, index, result)
+                self.do_agreed(id, index, result.to_document())
             case outputs.RestrictionsReceived(restrictions):
                 self.do_news(restrictions)
             case outputs.LogEvent(name, fields):
@@ -423,4 +437,6 @@
             self.loop.wake(self.program.life)
 
     def version(self):
-        return self.member.rules.version if self.member is not None and self.member.rules else 0
+        return (
+            self.member.state_machine.version if self.member is not None and self.member.state_machine else 0
+        )
--- a/mastledge/program/fleet_api.py
+++ b/mastledge/program/fleet_api.py
@@ -6,9 +6,9 @@
 import orjson
 
 from mastledge.consensus import inputs
+from mastledge.consensus.changes import MAX_FAN_OUT, MIN_FAN_OUT, is_valid_fan_out
+from mastledge.consensus.roles import Role
 from mastledge.consensus.settings_patch import difference
-from mastledge.consensus.state_machine import LEAST_FAN_OUT, MOST_FAN_OUT, fan_out_is_good
-from mastledge.consensus.timing import LEADER
 from mastledge.protocol.control import Answer, No
 from mastledge.recovery import fleet_snapshot
 from mastledge.transport.connection import address_of
@@ -48,31 +48,33 @@
 
     def agreed(self, request):
         member, now = self.speaking(), self.loop.now()
-        state = member.rules.state if member.rules else None
-        left = max(0, member.lease_until - now) if member.may_act(now) else 0
+        state = member.state_machine.state if member.state_machine else None
+        left = max(0, member.lease.lease_until - now) if member.may_act(now) else 0
         return self.json(
             {
                 "name": self.name,
                 "fleet": member.fleet,
-                "life": member.life,
+                "life": member.incarnation,
                 "version": self.version(),
                 "settings_version": state["settings_version"] if state else 0,
-                "in_force": bool(state) and member.in_force >= member.commit,
+                "in_force": bool(state) and member.lease.in_force_index >= member.commit_index,
                 "term": member.term,
                 "leader": member.leader or "",
-                "leads": member.role == LEADER,
+                "leads": member.role == Role.LEADER,
                 "fan_out": member.fan_out,
-                "relay": member.parent or "" if member.fan_out and not member.is_voter() else "",
-                "heard_by": sorted(member.children),
+                "relay": member.relay_choice.relay or ""
+                if member.fan_out and not member.state.is_voter()
+                else "",
+                "heard_by": sorted(member.relay_children.children),
                 "lease_left_ms": left // 1000,
-                "lease_ms": member.lease // 1000,
+                "lease_ms": member.lease_us // 1000,
                 "members": state["members"] if state else {},
                 "out": state["out"] if state else [],
                 "out_here": sorted(self.program.upgrade_state.told["out"]),
                 "heard_out": sorted(self.program.heard_out),
-                "why": self.unreadable or ("" if left else member.why()),
+                "why": self.unreadable or ("" if left else member.no_lease_reason()),
                 "served_without_lease_ms": self.rule.unbound(now) // 1000,
-                "disk": "failing" if member.broken else "good",
+                "disk": "failing" if member.persistence.failed else "good",
                 "longest_write_us": self.writer.longest,
                 "longest_step_us": self.longest,
                 "frames_sent": self.links.sent,
@@ -83,9 +85,9 @@
         )
 
     def state(self):
-        if self.speaking().rules is None:
-            raise No(503, f"nothing is agreed here yet: {self.member.why()}")
-        return self.member.rules.state
+        if self.speaking().state_machine is None:
+            raise No(503, f"nothing is agreed here yet: {self.member.no_lease_reason()}")
+        return self.member.state_machine.state
 
     def history(self, request):
         return self.json({"history": self.state()["history"]})
@@ -130,13 +132,13 @@
         member = self.speaking()
         try:
             fan_out = orjson.loads(request.body)["fan_out"]
-            if fan_out != 0 and not fan_out_is_good(fan_out):
-                raise ValueError(f"the fan-out is neither 0 nor from {LEAST_FAN_OUT} to {MOST_FAN_OUT}")
+            if fan_out != 0 and not is_valid_fan_out(fan_out):
+                raise ValueError(f"the fan-out is neither 0 nor from {MIN_FAN_OUT} to {MAX_FAN_OUT}")
         except (ValueError, KeyError, TypeError) as error:
             raise No(400, f"{type(error).__name__}: {error}") from None
-        if member.role != LEADER:
+        if member.role != Role.LEADER:
             raise No(409, f"ask the leader: {member.leader or 'nobody leads'}")
-        if older := member.without_relays():
+        if older := member.leadership.members_without_relays():
             raise No(409, f"not heard, or of a version without relays: {', '.join(older[:MOST_NAMED])}")
         return (yield from self.changed({"kind": "relays", "fan_out": fan_out}))
 
@@ -168,14 +170,14 @@
     def restore(self, request):
         """Begins a fleet with a snapshot, or with what is kept here; or leaves one that is no more."""
         member, now = self.speaking(), self.loop.now()
-        known = member.rules.state if member.rules else None
+        known = member.state_machine.state if member.state_machine else None
         why = {b"accept-loss": "formed, loss accepted", b"desert": ""}.get(bytes(request.body))
         try:
             told = fleet_snapshot.unpacked(request.body) if why is None else None
         except fleet_snapshot.SnapshotError as error:
             raise No(400, str(error)) from None
         state = told["state"] if told else known
-        lease, heard = member.may_act(now) and not self.unreadable, member.there(now)
+        lease, heard = member.may_act(now) and not self.unreadable, member.discovery.present_members(now)
         if why == "":
             if lease:
                 raise No(409, "this fleet runs: its majority answers")
@@ -217,7 +219,7 @@
         """Hands a change in and waits until it is in force, or for as long as a caller does."""
         self.speaking()
         self.count += 1
-        id = f"{self.name}.{self.member.life}.{self.seed & 0xffff}.{time.time_ns()}.{self.count}"
+        id = f"{self.name}.{self.member.incarnation}.{self.seed & 0xffff}.{time.time_ns()}.{self.count}"
         change = {**change, "by": self.name, "at": change.get("at") or time.time_ns() // 1000}
         last = self.loop.now() + PATIENCE
         self.input(inputs.Propose(id, change))
@@ -225,12 +227,12 @@
             while id not in self.answers:
                 self.speaking()
                 if self.loop.now() >= last:
-                    raise No(503, f"here only: {self.member.why() or 'no leader has answered'}")
+                    raise No(503, f"here only: {self.member.no_lease_reason() or 'no leader has answered'}")
                 yield (-1, 0, self.loop.now() + LOOK)
             index, result = self.answers[id]
             if result.get("status", 200) != 200:
                 raise No(result["status"], result["why"])
-            while self.speaking().in_force < index and self.loop.now() < last:
+            while self.speaking().lease.in_force_index < index and self.loop.now() < last:
                 yield (-1, 0, self.loop.now() + LOOK)
         finally:
             self.answers.pop(id, None)
@@ -238,9 +240,9 @@
                 self.input(inputs.ForgetProposal(id))
         text = f"version {result['version']}" + (f": {result['why']}" if "why" in result else "")
         etag = [(b"etag", b'"%d"' % result["version"])]
-        if self.member.in_force >= index:
+        if self.member.lease.in_force_index >= index:
             return Answer(200, text + " is in force", etag)
-        left = max(1, (self.member.left_until - self.loop.now()) // 1000)
+        left = max(1, (self.member.lease.in_force_by - self.loop.now()) // 1000)
         return Answer(
             202, f"{text} is in force in {left} ms at the latest", [*etag, (b"in-force-in-ms", b"%d" % left)]
         )
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -315,7 +315,7 @@
         if fleet is None or fleet.member is None or fleet.links is None or self.tries > now:
             return
         self.tries = now + AGAIN
-        others = sorted(set(fleet.member.members()) - {self.name})
+        others = sorted(set(fleet.member.state.members()) - {self.name})
         if not self.asked:
             count = min(ASKED, len(others))
             while len(self.asked) < count:
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -93,7 +93,7 @@
     def joined(self, result):
         if self.writer is None or self.node is not None:
             return
-        if "why" in result and self.name in self.fleet.member.rules.members:
+        if "why" in result and self.name in self.fleet.member.state_machine.members:
             # What others count on is not in it, so it comes as an empty one.
             self.log("replica_directory_stale", why=result["why"])
             kept = PersistedReplica(unix)
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -17,6 +17,7 @@
 from mastledge.consensus import inputs, outputs, state_machine
 from mastledge.consensus import messages as consensus_messages
 from mastledge.consensus import persisted_state as consensus_persisted
+from mastledge.consensus.configuration import MemberConfiguration
 from mastledge.consensus.member import Member
 from mastledge.idempotency import key_table
 from mastledge.peers import links
@@ -139,7 +140,17 @@
 def records_of_member(state, contents):
     """What a member has written that is restored with `state` and then hears messages from the member n1."""
     listed = {name: one["address"] for name, one in state["members"].items()}
-    member = Member("n0", listed, False, {}, 1_000_000, None, ("life-0", "fleet-0"), 7, 1_000_000)
+    configuration = MemberConfiguration(
+        name="n0",
+        members=listed,
+        may_bootstrap=False,
+        settings={},
+        lease_us=1_000_000,
+        new_incarnation="life-0",
+        new_fleet="fleet-0",
+        seed=7,
+    )
+    member = Member(configuration, None, 1_000_000)
     steps = [inputs.Restore("fleet-1", "life-n0", state)]
     steps += [
         inputs.MessageReceived("n1", "life-n1", consensus_messages.decode(content)) for content in contents
@@ -217,7 +228,7 @@
 
 
 def genesis_state(settings, lease, members):
-    return state_machine.genesis(settings, lease, members)
+    return state_machine.initial_state(settings, lease, members)
 
 
 def fleet_snapshot(state, fleet, by, at):
@@ -287,7 +298,7 @@
 def brief_of_fleet(state):
     """What of the agreed state is told to the process beside this one."""
     rules = SimpleNamespace(state=state)
-    return Fleet.brief(SimpleNamespace(member=SimpleNamespace(rules=rules)))
+    return Fleet.brief(SimpleNamespace(member=SimpleNamespace(state_machine=rules)))
 
 
 def write_taken(directory, told):
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -9,10 +9,13 @@
 
 from mastledge.consensus import inputs, outputs
 from mastledge.consensus import messages as m
-from mastledge.consensus.leases import Leases
+from mastledge.consensus.leader import Leadership
+from mastledge.consensus.leases import GrantedLeases
 from mastledge.consensus.member import Member
+from mastledge.consensus.membership import wanted_voters
 from mastledge.consensus.persisted_state import PersistedState
-from mastledge.consensus.state_machine import StateMachine, genesis, wanted_voters
+from mastledge.consensus.raft_state import RaftState
+from mastledge.consensus.state_machine import StateMachine, initial_state
 from mastledge.lab.schedule import Broken, Fleet, judged, settled
 
 # Seeds that found something once: saves out of order, a new leader's lease before it knew what was agreed, a
@@ -50,12 +53,18 @@
 
 class Leaseless(Member):
     def may_act(self, now):
-        return self.rules is not None
+        return self.state_machine is not None
+
+
+class HastyLeadership(Leadership):
+    def update_in_force(self):
+        self.parts.lease.record_in_force(self.core.state.commit_index, self.core.clock.now)
 
 
 class Hasty(Member):
-    def enforce(self, now):
-        self.in_force = self.commit
+    """Takes what is committed for in force."""
+
+    leadership_type = HastyLeadership
 
 
 class Forgetful(Member):
@@ -65,23 +74,31 @@
         out = super().step(now, input)
         if any(isinstance(one, outputs.Persist) for one in out):
             out = [one for one in out if not isinstance(one, outputs.Persist)]
-            out += super().step(now, inputs.Persisted(self.token))
+            out += super().step(now, inputs.Persisted(self.persistence.token))
         return out
 
 
-class Lone(Member):
-    """Agrees without a majority."""
-
+class LoneState(RaftState):
     def majority_of(self, figures):
         return max(figures.values(), default=-1)
 
 
+class Lone(Member):
+    """Commits without a majority."""
+
+    state_type = LoneState
+
+
+class EarlyLeadership(Leadership):
+    def begin(self, proposals):
+        super().begin(proposals)
+        self.first_index = 0
+
+
 class Early(Member):
-    """Grants leases before it knows all that was agreed."""
+    """Grants leases before it knows all that was committed."""
 
-    def win(self, now):
-        super().win(now)
-        self.began = 0
+    leadership_type = EarlyLeadership
 
 
 @pytest.mark.parametrize("build", [Leaseless, Hasty, Forgetful, Lone, Early])
@@ -96,12 +113,14 @@
     leader = fleet.leader()
     fleet.propose(leader.name, "a", {"kind": "out", "worker": "w"})
     began = fleet.now
-    assert fleet.run(began + 500_000, lambda: leader.member.in_force == leader.member.log.last == 3)
+    assert fleet.run(
+        began + 500_000, lambda: leader.member.lease.in_force_index == leader.member.log.last_index == 3
+    )
     other = next(node for node in fleet.nodes.values() if node is not leader)
     other.until = fleet.now + 10_000_000
     began = fleet.now
     fleet.propose(leader.name, "b", {"kind": "back", "worker": "w", "at": 1, "cold_for": 1})
-    assert fleet.run(began + 3_000_000, lambda: leader.member.in_force == 4)
+    assert fleet.run(began + 3_000_000, lambda: leader.member.lease.in_force_index == 4)
     assert 1_000_000 < fleet.now - began < 2_200_000
     assert not other.member.may_act(other.clock())
 
@@ -112,14 +131,18 @@
     assert fleet.run(5_000_000, lambda: fleet.leader() is not None and settled(fleet))
     fleet.run(fleet.now + 1_000_000)
     leader = fleet.leader()
-    first, *others = [node for node in fleet.nodes.values() if not node.member.is_voter()]
-    others += [node for node in fleet.nodes.values() if node.member.is_voter() and node is not leader][:4]
+    first, *others = [node for node in fleet.nodes.values() if not node.member.state.is_voter()]
+    others += [node for node in fleet.nodes.values() if node.member.state.is_voter() and node is not leader][
+        :4
+    ]
     assert len(others) >= 9 and first.member.may_act(first.clock())
     first.until = fleet.now + 10_000_000
     for n, node in enumerate([first, *others[:9]]):
         fleet.propose(leader.name, f"r{n}", {"kind": "remove", "name": node.name})
         assert fleet.run(fleet.now + 4_000_000, lambda n=n: f"r{n}" in fleet.answered)
-    assert fleet.run(fleet.now + 4_000_000, lambda: leader.member.in_force >= leader.member.log.last)
+    assert fleet.run(
+        fleet.now + 4_000_000, lambda: leader.member.lease.in_force_index >= leader.member.log.last_index
+    )
     assert not first.member.may_act(first.clock())
 
 
@@ -128,7 +151,7 @@
     for n in range(5):
         fleet.propose(f"n{n % 3}", f"c{n}", {"kind": "out", "worker": f"w{n}"})
     assert fleet.run(fleet.now + 2_000_000, lambda: settled(fleet) and len(fleet.answered) == 5)
-    assert sorted(result["version"] for _, _, result in fleet.answered.values()) == [2, 3, 4, 5, 6]
+    assert sorted(result.version for _, _, result in fleet.answered.values()) == [2, 3, 4, 5, 6]
 
 
 def test_a_leader_killed_between_its_disk_and_its_answer_loses_no_change():
@@ -141,7 +164,7 @@
     )
     leader.crash()
     assert fleet.run(fleet.now + 3_000_000, lambda: "a" in fleet.answered)
-    assert fleet.leader().member.rules.state["out"] == ["w"] and fleet.leader() is not leader
+    assert fleet.leader().member.state_machine.state["out"] == ["w"] and fleet.leader() is not leader
 
 
 def test_a_leader_that_ends_hands_its_place_on():
@@ -154,35 +177,38 @@
         began + 100_000,
         lambda: fleet.leader() is not None
         and fleet.leader() is not leader
-        and fleet.leader().member.commit >= fleet.leader().member.began,
+        and fleet.leader().member.commit_index >= fleet.leader().member.leadership.first_index,
     )
 
 
 def test_a_wiped_member_comes_as_a_new_life_and_does_not_vote_until_it_has_caught_up():
     fleet = formed()
     node = next(node for node in fleet.nodes.values() if node is not fleet.leader())
-    life = node.member.life
+    life = node.member.incarnation
     node.crash()
     node.disk = []
     node.start()
-    assert node.member.life != life and not node.member.is_voter()
-    assert fleet.run(fleet.now + 3_000_000, lambda: settled(fleet) and node.member.is_voter())
+    assert node.member.incarnation != life and not node.member.state.is_voter()
+    assert fleet.run(fleet.now + 3_000_000, lambda: settled(fleet) and node.member.state.is_voter())
     told = [name for _, who, name, _ in fleet.log if who == node.name]
-    assert "admitted" in told and node.member.life == fleet.leader().member.members()[node.name]["life"]
+    assert (
+        "admitted" in told
+        and node.member.incarnation == fleet.leader().member.state.members()[node.name]["life"]
+    )
 
 
 def test_a_folder_of_before_is_noticed_by_what_the_others_have_heard():
     fleet = formed()
     node = next(node for node in fleet.nodes.values() if node is not fleet.leader())
-    old, life = deepcopy(node.disk), node.member.life
+    old, life = deepcopy(node.disk), node.member.incarnation
     fleet.propose("n0", "a", {"kind": "out", "worker": "w"})
     assert fleet.run(fleet.now + 1_000_000, lambda: settled(fleet) and "a" in fleet.answered)
     fleet.run(fleet.now + 500_000)
     node.crash()
     node.disk = old
     node.start()
-    assert fleet.run(fleet.now + 3_000_000, lambda: settled(fleet) and node.member.is_voter())
-    assert node.member.life != life and "data_directory_stale" in [name for _, _, name, _ in fleet.log]
+    assert fleet.run(fleet.now + 3_000_000, lambda: settled(fleet) and node.member.state.is_voter())
+    assert node.member.incarnation != life and "data_directory_stale" in [name for _, _, name, _ in fleet.log]
 
 
 @pytest.mark.parametrize(("form", "formed_"), [(True, True), (False, False)])
@@ -191,7 +217,7 @@
     fleet.run(3_000_000)
     assert (fleet.leader() is not None) == formed_
     if not formed_:
-        assert "form is not set" in fleet.nodes["n0"].member.why()
+        assert "form is not set" in fleet.nodes["n0"].member.no_lease_reason()
 
 
 def test_a_majority_of_lost_folders_forms_nothing_anew():
@@ -216,11 +242,12 @@
         fleet.propose("n1", f"add {name}", {"kind": "add", "name": name, "address": f"127.0.0.1:{name[1]}"})
         fleet.nodes[name].start()
     assert fleet.run(
-        fleet.now + 8_000_000, lambda: settled(fleet) and len(fleet.leader().member.voters()) == 5
+        fleet.now + 8_000_000, lambda: settled(fleet) and len(fleet.leader().member.state.voters()) == 5
     )
     fleet.propose("n1", "remove", {"kind": "remove", "name": "n0"})
     assert fleet.run(
-        fleet.now + 8_000_000, lambda: settled(fleet) and "n0" not in fleet.leader().member.rules.members
+        fleet.now + 8_000_000,
+        lambda: settled(fleet) and "n0" not in fleet.leader().member.state_machine.members,
     )
     assert [wanted_voters(n) for n in (1, 2, 3, 4, 5, 6, 7, 8, 200)] == [1, 2, 3, 3, 5, 5, 7, 7, 7]
 
@@ -235,7 +262,7 @@
 
 
 def rules():
-    return StateMachine(genesis({"a": 1}, 2_000_000, {"n0": ("x:1", "l0"), "n1": ("x:2", "l1")}), 1)
+    return StateMachine(initial_state({"a": 1}, 2_000_000, {"n0": ("x:1", "l0"), "n1": ("x:2", "l1")}), 1)
 
 
 @pytest.mark.parametrize(
@@ -253,7 +280,7 @@
     made = rules()
     before = made.snapshot()
     result = made.apply(2, m.Entry(1, "i", change))
-    assert result["status"] == status and made.version == 1
+    assert result.status == status and made.version == 1
     assert {**made.snapshot(), "names": []} == before
 
 
@@ -263,17 +290,17 @@
     assert made.apply(3, m.Entry(2, "i", {"kind": "out", "worker": "w"})) == first and made.version == 2
     with pytest.raises(ValueError, match="later version"):
         made.apply(4, m.Entry(2, "j", {"kind": "quota"}))
-    assert made.applied == 3
+    assert made.applied_index == 3
 
 
 def test_a_lease_runs_from_what_a_majority_had_heard_and_is_waited_out_with_drift():
-    made = Leases(1_000_000, 0)
-    made.heard("n1", 5_000_000, 77, 3)
+    made = GrantedLeases(1_000_000, 0)
+    made.record_report("n1", 5_000_000, 77, 3)
     assert made.grant("n1", 4_999_999, 3) == 0 and made.grant("n1", 5_000_000, 3) == 77
-    assert made.reached("n1", 6_009_999) == 3 and made.over("n1", 4) == 6_010_000
-    assert made.reached("n1", 6_010_000) is None
+    assert made.covered_index("n1", 6_009_999) == 3 and made.expires_at("n1", 4) == 6_010_000
+    assert made.covered_index("n1", 6_010_000) is None
     # Another process on a clock that starts anew gets nothing by what the one before had told.
-    made.heard("n1", 7_000_000, 5, 4)
+    made.record_report("n1", 7_000_000, 5, 4)
     assert made.grant("n1", 6_999_999, 4) == 0
 
 
@@ -281,20 +308,20 @@
     fleet = formed()
     node = next(node for node in fleet.nodes.values() if node is not fleet.leader())
     member = node.member
-    member.lease_until = 0
+    member.lease.lease_until = 0
     append = m.AppendEntries(
         member.term,
-        member.log.last,
+        member.log.last_index,
         member.log.last_term,
         [],
-        member.commit,
+        member.commit_index,
         1,
-        member.offset + member.started - 1,
+        member.clock.offset_us + member.clock.started_at - 1,
         0,
         0,
     )
     member.step(node.clock(), inputs.MessageReceived(member.leader, "l", append))
-    assert member.lease_until == 0
+    assert member.lease.lease_until == 0
 
 
 @given(st.lists(st.sampled_from(["hard", "entry", "cut", "snapshot"]), max_size=30), st.integers(0, 99))
@@ -303,16 +330,16 @@
     kept.apply(("identity", "f", "l"))
     kept.apply(("snapshot", 1, 1, {"v": 1}))
     for n, kind in enumerate(kinds):
-        last = kept.last + len(kept.entries)
+        last = kept.last_index
         if kind == "hard":
             kept.apply(("hard", n, "x"))
         elif kind == "entry":
             kept.apply(("entry", last + 1, m.Entry(n, f"{n}", {"kind": "noop"})))
         elif kind == "cut" and kept.entries:
-            kept.apply(("cut", kept.last + 1 + seed % len(kept.entries)))
+            kept.apply(("cut", kept.snapshot_index + 1 + seed % len(kept.entries)))
         elif kind == "snapshot" and kept.entries:
             at = 1 + seed % len(kept.entries)
-            kept.apply(("snapshot", kept.last + at, kept.entries[at - 1].term, {"v": n}))
+            kept.apply(("snapshot", kept.snapshot_index + at, kept.entries[at - 1].term, {"v": n}))
     for record in kept.compacted_records():
         again.apply(record)
     assert again.value() == kept.value()
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -3,7 +3,9 @@
 import pytest
 
 from mastledge.consensus import inputs, outputs
+from mastledge.consensus.leader import Leadership
 from mastledge.consensus.member import Member
+from mastledge.consensus.raft_state import RaftState
 from mastledge.lab.explore import explore, led
 from mastledge.lab.schedule import Broken
 
@@ -33,26 +35,36 @@
     assert whole and states > 10
 
 
+class UnsyncedLeadership(Leadership):
+    def run(self):
+        self.core.persistence.load(self.core.state.log.last_index)
+        super().run()
+
+
 class Unsynced(Member):
     """Counts itself before its disk has it."""
 
-    def lead(self, now):
-        self.safe = self.log.last
-        super().lead(now)
+    leadership_type = UnsyncedLeadership
 
     def step(self, now, input):
         out = super().step(now, input)
         if any(isinstance(one, outputs.Persist) for one in out):
             out = [one for one in out if not isinstance(one, outputs.Persist)]
-            out += super().step(now, inputs.Persisted(self.token))
+            out += super().step(now, inputs.Persisted(self.persistence.token))
         return out
 
 
-class Alone(Member):
+class AloneState(RaftState):
     def majority_of(self, figures):
         return max(figures.values(), default=-1)
 
 
+class Alone(Member):
+    """Commits without a majority."""
+
+    state_type = AloneState
+
+
 @pytest.mark.parametrize("make", [Unsynced, Alone])
 def test_a_wrong_build_is_found(make):
     with pytest.raises(Broken):
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from mastledge.consensus import inputs
-from mastledge.consensus.state_machine import genesis
+from mastledge.consensus.state_machine import initial_state
 from mastledge.lab.schedule import Fleet
 from mastledge.recovery import fleet_snapshot as s
 
@@ -15,7 +15,9 @@
 
 def state(**changed):
     return {
-        **genesis({"a": 1}, 2_000_000, {n: (f"127.0.0.1:{i + 1}", f"l{n}") for i, n in enumerate(NAMES)}),
+        **initial_state(
+            {"a": 1}, 2_000_000, {n: (f"127.0.0.1:{i + 1}", f"l{n}") for i, n in enumerate(NAMES)}
+        ),
         **changed,
     }
 
@@ -114,7 +116,7 @@
 def played(seed=1):
     """Three in simulated time, of which two are lost with their disks."""
     fleet = Fleet(NAMES, seed).start()
-    assert fleet.run(20_000_000, lambda: fleet.leader() and fleet.leader().member.in_force >= 2)
+    assert fleet.run(20_000_000, lambda: fleet.leader() and fleet.leader().member.lease.in_force_index >= 2)
     fleet.propose("n0", "c1", {"kind": "out", "worker": "w", "by": "", "at": 1})
     fleet.run(fleet.now + 2_000_000)
     for name in ("n1", "n2"):
@@ -126,7 +128,7 @@
 
 def begun(fleet):
     node = fleet.nodes["n0"]
-    after = s.succeeding(node.member.rules.snapshot(), "n0", "again", "", "formed", "n0", 1)
+    after = s.succeeding(node.member.state_machine.snapshot(), "n0", "again", "", "formed", "n0", 1)
     fleet.order, fleet.sums, fleet.leaders, fleet.in_force = {}, {}, {}, 0  # another fleet, judged anew
     node.step(node.member, inputs.Restore("f2", "again", after))
     return node
@@ -135,7 +137,7 @@
 def test_a_majority_lost_serves_again_by_an_operators_word_and_the_others_come_to_it():
     fleet = played()
     node = fleet.nodes["n0"]
-    assert not node.member.may_act(node.clock()) and not node.member.there(node.clock())
+    assert not node.member.may_act(node.clock()) and not node.member.discovery.present_members(node.clock())
     begun(fleet)
     assert fleet.run(fleet.now + 5_000_000, lambda: node.member.may_act(node.clock()))
     for name in ("n1", "n2"):
@@ -143,12 +145,12 @@
     assert fleet.run(
         fleet.now + 20_000_000,
         lambda: all(
-            one.up and one.member.may_act(one.clock()) and one.member.is_voter()
+            one.up and one.member.may_act(one.clock()) and one.member.state.is_voter()
             for one in fleet.nodes.values()
         ),
     )
     assert {one.member.fleet for one in fleet.nodes.values()} == {"f2"}
-    assert all(one.member.rules.state["out"] == ["w"] for one in fleet.nodes.values())
+    assert all(one.member.state_machine.state["out"] == ["w"] for one in fleet.nodes.values())
 
 
 def test_one_of_the_fleet_before_has_no_word_until_it_deserts():
@@ -163,4 +165,4 @@
     assert not other.member.may_act(other.clock()) and node.member.may_act(node.clock())
     other.step(other.member, inputs.Abandon("fresh"))
     assert fleet.run(fleet.now + 10_000_000, lambda: other.member.may_act(other.clock()))
-    assert other.member.fleet == "f2" and other.member.life == "fresh"
+    assert other.member.fleet == "f2" and other.member.incarnation == "fresh"
