--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -6,13 +6,17 @@
 
 from mastledge.consensus import inputs, outputs
 from mastledge.consensus import messages as m
-from mastledge.consensus.relays import Tree
+from mastledge.consensus.follower import Follower
+from mastledge.consensus.in_force import InForceTracker
+from mastledge.consensus.relay_children import RelayChildren
+from mastledge.consensus.relay_tree import RelayTree
+from mastledge.consensus.restriction_sharing import RestrictionSharing
 from mastledge.consensus.settings_patch import difference, patched
-from mastledge.consensus.state_machine import StateMachine, genesis
+from mastledge.consensus.state_machine import ChangeResult, StateMachine, initial_state
 from mastledge.consensus.worker_restrictions import ListExchange, ListKnowledge
 from mastledge.lab import relaying
 from mastledge.lab.schedule import LEASE, Broken, Fleet
-from mastledge.lab.sized import Sized, begun, measured, rests
+from mastledge.lab.sized import Sized, SizedLeadership, begun, measured, rests
 from mastledge.program.command import main
 from mastledge.program.fleet_api import FleetApi
 from mastledge.protocol.control import No
@@ -33,7 +37,7 @@
 def test_each_follower_has_relays_of_the_level_above_and_no_more_than_its_part_hear_from_one(
     count, fan_out, widths
 ):
-    tree = Tree(members(7, count), fan_out)
+    tree = RelayTree(members(7, count), fan_out)
     assert [len(names) for names in tree.levels] == widths
     heard_by = {}
     for name, (level, _) in tree.places.items():
@@ -45,9 +49,9 @@
 
 
 def test_relays_stay_who_they_are_for_most_when_one_member_leaves():
-    before, some = Tree(members(7, 223), 6), members(7, 223)
+    before, some = RelayTree(members(7, 223), 6), members(7, 223)
     del some["x0100"]
-    after = Tree(some, 6)
+    after = RelayTree(some, 6)
     moved = sum(
         before.relays(name, "n0")[0] != after.relays(name, "n0")[0]
         for name in after.places
@@ -65,71 +69,102 @@
 # Builds that are wrong on purpose: one for each rule that relays stand on
 
 
-class Generous(Sized):
+def with_part(name, **types):
+    """A member that has these types of parts."""
+    return type(name, (Sized,), types)
+
+
+class GenerousChildren(RelayChildren):
     """A relay grants from the moment that a child has told its time, whatever it was granted itself."""
 
-    def tell_child(self, now, name, child):
-        granted, self.granted = self.granted, now
-        super().tell_child(now, name, child)
-        self.granted = granted
+    def send_to(self, name, child):
+        granted, self.lease.latest_grant = self.lease.latest_grant, self.core.clock.now
+        super().send_to(name, child)
+        self.lease.latest_grant = granted
 
 
-class Boastful(Sized):
+class BoastfulChildren(RelayChildren):
     """A relay reports what it has applied itself, whatever its children have."""
 
-    def cover(self):
-        return self.rules.applied if self.rules else 0
+    def covered_index(self):
+        state_machine = self.core.state.state_machine
+        return state_machine.applied_index if state_machine else 0
 
 
-class Hasty(Sized):
+class HastyTracker(InForceTracker):
     """A leader does not wait out what was granted under the one before."""
 
-    def enforce_tree(self, now):
-        self.won_at -= 10 * self.lease
+    def of_holders(self, in_force_index):
+        lease = self.core.state.lease_us
+        self.won_at -= 10 * lease
         try:
-            return super().enforce_tree(now)
+            return super().of_holders(in_force_index)
         finally:
-            self.won_at += 10 * self.lease
+            self.won_at += 10 * lease
+
+
+class HastyLeadership(SizedLeadership):
+    in_force_type = HastyTracker
 
 
-class Forgetful(Sized):
+class ForgetfulChildren(RelayChildren):
     """A new process of a relay takes it that the one before had granted to nobody."""
 
-    def cover(self):
-        started, self.started = self.started, self.started - 10 * self.lease
+    def covered_index(self):
+        clock, started = self.core.clock, self.core.clock.started_at
+        clock.started_at = started - 10 * self.core.state.lease_us
         try:
-            return super().cover()
+            return super().covered_index()
         finally:
-            self.started = started
+            clock.started_at = started
 
 
-class Credulous(Sized):
-    """A follower takes a lease without what was agreed when it was granted."""
+class CredulousFollower(Follower):
+    """A follower takes a lease without what was committed when it was granted."""
 
-    def on_append_entries(self, now, sender, life, append):
-        super().on_append_entries(now, sender, life, append)
-        grant = append.grant - self.offset
-        if append.leader and self.started <= grant <= now and self.listens():
-            self.lease_until = max(self.lease_until, grant + self.lease - self.lease // 100)
+    def on_append_entries(self, sender, incarnation, append):
+        super().on_append_entries(sender, incarnation, append)
+        clock, state = self.core.clock, self.core.state
+        granted_from = clock.from_reading(append.lease_grant)
+        if append.leader and clock.started_at <= granted_from <= clock.now and state.is_admitted():
+            self.parts.lease.extend(granted_from, state.lease_us)
 
 
-class Early(Sized):
-    """A relay passes on what is not agreed yet as if it were."""
+class EarlyChildren(RelayChildren):
+    """A relay passes on what is not committed yet as if it were."""
 
-    def tell_child(self, now, name, child):
-        commit, self.commit = self.commit, self.log.last
+    def send_to(self, name, child):
+        state = self.core.state
+        commit_index, state.commit_index = state.commit_index, state.log.last_index
         try:
-            super().tell_child(now, name, child)
+            super().send_to(name, child)
         finally:
-            self.commit = commit
+            state.commit_index = commit_index
 
 
-class Mute(Sized):
+class MuteSharing(RestrictionSharing):
     """A relay keeps to itself what it hears of lists."""
 
-    def hear_news(self, news):
-        if not self.children:
-            super().hear_news(news)
+    children = None
+
+    def deliver(self, restrictions):
+        if not self.children.children:
+            super().deliver(restrictions)
+
+
+class MuteChildren(RelayChildren):
+    def __init__(self, core, lease, sharing):
+        super().__init__(core, lease, sharing)
+        sharing.children = self
+
+
+Generous = with_part("Generous", children_type=GenerousChildren)
+Boastful = with_part("Boastful", children_type=BoastfulChildren)
+Hasty = with_part("Hasty", leadership_type=HastyLeadership)
+Forgetful = with_part("Forgetful", children_type=ForgetfulChildren)
+Credulous = with_part("Credulous", follower_type=CredulousFollower)
+Early = with_part("Early", children_type=EarlyChildren)
+Mute = with_part("Mute", children_type=MuteChildren, sharing_type=MuteSharing)
 
 
 @pytest.mark.parametrize(
@@ -162,15 +197,15 @@
     leader = fleet.leader()
     fleet.propose(leader.name, "change", {"kind": "out", "worker": "w"})
     fleet.run(fleet.now + 3 * LEASE)
-    assert fleet.leader().member.in_force >= fleet.answered["change"][1]
+    assert fleet.leader().member.lease.in_force_index >= fleet.answered["change"][1]
 
 
 def relay_starts_anew(make):
     """The child of a relay is cut off with its lease, and a new process of the relay comes at once."""
     fleet = begun(3, 9, 7, 2, make, drift=0.0)
     fleet.run(40_000_000)
-    child = fleet.leader().member.tree().levels[2][0]
-    relay = fleet.nodes[fleet.nodes[child].member.parent]
+    child = fleet.leader().member.relay_choice.tree().levels[2][0]
+    relay = fleet.nodes[fleet.nodes[child].member.relay_choice.relay]
     cut_off(fleet, child)
     relay.crash()
     relay.start()
@@ -183,12 +218,14 @@
     fleet = begun(3, 9, 7, 2, make, drift=0.0)
     fleet.run(40_000_000)
     leader = fleet.leader()
-    child = leader.member.tree().levels[2][0]
+    child = leader.member.relay_choice.tree().levels[2][0]
     for other in fleet.nodes:
         if other != leader.name:
             fleet.cut |= {(child, other), (other, child)}
     fleet.run(fleet.now + LEASE)  # it asks the leader, which speaks to it
-    assert child in leader.member.adopted and fleet.nodes[child].member.may_act(fleet.nodes[child].clock())
+    assert child in leader.member.leadership.direct_members.adopted and fleet.nodes[child].member.may_act(
+        fleet.nodes[child].clock()
+    )
     cut_off(fleet, child)
     leader.step(leader.member, inputs.Leave())
     assert fleet.run(fleet.now + LEASE, lambda: fleet.leader() not in (None, leader))
@@ -226,7 +263,7 @@
     fleet.send = noted
     fleet.run(fleet.now + 2 * LEASE)
     assert told == {name for name in fleet.nodes if name[0] == "n"} - {leader.name}
-    assert max(len(node.member.children) for node in fleet.nodes.values()) <= 4 * 4
+    assert max(len(node.member.relay_children.children) for node in fleet.nodes.values()) <= 4 * 4
 
 
 @pytest.mark.parametrize("victim", [0, 1])
@@ -237,8 +274,8 @@
     leader = fleet.leader()
     relay = next(
         name
-        for name in leader.member.tree().levels[victim]
-        if fleet.nodes[name].member.children and name != leader.name
+        for name in leader.member.relay_choice.tree().levels[victim]
+        if fleet.nodes[name].member.relay_children.children and name != leader.name
     )
     fleet.nodes[relay].crash()
     without = dict.fromkeys(fleet.nodes, 0)
@@ -267,10 +304,14 @@
         )
         assert fleet.run(
             fleet.now + 20_000_000,
-            lambda n=fan_out: bool(n) == any(node.member.children for node in fleet.nodes.values()),
+            lambda n=fan_out: bool(n)
+            == any(node.member.relay_children.children for node in fleet.nodes.values()),
         )
 
 
+OLDER_FIELDS = m.AppendResponse.__struct_fields__[:8]  # of a version that knows no relays
+
+
 class Older(Sized):
     """A version that knows no relays: its words have none of the fields that were added."""
 
@@ -279,9 +320,7 @@
         for n, output in enumerate(out):
             if isinstance(output, outputs.Send) and isinstance(output.message, m.AppendResponse):
                 ack = output.message
-                older = m.AppendResponse(
-                    ack.term, ack.yes, ack.safe, ack.safe_term, ack.applied, ack.stamp, ack.clock, ack.hint
-                )
+                older = m.AppendResponse(*(getattr(ack, field) for field in OLDER_FIELDS))
                 out[n] = outputs.Send(output.to, older)
         return out
 
@@ -296,7 +335,7 @@
     assert fleet.run(fleet.now + 20_000_000, lambda: node.up and node.member.may_act(node.clock()))
     fleet.run(fleet.now + 1_000_000)
     leader = fleet.leader()
-    assert leader.member.without_relays() == ["x0001"]
+    assert leader.member.leadership.members_without_relays() == ["x0001"]
     fleet.propose(leader.name, "on", {"kind": "relays", "fan_out": 2})
     fleet.run(fleet.now + 3_000_000)
     assert leader.member.fan_out == 0 and all(one.member.may_act(one.clock()) for one in fleet.nodes.values())
@@ -316,7 +355,7 @@
     raw = m.encode(["Ack", 1, True, 2, 1, 2, 3, 4, 0])
     assert m.decode(raw) == m.AppendResponse(1, True, 2, 1, 2, 3, 4, 0)
     raw = m.encode(["Append", 1, 2, 1, [], 2, 5, 0, 2, 0, {}, []])
-    assert m.decode(raw).leader == "" and m.decode(raw).lists == {}
+    assert m.decode(raw).leader == "" and m.decode(raw).list_generations == {}
 
 
 @pytest.mark.parametrize(
@@ -337,43 +376,42 @@
 
 
 def test_a_patch_counts_as_the_whole_document_does_and_one_that_does_not_fit_changes_nothing():
-    rules = StateMachine(genesis({"a": {"b": 1}}, LEASE, {"n0": ("x:1", "l")}), 1)
+    rules = StateMachine(initial_state({"a": {"b": 1}}, LEASE, {"n0": ("x:1", "l")}), 1)
 
     def change(index, changes, expects):
-        return rules.apply(
-            index, m.Entry(1, f"c{index}", {"kind": "patch", "changes": changes, "expects": expects})
-        )
+        entry = m.Entry(1, f"c{index}", {"kind": "patch", "changes": changes, "expects": expects})
+        return rules.apply(index, entry)
 
-    assert change(2, [[["a", "b"], 2]], 1) == {"version": 2}
+    assert change(2, [[["a", "b"], 2]], 1) == ChangeResult(2)
     assert rules.state["settings"] == {"a": {"b": 2}} and rules.state["documents"]["2"] == {"a": {"b": 2}}
-    assert change(3, [[["a", "x"], 2]], 2)["status"] == 400
-    assert change(4, [[["a", "b"], 3]], 1)["status"] == 412
+    assert change(3, [[["a", "x"], 2]], 2).status == 400
+    assert change(4, [[["a", "b"], 3]], 1).status == 412
     assert rules.state["settings"] == {"a": {"b": 2}} and rules.state["documents"]["1"] == {"a": {"b": 1}}
 
 
 def test_who_is_behind_gets_what_has_changed_since_and_who_is_not_gets_nothing():
     ours, theirs = ListExchange(), ListExchange()
-    ours.own("r", "whole", [("w0", "ready"), ("w1", "draining")], 5)
-    ours.reported("them", theirs.generations())
-    assert ours.news_for("them") == []  # its own watch may tell it meanwhile
-    (news,) = ours.news_for("them")
-    assert theirs.told(news) == m.WorkerRestrictions("r", 5, [("w1", "draining")])
-    ours.own("r", "changes", [("w1", "ready"), ("w2", "gone")], 6)
-    ours.reported("them", theirs.generations())
-    ours.news_for("them")
-    (news,) = ours.news_for("them")
+    ours.update_own("r", "whole", [("w0", "ready"), ("w1", "draining")], 5)
+    ours.record_report("them", theirs.generations())
+    assert ours.restrictions_for("them") == []  # its own watch may tell it meanwhile
+    (news,) = ours.restrictions_for("them")
+    assert theirs.receive(news) == m.WorkerRestrictions("r", 5, [("w1", "draining")])
+    ours.update_own("r", "changes", [("w1", "ready"), ("w2", "gone")], 6)
+    ours.record_report("them", theirs.generations())
+    ours.restrictions_for("them")
+    (news,) = ours.restrictions_for("them")
     assert news == m.WorkerRestrictions("r", 6, [("w1", "ready"), ("w2", "gone")], 5)
-    assert theirs.told(news) == m.WorkerRestrictions("r", 6, [("w2", "gone")])
-    assert theirs.told(news) is None
-    ours.reported("them", theirs.generations())
-    assert ours.news_for("them") == []
+    assert theirs.receive(news) == m.WorkerRestrictions("r", 6, [("w2", "gone")])
+    assert theirs.receive(news) is None
+    ours.record_report("them", theirs.generations())
+    assert ours.restrictions_for("them") == []
 
 
 def test_news_that_do_not_join_on_are_not_taken():
     known = ListKnowledge()
-    known.own("whole", [("w0", "draining")], 3)
-    assert not known.told(m.WorkerRestrictions("r", 9, [("w1", "gone")], 5)) and known.generation == 3
-    assert known.told(m.WorkerRestrictions("r", 9, [("w1", "gone")]))
+    known.update_own("whole", [("w0", "draining")], 3)
+    assert not known.receive(m.WorkerRestrictions("r", 9, [("w1", "gone")], 5)) and known.generation == 3
+    assert known.receive(m.WorkerRestrictions("r", 9, [("w1", "gone")]))
     assert known.since(2, "r") == m.WorkerRestrictions("r", 9, [("w1", "gone")])
 
 
@@ -381,7 +419,11 @@
     """The calls of a dispatcher whose member says what the test wants."""
 
     def __init__(self, role, older=()):
-        self.member = SimpleNamespace(role=role, leader="n1", without_relays=lambda: list(older))
+        self.member = SimpleNamespace(
+            role=role,
+            leader="n1",
+            leadership=SimpleNamespace(members_without_relays=lambda: list(older)),
+        )
 
     def changed(self, change):
         return change
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -6,8 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from mastledge.consensus.changes import is_valid
 from mastledge.consensus.messages import Entry
-from mastledge.consensus.state_machine import StateMachine, genesis, sound
+from mastledge.consensus.state_machine import StateMachine, initial_state
 from mastledge.idempotency import key_table as b
 from mastledge.lab import copying
 from mastledge.lab.copying import KEEP, PATIENCE, WALLTIME, Broken, Fleet, Host, Schedule
@@ -183,12 +184,15 @@
 
 
 def agreed(rules, **change):
-    assert sound(change)
-    return rules.apply(rules.applied + 1, Entry(1, f"c{rules.applied}", change))
+    assert is_valid(change)
+    index = rules.applied_index
+    return rules.apply(index + 1, Entry(1, f"c{index}", change)).to_document()
 
 
 def test_the_fleet_agrees_on_holders_and_switches_once_each_has_its_copies():
-    rules = StateMachine(genesis({}, 1, {f"n{n}": (f"127.0.0.1:{n + 1}", f"l{n}") for n in range(3)}), 0)
+    rules = StateMachine(
+        initial_state({}, 1, {f"n{n}": (f"127.0.0.1:{n + 1}", f"l{n}") for n in range(3)}), 0
+    )
 
     def holds(name, id_, starts=1):
         return agreed(rules, kind="holds", name=name, id=id_, starts=starts, count=3)
@@ -210,12 +214,14 @@
     assert (state["epoch"], state["now"]["n1"], state["next"]) == (3, "j", None)
     agreed(rules, kind="remove", name="n2")
     assert state["epoch"] == 4 and sorted(state["next"]) == ["n0", "n1"] and "n2" in state["now"]
-    assert not sound({"kind": "holds", "name": "n0", "id": "i", "starts": 0, "count": 3})
-    assert not sound({"kind": "caught", "name": "n0", "id": "i", "epoch": "1"})
+    assert not is_valid({"kind": "holds", "name": "n0", "id": "i", "starts": 0, "count": 3})
+    assert not is_valid({"kind": "caught", "name": "n0", "id": "i", "epoch": "1"})
 
 
 def test_another_count_of_copies_moves_once_all_have_read_anew():
-    rules = StateMachine(genesis({}, 1, {f"n{n}": (f"127.0.0.1:{n + 1}", f"l{n}") for n in range(5)}), 0)
+    rules = StateMachine(
+        initial_state({}, 1, {f"n{n}": (f"127.0.0.1:{n + 1}", f"l{n}") for n in range(5)}), 0
+    )
     assert agreed(rules, kind="copies", count=5)["status"] == 409
     for n in range(5):
         agreed(rules, kind="holds", name=f"n{n}", id="i", starts=1, count=3)
@@ -239,7 +245,7 @@
     agreed(rules, kind="copies", count=3)
     agreed(rules, kind="copies", count=5)  # taken back before it was done
     assert state["count"] == 5 and state["next"] is None and "after" not in state
-    assert not sound({"kind": "copies", "count": 8}) and not sound({"kind": "copies", "count": "3"})
+    assert not is_valid({"kind": "copies", "count": 8}) and not is_valid({"kind": "copies", "count": "3"})
 
 
 # Several in simulated time
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -8,7 +8,7 @@
 from test_terms import Agent
 
 from mastledge.consensus import messages as m
-from mastledge.consensus.state_machine import genesis
+from mastledge.consensus.state_machine import initial_state
 from mastledge.consensus.worker_restrictions import ListExchange, OwnList
 from mastledge.peers import links
 from mastledge.program.configuration import configuration
@@ -65,7 +65,9 @@
 
 
 def state():
-    made = genesis(GOOD["settings"], 2_000_000, {name: (at, "0" * 16) for name, at in members().items()})
+    made = initial_state(
+        GOOD["settings"], 2_000_000, {name: (at, "0" * 16) for name, at in members().items()}
+    )
     workers = [f"worker-of-a-long-name-{n}" for n in range(WORKERS)]
     return {**made, "out": workers, "back": {one: 1 << 50 for one in workers}}
 
@@ -97,8 +99,8 @@
     own, ours, theirs = OwnList(), ListExchange(), ListExchange()
     own.listed("whole", workers, 7)
     assert len(own.news("r").workers) == WORKERS
-    ours.own("r", "whole", workers, 7)
-    ours.news_for("them")
-    (news,) = ours.news_for("them")
+    ours.update_own("r", "whole", workers, 7)
+    ours.restrictions_for("them")
+    (news,) = ours.restrictions_for("them")
     told = m.decode(m.encode(m.AppendEntries(1, 1, 1, [], 1, 5, 0, 1, 0, {}, [news])))
-    assert len(theirs.told(told.news[0]).workers) == WORKERS
+    assert len(theirs.receive(told.restrictions[0]).workers) == WORKERS
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -5,14 +5,14 @@
     """Acts on what it knows, lease or not."""
     from mastledge.consensus.member import Member
 
-    Member.may_act = lambda self, now: self.rules is not None
+    Member.may_act = lambda self, now: self.state_machine is not None
 
 
 def hasty():
     """Calls a change in force as soon as it is agreed, whoever has it."""
-    from mastledge.consensus.leases import Leases
+    from mastledge.consensus.leases import GrantedLeases
 
-    Leases.reached = lambda self, name, now: None
+    GrantedLeases.covered_index = lambda self, name, now: None
 
 
 def deaf():
