--- a/mastledge/__main__.py
+++ b/mastledge/__main__.py
@@ -1,6 +1,8 @@
+"""`python -m mastledge`: the command line."""
+
 import sys
 
-from mastledge.program.command import main
+from mastledge.command_line import main
 
 if __name__ == "__main__":
     sys.exit(main())
--- /dev/null
+++ b/mastledge/command_line.py
@@ -0,0 +1,38 @@
+"""The whole command line: the commands of the program, and `lab` where the laboratory is installed.
+
+It stands above both, so that neither the program nor the laboratory imports it.
+"""
+
+import argparse
+import sys
+
+from mastledge.program import command
+
+
+def main() -> int:
+    """Runs the command that the arguments of the process name; its exit status."""
+    arguments = sys.argv[1:]
+    parser, commands = command.new_parser()
+    command.add_commands(commands, arguments)
+    if command.offers("lab", arguments):
+        add_laboratory(commands)
+    return command.run(parser.parse_args(arguments))
+
+
+def add_laboratory(commands) -> None:
+    """Adds `lab`; where a package that it needs is absent, a `lab` that names the package."""
+    try:
+        from mastledge.lab.command import add  # none of it is needed to serve
+    except ImportError as error:
+        missing = error.name
+        laboratory = commands.add_parser("lab", help=f"not installed: {missing}")
+        laboratory.add_argument("rest", nargs=argparse.REMAINDER, help=argparse.SUPPRESS)
+        laboratory.set_defaults(call=lambda args: report_missing(missing))
+    else:
+        add(commands)
+
+
+def report_missing(package: str) -> int:
+    """Says what the laboratory lacks and where to get it; status 2."""
+    print(f"mastledge: the laboratory needs {package}: pip install -r requirements-lab.txt", file=sys.stderr)
+    return 2
--- a/mastledge/program/command.py
+++ b/mastledge/program/command.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The commands of the program itself: serve, check, settings, version, fleet."""
 
 import argparse
 import os
@@ -12,13 +12,15 @@
 from mastledge.program.logs import Log
 
 
-def serve(args):
+def serve(args) -> int:
+    """Runs one dispatcher until SIGTERM."""
     told = configuration(args.config, os.environ)
     log = Log(sys.stderr.fileno(), told["name"], args.log)
     return Program(told, log, lambda: configuration(args.config, os.environ), os.environ.get("TMPDIR")).run()
 
 
-def check(args):
+def check(args) -> int:
+    """Reads the configuration and says whether it is good."""
     told = configuration(args.config, os.environ)
     print(
         f"{args.config}: good; {len(told['settings']['queue_types'])} queue types, listens on "
@@ -27,13 +29,15 @@
     return 0
 
 
-def settings(args):
+def settings(args) -> int:
+    """Shows the settings as the decisions are handed them."""
     told = configuration(args.config, os.environ)
     print(orjson.dumps(told["settings"], option=orjson.OPT_INDENT_2).decode())
     return 0
 
 
-def version(args):
+def version(args) -> int:
+    """Shows the version."""
     print(f"mastledge {__version__}")
     return 0
 
@@ -42,13 +46,24 @@
     """Says in one line what can't be read of a call; status 2."""
 
     def error(self, message):
+        """Ends the process with the message of argparse."""
         print(f"mastledge: {message}", file=sys.stderr)
         raise SystemExit(2)
 
 
-def parser(words=()):
-    top = Parser(prog="mastledge", description="A dispatcher that pushes jobs to workers.")
-    commands = top.add_subparsers(dest="command", required=True, metavar="COMMAND")
+def new_parser():
+    """A parser without commands, and argparse's object to which commands are added."""
+    parser = Parser(prog="mastledge", description="A dispatcher that pushes jobs to workers.")
+    return parser, parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
+
+
+def offers(command: str, arguments: list[str]) -> bool:
+    """Whether the arguments need a command that is costly to import: they name it, or ask for help."""
+    return arguments[:1] in ([command], [], ["-h"], ["--help"])
+
+
+def add_commands(commands, arguments: list[str]) -> None:
+    """Adds the commands of the program; those on a fleet only where the arguments need them."""
     for call, about in (
         (serve, "run one dispatcher until SIGTERM"),
         (check, "read the configuration and say whether it is good"),
@@ -71,44 +86,38 @@
                 default="info",
                 help="brief leaves out the lines of single jobs and launches",
             )
-    if words[:1] == ["fleet"] or words[:1] in ([], ["-h"], ["--help"]):
+    if offers("fleet", arguments):
         from mastledge.program import fleet_command
 
         fleet_command.commands(commands)
-    # The rig, where it is installed: none of it is needed to serve.
-    if words[:1] == ["lab"] or words[:1] in ([], ["-h"], ["--help"]):
-        try:
-            from mastledge.lab.command import add
-        except ImportError as error:
-            lab = commands.add_parser("lab", help=f"not installed: {error.name}")
-            lab.add_argument("rest", nargs=argparse.REMAINDER, help=argparse.SUPPRESS)
-            lab.set_defaults(call=lambda args, name=error.name: missing(name))
-        else:
-            add(commands)
-    return top
-
-
-def missing(name):
-    print(f"mastledge: the laboratory needs {name}: pip install -r requirements-lab.txt", file=sys.stderr)
-    return 2
-
-
-def main():
-    args = parser(sys.argv[1:]).parse_args()
+
+
+def run(args) -> int:
+    """Runs a parsed command; its exit status, with one line on stderr where it cannot be run."""
     if getattr(args, "config", "") is None and args.command != "fleet":
-        print("mastledge: no configuration: give --config or set GW_CONFIG", file=sys.stderr)
-        return 2
+        return fail("no configuration: give --config or set GW_CONFIG", 2)
     try:
         return args.call(args)
     except BadConfiguration as error:
-        print(f"mastledge: {error}", file=sys.stderr)
-        return 2
+        return fail(str(error), 2)
     except ModuleNotFoundError as error:
         if (error.name or "").partition(".")[0] == "mastledge":
             raise
         # Only dispatchers that agree need more than a dispatcher alone.
-        print(f"mastledge: peers needs {error.name}: pip install -r requirements-fleet.txt", file=sys.stderr)
-        return 2
+        return fail(f"peers needs {error.name}: pip install -r requirements-fleet.txt", 2)
     except OSError as error:
-        print(f"mastledge: cannot serve: {error}", file=sys.stderr)
-        return 1
+        return fail(f"cannot serve: {error}", 1)
+
+
+def fail(why: str, status: int) -> int:
+    """Says on stderr why a command cannot be run; the status."""
+    print(f"mastledge: {why}", file=sys.stderr)
+    return status
+
+
+def main() -> int:
+    """Runs a command of the program alone, without the laboratory; its exit status."""
+    arguments = sys.argv[1:]
+    parser, commands = new_parser()
+    add_commands(commands, arguments)
+    return run(parser.parse_args(arguments))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -153,10 +153,11 @@
     path = file(tmp_path, listen=f"{HERE}:7070", discovery=f"{HERE}:7071", control=f"{HERE}:7072")
     code = (
         "import json, os, sys\n"
+        "from mastledge import command_line\n"
         "from mastledge.program import command, lifecycle\n"
         "from mastledge.program.configuration import configuration\n"
         f"told = configuration({path!r}, {{}})\n"
-        f"made = phases.Program(told, lambda *a, **k: None, None, {str(tmp_path)!r})\n"
+        f"made = lifecycle.Program(told, lambda *a, **k: None, None, {str(tmp_path)!r})\n"
         "made.begin()\n"
         "for _ in range(20): made.loop.once(10_000)\n"
         "links = [os.readlink(f'/proc/self/fd/{fd}') for fd in os.listdir('/proc/self/fd') if fd.isdigit()"
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -11,8 +11,8 @@
 import pytest
 from helpers import HERE, Rig, balancer, peer_at, queue_type, workers
 
+from mastledge.command_line import main
 from mastledge.program import lifecycle
-from mastledge.program.command import main
 from mastledge.program.configuration import BadConfiguration, configuration
 from mastledge.program.lifecycle import ENDED, FINISHING, LEAVING, NEXT, SERVING, STARTING, WAITING, Program
 from mastledge.program.logs import Log
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from mastledge.command_line import main
 from mastledge.consensus import messages as m
 from mastledge.consensus.relays import Tree
 from mastledge.consensus.settings_patch import difference, patched
@@ -12,7 +13,6 @@
 from mastledge.lab import relaying
 from mastledge.lab.schedule import LEASE, Broken, Fleet
 from mastledge.lab.sized import Sized, begun, measured, rests
-from mastledge.program.command import main
 from mastledge.program.fleet_api import FleetApi
 from mastledge.protocol.control import No
 
