--- a/mastledge/lab/bench.py
+++ b/mastledge/lab/bench.py
@@ -251,7 +251,7 @@
                 records[name].append(("end", "", key, True, 200, self.answer, until))
         self.written = {}
         for name, node in self.nodes.items():
-            folder = DataDirectory(os.path.join(node.folder, "repeats")).hold()
+            folder = DataDirectory(os.path.join(node.folder, "repeats")).acquire()
             journal = WriteAheadLog(folder, "copies", {"name": name}, PersistedReplica(time.time_ns)).open()
             journal.rewrite(records[name])
             self.written[name] = journal.size, len(records[name]) // 2
--- a/mastledge/lab/scale/topology.py
+++ b/mastledge/lab/scale/topology.py
@@ -90,7 +90,7 @@
 
 def write_folder(one: Dispatcher, path: str, state: dict) -> None:
     """The folder of a real dispatcher, with its journal."""
-    folder = DataDirectory(path).hold()
+    folder = DataDirectory(path).acquire()
     journal = WriteAheadLog(folder, "agreement", {"name": one.name}, PersistedState()).open()
     journal.append(first_records(one, state))
     journal.close()
--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -17,7 +17,8 @@
 from mastledge.program.fleet_api import LOOK, FleetApi
 from mastledge.program.settings import flat, plain_map
 from mastledge.program.shared_lease import SharedLease
-from mastledge.storage.data_directory import DataDirectory, DataDirectoryError
+from mastledge.storage.data_directory import DataDirectory
+from mastledge.storage.errors import DataDirectoryError
 from mastledge.storage.write_ahead_log import WriteAheadLog
 from mastledge.storage.writer import Writer
 from mastledge.transport.connection import address_of
@@ -74,7 +75,7 @@
         BadFolder.
         """
         try:
-            self.folder.hold()
+            self.folder.acquire()
         except DataDirectoryError:
             if not self.program.beside:
                 raise
@@ -184,7 +185,7 @@
                 self.notes.take(taken)
             yield (-1, 0, self.loop.now() + LOOK)
             try:
-                self.folder.hold()
+                self.folder.acquire()
             except DataDirectoryError:
                 continue
             self.log("fleet_active", index=self.index)
@@ -261,11 +262,11 @@
     def written(self):
         while True:
             yield (self.writer.fd, READ, None)
-            for token, error in self.writer.done():
-                if error is None:
-                    self.input("saved", token)
+            for result in self.writer.completed():
+                if result.error is None:
+                    self.input("saved", result.token)
                 else:
-                    self.links.grumble("disk_failed", why=str(error))
+                    self.links.grumble("disk_failed", why=str(result.error))
                     self.input("broken")
 
     def input(self, what, *fields):
@@ -290,7 +291,7 @@
         self.links.send(to, messages.encode(message))
 
     def do_save(self, token, records):
-        self.writer.save(token, records)
+        self.writer.append(token, records)
 
     def do_rewrite(self, token, records):
         self.writer.rewrite(token, records)
--- a/mastledge/program/fleet_api.py
+++ b/mastledge/program/fleet_api.py
@@ -72,7 +72,7 @@
                 "why": self.unreadable or ("" if left else member.why()),
                 "served_without_lease_ms": self.rule.unbound(now) // 1000,
                 "disk": "failing" if member.broken else "good",
-                "longest_write_us": self.writer.longest,
+                "longest_write_us": self.writer.longest_write_us,
                 "longest_step_us": self.longest,
                 "frames_sent": self.links.sent,
                 "frames_got": self.links.got,
--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -22,7 +22,8 @@
 from mastledge.protocol import http
 from mastledge.protocol.control import Answer
 from mastledge.protocol.requests import COMPLETED, KILLED, REJECTED
-from mastledge.storage.data_directory import DataDirectory, DataDirectoryError
+from mastledge.storage.data_directory import DataDirectory
+from mastledge.storage.errors import DataDirectoryError
 from mastledge.storage.write_ahead_log import WriteAheadLog
 from mastledge.storage.writer import Writer
 from mastledge.transport.loop import READ
@@ -53,7 +54,7 @@
         one.
         """
         try:
-            self.folder.hold()
+            self.folder.acquire()
         except DataDirectoryError:
             if not self.program.beside:
                 raise
@@ -83,7 +84,7 @@
         while True:
             yield (-1, 0, self.loop.now() + LOOK)
             try:
-                self.folder.hold()
+                self.folder.acquire()
             except DataDirectoryError:
                 continue
             self.open()
@@ -108,13 +109,14 @@
     def save(self):
         """Hands over what the book has changed; the token under which it is on the disk."""
         self.token += 1
-        self.writer.save(self.token, self.book.records())
+        self.writer.append(self.token, self.book.records())
         return self.token
 
     def written(self):
         while True:
             yield (self.writer.fd, READ, None)
-            for token, error in self.writer.done():
+            for result in self.writer.completed():
+                token, error = result.token, result.error
                 if error is not None and not self.failing:
                     self.log("idempotency_disk_failed", why=str(error))
                     self.failing = True
@@ -256,7 +258,7 @@
             "owed": 0,
             "under_copied": 0,
             "disk": "failing" if self.failing else "good",
-            "longest_write_us": self.writer.longest,
+            "longest_write_us": self.writer.longest_write_us,
         }
         oldest = told.pop("oldest_until")
         told["oldest_left_ms"] = max(0, oldest - self.loop.now()) // 1000 if oldest else 0
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -18,7 +18,8 @@
 from mastledge.recovery import restored_state as b
 from mastledge.recovery import startup_stages as s
 from mastledge.recovery.admission_ramp import DONE, ELSE, TURNED, AdmissionRamp
-from mastledge.storage.data_directory import DataDirectory, DataDirectoryError
+from mastledge.storage.data_directory import DataDirectory
+from mastledge.storage.errors import DataDirectoryError
 from mastledge.storage.write_ahead_log import WriteAheadLog
 from mastledge.storage.writer import Writer
 
@@ -83,7 +84,7 @@
         """Reads the folder in a thread of its own: a slow disk must not keep anybody from saying so."""
         vital, spawn = self.program.vital, self.loop.spawn
         try:
-            self.folder.hold()
+            self.folder.acquire()
         except DataDirectoryError as error:
             if not self.program.beside:
                 raise
@@ -368,7 +369,8 @@
             if self.writer is None:
                 self.take_folder()
                 continue
-            for _, error in self.writer.done():
+            for result in self.writer.completed():
+                error = result.error
                 if (error is not None) != self.failing:
                     self.failing = error is not None
                     what = "recovery_disk_failed" if error else "recovery_disk_mended"
@@ -380,7 +382,7 @@
         """The process before this one may have left it."""
         if self.reader is None and self.folder.lock is None and not self.program.listener.succeeded:
             try:
-                self.folder.hold()
+                self.folder.acquire()
             except DataDirectoryError:
                 return
             self.trouble = None
@@ -408,7 +410,7 @@
             self.last = {}
             self.writer.rewrite(self.token, records)
         else:
-            self.writer.save(self.token, records)
+            self.writer.append(self.token, records)
 
     def list_now(self):
         """Registry, generation and workers, as this life has heard of them."""
@@ -475,6 +477,6 @@
             "asked": sorted(self.asked),
             "answered": sorted(self.answers),
             "disk": "failing" if self.failing else self.trouble or "good",
-            "longest_write_us": self.writer.longest if self.writer else 0,
+            "longest_write_us": self.writer.longest_write_us if self.writer else 0,
         }
         return Answer(200, orjson.dumps(told, option=orjson.OPT_INDENT_2).decode(), [], "application/json")
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -80,7 +80,7 @@
         self.book.recovered(now, kept.held, False)
         self.lasts, self.token = False, self.token + 1
         self.starting = self.token
-        self.writer.save(self.token, head(self.id, self.starts, self.fence))
+        self.writer.append(self.token, head(self.id, self.starts, self.fence))
 
     def join(self):
         """Says that it is there, as soon as there is a fleet that agrees."""
@@ -141,7 +141,8 @@
     def written(self):
         while True:
             yield (self.writer.fd, READ, None)
-            for token, error in self.writer.done():
+            for result in self.writer.completed():
+                token, error = result.token, result.error
                 if error is not None:
                     if not self.failing:
                         self.log("replication_disk_failed", why=str(error))
@@ -220,7 +221,7 @@
 
     def do_save(self, token, records):
         self.token = token
-        self.writer.save(token, records)
+        self.writer.append(token, records)
 
     def do_tell(self, n, what, status, content):
         self.counts[what] += 1
@@ -373,7 +374,7 @@
             "taken": node.restore.taken if node else 0,
             "given": node.restore.given if node else 0,
             "disk": "failing" if self.failing else "good",
-            "longest_write_us": self.writer.longest,
+            "longest_write_us": self.writer.longest_write_us,
             "longest_step_us": self.longest,
             "oldest_left_ms": max(0, oldest - self.loop.now()) // 1000 if oldest else 0,
         }
--- a/mastledge/storage/data_directory.py
+++ b/mastledge/storage/data_directory.py
@@ -1,47 +1,61 @@
-"""The folder of one dispatcher: who it belongs to, and that one process alone writes there."""
+"""The data directory of one dispatcher, which one process at a time may use."""
 
 import errno
 import fcntl
 import os
 
+from mastledge.storage.errors import DataDirectoryError, DirectoryLockedError
 
-class DataDirectoryError(OSError):
-    """The folder can't be used; one plain message."""
-
-    def __str__(self):
-        return self.args[1]
+LOCK_FILE = "lock"
+DIRECTORY_MODE, FILE_MODE = 0o700, 0o600
 
 
 class DataDirectory:
-    def __init__(self, path):
-        self.path, self.lock = path, None
+    """A directory and its lock file. The lock is a `flock`, so it ends with the process that has it."""
 
-    def hold(self):
-        """Locks the folder for this process, making it where it is missing; BadFolder with the reason."""
-        try:
-            os.makedirs(self.path, 0o700, exist_ok=True)
-            lock = os.open(os.path.join(self.path, "lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        except OSError as error:
-            raise DataDirectoryError(
-                error.errno, f"folder {self.path} can't be written: {error.strerror}"
-            ) from None
+    def __init__(self, path: str) -> None:
+        """Touches nothing yet; `acquire` makes the directory where it is missing."""
+        self.path = path
+        self.lock: int | None = None  # descriptor of the lock file, while this process has the lock
+
+    def acquire(self) -> "DataDirectory":
+        """Lock the directory for this process.
+
+        Raises `DirectoryLockedError` where another process has it, and `DataDirectoryError` where it
+        cannot be written.
+        """
+        lock = self._open_lock_file()
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(lock)
-            raise DataDirectoryError(errno.EBUSY, f"folder {self.path} is held by another process") from None
+            raise DirectoryLockedError(
+                errno.EBUSY, f"folder {self.path} is held by another process"
+            ) from None
         self.lock = lock
         return self
 
-    def release(self):
+    def _open_lock_file(self) -> int:
+        try:
+            os.makedirs(self.path, DIRECTORY_MODE, exist_ok=True)
+            return os.open(
+                os.path.join(self.path, LOCK_FILE), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE
+            )
+        except OSError as error:
+            raise DataDirectoryError(
+                error.errno, f"folder {self.path} can't be written: {error.strerror}"
+            ) from None
+
+    def release(self) -> None:
+        """Give the lock back, where this process has it."""
         if self.lock is not None:
             os.close(self.lock)
             self.lock = None
 
-    def sync(self):
-        """So that what was created or renamed here is found after a loss of power."""
-        fd = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
+    def sync(self) -> None:
+        """Sync the directory itself, so that a file made or renamed here is found after a loss of power."""
+        descriptor = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            os.fsync(fd)
+            os.fsync(descriptor)
         finally:
-            os.close(fd)
+            os.close(descriptor)
--- a/mastledge/storage/write_ahead_log.py
+++ b/mastledge/storage/write_ahead_log.py
@@ -1,167 +1,175 @@
-"""An append-only file of records; docs/formats.md tells its form.
+"""An append-only file of records, replayed into a state when it is opened. Format page: docs/formats.md.
 
-What is handed in at once is one frame with one checksum: it is there as a whole or not at all. The next
-frame is written only after the one before it is synced, so a frame that a crash cut is the last one.
+Records that are appended together are one frame with one checksum: they are there as a whole or not at all.
+The next frame is written only after the one before it is synced, so a frame that a crash cut off is the last.
 """
 
 import os
-import struct
-import zlib
+from collections.abc import Callable, Mapping, Sequence
 from itertools import chain
+from typing import Any
 
-import msgspec
+from mastledge.storage import frames
+from mastledge.storage.data_directory import FILE_MODE, DataDirectory
+from mastledge.storage.errors import (
+    DamagedLogError,
+    DataDirectoryError,
+    ForeignLogError,
+    LogNotWritableError,
+    StorageError,
+    UnsupportedFormatError,
+)
+from mastledge.storage.replayed_state import ReplayedState
 
-from mastledge.storage.data_directory import DataDirectoryError
+RECORDS_PER_FRAME = 512  # where a file is rewritten
+REWRITE_SUFFIX = ".new"
 
-MAGIC, FORMAT = b"mastledge journal\n", 1
-MARK = b"\xa5frm"
-HEAD = struct.Struct(">4sII")  # mark, length, checksum of length and content
-MOST = 64 << 20  # of one frame; a longer length is damage
-PART = 512  # records of one frame where a file is written anew
-encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.decode
 
-
-class DamagedLogError(DataDirectoryError):
-    """A file that can't be read to its end, and not because a crash cut it."""
-
-
-def frame(records):
-    content = encode(records)
-    length = struct.pack(">I", len(content))
-    return HEAD.pack(MARK, len(content), zlib.crc32(content, zlib.crc32(length))) + content
-
-
-def whole_frame(raw, at):
-    """The content of the frame at this place, None where there is none that is whole."""
-    if len(raw) - at < HEAD.size:
-        return None
-    mark, length, checksum = HEAD.unpack_from(raw, at)
-    if mark != MARK or length > MOST or at + HEAD.size + length > len(raw):
-        return None
-    content = raw[at + HEAD.size : at + HEAD.size + length]
-    return content if zlib.crc32(content, zlib.crc32(struct.pack(">I", length))) == checksum else None
-
-
-def another(raw, at):
-    """Whether any whole frame stands behind this place."""
-    while (at := raw.find(MARK, at + 1)) >= 0:
-        if whole_frame(raw, at) is not None:
-            return True
-    return False
-
-
-def head_of(owner):
-    text = encode({"format": FORMAT, **owner})
-    return MAGIC + frame(text)
+def write_all(descriptor: int, data: bytes) -> None:
+    """Write all of it, however much the system takes at once; `OSError` leaves an unknown part written."""
+    rest = memoryview(data)
+    while rest:
+        rest = rest[os.write(descriptor, rest) :]
 
 
 class WriteAheadLog:
-    """`owner`: a map of names, told from others' by each of its figures. `keep` takes a record, and gives
-    the fewest that lead to the same by `compacted_records()`.
-    """
-
-    def __init__(self, folder, name, owner, keep, log=lambda event, **fields: None):
-        self.folder, self.name, self.owner, self.keep, self.log = folder, name, owner, keep, log
-        self.path = os.path.join(folder.path, name)
-        self.file, self.size = None, 0
-
-    def open(self):
-        """Reads what there is into `keep`; raises Damaged or BadFolder with one plain message."""
+    """One log file of a data directory. Not thread-safe: once it is open, one `Writer` has it."""
+
+    def __init__(
+        self,
+        directory: DataDirectory,
+        name: str,
+        owner: Mapping[str, str],
+        state: ReplayedState,
+        log: Callable[..., None] = lambda event, **fields: None,
+    ) -> None:
+        """The file `name` of a directory whose lock this process has.
+
+        `owner` says whose records these are: a file that names another value for any of its keys is refused.
+        `log` takes an event and its fields.
+        """
+        self.directory, self.name, self.owner, self.state, self.log = directory, name, owner, state, log
+        self.path = os.path.join(directory.path, name)
+        self.descriptor: int | None = None
+        self.size = 0  # bytes
+
+    def open(self) -> "WriteAheadLog":
+        """Replay the file into the state, or begin one; a torn last frame is cut off and logged.
+
+        Raises `DamagedLogError`, `ForeignLogError`, `UnsupportedFormatError`, or `DataDirectoryError` where
+        the system refuses.
+        """
         try:
-            if not os.path.exists(self.path):
+            if os.path.exists(self.path):
+                self._open_existing()
+            else:
                 self.rewrite([])
-                return self
-            with open(self.path, "rb") as file:
-                raw = file.read()
-            self.size = self.read(raw)
-            self.file = os.open(self.path, os.O_RDWR | os.O_CLOEXEC)
-            if self.size < len(raw):
-                self.log("log_truncated", file=self.path, at=self.size, bytes=len(raw) - self.size)
-                os.ftruncate(self.file, self.size)
-                os.fsync(self.file)
-            os.lseek(self.file, self.size, os.SEEK_SET)
-        except DataDirectoryError:
+        except StorageError:
             raise
         except OSError as error:
             raise DataDirectoryError(error.errno, f"{self.path}: {error.strerror}") from None
         return self
 
-    def read(self, raw):
-        if not raw.startswith(MAGIC):
-            raise DamagedLogError(0, f"{self.path} is no journal of mastledge")
-        at = len(MAGIC)
-        content = whole_frame(raw, at)
-        if content is None:
-            raise DamagedLogError(0, f"{self.path} is spoilt at its head")
-        told = decode(decode(content))
-        if told["format"] != FORMAT:
-            raise DataDirectoryError(
-                0,
-                f"{self.path} is of format {told['format']}, written by another version; "
-                f"this one reads {FORMAT}",
-            )
-        for what, ours in self.owner.items():
-            # One that was written before this was told apart belongs to whoever has it.
-            if told.get(what, ours) != ours:
-                raise DataDirectoryError(
-                    0, f"{self.path} belongs to another {what}: {told.get(what)}, not {ours}"
-                )
-        at += HEAD.size + len(content)
-        while at < len(raw):
-            content = whole_frame(raw, at)
-            if content is None:
-                if another(raw, at):
-                    raise DamagedLogError(0, f"{self.path} is spoilt at byte {at}, and not at its end")
-                break
-            for record in decode(content):
-                try:
-                    self.keep.apply(record)
-                except (ValueError, TypeError, IndexError) as error:
-                    raise DamagedLogError(0, f"{self.path} can't be followed at byte {at}: {error}") from None
-            at += HEAD.size + len(content)
-        return at
-
-    def append(self, records):
-        """Writes and syncs; OSError, and then nothing counts until `rewrite` has gone well."""
-        if self.file is None:
-            raise OSError(0, "not open")
-        raw = frame(records)
+    def append(self, records: Sequence[Any]) -> None:
+        """Write these records as one frame and sync it.
+
+        After an `OSError` nothing may be appended until `rewrite` has succeeded.
+        """
+        if self.descriptor is None:
+            raise LogNotWritableError(0, f"{self.path} is not open")
+        frame = frames.encode_frame(records)
         try:
-            view = memoryview(raw)
-            while view:
-                view = view[os.write(self.file, view) :]
-            os.fdatasync(self.file)
+            write_all(self.descriptor, frame)
+            os.fdatasync(self.descriptor)
         except OSError:
-            # What stands there now isn't known; the kernel may have dropped pages that it could not write.
-            os.close(self.file)
-            self.file = None
+            # What stands there now isn't known: the kernel may have dropped pages that it could not write.
+            self.close()
             raise
-        self.size += len(raw)
+        self.size += len(frame)
 
-    def rewrite(self, records):
-        """A new file in the place of the old one, as a whole."""
-        place = self.path + ".new"
-        file = os.open(place, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+    def rewrite(self, records: Sequence[Any]) -> None:
+        """Replace the file by one with these records; after an `OSError` the former one is still there."""
+        replacement = self.path + REWRITE_SUFFIX
+        descriptor = os.open(replacement, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, FILE_MODE)
         try:
-            # In parts, as nobody else runs while one is encoded; the file is there as a whole all the same.
-            parts = (records[at : at + PART] for at in range(0, len(records), PART))
-            size = 0
-            for raw in chain((head_of(self.owner),), map(frame, parts)):
-                view, size = memoryview(raw), size + len(raw)
-                while view:
-                    view = view[os.write(file, view) :]
-            os.fsync(file)
-            os.replace(place, self.path)
-            self.folder.sync()
+            size = self._write_file(descriptor, records)
+            os.replace(replacement, self.path)
+            self.directory.sync()
         except OSError:
-            os.close(file)
+            os.close(descriptor)
             raise
-        if self.file is not None:
-            os.close(self.file)
-        self.file, self.size = file, size
-
-    def close(self):
-        if self.file is not None:
-            os.close(self.file)
-            self.file = None
+        self.close()
+        self.descriptor, self.size = descriptor, size
+
+    def close(self) -> None:
+        """Close the file; what was appended is already synced."""
+        if self.descriptor is not None:
+            os.close(self.descriptor)
+            self.descriptor = None
+
+    def _open_existing(self) -> None:
+        with open(self.path, "rb") as file:
+            data = file.read()
+        self.size = self._replay(data)
+        self.descriptor = os.open(self.path, os.O_RDWR | os.O_CLOEXEC)
+        if self.size < len(data):
+            self.log("log_truncated", file=self.path, at=self.size, bytes=len(data) - self.size)
+            os.ftruncate(self.descriptor, self.size)
+            os.fsync(self.descriptor)
+        os.lseek(self.descriptor, self.size, os.SEEK_SET)
+
+    def _replay(self, data: bytes) -> int:
+        """Apply all whole frames; gives the offset at which the last of them ends."""
+        offset = self._check_header(data)
+        while offset < len(data):
+            content = frames.whole_frame(data, offset)
+            if content is None:
+                if frames.has_whole_frame_after(data, offset):
+                    raise DamagedLogError(0, f"{self.path} is spoilt at byte {offset}, and not at its end")
+                break
+            self._apply(frames.decode_content(content), offset)
+            offset += frames.FRAME_HEADER.size + len(content)
+        return offset
+
+    def _apply(self, records: Sequence[Any], offset: int) -> None:
+        for record in records:
+            try:
+                self.state.apply(record)
+            except (ValueError, TypeError, IndexError) as error:
+                raise DamagedLogError(0, f"{self.path} can't be followed at byte {offset}: {error}") from None
+
+    def _check_header(self, data: bytes) -> int:
+        """The offset behind the file's header, if it is one of this format and this owner."""
+        if not data.startswith(frames.FILE_MAGIC):
+            raise DamagedLogError(0, f"{self.path} is no journal of mastledge")
+        content = frames.whole_frame(data, len(frames.FILE_MAGIC))
+        if content is None:
+            raise DamagedLogError(0, f"{self.path} is spoilt at its head")
+        header = frames.decode_file_header(content)
+        if header["format"] != frames.FORMAT_VERSION:
+            raise UnsupportedFormatError(
+                0,
+                f"{self.path} is of format {header['format']}, written by another version; "
+                f"this one reads {frames.FORMAT_VERSION}",
+            )
+        self._check_owner(header)
+        return len(frames.FILE_MAGIC) + frames.FRAME_HEADER.size + len(content)
+
+    def _check_owner(self, header: Mapping[str, Any]) -> None:
+        for key, expected in self.owner.items():
+            # A file from before this key was written down belongs to whoever has it.
+            found = header.get(key, expected)
+            if found != expected:
+                raise ForeignLogError(0, f"{self.path} belongs to another {key}: {found}, not {expected}")
+
+    def _write_file(self, descriptor: int, records: Sequence[Any]) -> int:
+        """Write a whole file and sync it; gives its size in bytes."""
+        # In parts, as no other thread runs while one is encoded.
+        starts = range(0, len(records), RECORDS_PER_FRAME)
+        parts = (records[start : start + RECORDS_PER_FRAME] for start in starts)
+        size = 0
+        for data in chain((frames.encode_file_header(self.owner),), map(frames.encode_frame, parts)):
+            write_all(descriptor, data)
+            size += len(data)
+        os.fsync(descriptor)
+        return size
--- a/mastledge/storage/writer.py
+++ b/mastledge/storage/writer.py
@@ -1,103 +1,153 @@
-"""The thread that writes: whoever hands records in goes on at once, and hears of them when they are on the
-disk.
-"""
+"""The thread that writes a log: who hands records in goes on at once, and hears when they are on the disk."""
 
+import contextlib
+import enum
 import os
 import threading
 from collections import deque
+from collections.abc import Sequence
+from dataclasses import dataclass
 from queue import Empty, SimpleQueue
 from time import monotonic_ns
+from typing import Any
 
-COMPACT = 1 << 20  # bytes of a journal above which it is written anew, and twice what it was then
-GROUP = 64  # hand-ins that become one frame and one sync
+from mastledge.storage.errors import LogNotWritableError
+from mastledge.storage.write_ahead_log import WriteAheadLog
+
+MIN_COMPACTION_BYTES = 1 << 20  # a log is compacted once it is longer, and has doubled since it last was
+MAX_APPENDS_PER_SYNC = 64  # that become one frame
+CLOSE_TIMEOUT_S = 5.0  # for the thread to write what is left
+
+
+class WriteKind(enum.Enum):
+    """What the thread is to do with the records of a request."""
+
+    APPEND = enum.auto()
+    REWRITE = enum.auto()
+    STOP = enum.auto()
+
+
+@dataclass(frozen=True, slots=True)
+class WriteRequest:
+    """Records that were handed in together, under a token of the caller's."""
+
+    kind: WriteKind
+    token: int = 0
+    records: Sequence[Any] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class WriteResult:
+    """How one request ended: `error` is None once its records are synced."""
+
+    token: int
+    error: Exception | None
 
 
 class Writer:
-    """`save(token, records)` and `rewrite(token, records)`; `done()` gives what has ended as (token, error
-    or None).
+    """Owns an open log and the thread that writes it. After an error all fails until a rewrite succeeds.
 
-    `fd` is readable when there is something to be taken. After an error all fails until a rewrite goes well.
+    `append`, `rewrite`, `completed` and `close` belong to the caller's thread.
     """
 
-    def __init__(self, journal):
-        self.journal, self.todo, self.ended = journal, SimpleQueue(), deque()
-        self.fd = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
-        self.failed, self.compact_at = False, max(COMPACT, 2 * journal.size)
-        self.longest = self.syncs = 0  # microseconds; figures
-        self.thread = threading.Thread(target=self.run, name="writer", daemon=True)
+    def __init__(self, wal: WriteAheadLog) -> None:
+        """Starts the thread; from here on the log and its state are the thread's alone."""
+        self.wal = wal
+        self.fd = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)  # readable when `completed` has something
+        self.longest_write_us = 0
+        self._requests: SimpleQueue[WriteRequest] = SimpleQueue()
+        self._deferred: WriteRequest | None = None  # taken from the queue, and not for the batch before it
+        self._results: deque[WriteResult] = deque()
+        self._failed = False
+        self._compact_above_bytes = self._compaction_limit()
+        self.thread = threading.Thread(target=self._run, name="writer", daemon=True)
         self.thread.start()
 
-    def save(self, token, records):
-        self.todo.put((token, records, False))
+    def append(self, token: int, records: Sequence[Any]) -> None:
+        """Have these records written behind all that was handed in before."""
+        self._requests.put(WriteRequest(WriteKind.APPEND, token, records))
 
-    def rewrite(self, token, records):
-        self.todo.put((token, records, True))
+    def rewrite(self, token: int, records: Sequence[Any]) -> None:
+        """Have the file replaced by one with these records."""
+        self._requests.put(WriteRequest(WriteKind.REWRITE, token, records))
 
-    def done(self):
-        try:
+    def completed(self) -> list[WriteResult]:
+        """Give the results since the last call, in the order of the requests."""
+        with contextlib.suppress(BlockingIOError):
             os.eventfd_read(self.fd)
-        except BlockingIOError:
-            pass
-        out = []
-        while self.ended:
-            out.append(self.ended.popleft())
-        return out
-
-    def close(self):
-        """Writes what is left, then ends."""
-        self.todo.put(None)
-        self.thread.join(5)
-        self.journal.close()
+        results = []
+        while self._results:
+            results.append(self._results.popleft())
+        return results
+
+    def close(self) -> None:
+        """Write what is left, then end the thread and close the log."""
+        self._requests.put(WriteRequest(WriteKind.STOP))
+        self.thread.join(CLOSE_TIMEOUT_S)
+        self.wal.close()
         os.close(self.fd)
 
-    def run(self):
-        item = self.todo.get()
-        while item is not None:
-            group, item = [item], self.next()
-            while item and len(group) < GROUP and not group[0][2] and not item[2]:
-                group.append(item)
-                item = self.next()
-            self.write(group)
-            item = self.todo.get() if item is False else item
-
-    def next(self):
-        """What has come meanwhile, False where nothing has."""
-        try:
-            return self.todo.get_nowait()
-        except Empty:
-            return False
+    def _run(self) -> None:
+        while batch := self._next_batch():
+            self._write(batch)
 
-    def write(self, group):
-        began, error = monotonic_ns(), None
-        records = [record for _, some, _ in group for record in some]
-        try:
-            if group[0][2]:
-                self.journal.rewrite(records)
-                self.failed = False
-            elif self.failed:
-                raise OSError(0, "what came before is not on the disk")
-            else:
-                self.journal.append(records)
-        except (OSError, ValueError) as failure:
-            self.failed, error = True, failure
-        self.longest, self.syncs = max(self.longest, (monotonic_ns() - began) // 1000), self.syncs + 1
-        for token, _, _ in group:
-            self.ended.append((token, error))
+    def _next_batch(self) -> list[WriteRequest]:
+        """Requests for one write: as many appends as have come, or one rewrite; none at the end."""
+        first = self._deferred or self._requests.get()
+        self._deferred = None
+        if first.kind is WriteKind.STOP:
+            return []
+        batch = [first]
+        while first.kind is WriteKind.APPEND and len(batch) < MAX_APPENDS_PER_SYNC:
+            try:
+                request = self._requests.get_nowait()
+            except Empty:
+                break
+            if request.kind is not WriteKind.APPEND:
+                self._deferred = request
+                break
+            batch.append(request)
+        return batch
+
+    def _write(self, batch: list[WriteRequest]) -> None:
+        kind = batch[0].kind
+        records = [record for request in batch for record in request.records]
+        began = monotonic_ns()
+        error = self._try_write(kind, records)
+        self.longest_write_us = max(self.longest_write_us, (monotonic_ns() - began) // 1000)
+        self._results.extend(WriteResult(request.token, error) for request in batch)
         os.eventfd_write(self.fd, 1)
-        if error is None and self.journal.keep is not None:
+        if error is None:
             # Nobody waits for this; should it fail, so does what is handed in next.
             try:
-                self.follow(records, group[0][2])
+                self._follow(kind, records)
             except (OSError, ValueError):
-                self.failed = True
+                self._failed = True
 
-    def follow(self, records, whole):
-        """Keeps what the file amounts to, so that a long one can be written anew by itself."""
-        keep = self.journal.keep
-        if whole:
-            keep.reset()
+    def _try_write(self, kind: WriteKind, records: list[Any]) -> Exception | None:
+        try:
+            if kind is WriteKind.REWRITE:
+                self.wal.rewrite(records)
+                self._failed = False
+            elif self._failed:
+                raise LogNotWritableError(0, "what came before is not on the disk")
+            else:
+                self.wal.append(records)
+        except (OSError, ValueError) as error:
+            self._failed = True
+            return error
+        return None
+
+    def _follow(self, kind: WriteKind, records: list[Any]) -> None:
+        """Apply what is now on the disk, and compact a log that has grown long."""
+        state = self.wal.state
+        if kind is WriteKind.REWRITE:
+            state.reset()
         for record in records:
-            keep.apply(record)
-        if self.journal.size > self.compact_at:
-            self.journal.rewrite(keep.compacted_records())
-            self.compact_at = max(COMPACT, 2 * self.journal.size)
+            state.apply(record)
+        if self.wal.size > self._compact_above_bytes:
+            self.wal.rewrite(state.compacted_records())
+            self._compact_above_bytes = self._compaction_limit()
+
+    def _compaction_limit(self) -> int:
+        return max(MIN_COMPACTION_BYTES, 2 * self.wal.size)
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -33,7 +33,7 @@
 from mastledge.replication import messages as replication_messages
 from mastledge.replication import persisted_state as replica_persisted
 from mastledge.replication.node import Node
-from mastledge.storage import write_ahead_log
+from mastledge.storage import frames, write_ahead_log
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.transport import passing
 
@@ -86,11 +86,11 @@
 LONGEST_FRAME_BYTES = links.MOST
 
 frame_of_records, records_of_content, whole_frame = (
-    write_ahead_log.frame,
-    write_ahead_log.decode,
-    write_ahead_log.whole_frame,
+    frames.encode_frame,
+    frames.decode_content,
+    frames.whole_frame,
 )
-JOURNAL_MAGIC, JOURNAL_FRAME_HEAD = write_ahead_log.MAGIC, write_ahead_log.HEAD
+JOURNAL_MAGIC, JOURNAL_FRAME_HEAD = frames.FILE_MAGIC, frames.FRAME_HEADER
 JOURNAL_NOW = 1_700_000_000_000_000  # Unix microseconds at which samples of keys are written anew
 JOURNALS = {
     "agreement": consensus_persisted.PersistedState,
@@ -101,7 +101,7 @@
 
 
 def open_journal(directory, name, owner, kept):
-    return write_ahead_log.WriteAheadLog(DataDirectory(str(directory)).hold(), name, owner, kept).open()
+    return write_ahead_log.WriteAheadLog(DataDirectory(str(directory)).acquire(), name, owner, kept).open()
 
 
 def compacted_records(kept):
@@ -110,11 +110,11 @@
 
 def close_journal(opened):
     opened.close()
-    opened.folder.release()
+    opened.directory.release()
 
 
 def journal_head(owner):
-    return write_ahead_log.head_of(owner)
+    return frames.encode_file_header(owner)
 
 
 def book_of_keys():
@@ -209,7 +209,7 @@
         discovery=discovery, router=router, told={"discovery": ("127.0.0.1", 9000), "peers": None}
     )
     made.belief = SimpleNamespace(generation=0, restricted={"s-9": 5})
-    made.writer = SimpleNamespace(save=lambda token, records: saved.extend(records))
+    made.writer = SimpleNamespace(append=lambda token, records: saved.extend(records))
     made.keep(True)
     return saved
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -307,13 +307,13 @@
     """A disk that takes its time, until the test says so."""
 
     def __init__(self, repeats, monkeypatch):
-        self.goes_on, append = threading.Event(), repeats.writer.journal.append
+        self.goes_on, append = threading.Event(), repeats.writer.wal.append
 
         def waits(records):
             self.goes_on.wait(10)
             append(records)
 
-        monkeypatch.setattr(repeats.writer.journal, "append", waits)
+        monkeypatch.setattr(repeats.writer.wal, "append", waits)
 
 
 @leaves_somehow
@@ -391,7 +391,7 @@
     before = UpgradeState(str(tmp_path / "beside"), (HERE, int(listen.rpartition(":")[2])), print)
     before.sit()
     kept = DataDirectory(str(tmp_path / "kept"))
-    kept.hold()
+    kept.acquire()
     made = serving(listen=listen, folder=str(tmp_path / "beside"), repeats=keeps(tmp_path)).serving()
     assert made.made.idempotency.book is None
     client = made.asked(Idempotency_Key="k1")
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -210,7 +210,7 @@
     def full(records):
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(repeats.writer.journal, "append", full)
+    monkeypatch.setattr(repeats.writer.wal, "append", full)
     assert b" 503 " in made.reply("a1") and repeats.failing
     assert b" 503 " in made.reply("a2", key="k2")
     monkeypatch.undo()
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -10,7 +10,7 @@
 from mastledge.program import lifecycle
 from mastledge.program.configuration import configuration
 from mastledge.recovery import startup_stages as s
-from mastledge.storage.data_directory import DataDirectoryError
+from mastledge.storage.errors import DataDirectoryError
 
 ENTRY = {"instanceId": "w0", "hostPort": "127.0.0.1:9", "zone": "a", "machineType": "m", "cell": 0,
          "lifecycle": "ready", "weight": 1.0, "startedAtMs": 0}  # fmt: skip
