--- a/mastledge/idempotency/key_table.py
+++ b/mastledge/idempotency/key_table.py
@@ -7,36 +7,62 @@
 """
 
 from collections import Counter, deque
+from enum import StrEnum
 from hashlib import blake2b
 from itertools import islice
 
 import msgspec
 
-MOST_KEY = 255
-NEW, JOIN, ANSWER, MAYBE, OTHER, FULL, BAD = "new", "join", "answer", "maybe", "other", "full", "bad"
-CLAIMED, ANSWERED, UNSURE = "claimed", "answered", "unsure"
-STATUS = {MAYBE: 409, OTHER: 422, FULL: 503, BAD: 400}
-WHY = {
-    MAYBE: "the first job of this key may have run; what it came to is not known",
-    OTHER: "this key has come with another body",
-    FULL: "no room for one more key",
-    BAD: "a key is 1 to 255 visible ASCII characters",
+MAX_KEY_BYTES = 255
+
+
+class Verdict(StrEnum):
+    """What becomes of a job with a key. The values stand in the operators' figures."""
+
+    NEW = "new"
+    JOIN = "join"
+    ANSWER = "answer"
+    MAY_HAVE_RUN = "maybe"
+    OTHER_REQUEST = "other"
+    FULL = "full"
+    INVALID_KEY = "bad"
+
+
+class RecordState(StrEnum):
+    """What is known of the first job of a key. The values stand in messages between dispatchers."""
+
+    CLAIMED = "claimed"
+    ANSWERED = "answered"
+    UNSURE = "unsure"
+
+
+HTTP_STATUS = {
+    Verdict.MAY_HAVE_RUN: 409,
+    Verdict.OTHER_REQUEST: 422,
+    Verdict.FULL: 503,
+    Verdict.INVALID_KEY: 400,
 }
-TENANTS = 4  # in so many parts the room is divided at the least: no tenant fills it up alone
-COST = 560  # bytes that a record takes in memory beside its key and its answer (`lab bench hoard`)
+EXPLANATION = {
+    Verdict.MAY_HAVE_RUN: "the first job of this key may have run; what it came to is not known",
+    Verdict.OTHER_REQUEST: "this key has come with another body",
+    Verdict.FULL: "no room for one more key",
+    Verdict.INVALID_KEY: "a key is 1 to 255 visible ASCII characters",
+}
+ROOM_SHARES = 4  # a tenant takes all but one of them, so that none fills the room alone
+RECORD_OVERHEAD_BYTES = 560  # of memory beside the key and the answer (`lab bench hoard`)
 
 
-def fingerprint(target, body):
+def request_fingerprint(target, body):
     """Tells one request from another under the same key."""
     return blake2b(body, digest_size=16, key=target[:64]).digest()
 
 
-def sound(key):
+def is_valid_key(key):
     """Whether a key can be kept: bytes as they stand in the header."""
-    return 1 <= len(key) <= MOST_KEY and all(33 <= char <= 126 for char in key)
+    return 1 <= len(key) <= MAX_KEY_BYTES and all(33 <= char <= 126 for char in key)
 
 
-class Full(Exception):
+class KeyTableFullError(Exception):
     """There is no room for what has to be taken up."""
 
 
@@ -45,230 +71,262 @@
     second.
     """
 
-    place: tuple
-    print: bytes
-    until: int
-    claim: str = ""  # by which name of its dispatcher's, where copies are kept for others
-    state: str = CLAIMED
+    scoped_key: tuple
+    fingerprint: bytes
+    expires_at: int
+    claim_name: str = ""  # by which name of its dispatcher's, where copies are kept for others
+    state: RecordState = RecordState.CLAIMED
     status: int = 0
     content: bytes = b""
-    cost: int = 0
+    size_bytes: int = 0
     waiters: object = None  # the host's, until there is an outcome
     task: object = None
 
 
-class Row(msgspec.Struct, gc=False):
-    """A record as the disk has it; `until` in Unix microseconds."""
+class PersistedRecord(msgspec.Struct, gc=False):
+    """A record as the disk has it; `expires_at` in Unix microseconds."""
 
-    print: bytes
-    until: int
-    claim: str = ""
-    state: str = CLAIMED
+    fingerprint: bytes
+    expires_at: int
+    claim_name: str = ""
+    state: RecordState = RecordState.CLAIMED
     status: int = 0
     content: bytes = b""
 
 
 class KeyTable:
-    """`keep`: for how long an answer, or that it may have run, is told (microseconds). `entries` and
-    `bytes_` are its room.
+    """`retention_us`: for how long an answer, or that it may have run, is told. `max_records` and
+    `max_bytes` are its room.
 
-    What it changes is handed out by `records()`, to be on the disk before the launch, or the answer, that
-    depends on it. Times on the disk are Unix microseconds, as monotonic ones end with the machine; `since`
-    is the
-    difference.
+    What it changes is handed out by `take_changes()`, to be on the disk before the launch, or the answer,
+    that depends on it. Times on the disk are Unix microseconds, as monotonic ones end with the machine;
+    `unix_offset_us` is the difference.
     """
 
-    def __init__(self, keep, entries, bytes_, since):
-        self.keep, self.entries, self.bytes, self.since = keep, entries, bytes_, since
-        self.held, self.used, self.tenants, self.fates = {}, 0, Counter(), deque()
-        self.out, self.counts, self.claimed = [], Counter(), 0
+    def __init__(self, retention_us, max_records, max_bytes, unix_offset_us):
+        self.retention_us, self.max_records = retention_us, max_records
+        self.max_bytes, self.unix_offset_us = max_bytes, unix_offset_us
+        self.records, self.used_bytes, self.tenant_bytes, self.expirations = {}, 0, Counter(), deque()
+        self.changes, self.verdict_counts, self.claimed_count = [], Counter(), 0
 
     # What the door asks
 
-    def offer(self, now, tenant, key, print_, until, claim=""):
-        """What becomes of a job with this key; NEW has made a claim, which ends by `ended` or `dropped`.
+    def try_claim(self, now, tenant, key, fingerprint, expires_at, claim_name=""):
+        """What becomes of a job with this key; NEW has made a claim, which ends by `complete` or `release`.
 
-        Gives (what, record or None). A claim is never forgotten for want of room: then new keys are refused.
+        Gives (verdict, record or None). A claim is never forgotten for want of room: new keys are refused.
         """
-        self.fade(now)
-        if not sound(key):
-            return self.counted(BAD, None)
-        record = self.held.get((tenant, key))
+        self.expire(now)
+        if not is_valid_key(key):
+            return self.count_verdict(Verdict.INVALID_KEY, None)
+        record = self.records.get((tenant, key))
         if record is not None:
-            if record.print != print_:
-                return self.counted(OTHER, None)
-            return self.counted({CLAIMED: JOIN, ANSWERED: ANSWER, UNSURE: MAYBE}[record.state], record)
-        cost = COST + len(key)
+            if record.fingerprint != fingerprint:
+                return self.count_verdict(Verdict.OTHER_REQUEST, None)
+            return self.count_verdict(
+                {
+                    RecordState.CLAIMED: Verdict.JOIN,
+                    RecordState.ANSWERED: Verdict.ANSWER,
+                    RecordState.UNSURE: Verdict.MAY_HAVE_RUN,
+                }[record.state],
+                record,
+            )
+        size_bytes = RECORD_OVERHEAD_BYTES + len(key)
         if (
-            len(self.held) >= self.entries
-            or self.used + cost > self.bytes
-            or self.tenants[tenant] + cost > self.bytes // TENANTS * (TENANTS - 1)
+            len(self.records) >= self.max_records
+            or self.used_bytes + size_bytes > self.max_bytes
+            or self.tenant_bytes[tenant] + size_bytes > self.max_bytes // ROOM_SHARES * (ROOM_SHARES - 1)
         ):
-            return self.counted(FULL, None)
-        record = self.held[tenant, key] = Record((tenant, key), print_, until, claim, cost=cost)
-        self.charge(record, record.cost)
-        self.claimed += 1
-        self.out.append(self.claim_of(record))
-        return self.counted(NEW, record)
-
-    def claim_of(self, record):
+            return self.count_verdict(Verdict.FULL, None)
+        record = self.records[tenant, key] = Record(
+            (tenant, key), fingerprint, expires_at, claim_name, size_bytes=size_bytes
+        )
+        self.charge(record, record.size_bytes)
+        self.claimed_count += 1
+        self.changes.append(self.claim_change(record))
+        return self.count_verdict(Verdict.NEW, record)
+
+    def claim_change(self, record):
         """A claim as the disk has it; its name stands there only where copies are kept."""
-        named = (record.claim,) if record.claim else ()
-        return ("claim", *record.place, record.print, record.until + self.since, *named)
+        named = (record.claim_name,) if record.claim_name else ()
+        return (
+            "claim",
+            *record.scoped_key,
+            record.fingerprint,
+            record.expires_at + self.unix_offset_us,
+            *named,
+        )
 
-    def counted(self, what, record):
-        self.counts[what] += 1
-        return what, record
+    def count_verdict(self, verdict, record):
+        self.verdict_counts[verdict] += 1
+        return verdict, record
 
-    def charge(self, record, cost):
-        self.used += cost
-        self.tenants[record.place[0]] += cost
+    def charge(self, record, size_bytes):
+        self.used_bytes += size_bytes
+        self.tenant_bytes[record.scoped_key[0]] += size_bytes
 
-    def ended(self, now, record, status, content):
+    def complete(self, now, record, status, content):
         """The first job has this answer, which is given again to each repeat until its time is over."""
-        self.claimed -= record.state == CLAIMED
-        record.state, record.status, record.content, record.until = ANSWERED, status, content, now + self.keep
-        if self.used + len(content) > self.bytes:
+        self.claimed_count -= record.state == RecordState.CLAIMED
+        record.state, record.status, record.content, record.expires_at = (
+            RecordState.ANSWERED,
+            status,
+            content,
+            now + self.retention_us,
+        )
+        if self.used_bytes + len(content) > self.max_bytes:
             # No room for the answer itself: that it ran is what must not be forgotten.
-            record.state, record.content = UNSURE, b""
+            record.state, record.content = RecordState.UNSURE, b""
         self.charge(record, len(record.content))
-        record.cost += len(record.content)
-        self.out.append(
+        record.size_bytes += len(record.content)
+        self.changes.append(
             (
                 "end",
-                *record.place,
-                record.state == ANSWERED,
+                *record.scoped_key,
+                record.state == RecordState.ANSWERED,
                 status,
                 record.content,
-                record.until + self.since,
+                record.expires_at + self.unix_offset_us,
             )
         )
-        self.fates.append((record.until, record))
+        self.expirations.append((record.expires_at, record))
 
-    def unsure(self, now, record):
+    def mark_unsure(self, now, record):
         """It may have run, and nobody will learn what it came to."""
-        self.claimed -= record.state == CLAIMED
-        record.state, record.until = UNSURE, now + self.keep
-        self.out.append(("end", *record.place, False, 0, b"", record.until + self.since))
-        self.fates.append((record.until, record))
+        self.claimed_count -= record.state == RecordState.CLAIMED
+        record.state, record.expires_at = RecordState.UNSURE, now + self.retention_us
+        self.changes.append(
+            ("end", *record.scoped_key, False, 0, b"", record.expires_at + self.unix_offset_us)
+        )
+        self.expirations.append((record.expires_at, record))
 
-    def shorten(self, record, until):
+    def shorten_retention(self, record, expires_at):
         """What was just put down is told until then only."""
-        record.until = until
-        self.out[-1] = (*self.out[-1][:-1], until + self.since)
-        self.fates[-1] = (until, record)
+        record.expires_at = expires_at
+        self.changes[-1] = (*self.changes[-1][:-1], expires_at + self.unix_offset_us)
+        self.expirations[-1] = (expires_at, record)
 
-    def dropped(self, record):
+    def release(self, record):
         """It provably never ran, or trying again is harmless: the next one of this key is a first one."""
-        if self.held.pop(record.place, None) is not None:
-            self.claimed -= record.state == CLAIMED
-            self.charge(record, -record.cost)
-            self.out.append(("drop", *record.place))
-
-    def fade(self, now):
-        while self.fates and self.fates[0][0] <= now:
-            until, record = self.fates.popleft()
-            if record.until == until and self.held.get(record.place) is record:
-                del self.held[record.place]
-                self.charge(record, -record.cost)
-
-    def records(self):
-        out, self.out = self.out, []
-        return out
-
-    def everything(self):
+        if self.records.pop(record.scoped_key, None) is not None:
+            self.claimed_count -= record.state == RecordState.CLAIMED
+            self.charge(record, -record.size_bytes)
+            self.changes.append(("drop", *record.scoped_key))
+
+    def expire(self, now):
+        while self.expirations and self.expirations[0][0] <= now:
+            expires_at, record = self.expirations.popleft()
+            if record.expires_at == expires_at and self.records.get(record.scoped_key) is record:
+                del self.records[record.scoped_key]
+                self.charge(record, -record.size_bytes)
+
+    def take_changes(self):
+        changes, self.changes = self.changes, []
+        return changes
+
+    def snapshot(self):
         """All that the disk has to hold, where it is written anew."""
         out = []
-        for (tenant, key), record in self.held.items():
-            out.append(self.claim_of(record))
-            if record.state != CLAIMED:
+        for (tenant, key), record in self.records.items():
+            out.append(self.claim_change(record))
+            if record.state != RecordState.CLAIMED:
                 out.append(
                     (
                         "end",
                         tenant,
                         key,
-                        record.state == ANSWERED,
+                        record.state == RecordState.ANSWERED,
                         record.status,
                         record.content,
-                        record.until + self.since,
+                        record.expires_at + self.unix_offset_us,
                     )
                 )
         return out
 
-    def figures(self):
-        oldest = next(islice(self.held.values(), 1), None)
+    def statistics(self):
+        oldest = next(islice(self.records.values(), 1), None)
         return {
-            "held": len(self.held),
-            "bytes": self.used,
-            "claimed": self.claimed,
-            "oldest_until": oldest.until if oldest else 0,
-            **{what: self.counts[what] for what in (NEW, JOIN, ANSWER, MAYBE, OTHER, FULL, BAD)},
+            "held": len(self.records),
+            "bytes": self.used_bytes,
+            "claimed": self.claimed_count,
+            "oldest_until": oldest.expires_at if oldest else 0,
+            **{verdict.value: self.verdict_counts[verdict] for verdict in Verdict},
         }
 
     # After a start
 
-    def recovered(self, now, kept, own=True):
+    def restore(self, now, persisted, own_claims=True):
         """Takes up what the disk held. What was claimed may have run: its dispatcher never said what became
-        of it. Where claims are others' (not `own`), they may still say so.
+        of it. Where claims are others' (not `own_claims`), they may still say so.
 
-        No time is longer than `keep` from now, whatever the machine's clock has been set to meanwhile.
+        No time is longer than `retention_us` from now, whatever the machine's clock has been set to.
         """
-        for (tenant, key), told in kept.items():
-            until = min(max(told.until - self.since, now), now + self.keep)
-            record = Record((tenant, key), told.print, until, told.claim, cost=COST + len(key))
-            self.held[tenant, key] = record
-            if told.state == ANSWERED:
-                record.state, record.status, record.content = ANSWERED, told.status, told.content
-            elif not own and told.claim and told.state == CLAIMED:
-                self.claimed += 1
+        for (tenant, key), told in persisted.items():
+            expires_at = min(max(told.expires_at - self.unix_offset_us, now), now + self.retention_us)
+            record = Record(
+                (tenant, key),
+                told.fingerprint,
+                expires_at,
+                told.claim_name,
+                size_bytes=RECORD_OVERHEAD_BYTES + len(key),
+            )
+            self.records[tenant, key] = record
+            if told.state == RecordState.ANSWERED:
+                record.state, record.status, record.content = RecordState.ANSWERED, told.status, told.content
+            elif not own_claims and told.claim_name and told.state == RecordState.CLAIMED:
+                self.claimed_count += 1
             else:
-                record.state, record.until = UNSURE, now + self.keep
-            record.cost += len(record.content)
-            self.charge(record, record.cost)
-        self.fates = deque(
+                record.state, record.expires_at = RecordState.UNSURE, now + self.retention_us
+            record.size_bytes += len(record.content)
+            self.charge(record, record.size_bytes)
+        self.expirations = deque(
             sorted(
-                ((record.until, record) for record in self.held.values() if record.state != CLAIMED),
+                (
+                    (record.expires_at, record)
+                    for record in self.records.values()
+                    if record.state != RecordState.CLAIMED
+                ),
                 key=lambda pair: pair[0],
             )
         )
 
 
 class PersistedKeys:
-    """What the journal amounts to; `now` gives Unix microseconds, by which what is over is left out of a
-    rewrite.
+    """What the journal amounts to; `unix_clock` gives Unix microseconds, by which what is over is left out
+    of a rewrite.
     """
 
-    def __init__(self, now):
-        self.now, self.held = now, {}
+    def __init__(self, unix_clock):
+        self.unix_clock, self.entries = unix_clock, {}
 
     def clear(self):
-        self.held = {}
+        self.entries = {}
 
     def take(self, record):
         what, tenant, key, *fields = record
         if what == "claim":
-            self.held[tenant, key] = Row(*fields)
+            self.entries[tenant, key] = PersistedRecord(*fields)
         elif what == "end":
-            known, status, content, until = fields
-            row = self.held.get((tenant, key))
+            known, status, content, expires_at = fields
+            row = self.entries.get((tenant, key))
             if row is None:
                 raise ValueError(f"an end without its claim: {key!r}")
-            row.state = ANSWERED if known else UNSURE
-            row.status, row.content, row.until = status, content, until
+            row.state = RecordState.ANSWERED if known else RecordState.UNSURE
+            row.status, row.content, row.expires_at = status, content, expires_at
         elif what == "drop":
-            self.held.pop((tenant, key), None)
+            self.entries.pop((tenant, key), None)
         else:
             raise ValueError(f"a record of a later version: {what}")
 
     def records(self):
         """The fewest that lead to the same. A claim stays, however old: who made it may still be at it."""
-        now, out = self.now(), []
-        for (tenant, key), row in self.held.items():
-            if row.state != CLAIMED and row.until <= now:
+        now, out = self.unix_clock(), []
+        for (tenant, key), row in self.entries.items():
+            if row.state != RecordState.CLAIMED and row.expires_at <= now:
                 continue
-            named = (row.claim,) if row.claim else ()
-            out.append(("claim", tenant, key, row.print, row.until, *named))
-            if row.state != CLAIMED:
-                known = row.state == ANSWERED
-                out.append(("end", tenant, key, known, row.status, row.content, row.until))
+            named = (row.claim_name,) if row.claim_name else ()
+            out.append(("claim", tenant, key, row.fingerprint, row.expires_at, *named))
+            if row.state != RecordState.CLAIMED:
+                known = row.state == RecordState.ANSWERED
+                out.append(("end", tenant, key, known, row.status, row.content, row.expires_at))
         return out
--- a/mastledge/lab/bench.py
+++ b/mastledge/lab/bench.py
@@ -314,12 +314,15 @@
     book = KeyTable(600_000_000, 4 * keys, 1 << 31, 0)
     before = tracemalloc.get_traced_memory()[0]
     for n in range(keys):
-        _, one = book.offer(0, "", b"key-%032d" % n, bytes([n % 256]) * 16, 1, f"{n}.0123456789ab.n1")
-        book.ended(0, one, 200, bytes(answer) + b"%06d" % n)
-        book.records()
+        _, one = book.try_claim(0, "", b"key-%032d" % n, bytes([n % 256]) * 16, 1, f"{n}.0123456789ab.n1")
+        book.complete(0, one, 200, bytes(answer) + b"%06d" % n)
+        book.take_changes()
     used = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    return {"bytes_a_copy_in_memory": round(used / keys, 1), "bytes_counted": round(book.used / keys, 1)}
+    return {
+        "bytes_a_copy_in_memory": round(used / keys, 1),
+        "bytes_counted": round(book.used_bytes / keys, 1),
+    }
 
 
 def cpu(pairs, per_second, seconds, seed, earlier=None):
--- a/mastledge/lab/copying.py
+++ b/mastledge/lab/copying.py
@@ -13,7 +13,7 @@
 
 from mastledge.consensus.messages import Entry
 from mastledge.consensus.state_machine import StateMachine, genesis
-from mastledge.idempotency import key_table as b
+from mastledge.idempotency.key_table import KeyTable, RecordState
 from mastledge.lab.simulated import Simulated
 from mastledge.replication import coordinator as o
 from mastledge.replication import messages as m
@@ -44,8 +44,8 @@
         self.runs += 1
         self.up, self.failed, self.applied = True, False, 0
         kept.id = kept.id or f"{self.name}-{self.runs}"
-        book = b.KeyTable(fleet.keep, fleet.entries, fleet.bytes_, 0)
-        book.recovered(fleet.now, kept.held, False)
+        book = KeyTable(fleet.keep, fleet.entries, fleet.bytes_, 0)
+        book.restore(fleet.now, kept.entries, False)
         self.node = fleet.make(
             self.name,
             kept.id,
@@ -111,7 +111,7 @@
             self.fleet.at(500_000, self.mend, node)
             return
         self.failed = False
-        self.disk = head(node.id, self.starts, node.fence) + deepcopy(node.holder.book.everything())
+        self.disk = head(node.id, self.starts, node.fence) + deepcopy(node.holder.book.snapshot())
         self.step(node, "mended")
 
     def do_caught(self, epoch):
@@ -218,7 +218,7 @@
         self.counts[what] += 1
         if what in (o.LASTING, o.SHORT):
             how, content = host.jobs.pop(n, (m.DROPPED, b""))
-            if how == b.ANSWERED and what == o.LASTING:
+            if how == RecordState.ANSWERED and what == o.LASTING:
                 self.answered(key, content)
             elif how == m.DROPPED and tries:
                 self.at(self.draw(300_000), self.offer, key, tries - 1)
@@ -240,7 +240,7 @@
         if self.chance(0.15):
             how, wait = m.DROPPED, self.draw(300_000)
         else:
-            how = b.UNSURE if self.chance(0.15) else b.ANSWERED
+            how = RecordState.UNSURE if self.chance(0.15) else RecordState.ANSWERED
             wait = self.draw(WALLTIME * 3 // 4)
             before = [at for at, _ in self.launches[key]]
             if before and self.now < max(before) + KEEP:
@@ -248,7 +248,9 @@
             self.launches[key].append((self.now, host.name))
         content = f"{key} {n}".encode()
         host.jobs[n] = how, content
-        self.at(wait, host.step, host.node, "ended", n, how, 200, content if how == b.ANSWERED else b"")
+        self.at(
+            wait, host.step, host.node, "ended", n, how, 200, content if how == RecordState.ANSWERED else b""
+        )
 
 
 FAULTS = ("crash", "crash", "stop", "cut", "cut_one_way", "wipe", "full", "late", "remove", "recount")
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -13,7 +13,7 @@
 from copy import deepcopy
 from types import SimpleNamespace
 
-from mastledge.idempotency import key_table
+from mastledge.idempotency.key_table import RecordState
 from mastledge.lab import copying, faults, outages, policies, schedule
 from mastledge.lab.load import Clients
 from mastledge.lab.rig import document, limits
@@ -391,9 +391,9 @@
         job.open = False
         if job.n is not None and job.claim in self.claims:
             # What it came to has to be kept before it is told.
-            how = {200: key_table.ANSWERED, 503: m.DROPPED}.get(status, key_table.UNSURE)
+            how = {200: RecordState.ANSWERED, 503: m.DROPPED}.get(status, RecordState.UNSURE)
             job.reply = status, hold_off, result
-            content = result.encode() if how == key_table.ANSWERED else b""
+            content = result.encode() if how == RecordState.ANSWERED else b""
             self.key_step("ended", job.claim, how, status, content)
             return
         self.say(job, status, hold_off, result, door)
--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -9,15 +9,12 @@
 import orjson
 
 from mastledge.idempotency.key_table import (
-    ANSWER,
-    FULL,
-    JOIN,
-    NEW,
-    STATUS,
-    WHY,
+    EXPLANATION,
+    HTTP_STATUS,
     KeyTable,
     PersistedKeys,
-    fingerprint,
+    Verdict,
+    request_fingerprint,
 )
 from mastledge.protocol import http
 from mastledge.protocol.control import Answer
@@ -44,7 +41,7 @@
         self.program, self.told, self.log, self.loop = program, told["repeats"], log, program.loop
         self.name, self.inbox = told["name"], program.inbox
         self.folder = DataDirectory(self.told["folder"])
-        self.book, self.writer, self.token, self.failing = None, None, 0, False
+        self.key_table, self.writer, self.token, self.failing = None, None, 0, False
         self.waiting, self.keeping, self.tasks = {}, 0, []
         self.first = {}  # by place, the exchange of the job that is under way for a key
 
@@ -66,10 +63,10 @@
         kept = PersistedKeys(unix)
         journal = self.opened(WriteAheadLog(self.folder, "repeats", {"name": self.name}, kept, self.log))
         now = self.loop.now()
-        book = KeyTable(self.told["keep"], self.told["entries"], self.told["bytes"], unix() - now)
-        book.recovered(now, kept.held)
-        self.log("idempotency_keys_loaded", held=len(book.held), bytes=journal.size)
-        self.writer, self.book = Writer(journal), book
+        key_table = KeyTable(self.told["keep"], self.told["entries"], self.told["bytes"], unix() - now)
+        key_table.restore(now, kept.entries)
+        self.log("idempotency_keys_loaded", held=len(key_table.records), bytes=journal.size)
+        self.writer, self.key_table = Writer(journal), key_table
         self.tasks = [self.loop.spawn(self.program.vital(self.written()), first=True)]
 
     def opened(self, journal):
@@ -96,7 +93,7 @@
         if self.writer is not None:
             self.loop.forget(self.writer.fd)
             self.writer.close()
-            self.writer = self.book = None
+            self.writer = self.key_table = None
         self.folder.release()
 
     def idle(self):
@@ -108,7 +105,7 @@
     def save(self):
         """Hands over what the book has changed; the token under which it is on the disk."""
         self.token += 1
-        self.writer.save(self.token, self.book.records())
+        self.writer.save(self.token, self.key_table.take_changes())
         return self.token
 
     def written(self):
@@ -128,10 +125,10 @@
         """Writes all anew, once a second, until that goes well."""
         while True:
             yield (-1, 0, self.loop.now() + self.MENDS)
-            self.book.records()
+            self.key_table.take_changes()
             self.token += 1
             self.waiting[self.token] = self.mending
-            self.writer.rewrite(self.token, self.book.everything())
+            self.writer.rewrite(self.token, self.key_table.snapshot())
             if (yield (-1, 0, None)) is True:
                 self.failing = False
                 self.log("idempotency_disk_recovered")
@@ -147,7 +144,7 @@
         # One that hands over itself is not coming back to it.
         while (
             self.program.beside
-            and self.book is None
+            and self.key_table is None
             and not self.program.listener.succeeded
             and self.loop.now() < last
             and not http.left(conn)
@@ -159,24 +156,24 @@
         yield from self.awaited(exchange.until, conn)
         if http.left(conn):
             return None
-        loop, book = self.loop, self.book
-        if book is None or self.failing:
-            return self.refusal(FULL)
-        what, record = book.offer(
+        loop, key_table = self.loop, self.key_table
+        if key_table is None or self.failing:
+            return self.refusal(Verdict.FULL)
+        verdict, record = key_table.try_claim(
             loop.now(),
             exchange.tenant,
             exchange.key,
-            fingerprint(exchange.target, exchange.body),
+            request_fingerprint(exchange.target, exchange.body),
             exchange.until,
         )
-        if what == ANSWER:
+        if verdict == Verdict.ANSWER:
             return record.status, [(b"content-type", b"application/octet-stream")], record.content
-        if what not in (NEW, JOIN):
-            return self.refusal(what)
-        if what == NEW:
+        if verdict not in (Verdict.NEW, Verdict.JOIN):
+            return self.refusal(verdict)
+        if verdict == Verdict.NEW:
             record.waiters = waiters = set()
             exchange.gone = lambda: all([http.left(conn) for conn in waiters])
-            self.first[record.place] = exchange
+            self.first[record.scoped_key] = exchange
             record.task = loop.spawn(self.kept(exchange, told, record))
         record.waiters.add(conn)
         try:
@@ -184,12 +181,12 @@
             return got if got != () else (KILLED, [], b"")
         finally:
             record.waiters.discard(conn)
-            if not record.waiters and record.place in self.first:
-                self.inbox.put("left", self.first[record.place])
+            if not record.waiters and record.scoped_key in self.first:
+                self.inbox.put("left", self.first[record.scoped_key])
 
-    def refusal(self, what):
-        hold_off = [(b"retry-after", b"%.3f" % (AGAIN / 1e6))] if what == FULL else []
-        return STATUS[what], hold_off, WHY[what].encode()
+    def refusal(self, verdict):
+        hold_off = [(b"retry-after", b"%.3f" % (AGAIN / 1e6))] if verdict == Verdict.FULL else []
+        return HTTP_STATUS[verdict], hold_off, EXPLANATION[verdict].encode()
 
     def kept(self, exchange, told, record):
         """Sees a first job through, whoever of its clients stays: what it came to is promised to all that
@@ -201,28 +198,28 @@
             for conn in list(record.waiters):
                 self.loop.wake(conn.owner, reply)
         finally:
-            del self.first[record.place]
+            del self.first[record.scoped_key]
             record.task = None  # the collector doesn't look at records, so nothing may go round in a ring
             self.keeping -= 1
 
     def seen_through(self, exchange, told, record):
-        loop, book = self.loop, self.book
+        loop, key_table = self.loop, self.key_table
         if not (yield from self.lasting(record)) or loop.now() >= exchange.until or exchange.left():
             # Nothing was launched, and what the disk may hold of it is taken back once it holds anything.
-            book.dropped(record)
+            key_table.release(record)
             self.save()
             return REJECTED, [], b""
         reply = yield from self.decided(record.task, exchange, told)
         status, _, content = reply
         if status == COMPLETED:
-            book.ended(loop.now(), record, status, content)
+            key_table.complete(loop.now(), record, status, content)
         elif status == REJECTED:
-            book.dropped(record)
+            key_table.release(record)
         else:
-            book.unsure(loop.now(), record)
+            key_table.mark_unsure(loop.now(), record)
         if not (yield from self.lasting(record)) and status == COMPLETED:
             # It could not be said again after a crash, so it is not said now.
-            book.unsure(loop.now(), record)
+            key_table.mark_unsure(loop.now(), record)
             return KILLED, [], b""
         return reply
 
@@ -248,10 +245,10 @@
 
     def copies(self, request):
         """What operators see."""
-        if self.book is None:
+        if self.key_table is None:
             return Answer(503, "the folder is held by the process before this one")
         told = {
-            **self.book.figures(),
+            **self.key_table.statistics(),
             "copies": 1,
             "owed": 0,
             "under_copied": 0,
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -10,7 +10,7 @@
 import msgspec
 import orjson
 
-from mastledge.idempotency import key_table as b
+from mastledge.idempotency.key_table import KeyTable, RecordState, Verdict, request_fingerprint
 from mastledge.program.configuration import COPIES
 from mastledge.program.idempotency_service import MARGIN, IdempotencyService, unix
 from mastledge.protocol import http
@@ -65,7 +65,11 @@
         self.flusher = spawn(vital(self.flushed()))
         self.tasks = [spawn(vital(self.written()), first=True), self.timer, self.flusher]
         self.log(
-            "replicas_loaded", held=len(self.book.held), bytes=journal.size, id=self.id, starts=self.starts
+            "replicas_loaded",
+            held=len(self.key_table.records),
+            bytes=journal.size,
+            id=self.id,
+            starts=self.starts,
         )
         self.join()
 
@@ -76,8 +80,8 @@
     def begins(self, now, kept, id_, starts):
         """With what the disk held; it takes part once its start is agreed, as an old folder has no say."""
         self.id, self.starts, self.fence, self.node = id_, starts, kept.fence, None
-        self.book = b.KeyTable(self.told["keep"], self.told["entries"], self.told["bytes"], unix() - now)
-        self.book.recovered(now, kept.held, False)
+        self.key_table = KeyTable(self.told["keep"], self.told["entries"], self.told["bytes"], unix() - now)
+        self.key_table.restore(now, kept.entries, False)
         self.lasts, self.token = False, self.token + 1
         self.starting = self.token
         self.writer.save(self.token, head(self.id, self.starts, self.fence))
@@ -119,7 +123,7 @@
                 self.name,
                 self.id,
                 uuid.uuid4().hex[:12],
-                self.book,
+                self.key_table,
                 self.fence,
                 self.seed,
                 patience,
@@ -160,14 +164,14 @@
 
     def everything(self):
         fence = self.node.fence if self.node is not None else self.fence
-        return head(self.id, self.starts, fence) + self.book.everything()
+        return head(self.id, self.starts, fence) + self.key_table.snapshot()
 
     def mended(self):
         """Writes all anew, once a second, until that goes well."""
         task = self.tasks[-1]
         while self.failing:
             yield (-1, 0, self.loop.now() + self.MENDS)
-            self.book.records()
+            self.key_table.take_changes()
             self.token = max(self.token, self.node.token if self.node else 0) + 1
             if self.node is not None:
                 self.node.token = self.token
@@ -275,7 +279,7 @@
         if http.left(conn):
             return None
         if self.node is None or self.failing:
-            return self.refusal(b.FULL)
+            return self.refusal(Verdict.FULL)
         self.numbers += 1
         n = self.numbers
         task = self.jobs[n] = loop.spawn(self.seen_through(n, exchange, told))
@@ -311,7 +315,7 @@
     def answered(self, n, exchange, told):
         loop = self.loop
         left = exchange.until - loop.now()
-        print_ = b.fingerprint(exchange.target, exchange.body)
+        print_ = request_fingerprint(exchange.target, exchange.body)
         self.input("offer", n, exchange.tenant, exchange.key, print_, left)
         got = yield (-1, 0, exchange.until + MARGIN)
         if not isinstance(got, tuple):
@@ -321,21 +325,21 @@
         if what == o.ANSWER:
             return status, ANSWERS, content
         if what == o.UNSURE:
-            return self.refusal(b.MAYBE)
+            return self.refusal(Verdict.MAY_HAVE_RUN)
         if what == o.REFUSED:
             return status, [], content
         if what != o.GO:
-            return self.refusal(b.FULL)
+            return self.refusal(Verdict.FULL)
         if loop.now() >= exchange.until or exchange.left():
             self.input("ended", n, m.DROPPED)
             return REJECTED, [], b""
         self.going.add(n)
         reply = yield from self.decided(self.jobs[n], exchange, told)
         status, _, content = reply
-        how = {COMPLETED: b.ANSWERED, REJECTED: m.DROPPED}.get(status, b.UNSURE)
-        self.input("ended", n, how, status, content if how == b.ANSWERED else b"")
+        how = {COMPLETED: RecordState.ANSWERED, REJECTED: m.DROPPED}.get(status, RecordState.UNSURE)
+        self.input("ended", n, how, status, content if how == RecordState.ANSWERED else b"")
         got = yield (-1, 0, max(exchange.until, loop.now()) + MARGIN)
-        if how == b.ANSWERED and not (isinstance(got, tuple) and got[0] == o.LASTING):
+        if how == RecordState.ANSWERED and not (isinstance(got, tuple) and got[0] == o.LASTING):
             # No majority has it, so another could be told otherwise: it may have run.
             return KILLED, [], b""
         return reply
@@ -352,9 +356,9 @@
 
     def copies(self, request):
         """What operators see."""
-        if self.book is None:
+        if self.key_table is None:
             return Answer(503, "the folder is held by the process before this one")
-        node, told = self.node, self.book.figures()
+        node, told = self.node, self.key_table.statistics()
         oldest = told.pop("oldest_until")
         placement = node.placement if node is not None else None
         told |= {
--- a/mastledge/replication/catch_up.py
+++ b/mastledge/replication/catch_up.py
@@ -6,7 +6,7 @@
 then it is waited until all promises of then are over.
 """
 
-from mastledge.idempotency.key_table import Full
+from mastledge.idempotency.key_table import KeyTableFullError
 from mastledge.replication import messages as m
 
 BATCH, BYTES = 128, 1 << 18  # records of one message, and bytes of their answers
@@ -84,7 +84,7 @@
         try:
             for record in batch.records:
                 self.node.holder.merge(now, record)
-        except Full:
+        except KeyTableFullError:
             # No room for what others hold: it is no holder until there is some.
             return
         self.taken += len(batch.records)
@@ -104,7 +104,7 @@
         source = self.sources.get(sender)
         if source is None or scan.place < source.place:
             node.raise_fence(scan.epoch)
-            source = self.sources[sender] = Source(scan.epoch, list(node.holder.book.held))
+            source = self.sources[sender] = Source(scan.epoch, list(node.holder.book.records))
             source.keeps = self.keeps(sender, id_)
         if source.batch is None or scan.place > source.place:
             source.place = scan.place
@@ -117,7 +117,7 @@
         while source.at < len(source.places) and len(records) < BATCH and looked < LOOKED and size < BYTES:
             place = source.places[source.at]
             source.at, looked = source.at + 1, looked + 1
-            record = node.holder.book.held.get(place)
+            record = node.holder.book.records.get(place)
             if record is None or source.keeps and node.placement.held(sender, *place):
                 continue
             if node.placement.holds(sender, *place):
--- a/mastledge/replication/coordinator.py
+++ b/mastledge/replication/coordinator.py
@@ -12,7 +12,7 @@
 from heapq import heappop, heappush
 from zlib import crc32
 
-from mastledge.idempotency import key_table as b
+from mastledge.idempotency.key_table import EXPLANATION, HTTP_STATUS, RecordState, Verdict, is_valid_key
 from mastledge.replication import messages as m
 from mastledge.replication.placement import Placement
 
@@ -245,15 +245,19 @@
     # Jobs
 
     def offer(self, now, n, tenant, key, print_, left):
-        if not b.sound(key):
-            self.host.tell(n, REFUSED, b.STATUS[b.BAD], b.WHY[b.BAD].encode())
+        if not is_valid_key(key):
+            self.host.tell(
+                n, REFUSED, HTTP_STATUS[Verdict.INVALID_KEY], EXPLANATION[Verdict.INVALID_KEY].encode()
+            )
             return
         job = self.jobs[n] = Job(n, (tenant, key), print_, now + left)
         known = self.places.get(job.place)
         if known is None:
             self.claim(now, job)
         elif known.print != print_:
-            self.tell(job, REFUSED, b.STATUS[b.OTHER], b.WHY[b.OTHER].encode())
+            self.tell(
+                job, REFUSED, HTTP_STATUS[Verdict.OTHER_REQUEST], EXPLANATION[Verdict.OTHER_REQUEST].encode()
+            )
         else:
             job.phase = JOINING
             self.listen_to(now, job, known)
@@ -325,14 +329,21 @@
         for what in (m.ANSWERED, m.MAYBE, m.HELD):
             for _, had in by.get(what, ()):
                 if had.print and had.print != job.print:
-                    self.tell(job, REFUSED, b.STATUS[b.OTHER], b.WHY[b.OTHER].encode())
+                    self.tell(
+                        job,
+                        REFUSED,
+                        HTTP_STATUS[Verdict.OTHER_REQUEST],
+                        EXPLANATION[Verdict.OTHER_REQUEST].encode(),
+                    )
                     return
         if m.ANSWERED in by:
             self.answer(now, job, by[m.ANSWERED])
         elif m.MAYBE in by:
             self.tell(job, UNSURE)
         elif m.OTHER in by:
-            self.tell(job, REFUSED, b.STATUS[b.OTHER], b.WHY[b.OTHER].encode())
+            self.tell(
+                job, REFUSED, HTTP_STATUS[Verdict.OTHER_REQUEST], EXPLANATION[Verdict.OTHER_REQUEST].encode()
+            )
         elif m.HELD in by:
             self.join(now, job, by[m.HELD][0][1])
         elif m.FULL in by or m.DISK in by:
@@ -516,7 +527,7 @@
             for other in self.heard_of(job):
                 self.told(now, other, m.DROPPED)
             return
-        job.known, job.phase = how == b.ANSWERED, ENDING
+        job.known, job.phase = how == RecordState.ANSWERED, ENDING
         fields = (job.print, job.claim, job.known, status, content)
         job.status, job.content = status, content if job.known else None
         job.op = self.begin(
--- a/mastledge/replication/node.py
+++ b/mastledge/replication/node.py
@@ -25,7 +25,7 @@
 
     def __init__(self, name, id_, run, book, fence, seed, patience, now, synced=True):
         self.name, self.id, self.fence, self.synced = name, id_, fence, synced
-        self.holder, self.owner = Replica(book, now), Coordinator(self, name, run, book.keep, seed)
+        self.holder, self.owner = Replica(book, now), Coordinator(self, name, run, book.retention_us, seed)
         self.restore = CatchUp(self, patience)
         self.placement, self.ids = Placement(), {name: id_}
         self.out, self.records, self.held, self.token, self.safe = [], [], [], 0, 0
@@ -43,7 +43,7 @@
         while True:
             while self.inner:
                 self.hear(now, self.name, self.id, self.inner.pop(0))
-            records = self.records + self.holder.book.records()
+            records = self.records + self.holder.book.take_changes()
             self.records = []
             if records and not self.broken:
                 self.token += 1
@@ -116,7 +116,7 @@
 
     def on_mended(self, now):
         self.broken, self.safe = False, self.token
-        self.holder.book.records()
+        self.holder.book.take_changes()
         # What it was asked meanwhile is asked again, and so is what it had not said yet.
         self.restore.said = self.restore.said and self.name in self.placement.caught
 
--- a/mastledge/replication/persisted_state.py
+++ b/mastledge/replication/persisted_state.py
@@ -1,9 +1,9 @@
 """What the disk of a holder keeps, from its records in their order."""
 
-from mastledge.idempotency import key_table
+from mastledge.idempotency.key_table import PersistedKeys
 
 
-class PersistedReplica(key_table.PersistedKeys):
+class PersistedReplica(PersistedKeys):
     """As of one dispatcher's keys, and ("holder", id, starts): which folder this is, and how often it was
     opened; ("fence", epoch): of earlier placements nothing is let in any more.
     """
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -18,7 +18,7 @@
 from mastledge.consensus import persisted_state as consensus_persisted
 from mastledge.consensus import state_machine
 from mastledge.consensus.member import Member
-from mastledge.idempotency import key_table
+from mastledge.idempotency.key_table import KeyTable, PersistedKeys
 from mastledge.peers import links
 from mastledge.program import connection_handoff, recovery_service, replication_service
 from mastledge.program.fleet import Fleet
@@ -94,7 +94,7 @@
 JOURNAL_NOW = 1_700_000_000_000_000  # Unix microseconds at which samples of keys are written anew
 JOURNALS = {
     "agreement": consensus_persisted.PersistedState,
-    "repeats": lambda: key_table.PersistedKeys(lambda: JOURNAL_NOW),
+    "repeats": lambda: PersistedKeys(lambda: JOURNAL_NOW),
     "copies": lambda: replica_persisted.PersistedReplica(lambda: JOURNAL_NOW),
     "recovery": restored_state.PersistedRecovery,
 }
@@ -114,21 +114,23 @@
 
 
 def book_of_keys():
-    return key_table.KeyTable(60_000_000, 100, 1 << 20, 1_000)
+    return KeyTable(60_000_000, 100, 1 << 20, 1_000)
 
 
 def records_of_book(keys, claim):
     """What a book hands out for a claim that is answered, one that may have run, and one that is dropped."""
     records = []
     for number, fate in enumerate(("answered", "unsure", "dropped", "claimed")):
-        _, record = keys.offer(5_000, "tenant", b"key-%d" % number, bytes([number]) * 16, 9_000_000, claim)
+        _, record = keys.try_claim(
+            5_000, "tenant", b"key-%d" % number, bytes([number]) * 16, 9_000_000, claim
+        )
         if fate == "answered":
-            keys.ended(6_000, record, 200, b"\x00content\xff")
+            keys.complete(6_000, record, 200, b"\x00content\xff")
         elif fate == "unsure":
-            keys.unsure(7_000, record)
+            keys.mark_unsure(7_000, record)
         elif fate == "dropped":
-            keys.dropped(record)
-        records += keys.records()
+            keys.release(record)
+        records += keys.take_changes()
     return records
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -326,7 +326,7 @@
     assert made.turn(lambda: not made.made.listener.clients)
     disk.goes_on.set()
     assert made.turn(lambda: not made.made.idempotency.keeping)
-    assert not made.made.idempotency.book.held and not made.made.router.count
+    assert not made.made.idempotency.key_table.records and not made.made.router.count
     made.asked("a2", Idempotency_Key="k1")
     made.only("a2")
 
@@ -338,7 +338,7 @@
     first = made.taken("a1", Idempotency_Key="k1")
     if joined:
         second = made.asked("a2", Idempotency_Key="k1")
-        assert made.turn(lambda: made.made.idempotency.book.counts["join"] == 1)
+        assert made.turn(lambda: made.made.idempotency.key_table.verdict_counts["join"] == 1)
     leaves(made, first)
     assert made.turn(lambda: len(made.made.listener.clients) == joined)
     if joined:
@@ -346,7 +346,9 @@
         made.only("a1")
         assert made.rig.reply(second).endswith(b"\r\n\r\nr")
         return
-    assert made.turn(lambda: not made.made.idempotency.keeping) and not made.made.idempotency.book.held
+    assert (
+        made.turn(lambda: not made.made.idempotency.keeping) and not made.made.idempotency.key_table.records
+    )
     made.lists()
     made.asked("a3", Idempotency_Key="k1")
     made.only("a3")
@@ -393,14 +395,14 @@
     kept = DataDirectory(str(tmp_path / "kept"))
     kept.hold()
     made = serving(listen=listen, folder=str(tmp_path / "beside"), repeats=keeps(tmp_path)).serving()
-    assert made.made.idempotency.book is None
+    assert made.made.idempotency.key_table is None
     client = made.asked(Idempotency_Key="k1")
     assert made.turn(lambda: made.made.listener.in_hand)
     leaves(made, client)
     assert made.turn(lambda: not made.made.listener.in_hand)
     kept.release()
     before.leave()
-    assert made.turn(lambda: made.made.idempotency.book is not None)
+    assert made.turn(lambda: made.made.idempotency.key_table is not None)
     made.asked("a2", Idempotency_Key="k1")
     made.only("a2")
 
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -10,88 +10,102 @@
 from test_control import Served
 from test_program import file
 
-from mastledge.idempotency import key_table as b
+from mastledge.idempotency.key_table import (
+    RECORD_OVERHEAD_BYTES,
+    KeyTable,
+    PersistedKeys,
+    Verdict,
+    request_fingerprint,
+)
 from mastledge.program import lifecycle
 from mastledge.program.configuration import BadConfiguration, configuration
 
 KEEP = 1_000_000
-PRINT = b.fingerprint(b"/post", b"x")
+FINGERPRINT = request_fingerprint(b"/post", b"x")
 
 
-def made(entries=10, bytes_=100_000):
-    return b.KeyTable(KEEP, entries, bytes_, 5)
+def made(max_records=10, max_bytes=100_000):
+    return KeyTable(KEEP, max_records, max_bytes, 5)
 
 
-def offer(book, now=0, tenant="t", key=b"k", print_=PRINT):
-    return book.offer(now, tenant, key, print_, now + 100)
+def try_claim(key_table, now=0, tenant="t", key=b"k", fingerprint=FINGERPRINT):
+    return key_table.try_claim(now, tenant, key, fingerprint, now + 100)
 
 
-def again(book, now):
+def again(key_table, now):
     """As after a restart: by what was handed out for the disk alone."""
-    kept = b.PersistedKeys(lambda: now + 5)
-    for record in book.records():
+    kept = PersistedKeys(lambda: now + 5)
+    for record in key_table.take_changes():
         kept.take(record)
-    other = b.PersistedKeys(lambda: now + 5)
+    other = PersistedKeys(lambda: now + 5)
     for record in kept.records():
         other.take(record)
     after = made()
-    after.recovered(now, other.held)
+    after.restore(now, other.entries)
     return after
 
 
 def test_a_repeat_joins_then_gets_the_same_answer_until_its_time_is_over():
-    book = made()
-    what, record = offer(book)
-    assert what == b.NEW and offer(book, 1) == (b.JOIN, record)
-    book.ended(10, record, 200, b"done")
-    assert offer(book, 20) == (b.ANSWER, record) and record.content == b"done"
-    assert again(book, 20).offer(21, "t", b"k", PRINT, 99)[0] == b.ANSWER
-    assert offer(book, 10 + KEEP)[0] == b.NEW
+    key_table = made()
+    what, record = try_claim(key_table)
+    assert what == Verdict.NEW and try_claim(key_table, 1) == (Verdict.JOIN, record)
+    key_table.complete(10, record, 200, b"done")
+    assert try_claim(key_table, 20) == (Verdict.ANSWER, record) and record.content == b"done"
+    assert again(key_table, 20).try_claim(21, "t", b"k", FINGERPRINT, 99)[0] == Verdict.ANSWER
+    assert try_claim(key_table, 10 + KEEP)[0] == Verdict.NEW
 
 
 def test_what_may_have_run_is_told_as_such_and_what_never_ran_is_a_first_one_again():
-    book = made()
-    _, record = offer(book)
-    book.unsure(10, record)
-    assert offer(book, 20)[0] == b.MAYBE and again(book, 20).offer(21, "t", b"k", PRINT, 99)[0] == b.MAYBE
-    _, other = offer(book, key=b"k2")
-    book.dropped(other)
-    assert offer(book, key=b"k2")[0] == b.NEW
+    key_table = made()
+    _, record = try_claim(key_table)
+    key_table.mark_unsure(10, record)
+    assert (
+        try_claim(key_table, 20)[0] == Verdict.MAY_HAVE_RUN
+        and again(key_table, 20).try_claim(21, "t", b"k", FINGERPRINT, 99)[0] == Verdict.MAY_HAVE_RUN
+    )
+    _, other = try_claim(key_table, key=b"k2")
+    key_table.release(other)
+    assert try_claim(key_table, key=b"k2")[0] == Verdict.NEW
 
 
 def test_a_claim_that_a_crash_left_may_have_run_and_a_clock_set_back_keeps_it_no_longer():
-    book = made()
-    offer(book, 50 * KEEP)
-    after = again(book, 0)
-    assert after.offer(1, "t", b"k", PRINT, 9)[0] == b.MAYBE
-    assert after.offer(KEEP, "t", b"k", PRINT, 9)[0] == b.NEW
+    key_table = made()
+    try_claim(key_table, 50 * KEEP)
+    after = again(key_table, 0)
+    assert after.try_claim(1, "t", b"k", FINGERPRINT, 9)[0] == Verdict.MAY_HAVE_RUN
+    assert after.try_claim(KEEP, "t", b"k", FINGERPRINT, 9)[0] == Verdict.NEW
 
 
 def test_another_body_another_tenant_and_keys_that_are_none():
-    book = made()
-    offer(book)
-    assert offer(book, print_=b.fingerprint(b"/post", b"y"))[0] == b.OTHER
-    assert offer(book, tenant="u")[0] == b.NEW
+    key_table = made()
+    try_claim(key_table)
+    assert try_claim(key_table, fingerprint=request_fingerprint(b"/post", b"y"))[0] == Verdict.OTHER_REQUEST
+    assert try_claim(key_table, tenant="u")[0] == Verdict.NEW
     for key in (b"", b"a b", b"\xff", b"x" * 256):
-        assert offer(book, key=key)[0] == b.BAD
+        assert try_claim(key_table, key=key)[0] == Verdict.INVALID_KEY
 
 
 def test_a_full_book_refuses_new_keys_and_forgets_no_claim():
-    book = made(entries=2)
-    first, second = offer(book, key=b"a")[1], offer(book, key=b"b")[1]
-    assert offer(book, key=b"c")[0] == b.FULL
-    assert offer(book, key=b"a") == (b.JOIN, first) and offer(book, key=b"b") == (b.JOIN, second)
-    book.dropped(first)
-    assert offer(book, key=b"c")[0] == b.NEW
+    key_table = made(max_records=2)
+    first, second = try_claim(key_table, key=b"a")[1], try_claim(key_table, key=b"b")[1]
+    assert try_claim(key_table, key=b"c")[0] == Verdict.FULL
+    assert try_claim(key_table, key=b"a") == (Verdict.JOIN, first) and try_claim(key_table, key=b"b") == (
+        Verdict.JOIN,
+        second,
+    )
+    key_table.release(first)
+    assert try_claim(key_table, key=b"c")[0] == Verdict.NEW
 
 
 def test_one_tenant_does_not_take_all_the_room_and_an_answer_too_large_still_says_that_it_ran():
-    book = made(1000, 4 * (b.COST + 1))
-    assert [offer(book, key=bytes([65 + n]))[0] for n in range(4)] == [b.NEW] * 3 + [b.FULL]
-    assert offer(book, tenant="u", key=b"z")[0] == b.NEW
-    record = offer(book, key=b"A")[1]
-    book.ended(1, record, 200, b"x" * 10_000)
-    assert offer(book, 2, key=b"A")[0] == b.MAYBE
+    key_table = made(1000, 4 * (RECORD_OVERHEAD_BYTES + 1))
+    assert [try_claim(key_table, key=bytes([65 + n]))[0] for n in range(4)] == [Verdict.NEW] * 3 + [
+        Verdict.FULL
+    ]
+    assert try_claim(key_table, tenant="u", key=b"z")[0] == Verdict.NEW
+    record = try_claim(key_table, key=b"A")[1]
+    key_table.complete(1, record, 200, b"x" * 10_000)
+    assert try_claim(key_table, 2, key=b"A")[0] == Verdict.MAY_HAVE_RUN
 
 
 @given(
@@ -105,35 +119,35 @@
     )
 )
 def test_no_key_that_may_have_run_is_new_again_in_its_time(moves):
-    """`may_run`: until when each key must not be launched again, kept beside the book by the test."""
-    book, now, may_run, claims = made(), 0, {}, {}
-    disk = b.PersistedKeys(lambda: now + 5)
+    """`may_run`: until when each key must not be launched again, kept beside the key_table by the test."""
+    key_table, now, may_run, claims = made(), 0, {}, {}
+    disk = PersistedKeys(lambda: now + 5)
     for what, n, wait in moves:
         now, key = now + wait, b"k%d" % n
         if what == "offer":
-            got, record = offer(book, now, key=key)
-            if got == b.NEW:
+            got, record = try_claim(key_table, now, key=key)
+            if got == Verdict.NEW:
                 assert may_run.get(key, 0) <= now
                 may_run[key], claims[key] = float("inf"), record
         elif what == "crash":
-            for record in book.records():
+            for record in key_table.take_changes():
                 disk.take(record)
-            book = made()
-            book.recovered(now, disk.held)
+            key_table = made()
+            key_table.restore(now, disk.entries)
             may_run.update({key: now + KEEP for key in claims})
             claims = {}
         elif key in claims:
             record = claims.pop(key)
             if what == "end":
-                book.ended(now, record, 200, b"r")
+                key_table.complete(now, record, 200, b"r")
             elif what == "unsure":
-                book.unsure(now, record)
+                key_table.mark_unsure(now, record)
             else:
-                book.dropped(record)
+                key_table.release(record)
             may_run[key] = 0 if what == "drop" else now + KEEP
-        for record in book.records():
+        for record in key_table.take_changes():
             disk.take(record)
-        assert book.used == sum(one.cost for one in book.held.values())
+        assert key_table.used_bytes == sum(one.size_bytes for one in key_table.records.values())
 
 
 class Keyed(Served):
@@ -181,7 +195,7 @@
     first = made.asked("a1")
     theirs, _ = made.rig.called(made.sock)
     second = made.asked("a2")
-    assert made.turn(lambda: made.made.idempotency.book.counts["join"] == 1)
+    assert made.turn(lambda: made.made.idempotency.key_table.verdict_counts["join"] == 1)
     first.close()  # who leaves doesn't take the job along
     made.turn(lambda: made.made.listener.in_hand == 1)
     answers(theirs, b"a1")
@@ -189,7 +203,10 @@
     assert made.reply("a3").endswith(b"\r\n\r\nr")
     assert b" 422 " in made.reply("a4", body=b"y") and b" 400 " in made.reply("a5", key="")
     after = again()
-    assert after.reply("a6").endswith(b"\r\n\r\nr") and after.made.idempotency.book.counts["answer"] == 1
+    assert (
+        after.reply("a6").endswith(b"\r\n\r\nr")
+        and after.made.idempotency.key_table.verdict_counts["answer"] == 1
+    )
     status, text = after.call("/api/copies")
     assert status == 200 and orjson.loads(text)["held"] == 1
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -8,7 +8,7 @@
 
 from mastledge.consensus.messages import Entry
 from mastledge.consensus.state_machine import StateMachine, genesis, sound
-from mastledge.idempotency import key_table as b
+from mastledge.idempotency.key_table import KeyTable, RecordState
 from mastledge.lab import copying
 from mastledge.lab.copying import KEEP, PATIENCE, WALLTIME, Broken, Fleet, Host, Schedule
 from mastledge.replication import coordinator as o
@@ -23,9 +23,9 @@
 
 
 def holder(now=0, kept=None):
-    book = b.KeyTable(KEEP, 100, 100_000, 5)
+    book = KeyTable(KEEP, 100, 100_000, 5)
     if kept is not None:
-        book.recovered(now, kept.held, False)
+        book.restore(now, kept.entries, False)
     return Replica(book, now)
 
 
@@ -88,7 +88,7 @@
         made.claim(0, told)
     made.end(1, end(A))
     made.drop(1, m.ReleaseClaim(1, "t", b"l", B))
-    for record in head("i", 3, 7) + made.book.records():
+    for record in head("i", 3, 7) + made.book.take_changes():
         kept.take(record)
     other = PersistedReplica(lambda: 10)
     for record in kept.records():
@@ -104,11 +104,11 @@
 def test_copies_that_differ_are_merged_by_what_is_known_most():
     made = holder()
     made.claim(0, claim(A))
-    made.merge(1, m.Record("t", b"k", PRINT, B, b.ANSWERED, 500, 200, b"r"))
+    made.merge(1, m.Record("t", b"k", PRINT, B, RecordState.ANSWERED, 500, 200, b"r"))
     assert made.look(2, m.ReadKey(1, "t", b"k")).claim == B
     assert made.look(502, m.ReadKey(1, "t", b"k")).what == m.NONE  # its time does not begin anew
     made.claim(600, claim(A))
-    made.merge(601, m.Record("t", b"k", PRINT, B, b.CLAIMED, 500))
+    made.merge(601, m.Record("t", b"k", PRINT, B, RecordState.CLAIMED, 500))
     assert made.look(602, m.ReadKey(1, "t", b"k")).what == m.MAYBE  # either may be the one that counts
     made.drop(603, m.ReleaseClaim(1, "t", b"k", A))
     assert made.look(604, m.ReadKey(1, "t", b"k")).what == m.MAYBE  # and neither can take it back
@@ -140,7 +140,7 @@
             made.drop(now, m.ReleaseClaim(1, "t", b"k", name))
             granted = None if granted == name else granted
         elif what == "merge":
-            made.merge(now, m.Record("t", b"k", PRINT, name, b.CLAIMED, WALLTIME))
+            made.merge(now, m.Record("t", b"k", PRINT, name, RecordState.CLAIMED, WALLTIME))
             granted = granted or name
         else:
             had = made.end(now, end(name, known=what == "end"))
@@ -258,7 +258,7 @@
     return told
 
 
-def ends(fleet, host, n, how=b.ANSWERED, content=b"r"):
+def ends(fleet, host, n, how=RecordState.ANSWERED, content=b"r"):
     fleet.hosts[host].step(fleet.hosts[host].node, "ended", n, how, 200, content)
 
 
@@ -384,7 +384,7 @@
     host = fleet.hosts["n4"] = Host(fleet, "n4")
     fleet.at(50_000, host.start)
     assert fleet.run(fleet.now + 5_000_000, lambda: "n4" in fleet.rules.state["copies"]["now"])
-    assert len(host.node.holder.book.held) > 500
+    assert len(host.node.holder.book.records) > 500
 
 
 def test_without_a_majority_of_its_holders_a_key_is_turned_away_at_once():
@@ -420,7 +420,7 @@
     host.start()
     began = fleet.now
     assert fleet.run(fleet.now + 3_000_000, lambda: fleet.rules.state["copies"]["epoch"] == 3)
-    assert fleet.now - began < 1_000_000 and len(host.node.holder.book.held) == 300
+    assert fleet.now - began < 1_000_000 and len(host.node.holder.book.records) == 300
     # Now one of the others may go as well.
     fleet.hosts["n0"].crash()
     fleet.run(fleet.now + 300_000)
@@ -544,11 +544,11 @@
 
 @pytest.mark.parametrize("claim_name", ["y", "x", "1.r"])
 def test_what_makes_no_sense_is_refused_and_changes_nothing(claim_name):
-    made = Node("n0", "i", "r", b.KeyTable(KEEP, 10, 10_000, 0), 0, 1, PATIENCE, 0)
+    made = Node("n0", "i", "r", KeyTable(KEEP, 10, 10_000, 0), 0, 1, PATIENCE, 0)
     for message in (
         claim(claim_name),
-        m.ScanResponse(0, 0, 1, [m.Record("t", b"k", PRINT, claim_name, b.CLAIMED, 5)], True),
+        m.ScanResponse(0, 0, 1, [m.Record("t", b"k", PRINT, claim_name, RecordState.CLAIMED, 5)], True),
     ):
         with pytest.raises(ValueError):
             made.step(1, "heard", "n1", "i", message)
-    assert not made.holder.book.held
+    assert not made.holder.book.records
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -152,10 +152,15 @@
 
     def later(self, record):
         if record.state == "claimed":
-            self.later = [*getattr(self, "later", ()), *(r for r in self.book.out if r[1:3] == record.place)]
-            self.book.out = [r for r in self.book.out if r[1:3] != record.place]
+            self.later = [
+                *getattr(self, "later", ()),
+                *(r for r in self.key_table.changes if r[1:3] == record.scoped_key),
+            ]
+            self.key_table.changes = [r for r in self.key_table.changes if r[1:3] != record.scoped_key]
             return True
-        self.book.out = [r for r in self.later if r[1:3] == record.place] + self.book.out
+        self.key_table.changes = [
+            r for r in self.later if r[1:3] == record.scoped_key
+        ] + self.key_table.changes
         return (yield from lasting(self, record))
 
     IdempotencyService.lasting = later
@@ -183,7 +188,7 @@
     def forgets(self, now, record, known, status, content, left):
         raise_to(self, now, record, False, 0, b"", left)
         record.state = "answered" if known else record.state
-        self.book.unsure(now, record)
+        self.book.mark_unsure(now, record)
 
     Replica.raise_to = forgets
     end = Replica.end
