--- a/mastledge/lab/bench.py
+++ b/mastledge/lab/bench.py
@@ -12,6 +12,7 @@
 import numpy
 
 from mastledge.idempotency.key_table import KeyTable
+from mastledge.idempotency.keyed_request import KeyedRequest
 from mastledge.lab import outages
 from mastledge.lab.judge import judged
 from mastledge.lab.rig import LOOK, Rig
@@ -309,19 +310,21 @@
 
 
 def remembered(keys, answer):
-    """Bytes that a copy takes in memory, and what the book counts for it."""
+    """Bytes that a copy takes in memory, and what the table counts for it."""
     tracemalloc.start()
-    book = KeyTable(600_000_000, 4 * keys, 1 << 31, 0)
+    key_table = KeyTable(600_000_000, 4 * keys, 1 << 31, 0)
     before = tracemalloc.get_traced_memory()[0]
     for n in range(keys):
-        _, one = book.try_claim(0, "", b"key-%032d" % n, bytes([n % 256]) * 16, 1, f"{n}.0123456789ab.n1")
-        book.complete(0, one, 200, bytes(answer) + b"%06d" % n)
-        book.take_changes()
+        fingerprint, claim_name = bytes([n % 256]) * 16, f"{n}.0123456789ab.n1"
+        request = KeyedRequest("", b"key-%032d" % n, fingerprint, 1, claim_name)
+        _, record = key_table.claim(0, request)
+        key_table.complete(0, record, 200, bytes(answer) + b"%06d" % n)
+        key_table.take_changes()
     used = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return {
         "bytes_a_copy_in_memory": round(used / keys, 1),
-        "bytes_counted": round(book.used_bytes / keys, 1),
+        "bytes_counted": round(key_table.room.used_bytes / keys, 1),
     }
 
 
--- a/mastledge/lab/copying.py
+++ b/mastledge/lab/copying.py
@@ -13,7 +13,8 @@
 
 from mastledge.consensus.messages import Entry
 from mastledge.consensus.state_machine import StateMachine, genesis
-from mastledge.idempotency.key_table import KeyTable, RecordState
+from mastledge.idempotency.key_table import KeyTable
+from mastledge.idempotency.records import RecordState
 from mastledge.lab.simulated import Simulated
 from mastledge.replication import coordinator as o
 from mastledge.replication import messages as m
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -13,7 +13,7 @@
 from copy import deepcopy
 from types import SimpleNamespace
 
-from mastledge.idempotency.key_table import RecordState
+from mastledge.idempotency.records import RecordState
 from mastledge.lab import copying, faults, outages, policies, schedule
 from mastledge.lab.load import Clients
 from mastledge.lab.rig import document, limits
--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -8,14 +8,10 @@
 
 import orjson
 
-from mastledge.idempotency.key_table import (
-    EXPLANATION,
-    HTTP_STATUS,
-    KeyTable,
-    PersistedKeys,
-    Verdict,
-    request_fingerprint,
-)
+from mastledge.idempotency.key_table import KeyTable
+from mastledge.idempotency.keyed_request import KeyedRequest, request_fingerprint
+from mastledge.idempotency.persisted_keys import PersistedKeys
+from mastledge.idempotency.verdicts import EXPLANATION, HTTP_STATUS, Verdict
 from mastledge.protocol import http
 from mastledge.protocol.control import Answer
 from mastledge.protocol.requests import COMPLETED, KILLED, REJECTED
@@ -159,13 +155,9 @@
         loop, key_table = self.loop, self.key_table
         if key_table is None or self.failing:
             return self.refusal(Verdict.FULL)
-        verdict, record = key_table.try_claim(
-            loop.now(),
-            exchange.tenant,
-            exchange.key,
-            request_fingerprint(exchange.target, exchange.body),
-            exchange.until,
-        )
+        fingerprint = request_fingerprint(exchange.target, exchange.body)
+        request = KeyedRequest(exchange.tenant, exchange.key, fingerprint, exchange.until)
+        verdict, record = key_table.claim(loop.now(), request)
         if verdict == Verdict.ANSWER:
             return record.status, [(b"content-type", b"application/octet-stream")], record.content
         if verdict not in (Verdict.NEW, Verdict.JOIN):
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -10,7 +10,10 @@
 import msgspec
 import orjson
 
-from mastledge.idempotency.key_table import KeyTable, RecordState, Verdict, request_fingerprint
+from mastledge.idempotency.key_table import KeyTable
+from mastledge.idempotency.keyed_request import request_fingerprint
+from mastledge.idempotency.records import RecordState
+from mastledge.idempotency.verdicts import Verdict
 from mastledge.program.configuration import COPIES
 from mastledge.program.idempotency_service import MARGIN, IdempotencyService, unix
 from mastledge.protocol import http
--- a/mastledge/replication/catch_up.py
+++ b/mastledge/replication/catch_up.py
@@ -6,7 +6,7 @@
 then it is waited until all promises of then are over.
 """
 
-from mastledge.idempotency.key_table import KeyTableFullError
+from mastledge.idempotency.errors import KeyTableFullError
 from mastledge.replication import messages as m
 
 BATCH, BYTES = 128, 1 << 18  # records of one message, and bytes of their answers
--- a/mastledge/replication/coordinator.py
+++ b/mastledge/replication/coordinator.py
@@ -12,7 +12,9 @@
 from heapq import heappop, heappush
 from zlib import crc32
 
-from mastledge.idempotency.key_table import EXPLANATION, HTTP_STATUS, RecordState, Verdict, is_valid_key
+from mastledge.idempotency.keyed_request import is_valid_key
+from mastledge.idempotency.records import RecordState
+from mastledge.idempotency.verdicts import EXPLANATION, HTTP_STATUS, Verdict
 from mastledge.replication import messages as m
 from mastledge.replication.placement import Placement
 
--- a/mastledge/replication/persisted_state.py
+++ b/mastledge/replication/persisted_state.py
@@ -1,6 +1,6 @@
 """What the disk of a holder keeps, from its records in their order."""
 
-from mastledge.idempotency.key_table import PersistedKeys
+from mastledge.idempotency.persisted_keys import PersistedKeys
 
 
 class PersistedReplica(PersistedKeys):
--- a/mastledge/replication/replica.py
+++ b/mastledge/replication/replica.py
@@ -7,7 +7,9 @@
 
 from heapq import heapify, heappop, heappush
 
-from mastledge.idempotency.key_table import KeyTableFullError, RecordState, Verdict
+from mastledge.idempotency.errors import KeyTableFullError
+from mastledge.idempotency.records import RecordState
+from mastledge.idempotency.verdicts import Verdict
 from mastledge.replication import messages as m
 
 GRACE = 250_000  # after a claim's walltime, in which its outcome is on its way
@@ -142,7 +144,7 @@
         if record is None:
             what, record = book.try_claim(now, told.tenant, told.key, told.print, now + told.left, told.claim)
             if what != Verdict.NEW:
-                raise KeyTableFullError(f"no room for the key {told.key!r}")
+                raise KeyTableFullError(told.key)
             if told.state == RecordState.CLAIMED:
                 self.expect(record)
         if told.state != RecordState.CLAIMED:
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -18,7 +18,9 @@
 from mastledge.consensus import persisted_state as consensus_persisted
 from mastledge.consensus import state_machine
 from mastledge.consensus.member import Member
-from mastledge.idempotency.key_table import KeyTable, PersistedKeys
+from mastledge.idempotency.key_table import KeyTable
+from mastledge.idempotency.keyed_request import KeyedRequest
+from mastledge.idempotency.persisted_keys import PersistedKeys
 from mastledge.peers import links
 from mastledge.program import connection_handoff, recovery_service, replication_service
 from mastledge.program.fleet import Fleet
@@ -121,9 +123,8 @@
     """What a book hands out for a claim that is answered, one that may have run, and one that is dropped."""
     records = []
     for number, fate in enumerate(("answered", "unsure", "dropped", "claimed")):
-        _, record = keys.try_claim(
-            5_000, "tenant", b"key-%d" % number, bytes([number]) * 16, 9_000_000, claim
-        )
+        request = KeyedRequest("tenant", b"key-%d" % number, bytes([number]) * 16, 9_000_000, claim)
+        _, record = keys.claim(5_000, request)
         if fate == "answered":
             keys.complete(6_000, record, 200, b"\x00content\xff")
         elif fate == "unsure":
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -10,13 +10,11 @@
 from test_control import Served
 from test_program import file
 
-from mastledge.idempotency.key_table import (
-    RECORD_OVERHEAD_BYTES,
-    KeyTable,
-    PersistedKeys,
-    Verdict,
-    request_fingerprint,
-)
+from mastledge.idempotency.key_table import KeyTable
+from mastledge.idempotency.keyed_request import KeyedRequest, request_fingerprint
+from mastledge.idempotency.persisted_keys import PersistedKeys
+from mastledge.idempotency.records import RECORD_OVERHEAD_BYTES
+from mastledge.idempotency.verdicts import Verdict
 from mastledge.program import lifecycle
 from mastledge.program.configuration import BadConfiguration, configuration
 
@@ -28,8 +26,8 @@
     return KeyTable(KEEP, max_records, max_bytes, 5)
 
 
-def try_claim(key_table, now=0, tenant="t", key=b"k", fingerprint=FINGERPRINT):
-    return key_table.try_claim(now, tenant, key, fingerprint, now + 100)
+def claim(key_table, now=0, tenant="t", key=b"k", fingerprint=FINGERPRINT):
+    return key_table.claim(now, KeyedRequest(tenant, key, fingerprint, now + 100))
 
 
 def again(key_table, now):
@@ -47,65 +45,63 @@
 
 def test_a_repeat_joins_then_gets_the_same_answer_until_its_time_is_over():
     key_table = made()
-    what, record = try_claim(key_table)
-    assert what == Verdict.NEW and try_claim(key_table, 1) == (Verdict.JOIN, record)
+    what, record = claim(key_table)
+    assert what == Verdict.NEW and claim(key_table, 1) == (Verdict.JOIN, record)
     key_table.complete(10, record, 200, b"done")
-    assert try_claim(key_table, 20) == (Verdict.ANSWER, record) and record.content == b"done"
-    assert again(key_table, 20).try_claim(21, "t", b"k", FINGERPRINT, 99)[0] == Verdict.ANSWER
-    assert try_claim(key_table, 10 + KEEP)[0] == Verdict.NEW
+    assert claim(key_table, 20) == (Verdict.ANSWER, record) and record.content == b"done"
+    assert claim(again(key_table, 20), 21)[0] == Verdict.ANSWER
+    assert claim(key_table, 10 + KEEP)[0] == Verdict.NEW
 
 
 def test_what_may_have_run_is_told_as_such_and_what_never_ran_is_a_first_one_again():
     key_table = made()
-    _, record = try_claim(key_table)
+    _, record = claim(key_table)
     key_table.mark_unsure(10, record)
     assert (
-        try_claim(key_table, 20)[0] == Verdict.MAY_HAVE_RUN
-        and again(key_table, 20).try_claim(21, "t", b"k", FINGERPRINT, 99)[0] == Verdict.MAY_HAVE_RUN
+        claim(key_table, 20)[0] == Verdict.MAY_HAVE_RUN
+        and claim(again(key_table, 20), 21)[0] == Verdict.MAY_HAVE_RUN
     )
-    _, other = try_claim(key_table, key=b"k2")
+    _, other = claim(key_table, key=b"k2")
     key_table.release(other)
-    assert try_claim(key_table, key=b"k2")[0] == Verdict.NEW
+    assert claim(key_table, key=b"k2")[0] == Verdict.NEW
 
 
 def test_a_claim_that_a_crash_left_may_have_run_and_a_clock_set_back_keeps_it_no_longer():
     key_table = made()
-    try_claim(key_table, 50 * KEEP)
+    claim(key_table, 50 * KEEP)
     after = again(key_table, 0)
-    assert after.try_claim(1, "t", b"k", FINGERPRINT, 9)[0] == Verdict.MAY_HAVE_RUN
-    assert after.try_claim(KEEP, "t", b"k", FINGERPRINT, 9)[0] == Verdict.NEW
+    assert claim(after, 1)[0] == Verdict.MAY_HAVE_RUN
+    assert claim(after, KEEP)[0] == Verdict.NEW
 
 
 def test_another_body_another_tenant_and_keys_that_are_none():
     key_table = made()
-    try_claim(key_table)
-    assert try_claim(key_table, fingerprint=request_fingerprint(b"/post", b"y"))[0] == Verdict.OTHER_REQUEST
-    assert try_claim(key_table, tenant="u")[0] == Verdict.NEW
+    claim(key_table)
+    assert claim(key_table, fingerprint=request_fingerprint(b"/post", b"y"))[0] == Verdict.OTHER_REQUEST
+    assert claim(key_table, tenant="u")[0] == Verdict.NEW
     for key in (b"", b"a b", b"\xff", b"x" * 256):
-        assert try_claim(key_table, key=key)[0] == Verdict.INVALID_KEY
+        assert claim(key_table, key=key)[0] == Verdict.INVALID_KEY
 
 
 def test_a_full_book_refuses_new_keys_and_forgets_no_claim():
     key_table = made(max_records=2)
-    first, second = try_claim(key_table, key=b"a")[1], try_claim(key_table, key=b"b")[1]
-    assert try_claim(key_table, key=b"c")[0] == Verdict.FULL
-    assert try_claim(key_table, key=b"a") == (Verdict.JOIN, first) and try_claim(key_table, key=b"b") == (
+    first, second = claim(key_table, key=b"a")[1], claim(key_table, key=b"b")[1]
+    assert claim(key_table, key=b"c")[0] == Verdict.FULL
+    assert claim(key_table, key=b"a") == (Verdict.JOIN, first) and claim(key_table, key=b"b") == (
         Verdict.JOIN,
         second,
     )
     key_table.release(first)
-    assert try_claim(key_table, key=b"c")[0] == Verdict.NEW
+    assert claim(key_table, key=b"c")[0] == Verdict.NEW
 
 
 def test_one_tenant_does_not_take_all_the_room_and_an_answer_too_large_still_says_that_it_ran():
     key_table = made(1000, 4 * (RECORD_OVERHEAD_BYTES + 1))
-    assert [try_claim(key_table, key=bytes([65 + n]))[0] for n in range(4)] == [Verdict.NEW] * 3 + [
-        Verdict.FULL
-    ]
-    assert try_claim(key_table, tenant="u", key=b"z")[0] == Verdict.NEW
-    record = try_claim(key_table, key=b"A")[1]
+    assert [claim(key_table, key=bytes([65 + n]))[0] for n in range(4)] == [Verdict.NEW] * 3 + [Verdict.FULL]
+    assert claim(key_table, tenant="u", key=b"z")[0] == Verdict.NEW
+    record = claim(key_table, key=b"A")[1]
     key_table.complete(1, record, 200, b"x" * 10_000)
-    assert try_claim(key_table, 2, key=b"A")[0] == Verdict.MAY_HAVE_RUN
+    assert claim(key_table, 2, key=b"A")[0] == Verdict.MAY_HAVE_RUN
 
 
 @given(
@@ -125,7 +121,7 @@
     for what, n, wait in moves:
         now, key = now + wait, b"k%d" % n
         if what == "offer":
-            got, record = try_claim(key_table, now, key=key)
+            got, record = claim(key_table, now, key=key)
             if got == Verdict.NEW:
                 assert may_run.get(key, 0) <= now
                 may_run[key], claims[key] = float("inf"), record
@@ -147,7 +143,7 @@
             may_run[key] = 0 if what == "drop" else now + KEEP
         for record in key_table.take_changes():
             disk.take(record)
-        assert key_table.used_bytes == sum(one.size_bytes for one in key_table.records.values())
+        assert key_table.room.used_bytes == sum(one.size_bytes for one in key_table.records.values())
 
 
 class Keyed(Served):
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -8,7 +8,8 @@
 
 from mastledge.consensus.messages import Entry
 from mastledge.consensus.state_machine import StateMachine, genesis, sound
-from mastledge.idempotency.key_table import KeyTable, RecordState
+from mastledge.idempotency.key_table import KeyTable
+from mastledge.idempotency.records import RecordState
 from mastledge.lab import copying
 from mastledge.lab.copying import KEEP, PATIENCE, WALLTIME, Broken, Fleet, Host, Schedule
 from mastledge.replication import coordinator as o
