--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -18,7 +18,9 @@
 from mastledge.consensus import messages as consensus_messages
 from mastledge.consensus import persisted_state as consensus_persisted
 from mastledge.consensus.member import Member
-from mastledge.idempotency import key_table
+from mastledge.idempotency.key_table import KeyTable
+from mastledge.idempotency.keyed_request import KeyedRequest
+from mastledge.idempotency.persisted_keys import PersistedKeys
 from mastledge.peers import links
 from mastledge.program import connection_handoff, recovery_service, replication_service
 from mastledge.program.fleet import Fleet
@@ -94,7 +96,7 @@
 JOURNAL_NOW = 1_700_000_000_000_000  # Unix microseconds at which samples of keys are written anew
 JOURNALS = {
     "agreement": consensus_persisted.PersistedState,
-    "repeats": lambda: key_table.PersistedKeys(lambda: JOURNAL_NOW),
+    "repeats": lambda: PersistedKeys(lambda: JOURNAL_NOW),
     "copies": lambda: replica_persisted.PersistedReplica(lambda: JOURNAL_NOW),
     "recovery": restored_state.PersistedRecovery,
 }
@@ -118,21 +120,22 @@
 
 
 def book_of_keys():
-    return key_table.KeyTable(60_000_000, 100, 1 << 20, 1_000)
+    return KeyTable(60_000_000, 100, 1 << 20, 1_000)
 
 
 def records_of_book(keys, claim):
     """What a book hands out for a claim that is answered, one that may have run, and one that is dropped."""
     records = []
     for number, fate in enumerate(("answered", "unsure", "dropped", "claimed")):
-        _, record = keys.offer(5_000, "tenant", b"key-%d" % number, bytes([number]) * 16, 9_000_000, claim)
+        request = KeyedRequest("tenant", b"key-%d" % number, bytes([number]) * 16, 9_000_000, claim)
+        _, record = keys.claim(5_000, request)
         if fate == "answered":
-            keys.ended(6_000, record, 200, b"\x00content\xff")
+            keys.complete(6_000, record, 200, b"\x00content\xff")
         elif fate == "unsure":
-            keys.unsure(7_000, record)
+            keys.mark_unsure(7_000, record)
         elif fate == "dropped":
-            keys.dropped(record)
-        records += keys.records()
+            keys.release(record)
+        records += keys.take_changes()
     return records
 
 
