--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -195,7 +195,7 @@
                 last = max(launch.job.last for launch in known)
                 out[wkr.id] = b.Out(wkr.born, ["", 0], sum(launch.load for launch in known), last)
         learned = {id: [*told[:3], []] for id, told in self.balancer.learned().items()}
-        return b.Kept(
+        return b.RecoveryRecord(
             at=now,
             registry="lab",
             generation=self.generation or 0,
