--- a/mastledge/idempotency/key_table.py
+++ b/mastledge/idempotency/key_table.py
@@ -1,274 +1,224 @@
-"""One record a key and tenant: what its first job came to, as far as that is known and promised.
+"""The table of idempotency keys: claims, their answers and their expiry. No I/O, no clock of its own.
 
-Draft of the IETF on the Idempotency-Key header (draft-ietf-httpapi-idempotency-key-header) has the outline:
-the same key with another body is 422, one whose first request is under way may wait or be refused. What may
-have run is told
-by 409 here.
+The draft of the IETF on the Idempotency-Key header (draft-ietf-httpapi-idempotency-key-header) has the
+outline: the same key with another body is 422, a repeat whose first request is under way may wait or be
+refused. What may have run is 409 here.
 """
 
 from collections import Counter, deque
-from hashlib import blake2b
-from itertools import islice
-
-import msgspec
-
-MOST_KEY = 255
-NEW, JOIN, ANSWER, MAYBE, OTHER, FULL, BAD = "new", "join", "answer", "maybe", "other", "full", "bad"
-CLAIMED, ANSWERED, UNSURE = "claimed", "answered", "unsure"
-STATUS = {MAYBE: 409, OTHER: 422, FULL: 503, BAD: 400}
-WHY = {
-    MAYBE: "the first job of this key may have run; what it came to is not known",
-    OTHER: "this key has come with another body",
-    FULL: "no room for one more key",
-    BAD: "a key is 1 to 255 visible ASCII characters",
+from collections.abc import Mapping
+from typing import NamedTuple, TypedDict
+
+from mastledge.idempotency.keyed_request import KeyedRequest, ScopedKey, is_valid_key
+from mastledge.idempotency.persisted_keys import (
+    LogEntry,
+    PersistedRecord,
+    claim_entry,
+    drop_entry,
+    end_entry,
+    entries_of,
+    with_expiry,
+)
+from mastledge.idempotency.records import RECORD_OVERHEAD_BYTES, Record, RecordState
+from mastledge.idempotency.room import Room
+from mastledge.idempotency.verdicts import Verdict
+
+VERDICT_OF_STATE = {
+    RecordState.CLAIMED: Verdict.JOIN,
+    RecordState.ANSWERED: Verdict.ANSWER,
+    RecordState.UNSURE: Verdict.MAY_HAVE_RUN,
 }
-TENANTS = 4  # in so many parts the room is divided at the least: no tenant fills it up alone
-COST = 560  # bytes that a record takes in memory beside its key and its answer (`lab bench hoard`)
 
 
-def fingerprint(target, body):
-    """Tells one request from another under the same key."""
-    return blake2b(body, digest_size=16, key=target[:64]).digest()
+class ClaimResult(NamedTuple):
+    """What becomes of a job, and the record of its key where the verdict is of one."""
 
+    verdict: Verdict
+    record: Record | None
 
-def sound(key):
-    """Whether a key can be kept: bytes as they stand in the header."""
-    return 1 <= len(key) <= MOST_KEY and all(33 <= char <= 126 for char in key)
 
+class KeyTableStatistics(TypedDict):
+    """Figures of a table under their names in `GET /api/copies`; the last seven count verdicts."""
 
-class Full(Exception):
-    """There is no room for what has to be taken up."""
-
-
-class Record(msgspec.Struct, gc=False, eq=False):
-    """Untracked by the collector: where it looks at 100,000 of them, all else stands still for a tenth of a
-    second.
-    """
-
-    place: tuple
-    print: bytes
-    until: int
-    claim: str = ""  # by which name of its dispatcher's, where copies are kept for others
-    state: str = CLAIMED
-    status: int = 0
-    content: bytes = b""
-    cost: int = 0
-    waiters: object = None  # the host's, until there is an outcome
-    task: object = None
-
-
-class Row(msgspec.Struct, gc=False):
-    """A record as the disk has it; `until` in Unix microseconds."""
-
-    print: bytes
-    until: int
-    claim: str = ""
-    state: str = CLAIMED
-    status: int = 0
-    content: bytes = b""
+    held: int  # records
+    bytes: int
+    claimed: int  # records whose job is under way
+    oldest_until: int  # expiry of the oldest record, 0 where there is none; monotonic microseconds
+    new: int
+    join: int
+    answer: int
+    maybe: int
+    other: int
+    full: int
+    bad: int
 
 
 class KeyTable:
-    """`keep`: for how long an answer, or that it may have run, is told (microseconds). `entries` and
-    `bytes_` are its room.
+    """One record a key and tenant: what is known and promised of its first job.
 
-    What it changes is handed out by `records()`, to be on the disk before the launch, or the answer, that
-    depends on it. Times on the disk are Unix microseconds, as monotonic ones end with the machine; `since`
-    is the
-    difference.
+    Each change has to be on the disk before the launch, or the answer, that depends on it: `take_changes`
+    hands them out as entries of the log. Times given and kept are microseconds of the monotonic clock; the
+    log has Unix microseconds, `unix_offset_us` more.
     """
 
-    def __init__(self, keep, entries, bytes_, since):
-        self.keep, self.entries, self.bytes, self.since = keep, entries, bytes_, since
-        self.held, self.used, self.tenants, self.fates = {}, 0, Counter(), deque()
-        self.out, self.counts, self.claimed = [], Counter(), 0
+    def __init__(self, retention_us: int, max_records: int, max_bytes: int, unix_offset_us: int) -> None:
+        """`retention_us`: for how long an answer, or that a job may have run, is told."""
+        self.retention_us, self.unix_offset_us = retention_us, unix_offset_us
+        self.room = Room(max_records, max_bytes)
+        self.records: dict[ScopedKey, Record] = {}
+        self.expirations: deque[tuple[int, Record]] = deque()
+        self.changes: list[LogEntry] = []
+        self.claimed_count = 0
+        self.verdict_counts: Counter[Verdict] = Counter()
 
-    # What the door asks
+    # Claims and their ends
 
-    def offer(self, now, tenant, key, print_, until, claim=""):
-        """What becomes of a job with this key; NEW has made a claim, which ends by `ended` or `dropped`.
+    def claim(self, now: int, request: KeyedRequest) -> ClaimResult:
+        """What becomes of a job with a key.
 
-        Gives (what, record or None). A claim is never forgotten for want of room: then new keys are refused.
+        NEW has made a claim, which ends by `complete`, `mark_unsure` or `release`. A claim is never forgotten
+        for want of room: then new keys are refused.
         """
-        self.fade(now)
-        if not sound(key):
-            return self.counted(BAD, None)
-        record = self.held.get((tenant, key))
-        if record is not None:
-            if record.print != print_:
-                return self.counted(OTHER, None)
-            return self.counted({CLAIMED: JOIN, ANSWERED: ANSWER, UNSURE: MAYBE}[record.state], record)
-        cost = COST + len(key)
-        if (
-            len(self.held) >= self.entries
-            or self.used + cost > self.bytes
-            or self.tenants[tenant] + cost > self.bytes // TENANTS * (TENANTS - 1)
-        ):
-            return self.counted(FULL, None)
-        record = self.held[tenant, key] = Record((tenant, key), print_, until, claim, cost=cost)
-        self.charge(record, record.cost)
-        self.claimed += 1
-        self.out.append(self.claim_of(record))
-        return self.counted(NEW, record)
-
-    def claim_of(self, record):
-        """A claim as the disk has it; its name stands there only where copies are kept."""
-        named = (record.claim,) if record.claim else ()
-        return ("claim", *record.place, record.print, record.until + self.since, *named)
-
-    def counted(self, what, record):
-        self.counts[what] += 1
-        return what, record
-
-    def charge(self, record, cost):
-        self.used += cost
-        self.tenants[record.place[0]] += cost
-
-    def ended(self, now, record, status, content):
-        """The first job has this answer, which is given again to each repeat until its time is over."""
-        self.claimed -= record.state == CLAIMED
-        record.state, record.status, record.content, record.until = ANSWERED, status, content, now + self.keep
-        if self.used + len(content) > self.bytes:
-            # No room for the answer itself: that it ran is what must not be forgotten.
-            record.state, record.content = UNSURE, b""
-        self.charge(record, len(record.content))
-        record.cost += len(record.content)
-        self.out.append(
-            (
-                "end",
-                *record.place,
-                record.state == ANSWERED,
-                status,
-                record.content,
-                record.until + self.since,
-            )
+        self.expire(now)
+        result = self._decide(request)
+        self.verdict_counts[result.verdict] += 1
+        return result
+
+    def try_claim(self, now: int, *fields) -> ClaimResult:
+        """`claim` by the fields of a KeyedRequest, for callers that do not make one yet."""
+        return self.claim(now, KeyedRequest(*fields))
+
+    def _decide(self, request: KeyedRequest) -> ClaimResult:
+        if not is_valid_key(request.key):
+            return ClaimResult(Verdict.INVALID_KEY, None)
+        record = self.records.get(request.scoped_key)
+        if record is None:
+            return self._make_claim(request)
+        if record.fingerprint != request.fingerprint:
+            return ClaimResult(Verdict.OTHER_REQUEST, None)
+        return ClaimResult(VERDICT_OF_STATE[record.state], record)
+
+    def _make_claim(self, request: KeyedRequest) -> ClaimResult:
+        size_bytes = RECORD_OVERHEAD_BYTES + len(request.key)
+        if not self.room.admits(request.tenant, size_bytes, len(self.records)):
+            return ClaimResult(Verdict.FULL, None)
+        scoped_key, expires_at = request.scoped_key, request.expires_at
+        record = Record(
+            scoped_key, request.fingerprint, expires_at, request.claim_name, size_bytes=size_bytes
         )
-        self.fates.append((record.until, record))
-
-    def unsure(self, now, record):
-        """It may have run, and nobody will learn what it came to."""
-        self.claimed -= record.state == CLAIMED
-        record.state, record.until = UNSURE, now + self.keep
-        self.out.append(("end", *record.place, False, 0, b"", record.until + self.since))
-        self.fates.append((record.until, record))
-
-    def shorten(self, record, until):
-        """What was just put down is told until then only."""
-        record.until = until
-        self.out[-1] = (*self.out[-1][:-1], until + self.since)
-        self.fates[-1] = (until, record)
-
-    def dropped(self, record):
-        """It provably never ran, or trying again is harmless: the next one of this key is a first one."""
-        if self.held.pop(record.place, None) is not None:
-            self.claimed -= record.state == CLAIMED
-            self.charge(record, -record.cost)
-            self.out.append(("drop", *record.place))
-
-    def fade(self, now):
-        while self.fates and self.fates[0][0] <= now:
-            until, record = self.fates.popleft()
-            if record.until == until and self.held.get(record.place) is record:
-                del self.held[record.place]
-                self.charge(record, -record.cost)
-
-    def records(self):
-        out, self.out = self.out, []
-        return out
-
-    def everything(self):
-        """All that the disk has to hold, where it is written anew."""
-        out = []
-        for (tenant, key), record in self.held.items():
-            out.append(self.claim_of(record))
-            if record.state != CLAIMED:
-                out.append(
-                    (
-                        "end",
-                        tenant,
-                        key,
-                        record.state == ANSWERED,
-                        record.status,
-                        record.content,
-                        record.until + self.since,
-                    )
-                )
-        return out
-
-    def figures(self):
-        oldest = next(islice(self.held.values(), 1), None)
-        return {
-            "held": len(self.held),
-            "bytes": self.used,
-            "claimed": self.claimed,
-            "oldest_until": oldest.until if oldest else 0,
-            **{what: self.counts[what] for what in (NEW, JOIN, ANSWER, MAYBE, OTHER, FULL, BAD)},
-        }
-
-    # After a start
-
-    def recovered(self, now, kept, own=True):
-        """Takes up what the disk held. What was claimed may have run: its dispatcher never said what became
-        of it. Where claims are others' (not `own`), they may still say so.
-
-        No time is longer than `keep` from now, whatever the machine's clock has been set to meanwhile.
-        """
-        for (tenant, key), told in kept.items():
-            until = min(max(told.until - self.since, now), now + self.keep)
-            record = Record((tenant, key), told.print, until, told.claim, cost=COST + len(key))
-            self.held[tenant, key] = record
-            if told.state == ANSWERED:
-                record.state, record.status, record.content = ANSWERED, told.status, told.content
-            elif not own and told.claim and told.state == CLAIMED:
-                self.claimed += 1
-            else:
-                record.state, record.until = UNSURE, now + self.keep
-            record.cost += len(record.content)
-            self.charge(record, record.cost)
-        self.fates = deque(
-            sorted(
-                ((record.until, record) for record in self.held.values() if record.state != CLAIMED),
-                key=lambda pair: pair[0],
-            )
+        self.records[scoped_key] = record
+        self.room.charge(request.tenant, size_bytes)
+        self.claimed_count += 1
+        self.changes.append(
+            claim_entry(scoped_key, request.fingerprint, expires_at + self.unix_offset_us, request.claim_name)
         )
+        return ClaimResult(Verdict.NEW, record)
+
+    def complete(self, now: int, record: Record, status: int, content: bytes) -> None:
+        """The first job has this answer, which each repeat gets until its retention is over."""
+        state = RecordState.ANSWERED
+        if not self.room.has_bytes(len(content)):
+            # No room for the answer itself: that the job ran is what must not be forgotten.
+            state, content = RecordState.UNSURE, b""
+        record.status, record.content = status, content
+        record.size_bytes += len(content)
+        self.room.charge(record.scoped_key[0], len(content))
+        self._end(record, state, now + self.retention_us, status, content)
+
+    def mark_unsure(self, now: int, record: Record) -> None:
+        """The first job may have run, and nobody will learn its answer."""
+        self._end(record, RecordState.UNSURE, now + self.retention_us, 0, b"")
+
+    def _end(self, record: Record, state: RecordState, expires_at: int, status: int, content: bytes) -> None:
+        self._count_claim_ended(record)
+        record.state, record.expires_at = state, expires_at
+        self.changes.append(
+            end_entry(record.scoped_key, state, status, content, expires_at + self.unix_offset_us)
+        )
+        self.expirations.append((expires_at, record))
 
+    def _count_claim_ended(self, record: Record) -> None:
+        if record.state == RecordState.CLAIMED:
+            self.claimed_count -= 1
 
-class PersistedKeys:
-    """What the journal amounts to; `now` gives Unix microseconds, by which what is over is left out of a
-    rewrite.
-    """
+    def shorten_retention(self, record: Record, expires_at: int) -> None:
+        """Ends the retention of a record earlier; only for the one whose end is the last change."""
+        record.expires_at = expires_at
+        self.changes[-1] = with_expiry(self.changes[-1], expires_at + self.unix_offset_us)
+        self.expirations[-1] = (expires_at, record)
 
-    def __init__(self, now):
-        self.now, self.held = now, {}
-
-    def reset(self):
-        self.held = {}
-
-    def apply(self, record):
-        what, tenant, key, *fields = record
-        if what == "claim":
-            self.held[tenant, key] = Row(*fields)
-        elif what == "end":
-            known, status, content, until = fields
-            row = self.held.get((tenant, key))
-            if row is None:
-                raise ValueError(f"an end without its claim: {key!r}")
-            row.state = ANSWERED if known else UNSURE
-            row.status, row.content, row.until = status, content, until
-        elif what == "drop":
-            self.held.pop((tenant, key), None)
+    def release(self, record: Record) -> None:
+        """Forgets a claim: its job provably never ran, or a retry is harmless.
+
+        The next job of its key is a first one again.
+        """
+        if self.records.pop(record.scoped_key, None) is not None:
+            self._count_claim_ended(record)
+            self.room.charge(record.scoped_key[0], -record.size_bytes)
+            self.changes.append(drop_entry(record.scoped_key))
+
+    def expire(self, now: int) -> None:
+        """Forgets records whose retention is over; a claim never expires by itself."""
+        while self.expirations and self.expirations[0][0] <= now:
+            expires_at, record = self.expirations.popleft()
+            # A record that has ended again, or was released, has another entry here or none.
+            if record.expires_at == expires_at and self.records.get(record.scoped_key) is record:
+                del self.records[record.scoped_key]
+                self.room.charge(record.scoped_key[0], -record.size_bytes)
+
+    # What is persisted
+
+    def take_changes(self) -> list[LogEntry]:
+        """The changes since the last call, in their order."""
+        changes, self.changes = self.changes, []
+        return changes
+
+    def snapshot(self) -> list[LogEntry]:
+        """All that the disk has to hold, where the log is written anew."""
+        entries = []
+        for scoped_key, record in self.records.items():
+            entries += entries_of(scoped_key, record, self.unix_offset_us)
+        return entries
+
+    def restore(
+        self, now: int, persisted: Mapping[ScopedKey, PersistedRecord], own_claims: bool = True
+    ) -> None:
+        """Takes up what the disk held when the process started.
+
+        The job of a claim may have run, as its dispatcher never said what became of it. Where claims are of
+        other dispatchers (not `own_claims`), those may still say so. Nothing expires later than
+        `retention_us` from now, whatever the machine's clock has been set to.
+        """
+        for scoped_key, found in persisted.items():
+            self._restore_record(now, scoped_key, found, own_claims)
+        ended = [record for record in self.records.values() if record.state != RecordState.CLAIMED]
+        ended.sort(key=lambda record: record.expires_at)
+        self.expirations = deque((record.expires_at, record) for record in ended)
+
+    def _restore_record(
+        self, now: int, scoped_key: ScopedKey, found: PersistedRecord, own_claims: bool
+    ) -> None:
+        tenant, key = scoped_key
+        latest = now + self.retention_us
+        expires_at = min(max(found.expires_at - self.unix_offset_us, now), latest)
+        record = Record(scoped_key, found.fingerprint, expires_at, found.claim_name)
+        if found.state == RecordState.ANSWERED:
+            record.state, record.status, record.content = found.state, found.status, found.content
+        elif not own_claims and found.claim_name and found.state == RecordState.CLAIMED:
+            self.claimed_count += 1
         else:
-            raise ValueError(f"a record of a later version: {what}")
-
-    def compacted_records(self):
-        """The fewest that lead to the same. A claim stays, however old: who made it may still be at it."""
-        now, out = self.now(), []
-        for (tenant, key), row in self.held.items():
-            if row.state != CLAIMED and row.until <= now:
-                continue
-            named = (row.claim,) if row.claim else ()
-            out.append(("claim", tenant, key, row.print, row.until, *named))
-            if row.state != CLAIMED:
-                known = row.state == ANSWERED
-                out.append(("end", tenant, key, known, row.status, row.content, row.until))
-        return out
+            record.state, record.expires_at = RecordState.UNSURE, latest
+        record.size_bytes = RECORD_OVERHEAD_BYTES + len(key) + len(record.content)
+        self.records[scoped_key] = record
+        self.room.charge(tenant, record.size_bytes)
+
+    def statistics(self) -> KeyTableStatistics:
+        """What operators see."""
+        oldest = next(iter(self.records.values()), None)
+        return {
+            "held": len(self.records),
+            "bytes": self.room.used_bytes,
+            "claimed": self.claimed_count,
+            "oldest_until": oldest.expires_at if oldest else 0,
+            **{verdict.value: self.verdict_counts[verdict] for verdict in Verdict},
+        }
