--- a/mastledge/consensus/bootstrap.py
+++ b/mastledge/consensus/bootstrap.py
@@ -26,7 +26,7 @@
         """Begin by asking the others, whatever the disk holds."""
         self.core, self.configuration = core, configuration
         self.discovery, self.elections, self.observed = discovery, elections, observed
-        self.phase = Phase.ASKING
+        self.phase = Phase.DISCOVERING
         self.ask_at = core.clock.now
 
     # What others ask
@@ -84,12 +84,12 @@
             return
         self.discovery.responses[sender] = response
         self.discovery.record_contact(sender, incarnation, response)
-        if self.phase != Phase.ASKING or not state.fleet or response.empty:
+        if self.phase != Phase.DISCOVERING or not state.fleet or response.empty:
             return
         if self._knows_more(response):
             self._begin_incarnation(sender, response)
         elif self._has_majority():
-            self.phase = Phase.PART
+            self.phase = Phase.PARTICIPATING
             self.core.outbox.log_event(
                 "joined", life=state.incarnation, term=state.term, last=state.log.last_index
             )
@@ -115,7 +115,7 @@
         state.reset(self.configuration.new_incarnation)
         self.core.persistence.forget_log()
         self.discovery.forget()
-        self.phase = Phase.EMPTY
+        self.phase = Phase.WITHOUT_FLEET
         outbox.log_event("new_incarnation", life=state.incarnation, fleet=fleet)
 
     def _has_majority(self) -> bool:
@@ -138,7 +138,7 @@
     def begin_fleet(self, fleet: str, first_state: dict) -> None:
         """Take part in a new fleet from its first state on."""
         self.core.state.bootstrap(fleet, first_state)
-        self.phase = Phase.PART
+        self.phase = Phase.PARTICIPATING
         self.core.outbox.log_event("formed", fleet=fleet, members=len(first_state["members"]))
         self.elections.restart_timeout()
 
@@ -149,29 +149,29 @@
         if not fleet:
             return False
         state.join(fleet)
-        self.phase = Phase.PART
+        self.phase = Phase.PARTICIPATING
         self.core.outbox.log_event("admitted", fleet=fleet, life=state.incarnation)
         return True
 
     def abandon(self) -> None:
         """Wait for a fleet that others begin."""
-        self.phase = Phase.EMPTY
+        self.phase = Phase.WITHOUT_FLEET
         self.discovery.forbid_bootstrap()
 
     def run(self) -> None:
         """Go on towards taking part."""
         state, now = self.core.state, self.core.clock.now
-        if self.phase == Phase.ASKING and state.fleet:
+        if self.phase == Phase.DISCOVERING and state.fleet:
             if state.voters() == [state.name] and state.is_voter():
-                self.phase = Phase.PART  # nobody else can know better
+                self.phase = Phase.PARTICIPATING  # nobody else can know better
                 self.elections.restart_timeout()
                 return
-        elif self.phase == Phase.ASKING:
-            self.phase = Phase.EMPTY
+        elif self.phase == Phase.DISCOVERING:
+            self.phase = Phase.WITHOUT_FLEET
         if now >= self.ask_at:
             self.ask_at = now + DISCOVERY_INTERVAL_US
             self.discovery.ask_members()
-        if self.phase == Phase.EMPTY and not state.fleet:
+        if self.phase == Phase.WITHOUT_FLEET and not state.fleet:
             self._begin_if_all_are_ready()
 
     def _begin_if_all_are_ready(self) -> None:
--- a/mastledge/consensus/member.py
+++ b/mastledge/consensus/member.py
@@ -157,7 +157,7 @@
             persistence.rewrite(self.state.all_records(), self.state.log.last_index)
         for id, change in self.proposals.due(now):
             self._hand_in(id, change)
-        if self.phase != Phase.PART:
+        if self.phase != Phase.PARTICIPATING:
             self.bootstrap.run()
             return
         if self.roles.candidacy is not None:
@@ -184,7 +184,7 @@
 
     def wake_at(self) -> int:
         """Give when `Tick` has to be the input at the latest."""
-        takes_part = self.phase == Phase.PART
+        takes_part = self.phase == Phase.PARTICIPATING
         times = [self.elections.timeout_at if takes_part else self.bootstrap.ask_at]
         if self.roles.leadership is not None:
             times = [self.roles.leadership.wake_at()]
@@ -212,12 +212,12 @@
             case messages.DiscoverRequest() | messages.DiscoverResponse() | messages.BootstrapCluster():
                 return True
             case messages.AppendEntries() | messages.InstallSnapshot():
-                return self.phase in (Phase.PART, Phase.EMPTY)
-        return self.phase == Phase.PART
+                return self.phase in (Phase.PARTICIPATING, Phase.WITHOUT_FLEET)
+        return self.phase == Phase.PARTICIPATING
 
     def _on_persisted(self, persisted: inputs.Persisted) -> None:
         self.persistence.on_persisted(persisted.token, self.clock.now)
-        if self.phase == Phase.PART:
+        if self.phase == Phase.PARTICIPATING:
             self.acknowledgements.send_persisted()
 
     def _on_disk_failed(self, failed: inputs.DiskFailed) -> None:
@@ -389,9 +389,9 @@
         name = self.configuration.name
         if self.applier.halt_reason:
             return self.applier.halt_reason
-        if self.phase == Phase.EMPTY or not self.fleet:
+        if self.phase == Phase.WITHOUT_FLEET or not self.fleet:
             return self.bootstrap.waiting_reason()
-        if self.phase == Phase.ASKING:
+        if self.phase == Phase.DISCOVERING:
             return "asks the others what they know of this one"
         if self.state_machine and name not in self.state.members():
             return f"{name} is no member of the fleet"
--- a/mastledge/consensus/roles.py
+++ b/mastledge/consensus/roles.py
@@ -14,6 +14,6 @@
 class Phase(StrEnum):
     """Whether a member takes part in its fleet yet."""
 
-    ASKING = "asking"  # the others, what they know of this incarnation
-    EMPTY = "empty"  # it has no fleet
-    PART = "part"  # it takes part
+    DISCOVERING = "discovering"  # asks the others what they know of this incarnation
+    WITHOUT_FLEET = "without fleet"
+    PARTICIPATING = "participating"
--- a/mastledge/consensus/worker_restrictions.py
+++ b/mastledge/consensus/worker_restrictions.py
@@ -5,17 +5,27 @@
 """
 
 from collections.abc import Sequence
+from enum import StrEnum
 
 from mastledge.consensus.messages import WorkerRestrictions
 
-READY, WHOLE, CACHED, CHANGES = "ready", "whole", "cached", "changes"
+READY = "ready"  # the state of a worker that gets new jobs
 MAX_REGISTRIES = 8  # whose lists are passed on; one for each discovery that dispatchers go by
 MAX_RESTRICTED = 4096  # workers that are draining or gone; the oldest ones are forgotten beyond that
 
+
+class ListUpdateKind(StrEnum):
+    """What a registry has told: its whole list, the one that was kept of the last run, or a change."""
+
+    WHOLE = "whole"
+    CACHED = "cached"
+    CHANGES = "changes"
+
+
 WorkerStates = Sequence[tuple[str, str]]  # (worker, its state in the list)
 
 
-class OwnList:
+class OwnRestrictions:
     """Whom the list of a dispatcher's own registry restricts."""
 
     def __init__(self):
@@ -23,12 +33,12 @@
         self.restricted: dict[str, str] = {}
         self.generation = 0
 
-    def listed(self, kind: str, entries: WorkerStates, generation: int | None) -> bool:
+    def update(self, kind: str, entries: WorkerStates, generation: int | None) -> bool:
         """Take over a whole list or a change; tell whether it is a newer one.
 
         `generation` is that of the list, None where it is not known.
         """
-        if kind == WHOLE:
+        if kind == ListUpdateKind.WHOLE:
             # Who is not named any more may be gone, and stays restricted.
             named = {worker for worker, _ in entries}
             self.restricted = {
@@ -36,7 +46,7 @@
             }
         for worker, state in entries:
             self._set_state(worker, state)
-        if generation is None or kind not in (WHOLE, CHANGES):
+        if generation is None or kind not in (ListUpdateKind.WHOLE, ListUpdateKind.CHANGES):
             return False
         newer, self.generation = generation > self.generation, generation
         return newer
@@ -49,11 +59,11 @@
         if len(self.restricted) > MAX_RESTRICTED:
             del self.restricted[next(iter(self.restricted))]
 
-    def news(self, registry: str) -> WorkerRestrictions:
+    def to_message(self, registry: str) -> WorkerRestrictions:
         """Give what others of the same registry have to hear."""
         return WorkerRestrictions(registry, self.generation, sorted(self.restricted.items()))
 
-    def out(self, restrictions: WorkerRestrictions | None) -> frozenset[str]:
+    def kept_off_by(self, restrictions: WorkerRestrictions | None) -> frozenset[str]:
         """Give whom another's list keeps off here: nobody once the own list is as new."""
         if restrictions is None or restrictions.generation <= self.generation:
             return frozenset()
@@ -71,9 +81,9 @@
 
     def update_own(self, kind: str, entries: WorkerStates, generation: int) -> None:
         """Take over what the own registry has told, a list or a change of it."""
-        if generation < self.generation or kind == CHANGES and not self.generation:
+        if generation < self.generation or kind == ListUpdateKind.CHANGES and not self.generation:
             return  # nobody knows what a change alone follows
-        if kind == CHANGES:
+        if kind == ListUpdateKind.CHANGES:
             self._record(entries, generation)
         else:
             self._replace(entries, generation)
@@ -140,7 +150,11 @@
 
     def update_own(self, registry: str, kind: str, entries: WorkerStates, generation: int | None) -> None:
         """Take over what the own registry has told; nothing where the generation is not known."""
-        if generation is None or kind not in (WHOLE, CACHED, CHANGES):
+        if generation is None or kind not in (
+            ListUpdateKind.WHOLE,
+            ListUpdateKind.CACHED,
+            ListUpdateKind.CHANGES,
+        ):
             return
         self._list_of(registry).update_own(kind, entries, generation)
         self.own_generations[registry] = generation
--- a/mastledge/lab/explore.py
+++ b/mastledge/lab/explore.py
@@ -39,7 +39,7 @@
         self.members = {}
         for name in names:
             self.start(name)
-            self.members[name].bootstrap.phase = Phase.PART
+            self.members[name].bootstrap.phase = Phase.PARTICIPATING
         self.todo = list(changes)
 
     def start(self, name):
@@ -156,7 +156,7 @@
             del self.members[which]
         elif what == "back":
             self.start(which)
-            self.members[which].bootstrap.phase = Phase.PART  # its disk is the one that it had
+            self.members[which].bootstrap.phase = Phase.PARTICIPATING  # its disk is the one that it had
         else:
             self.left["wait"] -= 1
             self.clocks[which] += LOST_AFTER_HEARTBEATS * self.members[which].state.heartbeat_us
--- a/mastledge/lab/scale/hollow.py
+++ b/mastledge/lab/scale/hollow.py
@@ -14,7 +14,7 @@
 from mastledge.consensus.configuration import MemberConfiguration
 from mastledge.consensus.persisted_state import PersistedState
 from mastledge.consensus.roles import Role
-from mastledge.consensus.worker_restrictions import OwnList
+from mastledge.consensus.worker_restrictions import OwnRestrictions
 from mastledge.lab.scale.delay import DelayedLinks
 from mastledge.lab.sized import Sized
 from mastledge.protocol.discovery import Discovery
@@ -59,7 +59,7 @@
             regions=told["regions"],
             round_trip=told["round_trip"],
         )
-        self.own_list = OwnList()
+        self.own_restrictions = OwnRestrictions()
         self.links.begin(address_of(told["addresses"][name]))
         self.timer = loop.spawn(self.timed(), first=True)
 
@@ -97,8 +97,8 @@
     def listed(self, kind, entries, generation):
         """As `Fleet.listed`: the list is passed on as a whole dispatcher does it."""
         self.input(inputs.EndpointListUpdate(REGISTRY, kind, entries, generation))
-        if self.own_list.listed(kind, entries, generation):
-            self.input(inputs.ShareRestrictions(self.own_list.news(REGISTRY)))
+        if self.own_restrictions.update(kind, entries, generation):
+            self.input(inputs.ShareRestrictions(self.own_restrictions.to_message(REGISTRY)))
 
     def leave(self, successor):
         """Hands the lead on, as a leader that ends does, but to a member that is named."""
--- a/mastledge/lab/schedule.py
+++ b/mastledge/lab/schedule.py
@@ -285,7 +285,12 @@
         fleet.at(spell, fleet.cut.difference_update, pairs)
     elif fault == "stop":
         node.until = fleet.now + spell
-    elif fault in ("wipe", "old") and node.up and node.member.phase == Phase.PART and whole(fleet, node):
+    elif (
+        fault in ("wipe", "old")
+        and node.up
+        and node.member.phase == Phase.PARTICIPATING
+        and whole(fleet, node)
+    ):
         node.crash()
         node.disk = deepcopy(node.backups) if fault == "old" else []
         fleet.at(spell // 4, back, node)
@@ -328,7 +333,7 @@
     return all(
         node.up
         and node.member.state_machine is not None
-        and node.member.phase == Phase.PART
+        and node.member.phase == Phase.PARTICIPATING
         and node.member.lease.in_force_index == last
         and node.member.state_machine.applied_index == last
         for name, node in fleet.nodes.items()
--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -13,7 +13,7 @@
 from mastledge.consensus.member import Member
 from mastledge.consensus.persisted_state import PersistedState
 from mastledge.consensus.roles import Role
-from mastledge.consensus.worker_restrictions import OwnList
+from mastledge.consensus.worker_restrictions import OwnRestrictions
 from mastledge.peers.links import Links
 from mastledge.program.fleet_api import LOOK, FleetApi
 from mastledge.program.settings import flat, plain_map
@@ -63,7 +63,7 @@
         self.rule = LeaseGuard(self, self.told["without_lease"] == "serve")
         self.member = self.writer = self.links = self.timer = None
         self.answers, self.count, self.applied = {}, 0, -1
-        self.held, self.own_list, self.news = None, OwnList(), None
+        self.held, self.own_restrictions, self.news = None, OwnRestrictions(), None
         self.longest, self.unreadable = 0, ""
         # What the process beside this one, which speaks, has told: up to which entry, and until when it
         # holds.
@@ -366,29 +366,33 @@
         brief = [(entry[0], entry[3]) for entry in entries]
         generation = self.program.discovery.generation
         self.input(inputs.EndpointListUpdate(self.registry(), kind, brief, generation))
-        if self.own_list.listed(kind, brief, generation):
+        if self.own_restrictions.update(kind, brief, generation):
             self.pass_on()
         self.take_news()
 
     def pass_on(self):
-        self.input(inputs.ShareRestrictions(self.own_list.news(self.registry())))
+        self.input(inputs.ShareRestrictions(self.own_restrictions.to_message(self.registry())))
 
     def retold(self):
         while True:
             yield (-1, 0, self.loop.now() + RETELL)
-            if self.own_list.generation and self.own_list.restricted and self.program.discovery.answered:
+            if (
+                self.own_restrictions.generation
+                and self.own_restrictions.restricted
+                and self.program.discovery.answered
+            ):
                 self.pass_on()
 
     def take_news(self):
         """Another's newer list keeps off whom it restricts, until one's own is as new."""
-        out = self.own_list.out(self.news)
+        out = self.own_restrictions.kept_off_by(self.news)
         if out != self.program.heard_out:
             generation = self.news and self.news.generation
             self.log(
                 "workers_restricted_by_peers",
                 out=sorted(out),
                 generation=generation,
-                own=self.own_list.generation,
+                own=self.own_restrictions.generation,
             )
             self.program.heard_out = out
             self.program.recompose()
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -9,7 +9,7 @@
 
 from mastledge.consensus import messages as m
 from mastledge.consensus.state_machine import initial_state
-from mastledge.consensus.worker_restrictions import ListExchange, OwnList
+from mastledge.consensus.worker_restrictions import ListExchange, OwnRestrictions
 from mastledge.peers import links
 from mastledge.program.configuration import configuration
 from mastledge.program.settings import flat, plain_map
@@ -96,9 +96,9 @@
 
 def test_restrictions_of_many_workers_are_passed_on():
     workers = [(f"worker-of-a-long-name-{n}", "draining") for n in range(WORKERS)]
-    own, ours, theirs = OwnList(), ListExchange(), ListExchange()
-    own.listed("whole", workers, 7)
-    assert len(own.news("r").workers) == WORKERS
+    own, ours, theirs = OwnRestrictions(), ListExchange(), ListExchange()
+    own.update("whole", workers, 7)
+    assert len(own.to_message("r").workers) == WORKERS
     ours.update_own("r", "whole", workers, 7)
     ours.restrictions_for("them")
     (news,) = ours.restrictions_for("them")
