--- a/mastledge/consensus/lease_holder.py
+++ b/mastledge/consensus/lease_holder.py
@@ -9,9 +9,8 @@
     def __init__(self):
         """Begin without a lease."""
         self.latest_grant = 0  # the latest time from which a lease was granted here
-        self.standby_index: int | None = (
-            None  # what another process that acts on this state as well has applied
-        )
+        # What another process has applied that acts on this state as well; the host sets it.
+        self.standby_index: int | None = None
         self.clear()
 
     def clear(self) -> None:
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""The agreement: seeded schedules of faults, builds that are wrong, and the rules of the document."""
+"""Consensus: seeded schedules of faults, mutants, and the state machine."""
 
 from collections import Counter
 from copy import deepcopy
@@ -101,11 +101,15 @@
     leadership_type = EarlyLeadership
 
 
+def play_schedules(build):
+    for seed in range(400):
+        judged(seed, members=3, make=build)
+
+
 @pytest.mark.parametrize("build", [Leaseless, Hasty, Forgetful, Lone, Early])
 def test_the_judge_of_schedules_catches_a_wrong_build(build):
     with pytest.raises((Broken, ValueError)):
-        for seed in range(400):
-            judged(seed, members=3, make=build)
+        play_schedules(build)
 
 
 def test_a_change_is_in_force_at_once_where_all_hear_and_after_the_lease_where_one_does_not():
@@ -167,7 +171,7 @@
     assert fleet.leader().member.state_machine.state["out"] == ["w"] and fleet.leader() is not leader
 
 
-def test_a_leader_that_ends_hands_its_place_on():
+def test_a_leader_that_ends_transfers_its_leadership():
     fleet = formed()
     leader = fleet.leader()
     fleet.run(fleet.now + 500_000)
@@ -181,14 +185,14 @@
     )
 
 
-def test_a_wiped_member_comes_as_a_new_life_and_does_not_vote_until_it_has_caught_up():
+def test_a_wiped_member_comes_as_a_new_incarnation_and_does_not_vote_until_it_has_caught_up():
     fleet = formed()
     node = next(node for node in fleet.nodes.values() if node is not fleet.leader())
-    life = node.member.incarnation
+    incarnation = node.member.incarnation
     node.crash()
     node.disk = []
     node.start()
-    assert node.member.incarnation != life and not node.member.state.is_voter()
+    assert node.member.incarnation != incarnation and not node.member.state.is_voter()
     assert fleet.run(fleet.now + 3_000_000, lambda: settled(fleet) and node.member.state.is_voter())
     told = [name for _, who, name, _ in fleet.log if who == node.name]
     assert (
@@ -197,10 +201,10 @@
     )
 
 
-def test_a_folder_of_before_is_noticed_by_what_the_others_have_heard():
+def test_an_old_data_directory_is_noticed_by_what_the_others_have_observed():
     fleet = formed()
     node = next(node for node in fleet.nodes.values() if node is not fleet.leader())
-    old, life = deepcopy(node.disk), node.member.incarnation
+    old, incarnation = deepcopy(node.disk), node.member.incarnation
     fleet.propose("n0", "a", {"kind": "out", "worker": "w"})
     assert fleet.run(fleet.now + 1_000_000, lambda: settled(fleet) and "a" in fleet.answered)
     fleet.run(fleet.now + 500_000)
@@ -208,7 +212,9 @@
     node.disk = old
     node.start()
     assert fleet.run(fleet.now + 3_000_000, lambda: settled(fleet) and node.member.state.is_voter())
-    assert node.member.incarnation != life and "data_directory_stale" in [name for _, _, name, _ in fleet.log]
+    assert node.member.incarnation != incarnation and "data_directory_stale" in [
+        name for _, _, name, _ in fleet.log
+    ]
 
 
 @pytest.mark.parametrize(("form", "formed_"), [(True, True), (False, False)])
@@ -252,16 +258,16 @@
     assert [wanted_voters(n) for n in (1, 2, 3, 4, 5, 6, 7, 8, 200)] == [1, 2, 3, 3, 5, 5, 7, 7, 7]
 
 
-def test_what_others_know_of_a_list_reaches_all():
+def test_restrictions_of_workers_reach_all_members():
     fleet = formed()
-    news = m.WorkerRestrictions("r", 7, [("w0", "draining")])
-    fleet.nodes["n2"].step(fleet.nodes["n2"].member, inputs.ShareRestrictions(news))
+    restrictions = m.WorkerRestrictions("r", 7, [("w0", "draining")])
+    fleet.nodes["n2"].step(fleet.nodes["n2"].member, inputs.ShareRestrictions(restrictions))
     assert fleet.run(fleet.now + 1_000_000, lambda: {who for _, who, _ in fleet.news} == {"n0", "n1", "n2"})
     # As they were said: a plain list in their place ended the step that heard it.
-    assert all(heard == news for _, _, heard in fleet.news)
+    assert all(received == restrictions for _, _, received in fleet.news)
 
 
-def rules():
+def new_state_machine():
     return StateMachine(initial_state({"a": 1}, 2_000_000, {"n0": ("x:1", "l0"), "n1": ("x:2", "l1")}), 1)
 
 
@@ -277,31 +283,34 @@
     ],
 )
 def test_a_change_that_does_not_follow_changes_nothing(change, status):
-    made = rules()
-    before = made.snapshot()
-    result = made.apply(2, m.Entry(1, "i", change))
-    assert result.status == status and made.version == 1
-    assert {**made.snapshot(), "names": []} == before
+    state_machine = new_state_machine()
+    before = state_machine.snapshot()
+    result = state_machine.apply(2, m.Entry(1, "i", change))
+    assert result.status == status and state_machine.version == 1
+    assert before == {**state_machine.snapshot(), "names": []}
 
 
 def test_a_change_that_comes_twice_counts_once_and_a_later_kind_is_not_left_out():
-    made = rules()
-    first = made.apply(2, m.Entry(1, "i", {"kind": "out", "worker": "w"}))
-    assert made.apply(3, m.Entry(2, "i", {"kind": "out", "worker": "w"})) == first and made.version == 2
+    state_machine = new_state_machine()
+    first = state_machine.apply(2, m.Entry(1, "i", {"kind": "out", "worker": "w"}))
+    assert (
+        state_machine.apply(3, m.Entry(2, "i", {"kind": "out", "worker": "w"})) == first
+        and state_machine.version == 2
+    )
     with pytest.raises(ValueError, match="later version"):
-        made.apply(4, m.Entry(2, "j", {"kind": "quota"}))
-    assert made.applied_index == 3
+        state_machine.apply(4, m.Entry(2, "j", {"kind": "quota"}))
+    assert state_machine.applied_index == 3
 
 
 def test_a_lease_runs_from_what_a_majority_had_heard_and_is_waited_out_with_drift():
-    made = GrantedLeases(1_000_000, 0)
-    made.record_report("n1", 5_000_000, 77, 3)
-    assert made.grant("n1", 4_999_999, 3) == 0 and made.grant("n1", 5_000_000, 3) == 77
-    assert made.covered_index("n1", 6_009_999) == 3 and made.expires_at("n1", 4) == 6_010_000
-    assert made.covered_index("n1", 6_010_000) is None
+    leases = GrantedLeases(1_000_000, 0)
+    leases.record_report("n1", 5_000_000, 77, 3)
+    assert leases.grant("n1", 4_999_999, 3) == 0 and leases.grant("n1", 5_000_000, 3) == 77
+    assert leases.covered_index("n1", 6_009_999) == 3 and leases.expires_at("n1", 4) == 6_010_000
+    assert leases.covered_index("n1", 6_010_000) is None
     # Another process on a clock that starts anew gets nothing by what the one before had told.
-    made.record_report("n1", 7_000_000, 5, 4)
-    assert made.grant("n1", 6_999_999, 4) == 0
+    leases.record_report("n1", 7_000_000, 5, 4)
+    assert leases.grant("n1", 6_999_999, 4) == 0
 
 
 def test_a_grant_for_another_process_of_this_name_is_no_lease():
@@ -326,23 +335,23 @@
 
 @given(st.lists(st.sampled_from(["hard", "entry", "cut", "snapshot"]), max_size=30), st.integers(0, 99))
 def test_fewest_records_lead_to_the_same(kinds, seed):
-    kept, again = PersistedState(), PersistedState()
-    kept.apply(("identity", "f", "l"))
-    kept.apply(("snapshot", 1, 1, {"v": 1}))
+    state, replayed = PersistedState(), PersistedState()
+    state.apply(("identity", "f", "l"))
+    state.apply(("snapshot", 1, 1, {"v": 1}))
     for n, kind in enumerate(kinds):
-        last = kept.last_index
+        last = state.last_index
         if kind == "hard":
-            kept.apply(("hard", n, "x"))
+            state.apply(("hard", n, "x"))
         elif kind == "entry":
-            kept.apply(("entry", last + 1, m.Entry(n, f"{n}", {"kind": "noop"})))
-        elif kind == "cut" and kept.entries:
-            kept.apply(("cut", kept.snapshot_index + 1 + seed % len(kept.entries)))
-        elif kind == "snapshot" and kept.entries:
-            at = 1 + seed % len(kept.entries)
-            kept.apply(("snapshot", kept.snapshot_index + at, kept.entries[at - 1].term, {"v": n}))
-    for record in kept.compacted_records():
-        again.apply(record)
-    assert again.value() == kept.value()
+            state.apply(("entry", last + 1, m.Entry(n, f"{n}", {"kind": "noop"})))
+        elif kind == "cut" and state.entries:
+            state.apply(("cut", state.snapshot_index + 1 + seed % len(state.entries)))
+        elif kind == "snapshot" and state.entries:
+            at = 1 + seed % len(state.entries)
+            state.apply(("snapshot", state.snapshot_index + at, state.entries[at - 1].term, {"v": n}))
+    for record in state.compacted_records():
+        replayed.apply(record)
+    assert replayed.value() == state.value()
 
 
 def test_a_large_fleet_forms_without_a_message_for_each_pair_of_members_at_each_time():
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,5 +1,7 @@
 """State lost: snapshots, and the fleet that begins again by an operator's word."""
 
+import contextlib
+
 import msgspec
 import pytest
 from hypothesis import given
@@ -52,10 +54,8 @@
 @given(st.integers(0, len(RAW) - 1), st.integers(1, 255))
 def test_no_snapshot_with_one_byte_changed_is_taken_for_another(at, by):
     raw = RAW[:at] + bytes([RAW[at] ^ by]) + RAW[at + 1 :]
-    try:
+    with contextlib.suppress(s.SnapshotError, UnicodeDecodeError):
         assert s.unpacked(raw)["state"] == state(version=5)
-    except (s.SnapshotError, UnicodeDecodeError):
-        pass
 
 
 @pytest.mark.parametrize(
