--- a/mastledge/adapter/__main__.py
+++ b/mastledge/adapter/__main__.py
@@ -5,7 +5,7 @@
 
 from mastledge.adapter import frames as wire
 from mastledge.balance import Balancer
-from mastledge.program.settings import BadSetting, pairs_of, plain_map
+from mastledge.program.settings import SettingError, parse_pairs, parse_settings
 from mastledge.protocol import load_messages
 
 STATE = {0: "gone", 1: "ready", 2: "draining"}
@@ -51,9 +51,9 @@
         instance, seed, offset, size = fields
         raw = bytes(wire.tail_part(body, count, at, offset, size, "settings"))
         try:
-            settings = plain_map(pairs_of(raw.decode()))
+            settings = parse_settings(parse_pairs(raw.decode()))
         except UnicodeDecodeError as error:
-            raise BadSetting(f"settings are not text: {error}") from None
+            raise SettingError(f"settings are not text: {error}") from None
         self.timers[instance] = None
         self.instances[instance] = Balancer(settings, seed, now)
 
@@ -164,7 +164,7 @@
                     else:
                         self.event(now, at, code, fields, instances[instance])
                     touched[instance] = True
-            except (wire.BadFrame, BadSetting):
+            except (wire.BadFrame, SettingError):
                 raise
             except Exception as error:
                 self.fault(instance, error)
@@ -186,7 +186,7 @@
         while (frame := wire.frame_from(stdin)) is not None:
             stdout.write(host.turn(*frame))
             stdout.flush()
-    except (wire.BadFrame, BadSetting) as error:
+    except (wire.BadFrame, SettingError) as error:
         print(f"mastledge.adapter: {error}", file=sys.stderr)
         return 1
     return 0
--- a/mastledge/lab/crossing.py
+++ b/mastledge/lab/crossing.py
@@ -18,7 +18,7 @@
 
 from mastledge.lab.judge import SLACK, judged, nothing_to_the_drained, of
 from mastledge.lab.steered import Readiness, Restless, Steered
-from mastledge.program.configuration import configuration
+from mastledge.program.configuration import load_configuration
 from mastledge.program.lifecycle import Program
 
 # Each with whether launches may be revoked.
@@ -179,8 +179,8 @@
         self.unseen, self.busy, self.barriers = set(), 0, 0
         self.config = os.path.join(self.folder, "config.json")
         self.configure(0)
-        self.told = configuration(self.config, {})
-        self.program = Program(self.told, self.log, lambda: configuration(self.config, {}))
+        self.told = load_configuration(self.config, {})
+        self.program = Program(self.told, self.log, lambda: load_configuration(self.config, {}))
         self.loop = self.program.loop
         self.loop.on_error = lambda error: self.faults.append(f"{type(error).__name__}: {error}")
         self.clock, self.ready = Steered(self.loop), Readiness(self.loop, self.to_discovery)
@@ -533,12 +533,12 @@
                 sock.send(b"%x\r\n%s\r\n" % (len(raw), raw))
 
     def step_term(self):
-        self.program.signalled = True
-        self.loop.wake(self.program.life)
+        self.program.stop_requested = True
+        self.loop.wake(self.program.lifecycle_task)
 
     def step_hup(self):
         self.configure(1)
-        self.program.reconfigure()
+        self.program.reload_configuration()
 
     def until(self, step):
         """When this step of time is there."""
@@ -692,14 +692,19 @@
 
     def over(self):
         program = self.program
-        for task in (program.life, program.inbox.reader, program.discovery.task, program.accepting):
+        for task in (
+            program.lifecycle_task,
+            program.inbox.reader,
+            program.discovery.task,
+            program.accept_task,
+        ):
             if task is not None:
                 self.loop.cancel(task)
         for conn in list(program.listener.clients):
             self.loop.cancel(conn.owner)
         for peer in program.router.peers.values():
             program.workers.hang_up(peer)
-        program.sock.close()
+        program.listening_socket.close()
         self.loop.epoll.close()
         for one in (*self.attempts, *self.callers):
             one.sock.close()
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -18,7 +18,7 @@
 from mastledge.lab.load import Clients
 from mastledge.lab.rig import document, limits
 from mastledge.lab.scenario import BadScenario
-from mastledge.program.settings import flat, plain_map
+from mastledge.program.settings import flatten_settings, parse_settings
 from mastledge.recovery import restored_state as b
 from mastledge.recovery.admission_ramp import DONE, ELSE, TURNED, AdmissionRamp
 from mastledge.replication import coordinator as o
@@ -555,7 +555,7 @@
         self.nodes = {name: Member(self, name, 1.0) for name in (names if self.agreeing else [])}
         self.scenario, self.seed, self.show = scenario, seed, show
         self.decisions = policies.named(policy)
-        self.settings = plain_map(flat(document(scenario)))
+        self.settings = parse_settings(flatten_settings(document(scenario)))
         self.settings["may_message"] = False
         self.events, self.spells, self.late, self.lag = [], [], 0.0, 0.0
         self.workers = {
--- a/mastledge/lab/scale/meter.py
+++ b/mastledge/lab/scale/meter.py
@@ -104,7 +104,7 @@
 
 def purpose_of(generator):
     """What a coroutine is for, by the class of its function; what is wrapped counts as what it wraps."""
-    if generator.__qualname__ == "Program.vital" and generator.gi_frame is not None:
+    if generator.__qualname__ == "Program.supervised" and generator.gi_frame is not None:
         inner = generator.gi_frame.f_locals.get("steps")
         generator = inner if inner is not None else generator
     return PURPOSES.get(generator.__qualname__.partition(".")[0], JOBS)
--- a/mastledge/program/command.py
+++ b/mastledge/program/command.py
@@ -7,21 +7,23 @@
 import orjson
 
 from mastledge import __version__
-from mastledge.program.configuration import BadConfiguration, configuration
+from mastledge.program.configuration import ConfigurationError, load_configuration
 from mastledge.program.lifecycle import Program
 from mastledge.program.logs import Log
 
 
 def serve(args) -> int:
     """Runs one dispatcher until SIGTERM."""
-    told = configuration(args.config, os.environ)
+    told = load_configuration(args.config, os.environ)
     log = Log(sys.stderr.fileno(), told["name"], args.log)
-    return Program(told, log, lambda: configuration(args.config, os.environ), os.environ.get("TMPDIR")).run()
+    return Program(
+        told, log, lambda: load_configuration(args.config, os.environ), os.environ.get("TMPDIR")
+    ).run()
 
 
 def check(args) -> int:
     """Reads the configuration and says whether it is good."""
-    told = configuration(args.config, os.environ)
+    told = load_configuration(args.config, os.environ)
     print(
         f"{args.config}: good; {len(told['settings']['queue_types'])} queue types, listens on "
         f"{told['listen'][0]}:{told['listen'][1]}"
@@ -31,7 +33,7 @@
 
 def settings(args) -> int:
     """Shows the settings as the decisions are handed them."""
-    told = configuration(args.config, os.environ)
+    told = load_configuration(args.config, os.environ)
     print(orjson.dumps(told["settings"], option=orjson.OPT_INDENT_2).decode())
     return 0
 
@@ -98,7 +100,7 @@
         return fail("no configuration: give --config or set GW_CONFIG", 2)
     try:
         return args.call(args)
-    except BadConfiguration as error:
+    except ConfigurationError as error:
         return fail(str(error), 2)
     except ModuleNotFoundError as error:
         if (error.name or "").partition(".")[0] == "mastledge":
--- a/mastledge/program/configuration.py
+++ b/mastledge/program/configuration.py
@@ -4,20 +4,20 @@
 
 import orjson
 
-from mastledge.program.settings import flat, plain_map
+from mastledge.program.settings import flatten_settings, parse_settings
 from mastledge.transport.connection import address_of
 
 
-class BadConfiguration(ValueError):
+class ConfigurationError(ValueError):
     """One plain message for whoever starts the program."""
 
 
 def part(told, name, kind, absent=None):
     value = absent if told.get(name) is None else told[name]
     if value is None:
-        raise BadConfiguration(f"{name} is missing")
+        raise ConfigurationError(f"{name} is missing")
     if not isinstance(value, kind):
-        raise BadConfiguration(f"{name} cannot be read: {value!r}")
+        raise ConfigurationError(f"{name} cannot be read: {value!r}")
     return value
 
 
@@ -25,7 +25,7 @@
     try:
         return int(text, 16)
     except ValueError:
-        raise BadConfiguration(f"seed cannot be read: {text!r}") from None
+        raise ConfigurationError(f"seed cannot be read: {text!r}") from None
 
 
 PEERS = {"listen", "members", "folder", "form", "lease_ms", "without_lease", "registry", "fleet"}
@@ -40,7 +40,7 @@
         return None
     for key in peers:
         if key not in PEERS:
-            raise BadConfiguration(f"peers.{key} is unknown")
+            raise ConfigurationError(f"peers.{key} is unknown")
     out = {
         key: part(peers, key, kind, absent)
         for key, kind, absent in (
@@ -56,30 +56,30 @@
     out["listen"] = address_of(part(peers, "listen", str))
     for other, address in taken.items():
         if out["listen"] == address:
-            raise BadConfiguration(f"peers.listen is the same address as {other}: {peers['listen']}")
+            raise ConfigurationError(f"peers.listen is the same address as {other}: {peers['listen']}")
     seen = {}
     for member, address in out["members"].items():
         if not member or not isinstance(address, str):
-            raise BadConfiguration(f"peers.members cannot be read: {member!r}")
+            raise ConfigurationError(f"peers.members cannot be read: {member!r}")
         address_of(address)
         if address in seen:
-            raise BadConfiguration(f"peers.members has two at one address: {seen[address]} and {member}")
+            raise ConfigurationError(f"peers.members has two at one address: {seen[address]} and {member}")
         seen[address] = member
     if name not in out["members"]:
-        raise BadConfiguration(f"name is none of peers.members: {name!r}")
+        raise ConfigurationError(f"name is none of peers.members: {name!r}")
     if not LEASE_MS[0] <= out["lease_ms"] <= LEASE_MS[1]:
         low, high = LEASE_MS
-        raise BadConfiguration(f"peers.lease_ms is not from {low} to {high}: {out['lease_ms']}")
+        raise ConfigurationError(f"peers.lease_ms is not from {low} to {high}: {out['lease_ms']}")
     out["lease"] = out.pop("lease_ms") * 1000
     if out["without_lease"] not in ("reject", "serve"):
-        raise BadConfiguration(f"peers.without_lease is neither reject nor serve: {out['without_lease']!r}")
+        raise ConfigurationError(f"peers.without_lease is neither reject nor serve: {out['without_lease']!r}")
     if not out["folder"]:
-        raise BadConfiguration("peers.folder is empty")
+        raise ConfigurationError("peers.folder is empty")
     return out
 
 
 REPEATS = {"keep_ms", "copies", "entries", "bytes", "folder", "sync"}
-COPIES = 7  # more cost more and make nothing safer than members that vote are
+MAX_COPIES = 7  # more cost more and make nothing safer than members that vote are
 
 
 def repeats_of(told, peers):
@@ -89,18 +89,18 @@
         return None
     for key in repeats:
         if key not in REPEATS:
-            raise BadConfiguration(f"repeats.{key} is unknown")
+            raise ConfigurationError(f"repeats.{key} is unknown")
     out = {
         key: part(repeats, key, int, absent)
         for key, absent in (("keep_ms", 60_000), ("copies", 1), ("entries", 100_000), ("bytes", 64 << 20))
     }
     for key, value in out.items():
         if value < 1:
-            raise BadConfiguration(f"repeats.{key} is below 1: {value}")
-    if out["copies"] > COPIES:
-        raise BadConfiguration(f"repeats.copies is above {COPIES}: {out['copies']}")
+            raise ConfigurationError(f"repeats.{key} is below 1: {value}")
+    if out["copies"] > MAX_COPIES:
+        raise ConfigurationError(f"repeats.copies is above {MAX_COPIES}: {out['copies']}")
     if out["copies"] > 1 and peers is None:
-        raise BadConfiguration(f"repeats.copies is {out['copies']}, and there are no peers to hold them")
+        raise ConfigurationError(f"repeats.copies is {out['copies']}, and there are no peers to hold them")
     out["sync"] = part(repeats, "sync", bool, True)
     out["keep"] = out.pop("keep_ms") * 1000
     out["folder"] = part(repeats, "folder", str)
@@ -117,15 +117,15 @@
         return None
     for key in recovery:
         if key not in RECOVERY:
-            raise BadConfiguration(f"recovery.{key} is unknown")
+            raise ConfigurationError(f"recovery.{key} is unknown")
     out = {"folder": part(recovery, "folder", str)}
     for key, absent in (("open_ms", 5_000), ("list_ms", 60_000)):
         value = part(recovery, key, int, absent)
         if not 100 <= value <= 600_000:
-            raise BadConfiguration(f"recovery.{key} is not from 100 to 600000: {value}")
+            raise ConfigurationError(f"recovery.{key} is not from 100 to 600000: {value}")
         out[key.removesuffix("_ms")] = value * 1000
     if not out["folder"]:
-        raise BadConfiguration("recovery.folder is empty")
+        raise ConfigurationError("recovery.folder is empty")
     return out
 
 
@@ -135,22 +135,22 @@
     for name in ("peers", "repeats", "recovery"):
         folder = out[name] and os.path.abspath(out[name]["folder"])
         if folder in seen:
-            raise BadConfiguration(f"{name}.folder is the same as {seen[folder]}.folder: {folder}")
+            raise ConfigurationError(f"{name}.folder is the same as {seen[folder]}.folder: {folder}")
         if folder:
             seen[folder] = name
 
 
-def configuration(path, env):
+def load_configuration(path, env):
     """A plain map of all that the program is told; the environment stands in for what the file leaves out."""
     try:
         with open(path, "rb") as file:
             told = orjson.loads(file.read())
     except OSError as error:
-        raise BadConfiguration(f"{path}: {error.strerror}") from None
+        raise ConfigurationError(f"{path}: {error.strerror}") from None
     except orjson.JSONDecodeError as error:
-        raise BadConfiguration(f"{path} is no JSON: {error}") from None
+        raise ConfigurationError(f"{path} is no JSON: {error}") from None
     if not isinstance(told, dict):
-        raise BadConfiguration(f"{path} holds no object")
+        raise ConfigurationError(f"{path} holds no object")
     try:
         out = {"name": part(told, "name", str, env.get("GW_NAME", "dispatcher"))}
         for name, variable in (("listen", "GW_LISTEN"), ("discovery", "GW_DISCOVERY")):
@@ -159,19 +159,19 @@
         control = part(told, "control", str, env.get("GW_CONTROL") or "")
         out["control"] = address_of(control) if control else None
         if out["control"] == out["listen"]:
-            raise BadConfiguration(f"control is the same address as listen: {control}")
+            raise ConfigurationError(f"control is the same address as listen: {control}")
         out["seed"] = seed_of(part(told, "seed", str))
         limits = part(told, "limits", dict, {})
         out["sockets"] = int(part(limits, "sockets", int, 1024))
         out["memory"] = part(limits, "memory_mb", int, 256) << 20
         out["known"] = part(told, "known", dict, {})
         out["document"] = part(told, "settings", dict)
-        out["settings"] = plain_map(flat(out["document"]))
+        out["settings"] = parse_settings(flatten_settings(out["document"]))
         taken = {key: out[key] for key in ("listen", "control", "discovery")}
         out["peers"] = peers_of(told, out["name"], taken)
         out["repeats"] = repeats_of(told, out["peers"])
         out["recovery"] = recovery_of(told)
         folders_differ(out)
     except ValueError as error:  # bad settings and addresses are such
-        raise BadConfiguration(f"{path}: {error}") from None
+        raise ConfigurationError(f"{path}: {error}") from None
     return out
--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -15,7 +15,7 @@
 from mastledge.consensus.worker_restrictions import OwnList
 from mastledge.peers.links import Links
 from mastledge.program.fleet_api import LOOK, FleetApi
-from mastledge.program.settings import flat, plain_map
+from mastledge.program.settings import flatten_settings, parse_settings
 from mastledge.program.shared_lease import SharedLease
 from mastledge.storage.data_directory import DataDirectory, DataDirectoryError
 from mastledge.storage.write_ahead_log import WriteAheadLog
@@ -76,10 +76,10 @@
         try:
             self.folder.hold()
         except DataDirectoryError:
-            if not self.program.beside:
+            if not self.program.has_sibling_process:
                 raise
             self.log("fleet_standby", folder=self.told["folder"])
-            self.tasks = [self.loop.spawn(self.program.vital(self.listens()), first=True)]
+            self.tasks = [self.loop.spawn(self.program.supervised(self.listens()), first=True)]
             return
         self.speak()
 
@@ -114,7 +114,7 @@
             # here.
             self.member.shown = self.index
         self.links.begin(self.told["listen"])
-        vital, spawn = self.program.vital, self.loop.spawn
+        vital, spawn = self.program.supervised, self.loop.spawn
         self.timer = spawn(vital(self.timed()), first=True)
         self.tasks = [
             spawn(vital(self.written()), first=True),
@@ -188,7 +188,7 @@
             except DataDirectoryError:
                 continue
             self.log("fleet_active", index=self.index)
-            self.loop.spawn(self.program.vital(self.takes_over()), first=True)
+            self.loop.spawn(self.program.supervised(self.takes_over()), first=True)
             return
 
     def takes_over(self):
@@ -200,7 +200,7 @@
         to = None
         while True:
             member, now = self.member, self.loop.now()
-            if self.program.beside and member.rules is not None:
+            if self.program.has_sibling_process and member.rules is not None:
                 pid, index = self.notes.listener()
                 if pid is not None and self.held and member.rules.applied >= self.index:
                     if (
@@ -209,17 +209,22 @@
                     ):
                         to, member.shown = pid, member.rules.applied
                     member.shown = max(member.shown or 0, index) if pid == to else member.shown
-            elif not self.program.beside:
+            elif not self.program.has_sibling_process:
                 to = None
                 self.notes.alone()
             # One that has handed over acts by its last lease; a process that has gone acts by none.
             if (
                 member.shown is not None
                 and to is None
-                and (not self.program.beside or now > self.spoke_at + longest(member.lease))
+                and (not self.program.has_sibling_process or now > self.spoke_at + longest(member.lease))
             ):
                 member.shown = None
-            yield (-1, 0, now + (4 * LOOK if self.program.beside or member.shown is not None else 20 * LOOK))
+            yield (
+                -1,
+                0,
+                now
+                + (4 * LOOK if self.program.has_sibling_process or member.shown is not None else 20 * LOOK),
+            )
 
     def brief(self):
         state = self.member.rules.state
@@ -331,7 +336,7 @@
     # The worker list
 
     def registry(self):
-        told = self.program.told["discovery"]
+        told = self.program.configuration["discovery"]
         return self.told["registry"] or f"{told[0]}:{told[1]}"
 
     def listed(self, kind, entries):
@@ -357,7 +362,7 @@
     def take_news(self):
         """Another's newer list keeps off whom it restricts, until one's own is as new."""
         out = self.own_list.out(self.news)
-        if out != self.program.heard_out:
+        if out != self.program.excluded.restricted_by_fleet:
             generation = self.news and self.news.generation
             self.log(
                 "workers_restricted_by_peers",
@@ -365,8 +370,8 @@
                 generation=generation,
                 own=self.own_list.generation,
             )
-            self.program.heard_out = out
-            self.program.recompose()
+            self.program.excluded.restricted_by_fleet = out
+            self.program.refresh_excluded_workers()
 
     # The rules
 
@@ -374,14 +379,14 @@
         return {name: value for name, value in document.items() if name not in OWN}
 
     def whole(self, document, state):
-        """The agreed settings with what is this dispatcher's own; BadSetting names the key."""
+        """The agreed settings with what is this dispatcher's own; SettingError names the key."""
         whole = {**document, **{name: self.document[name] for name in OWN if name in self.document}}
         # A member more takes its part before it may act, one less gives it up later: parts never sum to more
         # than all.
         count = len(state["members"]) + len(state["gone"]) if state else 0
-        pairs = flat(whole)
+        pairs = flatten_settings(whole)
         pairs["balancers"] = max(int(pairs.get("balancers", 1)), count)
-        return plain_map(pairs)
+        return parse_settings(pairs)
 
     def take_rules(self, state):
         try:
@@ -392,9 +397,9 @@
             # half of it.
             self.unreadable = f"cannot read settings of version {state['settings_version']}: {error}"
             self.log("fleet_settings_unreadable", why=self.unreadable)
-            self.program.lapse()
+            self.program.lease_lapsed()
             return
-        self.program.agreed(settings, state)
+        self.program.apply_committed(settings, state)
         if self.copies is not None and self.member is not None:
             self.copies.placed(state)
 
@@ -409,8 +414,8 @@
                 version=self.version(),
             )
             if not held and not self.rule.serves:
-                self.program.lapse()
-            self.loop.wake(self.program.life)
+                self.program.lease_lapsed()
+            self.loop.wake(self.program.lifecycle_task)
 
     def version(self):
         return self.member.rules.version if self.member is not None and self.member.rules else 0
--- a/mastledge/program/fleet_api.py
+++ b/mastledge/program/fleet_api.py
@@ -67,8 +67,8 @@
                 "lease_ms": member.lease // 1000,
                 "members": state["members"] if state else {},
                 "out": state["out"] if state else [],
-                "out_here": sorted(self.program.upgrade_state.told["out"]),
-                "heard_out": sorted(self.program.heard_out),
+                "out_here": sorted(self.program.upgrade_state.shared["out"]),
+                "heard_out": sorted(self.program.excluded.restricted_by_fleet),
                 "why": self.unreadable or ("" if left else member.why()),
                 "served_without_lease_ms": self.rule.unbound(now) // 1000,
                 "disk": "failing" if member.broken else "good",
@@ -205,7 +205,7 @@
         return (yield from self.changed({"kind": "out", "worker": worker}))
 
     def include(self, worker):
-        cold_for = self.program.told["settings"]["cold_for"]
+        cold_for = self.program.configuration["settings"]["cold_for"]
         return (
             yield from self.changed(
                 {"kind": "back", "worker": worker, "at": time.time_ns() // 1000, "cold_for": cold_for}
--- a/mastledge/program/fleet_command.py
+++ b/mastledge/program/fleet_command.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from mastledge.program.configuration import BadConfiguration, configuration
+from mastledge.program.configuration import ConfigurationError, load_configuration
 from mastledge.transport.connection import address_of
 
 SECONDS = 3.0
@@ -24,12 +24,12 @@
         try:
             return address_of(text)
         except ValueError as error:
-            raise BadConfiguration(f"--control: {error}") from None
+            raise ConfigurationError(f"--control: {error}") from None
     if args.config:
-        told = configuration(args.config, os.environ)["control"]
+        told = load_configuration(args.config, os.environ)["control"]
         if told:
             return told
-    raise BadConfiguration("no second address: give --control, --config or set GW_CONTROL")
+    raise ConfigurationError("no second address: give --control, --config or set GW_CONTROL")
 
 
 def call(args, method, path, body=b"", headers=()):
@@ -99,7 +99,7 @@
 def copies(args):
     if args.count is not None:
         if not args.count.isdecimal():
-            raise BadConfiguration(f"no count of copies: {args.count}")
+            raise ConfigurationError(f"no count of copies: {args.count}")
         return changed(args, "/api/copies", orjson.dumps({"count": int(args.count)}))
     state = told(args, "/api/copies")
     if args.json:
@@ -164,9 +164,9 @@
         with open(args.file, "rb") as file:
             document = orjson.loads(file.read())
     except OSError as error:
-        raise BadConfiguration(f"{args.file}: {error.strerror}") from None
+        raise ConfigurationError(f"{args.file}: {error.strerror}") from None
     except orjson.JSONDecodeError as error:
-        raise BadConfiguration(f"{args.file} is no JSON: {error}") from None
+        raise ConfigurationError(f"{args.file} is no JSON: {error}") from None
     # A whole configuration is what operators have at hand.
     if isinstance(document, dict) and "settings" in document:
         document = document["settings"]
@@ -192,7 +192,7 @@
     try:
         address_of(args.address)
     except ValueError as error:
-        raise BadConfiguration(str(error)) from None
+        raise ConfigurationError(str(error)) from None
     return changed(
         args, "/api/members", orjson.dumps({"kind": "add", "name": args.name, "address": args.address})
     )
@@ -205,7 +205,7 @@
 def relays(args):
     """How many hear from one dispatcher; the leader alone takes it."""
     if not args.fan_out.isdecimal():
-        raise BadConfiguration(f"no fan-out: {args.fan_out}")
+        raise ConfigurationError(f"no fan-out: {args.fan_out}")
     return changed(args, "/api/relays", orjson.dumps({"fan_out": int(args.fan_out)}))
 
 
@@ -222,7 +222,7 @@
             os.fsync(file.fileno())
         os.replace(place, args.file)
     except OSError as error:
-        raise BadConfiguration(f"{args.file}: {error.strerror}") from None
+        raise ConfigurationError(f"{args.file}: {error.strerror}") from None
     print(f"version {orjson.loads(text)['version']} is in {args.file}")
     return 0
 
@@ -232,13 +232,13 @@
         with open(args.file, "rb") as file:
             content = file.read()
     except OSError as error:
-        raise BadConfiguration(f"{args.file}: {error.strerror}") from None
+        raise ConfigurationError(f"{args.file}: {error.strerror}") from None
     return changed(args, "/api/restore", content)
 
 
 def form(args):
     if not args.accept_loss:
-        raise BadConfiguration("fleet form begins anew with what this one dispatcher keeps: --accept-loss")
+        raise ConfigurationError("fleet form begins anew with what this one dispatcher keeps: --accept-loss")
     return changed(args, "/api/restore", b"accept-loss")
 
 
--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -55,10 +55,10 @@
         try:
             self.folder.hold()
         except DataDirectoryError:
-            if not self.program.beside:
+            if not self.program.has_sibling_process:
                 raise
             self.log("idempotency_waiting", folder=self.told["folder"])
-            self.tasks = [self.loop.spawn(self.program.vital(self.waits()))]
+            self.tasks = [self.loop.spawn(self.program.supervised(self.waits()))]
             return
         self.open()
 
@@ -70,7 +70,7 @@
         book.recovered(now, kept.held)
         self.log("idempotency_keys_loaded", held=len(book.held), bytes=journal.size)
         self.writer, self.book = Writer(journal), book
-        self.tasks = [self.loop.spawn(self.program.vital(self.written()), first=True)]
+        self.tasks = [self.loop.spawn(self.program.supervised(self.written()), first=True)]
 
     def opened(self, journal):
         try:
@@ -118,7 +118,7 @@
                 if error is not None and not self.failing:
                     self.log("idempotency_disk_failed", why=str(error))
                     self.failing = True
-                    self.mending = self.loop.spawn(self.program.vital(self.mended()))
+                    self.mending = self.loop.spawn(self.program.supervised(self.mended()))
                     self.tasks.append(self.mending)
                 task = self.waiting.pop(token, None)
                 if task is not None:
@@ -146,7 +146,7 @@
         last = min(until - MARGIN, self.loop.now() + PATIENCE)
         # One that hands over itself is not coming back to it.
         while (
-            self.program.beside
+            self.program.has_sibling_process
             and self.book is None
             and not self.program.listener.succeeded
             and self.loop.now() < last
--- a/mastledge/program/operator_api.py
+++ b/mastledge/program/operator_api.py
@@ -53,7 +53,7 @@
         return "".join(f"svc.{name}={n}\n" for name, n in figures.items())
 
     def known(self, worker):
-        if worker not in self.program.router.peers and worker not in self.program.all_out():
+        if worker not in self.program.router.peers and worker not in self.program.excluded_workers():
             raise No(404, f"nobody has this id: {worker}")
 
     def exclude(self, worker):
@@ -69,7 +69,7 @@
     def include(self, worker):
         self.known(worker)
         program, now = self.program, time.time_ns() // 1000
-        oldest = now - program.told["settings"]["cold_for"]
+        oldest = now - program.configuration["settings"]["cold_for"]
 
         def edit(told):
             if worker in told["out"]:
@@ -84,13 +84,13 @@
     def changed(self, edit):
         """Changes what both processes share, and waits until the decisions of both hold it."""
         program = self.program
-        serial = program.tell(edit)
+        serial = program.publish(edit)
         if serial is None:
             raise No(500, "the process beside this one cannot be told")
         last = program.loop.now() + PATIENCE
-        while (program.holds or 0) < serial or not program.upgrade_state.other_saw(serial):
+        while (program.decided_serial or 0) < serial or not program.upgrade_state.other_saw(serial):
             if program.loop.now() >= last:
-                program.log("change_not_seen", serial=serial, holds=program.holds)
+                program.log("change_not_seen", serial=serial, holds=program.decided_serial)
                 return
             yield (-1, 0, program.loop.now() + LOOK)
 
@@ -100,7 +100,7 @@
 
     def rejoin(self):
         program = self.program
-        if program.signalled and not program.listener.succeeded:
+        if program.stop_requested and not program.listener.succeeded:
             raise No(409, f"ending: {program.phase}")
         yield from self.changed(lambda told: told.update(draining=False))
         return "serving again"
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -73,19 +73,19 @@
         return crc32(b"start %d %s %d" % (self.seed, self.name.encode(), self.draws)) / 4294967296.0
 
     def registry(self):
-        told = self.program.told["discovery"]
-        peers = self.program.told["peers"]
+        told = self.program.configuration["discovery"]
+        peers = self.program.configuration["peers"]
         return peers and peers["registry"] or f"{told[0]}:{told[1]}"
 
     # The folder
 
     def begin(self):
         """Reads the folder in a thread of its own: a slow disk must not keep anybody from saying so."""
-        vital, spawn = self.program.vital, self.loop.spawn
+        vital, spawn = self.program.supervised, self.loop.spawn
         try:
             self.folder.hold()
         except DataDirectoryError as error:
-            if not self.program.beside:
+            if not self.program.has_sibling_process:
                 raise
             # The process before this one goes on keeping; what it knows comes by the handover.
             self.read, self.trouble = True, str(error)
@@ -120,7 +120,7 @@
             self.program.discovery.apply(self.list_of(self.belief), "cached")
             # Changes are counted from a list that its registry has told to this life.
             self.program.discovery.generation = None
-        dispatchers = self.program.told["settings"]["dispatchers"]
+        dispatchers = self.program.configuration["settings"]["dispatchers"]
         wait = int(self.chance() * min(MOST_FIRST, FIRST * dispatchers))
         yield (-1, 0, self.loop.now() + wait)
 
@@ -228,7 +228,7 @@
             )
             if step == s.OPENING:
                 self.opening.begins(now)
-            self.loop.wake(program.life)
+            self.loop.wake(program.lifecycle_task)
 
     def may_serve(self):
         """Whether the door may open, if only by a part; a lesser service is one as well."""
@@ -241,7 +241,7 @@
         balancer = self.program.router.balancer
         # Also those that are set aside here: that is this one's own view, and ends by jobs that are let in.
         slots = sum(wkr.slots * balancer.warmth(wkr, now) for wkr in balancer.ready)
-        self.opening.sized(now, slots, self.program.told["settings"]["dispatchers"])
+        self.opening.sized(now, slots, self.program.configuration["settings"]["dispatchers"])
 
     def listed(self, kind, entries):
         """What discovery has told, as the decisions are told of it.
@@ -285,11 +285,11 @@
             if off and now >= self.older_since + self.told["list"]:
                 self.belief.restricted, self.belief.generation = {}, discovery.generation
                 off = frozenset()
-        if off != self.program.kept_off:
+        if off != self.program.excluded.restricted_by_restored_list:
             generation, newest = discovery.generation, self.belief.generation
             self.log("workers_excluded_by_newer_list", out=sorted(off), generation=generation, newest=newest)
-            self.program.kept_off = off
-            self.program.recompose()
+            self.program.excluded.restricted_by_restored_list = off
+            self.program.refresh_excluded_workers()
 
     def taught(self):
         """What the decisions start from: what was learned, and what may still run of a former life."""
@@ -471,7 +471,7 @@
                 "learned": len(self.belief.learned),
                 "not": self.belief.unbelieved,
             },
-            "kept_off": sorted(self.program.kept_off),
+            "kept_off": sorted(self.program.excluded.restricted_by_restored_list),
             "asked": sorted(self.asked),
             "answered": sorted(self.answers),
             "disk": "failing" if self.failing else self.trouble or "good",
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -11,7 +11,7 @@
 import orjson
 
 from mastledge.idempotency import key_table as b
-from mastledge.program.configuration import COPIES
+from mastledge.program.configuration import MAX_COPIES
 from mastledge.program.idempotency_service import MARGIN, IdempotencyService, unix
 from mastledge.protocol import http
 from mastledge.protocol.control import Answer, No
@@ -60,7 +60,7 @@
             kept.id = uuid.uuid4().hex[:16]
         self.writer = Writer(journal)
         self.begins(now, kept, kept.id, kept.starts + 1)
-        vital, spawn = self.program.vital, self.loop.spawn
+        vital, spawn = self.program.supervised, self.loop.spawn
         self.timer = spawn(vital(self.timed()), first=True)
         self.flusher = spawn(vital(self.flushed()))
         self.tasks = [spawn(vital(self.written()), first=True), self.timer, self.flusher]
@@ -114,7 +114,7 @@
                 self.join()
                 return
             # All that was promised before is over after that, by whatever clock.
-            patience = self.told["keep"] + 3 * self.program.walltime + 2 * self.fleet.told["lease"]
+            patience = self.told["keep"] + 3 * self.program.longest_walltime + 2 * self.fleet.told["lease"]
             self.node = Node(
                 self.name,
                 self.id,
@@ -147,7 +147,7 @@
                         self.log("replication_disk_failed", why=str(error))
                         self.failing = True
                         self.input("broken")
-                        self.tasks.append(self.loop.spawn(self.program.vital(self.mended())))
+                        self.tasks.append(self.loop.spawn(self.program.supervised(self.mended())))
                     continue
                 if token == self.starting:
                     self.lasts = True
@@ -344,8 +344,8 @@
         """Another count of copies, for the whole fleet and under load."""
         try:
             count = orjson.loads(request.body)["count"]
-            if not isinstance(count, int) or not 1 <= count <= COPIES:
-                raise ValueError(f"not from 1 to {COPIES}: {count!r}")
+            if not isinstance(count, int) or not 1 <= count <= MAX_COPIES:
+                raise ValueError(f"not from 1 to {MAX_COPIES}: {count!r}")
         except (ValueError, KeyError, TypeError) as error:
             raise No(400, f"count: {error}") from None
         return (yield from self.fleet.changed({"kind": "copies", "count": count}))
--- a/mastledge/program/settings.py
+++ b/mastledge/program/settings.py
@@ -4,7 +4,7 @@
 """
 
 
-class BadSetting(ValueError):
+class SettingError(ValueError):
     """A required setting is missing or unreadable; the text names its key."""
 
 
@@ -110,12 +110,12 @@
     text = pairs.get(path)
     if text is None:
         if absent is REQUIRED:
-            raise BadSetting(f"setting {path} is missing")
+            raise SettingError(f"setting {path} is missing")
         return absent
     try:
         return kind(text)
     except (TypeError, ValueError, OverflowError):
-        raise BadSetting(f"setting {path} cannot be read: {text!r}") from None
+        raise SettingError(f"setting {path} cannot be read: {text!r}") from None
 
 
 def listed(pairs, path, table):
@@ -125,36 +125,36 @@
     ]
 
 
-def flat(nested, path=""):
+def flatten_settings(nested, path=""):
     """Paths and values of nested JSON, as the pairs have them: a list of objects by count and place."""
     pairs = {}
     for name, value in nested.items():
         here = f"{path}{name}"
         if isinstance(value, dict):
-            pairs.update(flat(value, here + "."))
+            pairs.update(flatten_settings(value, here + "."))
         elif isinstance(value, list) and (not value or all(isinstance(item, dict) for item in value)):
             pairs[here], pairs[here + ".count"] = [], len(value)
             for n, item in enumerate(value):
-                pairs.update(flat(item, f"{here}.{n}."))
+                pairs.update(flatten_settings(item, f"{here}.{n}."))
         else:
             pairs[here] = value
     return pairs
 
 
-def pairs_of(text):
+def parse_pairs(text):
     return dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
 
 
-def plain_map(pairs):
+def parse_settings(pairs):
     settings = {ours: read(pairs, *how) for ours, how in PLAIN.items()}
     settings["follow"] = {"pushed": "pushed", "on_request": "asked"}.get(settings["follow"])
     if settings["follow"] is None:
-        raise BadSetting(f"setting discovery cannot be read: {pairs['discovery']!r}")
+        raise SettingError(f"setting discovery cannot be read: {pairs['discovery']!r}")
     settings["report_fields"] = [REPORT.get(name, name) for name in settings["report_fields"]]
     settings["tenants"] = listed(pairs, "tenants", TENANT)
     settings["queue_types"] = types = listed(pairs, "queueTypes", QUEUE_TYPE)
     if not types:
-        raise BadSetting("setting queueTypes.count is missing or 0")
+        raise SettingError("setting queueTypes.count is missing or 0")
     a_type = {
         name: read(pairs, f"familyInfo.{name}", numbers, [])
         for name in ("classKind", "classPriority", "classStretch")
@@ -163,11 +163,11 @@
         # Types are told from those of other settings by their names.
         qt["name"] = qt["name"] or f"{i}"
         if any(qt["name"] == other["name"] for other in types[:i]):
-            raise BadSetting(f"setting queueTypes.{i}.name stands twice: {qt['name']!r}")
+            raise SettingError(f"setting queueTypes.{i}.name stands twice: {qt['name']!r}")
         if qt["effect"] not in EFFECT:
-            raise BadSetting(f"setting queueTypes.{i}.idempotency cannot be read: {qt['effect']!r}")
+            raise SettingError(f"setting queueTypes.{i}.idempotency cannot be read: {qt['effect']!r}")
         if qt["group"] not in ("all", "zone", "cell"):
-            raise BadSetting(f"setting queueTypes.{i}.dedupScope cannot be read: {qt['group']!r}")
+            raise SettingError(f"setting queueTypes.{i}.dedupScope cannot be read: {qt['group']!r}")
         qt["effect"] = EFFECT[qt["effect"]]
         for ours, name, absent in (
             ("kind", "classKind", -1),
--- a/mastledge/program/upgrade_state.py
+++ b/mastledge/program/upgrade_state.py
@@ -46,7 +46,7 @@
 class UpgradeState:
     def __init__(self, folder, listen, log):
         self.base = os.path.join(folder, f"mastledge-{listen[0]}-{listen[1]}") if folder else None
-        self.log, self.told, self.seat = log, nothing(), 0
+        self.log, self.shared, self.seat = log, nothing(), 0
         self.held = self.across = self.stamp = None
 
     def sit(self):
@@ -97,7 +97,7 @@
     def other_ready(self):
         # The signal comes as soon as the other says so, before the next look that is due.
         self.look()
-        return 1 - self.seat in self.told["ready"] and not self.alone()
+        return 1 - self.seat in self.shared["ready"] and not self.alone()
 
     def says(self, seat, **places):
         """An edit of what is shared: whether a seat stands at each of these places."""
@@ -109,7 +109,7 @@
         return edit
 
     def other_saw(self, serial):
-        return self.alone() or self.told["seen"].get(str(1 - self.seat), 0) >= serial
+        return self.alone() or self.shared["seen"].get(str(1 - self.seat), 0) >= serial
 
     def look(self):
         """Reads the file if it is another than the last; whether there is news."""
@@ -124,7 +124,7 @@
             return False
         self.stamp = stamp
         told = self.read()
-        self.told = told or self.told
+        self.shared = told or self.shared
         return told is not None
 
     def read(self):
@@ -147,7 +147,7 @@
 
         News carry a number, by which the other process says that it has taken them up.
         """
-        told = self.told
+        told = self.shared
         try:
             lock = self.locked()
             try:
@@ -163,10 +163,10 @@
             self.log("upgrade_state_unwritten", why=str(error))
             if not self.alone():
                 return False
-            edit(self.told)
-            self.told["serial"] += news
+            edit(self.shared)
+            self.shared["serial"] += news
             return True
-        self.told = told
+        self.shared = told
         return True
 
     def teach(self, learned):
--- a/tests/decision_players.py
+++ b/tests/decision_players.py
@@ -6,13 +6,13 @@
 from mastledge.adapter.__main__ import Host
 from mastledge.adapter.frames import frame_from
 from mastledge.balance import Balancer
-from mastledge.program.settings import pairs_of, plain_map
+from mastledge.program.settings import parse_pairs, parse_settings
 
 # The only names of the program that the scripts use: a rename in the program is a change here alone.
 
 PROGRAM = {
     "new": Balancer,
-    "read settings": lambda text: plain_map(pairs_of(text)),
+    "read settings": lambda text: parse_settings(parse_pairs(text)),
     "members": lambda made, *given: made.members(*given),
     "arrived": lambda made, *given: made.arrived(*given),
     "started": lambda made, *given: made.started(*given),
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -202,7 +202,7 @@
     saved = []
     made.loop, made.boot, made.last, made.failing, made.token = Rig().loop, "boot-1", {}, False, 0
     made.program = SimpleNamespace(
-        discovery=discovery, router=router, told={"discovery": ("127.0.0.1", 9000), "peers": None}
+        discovery=discovery, router=router, configuration={"discovery": ("127.0.0.1", 9000), "peers": None}
     )
     made.belief = SimpleNamespace(generation=0, restricted={"s-9": 5})
     made.writer = SimpleNamespace(save=lambda token, records: saved.extend(records))
@@ -245,7 +245,7 @@
     made = handover(directory)
     try:
         assert made.look()
-        return made.told
+        return made.shared
     finally:
         made.leave()
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -6,7 +6,7 @@
 
 from mastledge.adapter import frames as wire
 from mastledge.adapter.__main__ import Host
-from mastledge.program.settings import BadSetting, pairs_of, plain_map
+from mastledge.program.settings import SettingError, parse_pairs, parse_settings
 
 
 def frame(records=b"", tail=b"", count=None, length=None):
@@ -40,5 +40,5 @@
 
 @pytest.mark.parametrize(("text", "key"), [("balancers=2", "me"), ("balancers=x", "balancers")])
 def test_a_missing_or_unreadable_setting_is_named(text, key):
-    with pytest.raises(BadSetting, match=f"setting {key} "):
-        plain_map(pairs_of(text))
+    with pytest.raises(SettingError, match=f"setting {key} "):
+        parse_settings(parse_pairs(text))
--- a/tests/test_connection_handoff.py
+++ b/tests/test_connection_handoff.py
@@ -40,8 +40,8 @@
         assert self.turn(lambda: self.new.made.phase == SERVING)
 
     def ends(self, until):
-        self.old.made.signalled = True
-        self.old.made.loop.wake(self.old.made.life)
+        self.old.made.stop_requested = True
+        self.old.made.loop.wake(self.old.made.lifecycle_task)
         assert self.turn(until, 3_000_000)
 
     def logged(self, which, event):
@@ -123,9 +123,9 @@
     )
     handing.old.made.upgrade_state.leave()
     handing.both = (handing.new,)
-    assert handing.turn(lambda: not handing.new.made.beside)
-    handing.new.made.signalled = True
-    handing.new.made.loop.wake(handing.new.made.life)
+    assert handing.turn(lambda: not handing.new.made.has_sibling_process)
+    handing.new.made.stop_requested = True
+    handing.new.made.loop.wake(handing.new.made.lifecycle_task)
     assert handing.turn(lambda: handing.new.made.phase == "ended", 3_000_000)
     assert handing.new.rig.reply(handing.client).startswith(b"HTTP/1.1 500")
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -11,7 +11,7 @@
 from test_program import file
 
 from mastledge.program import lifecycle
-from mastledge.program.configuration import BadConfiguration, configuration
+from mastledge.program.configuration import ConfigurationError, load_configuration
 from mastledge.program.lifecycle import DRAINING, SERVING, WAITING, Program
 from mastledge.protocol import client_listener, control
 from mastledge.transport.connection import listen
@@ -58,8 +58,8 @@
         told = {"listen": free(), "control": free(), "known": known, "limits": {"sockets": 128}, **changed}
         self.path = file(path, **told)
         self.rig = rig = Rig()
-        told = configuration(self.path, {})
-        self.made = made = Program(told, rig.log, lambda: configuration(self.path, {}), folder)
+        told = load_configuration(self.path, {})
+        self.made = made = Program(told, rig.log, lambda: load_configuration(self.path, {}), folder)
         rig.loop = made.loop
         made.loop.on_error = rig.errors.append
         made.begin()
@@ -73,7 +73,7 @@
         return self
 
     def connect(self, where="listen"):
-        self.theirs.append(socket.create_connection(self.made.told[where], 2))
+        self.theirs.append(socket.create_connection(self.made.configuration[where], 2))
         return self.theirs[-1]
 
     def call(self, path, method="GET"):
@@ -95,7 +95,7 @@
         return int(self.rig.reply(theirs).split()[1])
 
     def close(self):
-        for one in (*self.theirs, self.sock, self.made.sock, self.made.controlling):
+        for one in (*self.theirs, self.sock, self.made.listening_socket, self.made.control_socket):
             one.close()
 
 
@@ -274,8 +274,8 @@
 
 def test_the_end_comes_through_a_drain_as_without_one(served):
     served.call("/api/evacuate", "POST")
-    served.made.signalled = True
-    served.made.loop.wake(served.made.life)
+    served.made.stop_requested = True
+    served.made.loop.wake(served.made.lifecycle_task)
     assert served.call("/api/rejoin", "POST")[0] == 409
     assert served.turn(lambda: served.made.phase == "ended", 5_000_000)
 
@@ -290,8 +290,8 @@
     ],
 )
 def test_a_bad_second_address_stops_the_start(where, env, says, tmp_path):
-    with pytest.raises(BadConfiguration, match=says):
-        configuration(file(tmp_path, control=where), env)
+    with pytest.raises(ConfigurationError, match=says):
+        load_configuration(file(tmp_path, control=where), env)
 
 
 @pytest.mark.parametrize(
@@ -304,14 +304,14 @@
     ],
 )
 def test_the_second_address_is_optional(where, env, control_, tmp_path):
-    assert configuration(file(tmp_path, control=where), env)["control"] == control_
+    assert load_configuration(file(tmp_path, control=where), env)["control"] == control_
 
 
 def test_without_a_second_address_nothing_of_it_runs(tmp_path, monkeypatch):
     monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
     made = Served(tmp_path, control=None).serving().made
-    assert made.controlling is None and made.loop.first is None and made.budget.most["operators"] == 0
-    made.sock.close()
+    assert made.control_socket is None and made.loop.first is None and made.budget.most["operators"] == 0
+    made.listening_socket.close()
 
 
 def test_a_second_address_in_use_is_named_in_one_message(tmp_path, monkeypatch):
@@ -325,9 +325,9 @@
 
 
 def test_a_bad_second_address_in_a_new_file_changes_nothing(served):
-    path, (host, port) = pathlib.Path(served.path), served.made.told["control"]
+    path, (host, port) = pathlib.Path(served.path), served.made.configuration["control"]
     path.write_text(path.read_text().replace(f"{host}:{port}", "nowhere"))
-    served.made.reconfigure()
+    served.made.reload_configuration()
     assert [what for what, _ in served.rig.logged if what.startswith("config")] == ["configuration_rejected"]
     assert served.call("/api/ready")[0] == 200
 
@@ -344,7 +344,7 @@
 
 def test_a_new_configuration_during_a_drain_leaves_it_a_drain(served):
     served.call("/api/evacuate", "POST")
-    served.made.reconfigure()
+    served.made.reload_configuration()
     assert served.turn(lambda: served.made.phase == DRAINING)
     assert [what for what, _ in served.rig.logged if what.startswith("config")] == ["configuration_loaded"]
     assert served.call("/api/ready")[0] == 503 and served.call("/api/rejoin", "POST")[0] == 200
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -88,8 +88,8 @@
         return theirs
 
     def ends(self):
-        self.made.signalled = True
-        self.made.loop.wake(self.made.life)
+        self.made.stop_requested = True
+        self.made.loop.wake(self.made.lifecycle_task)
 
     def jumps(self, seconds):
         """So much later, all at once: what is due by then is due, and a full machine changes nothing."""
@@ -813,7 +813,7 @@
     made = serving().serving()
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    client.connect(made.made.told["listen"])
+    client.connect(made.made.configuration["listen"])
     made.theirs.append(client)
     client.sendall(helpers.job(X_Txn="a1", X_Remaining_Ms=4000))
     assert made.turn(lambda: made.job("a1"))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,7 @@
 from test_program import GOOD, file
 
 from mastledge.lab.scenario import known, read
-from mastledge.program.configuration import BadConfiguration, configuration
+from mastledge.program.configuration import ConfigurationError, load_configuration
 
 # A wrong build, the scenario in which it shows, who runs it, and the rule that catches it.
 CAUGHT = [
@@ -122,8 +122,8 @@
     ],
 )
 def test_a_bad_configuration_of_peers_is_one_plain_message(changed, says, tmp_path):
-    with pytest.raises(BadConfiguration, match=says) as error:
-        configuration(file(tmp_path, peers={**PEERS, **changed}), {})
+    with pytest.raises(ConfigurationError, match=says) as error:
+        load_configuration(file(tmp_path, peers={**PEERS, **changed}), {})
     assert "\n" not in str(error.value)
 
 
@@ -144,8 +144,8 @@
     if part.get("folder") == "y":
         both = {"folder": str(tmp_path / "y")}
         path = file(tmp_path, recovery=both, repeats=both)
-    with pytest.raises(BadConfiguration, match=says) as error:
-        configuration(path, {})
+    with pytest.raises(ConfigurationError, match=says) as error:
+        load_configuration(path, {})
     assert "\n" not in str(error.value)
 
 
@@ -155,8 +155,8 @@
         "import json, os, sys\n"
         "from mastledge import command_line\n"
         "from mastledge.program import command, lifecycle\n"
-        "from mastledge.program.configuration import configuration\n"
-        f"told = configuration({path!r}, {{}})\n"
+        "from mastledge.program.configuration import load_configuration\n"
+        f"told = load_configuration({path!r}, {{}})\n"
         f"made = lifecycle.Program(told, lambda *a, **k: None, None, {str(tmp_path)!r})\n"
         "made.begin()\n"
         "for _ in range(20): made.loop.once(10_000)\n"
@@ -208,7 +208,7 @@
 
 @pytest.mark.parametrize("name", ["n0", "n1", "n2"])
 def test_the_example_is_good(name):
-    told = configuration(f"deploy/fleet/{name}.json", {})
+    told = load_configuration(f"deploy/fleet/{name}.json", {})
     assert told["peers"]["members"][name] and told["peers"]["lease"] == 2_000_000
 
 
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -12,7 +12,7 @@
 
 from mastledge.idempotency import key_table as b
 from mastledge.program import lifecycle
-from mastledge.program.configuration import BadConfiguration, configuration
+from mastledge.program.configuration import ConfigurationError, load_configuration
 
 KEEP = 1_000_000
 PRINT = b.fingerprint(b"/post", b"x")
@@ -232,5 +232,5 @@
     ],
 )
 def test_a_bad_configuration_of_repeats_is_one_plain_message(changed, says, tmp_path):
-    with pytest.raises(BadConfiguration, match=says):
-        configuration(file(tmp_path, repeats={"folder": "x", **changed}), {})
+    with pytest.raises(ConfigurationError, match=says):
+        load_configuration(file(tmp_path, repeats={"folder": "x", **changed}), {})
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -13,10 +13,10 @@
 
 from mastledge.command_line import main
 from mastledge.program import lifecycle
-from mastledge.program.configuration import BadConfiguration, configuration
+from mastledge.program.configuration import ConfigurationError, load_configuration
 from mastledge.program.lifecycle import ENDED, FINISHING, LEAVING, NEXT, SERVING, STARTING, WAITING, Program
 from mastledge.program.logs import Log
-from mastledge.program.settings import flat
+from mastledge.program.settings import flatten_settings
 from mastledge.protocol.requests import Exchange
 from mastledge.routing.router import Router
 from mastledge.transport.connection import listen
@@ -171,7 +171,7 @@
 
 
 def test_a_configuration_becomes_a_plain_map(tmp_path):
-    told = configuration(file(tmp_path, limits={"sockets": 512}), {})
+    told = load_configuration(file(tmp_path, limits={"sockets": 512}), {})
     settings = told["settings"]
     assert (told["listen"], told["seed"], told["sockets"]) == (("127.0.0.1", 7070), 0x8C1F, 512)
     assert settings["queue_types"][0]["effect"] == "restartable" and settings["may_revoke"] is True
@@ -192,8 +192,8 @@
     ],
 )
 def test_a_bad_configuration_is_one_plain_message(changed, says, tmp_path):
-    with pytest.raises(BadConfiguration, match=says):
-        configuration(file(tmp_path, **changed), {})
+    with pytest.raises(ConfigurationError, match=says):
+        load_configuration(file(tmp_path, **changed), {})
 
 
 @pytest.mark.parametrize(
@@ -205,7 +205,7 @@
     ],
 )
 def test_nested_settings_are_found_by_their_paths(nested, pairs):
-    assert flat(nested) == pairs
+    assert flatten_settings(nested) == pairs
 
 
 def test_a_log_that_nobody_reads_is_not_waited_for():
@@ -231,7 +231,7 @@
     program = object.__new__(Program)
     program.phase = phase
     with pytest.raises(RuntimeError):
-        program.go(to)
+        program.enter(to)
     assert to not in NEXT[phase] and program.phase == phase
 
 
@@ -269,12 +269,12 @@
     # SIGHUP came under load and ended the program, with all that it had taken.
     rig = Rig()
     path = file(tmp_path, limits={"sockets": 64})
-    made = Program(configuration(path, {}), rig.log, lambda: configuration(path, {}))
+    made = Program(load_configuration(path, {}), rig.log, lambda: load_configuration(path, {}))
     made.discovery.follow()
     task, size = made.discovery.task, made.budget.most["clients"]
     reads, writes = os.pipe()
-    signals = made.loop.spawn(made.signals(reads))
-    made.life = made.loop.spawn(iter(()))
+    signals = made.loop.spawn(made.watch_signals(reads))
+    made.lifecycle_task = made.loop.spawn(iter(()))
     if changed is None:
         os.remove(path)
     else:
@@ -347,15 +347,15 @@
         ],
     }
     rig = Rig()
-    made = Program(configuration(file(tmp_path, listen=at, known=known), {}), rig.log)
+    made = Program(load_configuration(file(tmp_path, listen=at, known=known), {}), rig.log)
     rig.loop = made.loop
     made.begin()
     assert rig.turn(lambda: made.phase == SERVING)
-    busy, idle = (socket.create_connection(made.told["listen"], 2) for _ in range(2))
+    busy, idle = (socket.create_connection(made.configuration["listen"], 2) for _ in range(2))
     busy.sendall(helpers.job(X_Remaining_Ms=4000))
     theirs, _ = rig.called(sock)
-    made.signalled = True
-    rig.loop.wake(made.life)
+    made.stop_requested = True
+    rig.loop.wake(made.lifecycle_task)
     assert rig.turn(lambda: made.phase == LEAVING)
     # All dispatchers may be ending at once: who is connected is still served, as far as there is time.
     idle.sendall(b"GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -416,21 +416,21 @@
     }
     rig = Rig()
     path = file(tmp_path, listen=at, known=known)
-    made = Program(configuration(path, {}), rig.log, lambda: configuration(path, {}))
+    made = Program(load_configuration(path, {}), rig.log, lambda: load_configuration(path, {}))
     rig.loop = made.loop
     made.begin()
     assert rig.turn(lambda: made.phase == SERVING)
     clients, name = [], GOOD["settings"]["queueTypes"][0]["name"]
 
     def taken(path, txn):
-        clients.append(socket.create_connection(made.told["listen"], 2))
+        clients.append(socket.create_connection(made.configuration["listen"], 2))
         clients[-1].sendall(helpers.job(path, X_Txn=txn, X_Remaining_Ms=4000))
         return rig.called(sock)
 
     open_before, head = taken(f"/{name}", "aa01")
     assert b"aa01" in head
     file(tmp_path, listen=at, known=known, settings=OTHER)
-    made.reconfigure()
+    made.reload_configuration()
     open_between, head = taken("/file-final", "aa02")
     assert b"aa02" in head and made.router.balancer.settings["report_how"] == "piggyback"
     assert made.router.balancer.settings["may_message"] is False
@@ -438,10 +438,10 @@
     answers(open_before, b"aa01")
     assert rig.reply(clients[0]).startswith(b"HTTP/1.1 200")
     file(tmp_path, listen=at, known=known)
-    made.reconfigure()
+    made.reload_configuration()
     answers(open_between, b"aa02")
     assert rig.reply(clients[1]).startswith(b"HTTP/1.1 200")
-    clients.append(socket.create_connection(made.told["listen"], 2))
+    clients.append(socket.create_connection(made.configuration["listen"], 2))
     clients[2].sendall(helpers.job("/file-final", X_Txn="aa03"))
     assert rig.reply(clients[2]).startswith(b"HTTP/1.1 404")
     assert [fields["settings"] for what, fields in rig.logged if what == "configuration_loaded"] == [
@@ -449,8 +449,10 @@
         True,
     ]
     assert made.router.totals["completed"] == 2 and not made.router.jobs and not made.router.faults
-    assert made.router.count == 2 and made.told["settings"] == configuration(path, {})["settings"]
-    for one in (*clients, open_before, open_between, sock, made.sock):
+    assert (
+        made.router.count == 2 and made.configuration["settings"] == load_configuration(path, {})["settings"]
+    )
+    for one in (*clients, open_before, open_between, sock, made.listening_socket):
         one.close()
 
 
@@ -467,13 +469,15 @@
 def test_settings_that_fail_their_check_change_nothing_in_a_running_program(changed, says, tmp_path):
     rig = Rig()
     path = file(tmp_path)
-    made = Program(configuration(path, {}), rig.log, lambda: configuration(path, {}))
-    before = made.told["settings"]
+    made = Program(load_configuration(path, {}), rig.log, lambda: load_configuration(path, {}))
+    before = made.configuration["settings"]
     file(tmp_path, settings={**GOOD["settings"], **changed})
-    made.reconfigure()
+    made.reload_configuration()
     ((what, fields),) = rig.logged
     assert what == "configuration_rejected" and says in fields["why"] and "\n" not in fields["why"]
-    assert made.told["settings"] is before and not any(item[0] == "configured" for item in made.inbox.items)
+    assert made.configuration["settings"] is before and not any(
+        item[0] == "configured" for item in made.inbox.items
+    )
 
 
 def test_a_host_without_messages_never_asks_for_one():
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -8,7 +8,7 @@
 from test_program import file
 
 from mastledge.program import lifecycle
-from mastledge.program.configuration import configuration
+from mastledge.program.configuration import load_configuration
 from mastledge.recovery import startup_stages as s
 from mastledge.storage.data_directory import DataDirectoryError
 
@@ -20,7 +20,9 @@
     recovery = {"folder": str(tmp_path / "starts"), **told}
     path = file(tmp_path, listen=f"{HERE}:7570", discovery=f"{HERE}:7571", recovery=recovery)
     seen = logged if logged is not None else []
-    return lifecycle.Program(configuration(path, {}), lambda event, **fields: seen.append((event, fields)))
+    return lifecycle.Program(
+        load_configuration(path, {}), lambda event, **fields: seen.append((event, fields))
+    )
 
 
 def turned(made, until=lambda: False, most=400):
@@ -32,7 +34,7 @@
 
 def ended(made):
     made.recovery.end()
-    made.sock.close()
+    made.listening_socket.close()
 
 
 def lists(made, generation, *states):
@@ -66,11 +68,11 @@
     turned(again, lambda: again.recovery.steps.step == s.OPENING)
     assert again.recovery.steps.lesser == {s.LISTING: s.WITHOUT[s.LISTING]}
     lists(again, 6, "ready", "ready")
-    assert again.kept_off == {"w1"} and again.router.out == {"w1"}
+    assert again.excluded.restricted_by_restored_list == {"w1"} and again.router.out == {"w1"}
     told = orjson.loads(again.recovery.figures(None).text)
     assert told["kept_off"] == ["w1"] and told["believed"]["workers"] == 2
     lists(again, 8, "ready", "ready")
-    assert again.kept_off == frozenset() and again.router.out == frozenset()
+    assert again.excluded.restricted_by_restored_list == frozenset() and again.router.out == frozenset()
     ended(again)
 
 
@@ -78,9 +80,9 @@
     made = started(tmp_path, list_ms=100)
     lists(made, 7, "ready", "draining")
     lists(made, 6, "ready", "ready")
-    assert made.kept_off == {"w1"}
-    turned(made, lambda: not made.kept_off)
-    assert not made.kept_off and made.recovery.belief.generation == 6
+    assert made.excluded.restricted_by_restored_list == {"w1"}
+    turned(made, lambda: not made.excluded.restricted_by_restored_list)
+    assert not made.excluded.restricted_by_restored_list and made.recovery.belief.generation == 6
     ended(made)
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -11,8 +11,8 @@
 from mastledge.consensus.state_machine import genesis
 from mastledge.consensus.worker_restrictions import ListExchange, OwnList
 from mastledge.peers import links
-from mastledge.program.configuration import configuration
-from mastledge.program.settings import flat, plain_map
+from mastledge.program.configuration import load_configuration
+from mastledge.program.settings import flatten_settings, parse_settings
 from mastledge.recovery import fleet_snapshot
 from mastledge.recovery import restored_state as b
 from mastledge.replication.placement import Placement
@@ -51,7 +51,7 @@
     made.members(30, "whole", [entry(i, born=25) for i in range(WORKERS)])
     room = sum(made.cold_room(one, made.jobs[2], 2_000_000) for one in made.ready)
     assert 0 < room < WORKERS // 10  # credit for less than a job is a matter of chance
-    settings = plain_map(flat({**GOOD["settings"], "balancers": MANY}))
+    settings = parse_settings(flatten_settings({**GOOD["settings"], "balancers": MANY}))
     assert settings["dispatchers"] == MANY
 
 
@@ -61,7 +61,7 @@
 
 def test_a_configuration_names_many_members(tmp_path):
     peers = {"listen": f"{HERE}:1", "members": members(), "folder": "x"}
-    assert len(configuration(file(tmp_path, name=NAMES[0], peers=peers), {})["peers"]["members"]) == MANY
+    assert len(load_configuration(file(tmp_path, name=NAMES[0], peers=peers), {})["peers"]["members"]) == MANY
 
 
 def state():
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -48,10 +48,10 @@
 def test_what_one_changes_the_other_reads_and_says_so(tmp_path):
     one, other = shares(tmp_path), shares(tmp_path)
     assert one.change(lambda told: told.update(out=["s-1"]))
-    assert not one.other_saw(one.told["serial"])
-    assert other.look() and other.told["out"] == ["s-1"] and not other.look()
+    assert not one.other_saw(one.shared["serial"])
+    assert other.look() and other.shared["out"] == ["s-1"] and not other.look()
     other.change(lambda told: told["seen"].update({str(other.seat): told["serial"]}), news=False)
-    assert one.look() and one.other_saw(1) and one.told["serial"] == 1
+    assert one.look() and one.other_saw(1) and one.shared["serial"] == 1
     other.leave()
     assert one.other_saw(99)
 
@@ -74,11 +74,11 @@
     one = shares(tmp_path, lambda event, **fields: logged.append(event))
     with open(one.base + ".state", "wb") as state:
         state.write(left)
-    assert not one.look() and one.told == nothing() and logged == ["upgrade_state_unreadable"]
+    assert not one.look() and one.shared == nothing() and logged == ["upgrade_state_unreadable"]
     assert not one.look() and len(logged) == 1
     assert one.change(lambda told: told.update(out=["s-1"]))
     other = shares(tmp_path)
-    assert other.look() and other.told["out"] == ["s-1"]
+    assert other.look() and other.shared["out"] == ["s-1"]
 
 
 def test_without_a_folder_or_room_in_it_the_process_goes_on_alone(tmp_path):
@@ -86,7 +86,7 @@
         made = UpgradeState(folder, LISTEN, lambda event, **fields: None)
         made.sit()
         assert made.alone() and made.change(lambda told: told.update(out=["s-1"]))
-        assert made.told["out"] == ["s-1"] and not made.look()
+        assert made.shared["out"] == ["s-1"] and not made.look()
 
 
 def test_a_state_that_cannot_be_written_is_held_alone_but_not_beside_another(tmp_path, monkeypatch):
@@ -96,10 +96,10 @@
         raise OSError(errno.ENOSPC, "no space")
 
     monkeypatch.setattr(one, "write", full)
-    assert one.change(lambda told: told.update(out=["s-1"])) and one.told["out"] == ["s-1"]
-    assert one.told["serial"] == 1
+    assert one.change(lambda told: told.update(out=["s-1"])) and one.shared["out"] == ["s-1"]
+    assert one.shared["serial"] == 1
     other = shares(tmp_path)
-    assert not one.change(lambda told: told.update(out=[])) and one.told["out"] == ["s-1"]
+    assert not one.change(lambda told: told.update(out=[])) and one.shared["out"] == ["s-1"]
     other.leave()
 
 
@@ -232,7 +232,7 @@
 )
 def test_workers_are_left_out_by_calls(steps, answers, out, tmp_path, folder):
     served = begun(tmp_path, folder).serving()
-    assert calls(served, *steps) == answers and served.made.upgrade_state.told["out"] == out
+    assert calls(served, *steps) == answers and served.made.upgrade_state.shared["out"] == out
     assert served.made.router.out == frozenset(out)
     assert [wkr.id.id for wkr in served.made.router.balancer.ready] == ([] if out else ["s-1"])
     figures = served.figures()
@@ -248,7 +248,7 @@
 
     def __init__(self, path, folder):
         self.old = begun(path, folder).serving()
-        listen = "{}:{}".format(*self.old.made.told["listen"])
+        listen = "{}:{}".format(*self.old.made.configuration["listen"])
         self.new = begun(path, folder, listen=listen)
         self.both = (self.old, self.new)
         for served in self.both:
@@ -270,7 +270,7 @@
 @pytest.fixture
 def pair(tmp_path, folder):
     made = Pair(tmp_path, folder)
-    assert made.turn(lambda: made.new.made.phase == SERVING and made.old.made.beside)
+    assert made.turn(lambda: made.new.made.phase == SERVING and made.old.made.has_sibling_process)
     yield made
     made.close()
 
@@ -306,8 +306,8 @@
     kept = pair.old.connect()
     # What is connected stays with its process; the steering sends every new one to the other.
     assert pair.turn(lambda: pair.new.made.listener.clients) and not pair.old.made.listener.clients
-    pair.old.made.signalled = True
-    pair.old.made.loop.wake(pair.old.made.life)
+    pair.old.made.stop_requested = True
+    pair.old.made.loop.wake(pair.old.made.lifecycle_task)
     assert pair.turn(lambda: pair.old.made.phase == "ended", 3_000_000)
     pair.both = (pair.new,)
     kept.sendall(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -333,7 +333,7 @@
     assert calls(old, "/api/exclude/s-1", *["/api/evacuate"] * drained) == [200] * (1 + drained)
     old.made.upgrade_state.leave()
     old.close()
-    new = begun(tmp_path, folder, listen="{}:{}".format(*old.made.told["listen"]))
+    new = begun(tmp_path, folder, listen="{}:{}".format(*old.made.configuration["listen"]))
     assert new.turn(lambda: new.made.phase == SERVING)
     assert new.made.router.out == {"s-1"} and not new.made.listener.draining
     new.close()
@@ -341,13 +341,13 @@
 
 def test_a_new_process_that_never_gets_ready_takes_no_clients(tmp_path, folder):
     old = begun(tmp_path, folder).serving()
-    new = begun(tmp_path, folder, listen="{}:{}".format(*old.made.told["listen"]), known={})
+    new = begun(tmp_path, folder, listen="{}:{}".format(*old.made.configuration["listen"]), known={})
     for _ in range(20):
         new.made.loop.once(2_000)
-    assert new.made.accepting is None
+    assert new.made.accept_task is None
     assert all(old.health() == 200 for _ in range(10))
     new.made.upgrade_state.leave()
-    assert old.turn(lambda: not old.made.beside)
+    assert old.turn(lambda: not old.made.has_sibling_process)
     for served in (old, new):
         served.close()
 
@@ -432,20 +432,20 @@
 def test_a_signal_right_behind_the_yes_finds_the_successor(late, pair, monkeypatch):
     # It was looked for every 0.1 s only, and the old process served on as if none had come.
     old, new = pair.old.made, pair.new.made
-    new.says(ready=False)
-    assert pair.turn(lambda: old.upgrade_state.told["ready"] == [old.upgrade_state.seat])
+    new.announce(ready=False)
+    assert pair.turn(lambda: old.upgrade_state.shared["ready"] == [old.upgrade_state.seat])
     monkeypatch.setattr(lifecycle, "BESIDE", 600_000)
-    old.signalled = True
+    old.stop_requested = True
     if not late:
-        new.says(ready=True)
-    old.loop.wake(old.life)
+        new.announce(ready=True)
+    old.loop.wake(old.lifecycle_task)
     monkeypatch.setattr(lifecycle, "BESIDE", 20_000)
     # A machine that stands still for 0.2 s goes past "leaving" in one turn.
     assert pair.turn(lambda: old.phase != SERVING)
     pair.turn(lambda: False, late)
     if late:
         assert not old.listener.succeeded
-        new.says(ready=True)
+        new.announce(ready=True)
     assert pair.turn(lambda: old.phase == "ended", 1_500_000) and old.listener.succeeded
 
 
@@ -456,10 +456,10 @@
     pair.turn(lambda: new.listener.clients)
     client.close()
     old.listener.leaving, most = 1, []
-    old.signalled = True
+    old.stop_requested = True
     held = old.loop.spawn(iter(()))
     old.listener.clients.add(held)
-    old.loop.wake(old.life)
+    old.loop.wake(old.lifecycle_task)
 
     def divided():
         most.append(old.router.balancer.share + new.router.balancer.share)
@@ -468,20 +468,20 @@
     assert pair.turn(divided) and max(most) <= 1
     assert (old.router.balancer.share, new.router.balancer.share) == (0.125, 0.875)
     old.upgrade_state.leave()
-    assert pair.turn(lambda: new.router.balancer.share == 1) and new.upgrade_state.told["leaving"] == []
+    assert pair.turn(lambda: new.router.balancer.share == 1) and new.upgrade_state.shared["leaving"] == []
 
 
 def test_flags_of_who_died_in_a_seat_are_not_those_of_the_next(tmp_path, folder):
     old = begun(tmp_path, folder).serving()
-    listen = "{}:{}".format(*old.made.told["listen"])
+    listen = "{}:{}".format(*old.made.configuration["listen"])
     dead = begun(tmp_path, folder, listen=listen).serving()
-    dead.made.says(leaving=True)
-    assert dead.made.upgrade_state.told["ready"] == [0, 1]
+    dead.made.announce(leaving=True)
+    assert dead.made.upgrade_state.shared["ready"] == [0, 1]
     dead.made.upgrade_state.leave()
     new = begun(tmp_path, folder, listen=listen, known={})
     for _ in range(3):
         new.made.loop.once(2_000)
-    told = new.made.upgrade_state.told
+    told = new.made.upgrade_state.shared
     assert new.made.upgrade_state.seat == 1 and told["ready"] == [0] and told["leaving"] == []
     for served in (old, dead, new):
         served.close()
