--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -13,7 +13,7 @@
 from copy import deepcopy
 from types import SimpleNamespace
 
-from mastledge.idempotency import key_table
+from mastledge.idempotency.records import RecordState
 from mastledge.lab import copying, faults, outages, policies, schedule
 from mastledge.lab.load import Clients
 from mastledge.lab.rig import document, limits
@@ -195,7 +195,7 @@
                 last = max(launch.job.last for launch in known)
                 out[wkr.id] = b.Out(wkr.born, ["", 0], sum(launch.load for launch in known), last)
         learned = {id: [*told[:3], []] for id, told in self.balancer.learned().items()}
-        return b.Kept(
+        return b.RecoveryRecord(
             at=now,
             registry="lab",
             generation=self.generation or 0,
@@ -391,9 +391,9 @@
         job.open = False
         if job.n is not None and job.claim in self.claims:
             # What it came to has to be kept before it is told.
-            how = {200: key_table.ANSWERED, 503: m.DROPPED}.get(status, key_table.UNSURE)
+            how = {200: RecordState.ANSWERED, 503: m.DROPPED}.get(status, RecordState.UNSURE)
             job.reply = status, hold_off, result
-            content = result.encode() if how == key_table.ANSWERED else b""
+            content = result.encode() if how == RecordState.ANSWERED else b""
             self.key_step("ended", job.claim, how, status, content)
             return
         self.say(job, status, hold_off, result, door)
@@ -538,8 +538,8 @@
 class Member(schedule.Node):
     """A dispatcher's part in the agreement, on the schedule's simulated links and disks."""
 
-    def step(self, what, member, *fields):
-        super().step(what, member, *fields)
+    def step(self, member, input):
+        super().step(member, input)
         world = self.fleet
         dispatcher = world.dispatchers.get(self.name)
         if self.up and dispatcher is not None and dispatcher.balancer is not None:
