--- a/mastledge/lab/crossing.py
+++ b/mastledge/lab/crossing.py
@@ -554,7 +554,7 @@
     def step_full(self):
         """No descriptor is left for one more connection of any kind."""
         for kind in ("clients", "workers"):
-            self.program.budget.most[kind] = self.program.budget.used[kind]
+            self.program.budget.limits[kind] = self.program.budget.used[kind]
 
     def possible(self, step):
         """Whether there is anything that could do it now."""
@@ -679,14 +679,14 @@
         if program.budget.used["clients"]:
             out.append(f"nothing_left: {program.budget.used['clients']} clients' descriptors")
         idle = sum(len(peer.idle) for peer in program.router.peers.values())
-        timers = sum(turn == task.turn for _, _, task, turn in self.loop.timers)
+        timers = sum(wait_number == task.wait_number for _, _, task, wait_number in self.loop.timers)
         if timers > idle + OWN:
             out.append(f"nothing_left: {timers - idle} timers")
         if len(self.loop.waiters) > idle + OWN:
             out.append(f"nothing_left: {len(self.loop.waiters) - idle} tasks")
         if program.budget.used["workers"] > idle:
             out.append(f"nothing_left: {program.budget.used['workers'] - idle} workers' descriptors")
-        if program.budget.bytes or program.listener.in_hand:
+        if program.budget.request_bytes or program.listener.in_hand:
             out.append("nothing_left: room for bodies, or jobs in hand")
         return out
 
--- a/mastledge/lab/scale/hollow.py
+++ b/mastledge/lab/scale/hollow.py
@@ -153,7 +153,7 @@
     followed(loop, told["discovery"], hosted)
     print(json.dumps({"hosted": len(hosted)}), flush=True)
     while loop.running and not errors:
-        loop.once()
+        loop.run_once()
     if errors:
         print(f"{type(errors[0]).__name__}: {errors[0]}", file=sys.stderr)
     return 1 if errors else 0
--- a/mastledge/lab/steered.py
+++ b/mastledge/lab/steered.py
@@ -31,12 +31,12 @@
             if turns > MOST:
                 raise Restless
             before = self.steps
-            self.loop.once(0)
+            self.loop.run_once(0)
             idle = 0 if meanwhile() or self.steps != before else idle + 1
 
     def due(self):
         """When something is due next, None where nothing is."""
-        due = [when for when, _, task, turn in self.loop.timers if turn == task.turn]
+        due = [when for when, _, task, wait_number in self.loop.timers if wait_number == task.wait_number]
         theirs = self.peers_due()
         return min(due if theirs is None else [*due, theirs], default=None)
 
@@ -45,7 +45,7 @@
         last, turns = self.at + longest, 0
         while not until() and self.at < last:
             before, turns = self.steps, turns + 1
-            self.loop.once(0)
+            self.loop.run_once(0)
             if meanwhile() or self.steps != before:
                 if turns > MOST:
                     raise Restless
--- a/mastledge/peers/links.py
+++ b/mastledge/peers/links.py
@@ -11,7 +11,9 @@
 
 import msgspec
 
-from mastledge.transport.connection import Connection, NoSocket, TimedOut, accept, bound, connect
+from mastledge.transport.connection import Connection, connect
+from mastledge.transport.errors import OutOfDescriptorsError, WaitTimeoutError
+from mastledge.transport.listening import accept, bind_socket
 from mastledge.transport.loop import READ, WRITE
 
 VERSION = 1
@@ -51,13 +53,13 @@
     def __init__(self, most):
         self.used, self.most = 0, most
 
-    def take(self, kind):
+    def acquire(self, kind):
         if self.used >= self.most:
             return False
         self.used += 1
         return True
 
-    def give(self, kind):
+    def release(self, kind):
         self.used -= 1
 
     def evict(self, *kinds):
@@ -88,7 +90,7 @@
         self.sent = self.got = self.bytes_sent = self.bytes_got = self.lost = 0
 
     def begin(self, address):
-        self.sock = bound(address)
+        self.sock = bind_socket(address)
         self.sock.listen(64)
         self.listening = self.loop.spawn(self.listen(), first=True)
 
@@ -137,7 +139,7 @@
                         self.grumble("peers_out_of_descriptors", used=self.room.used)
                         yield (-1, 0, self.loop.now() + PAUSE)
                     break
-                if not self.room.take("peers"):
+                if not self.room.acquire("peers"):
                     if not self.strangers:
                         self.grumble("peer_connection_limit", used=self.room.used)
                         one.close()
@@ -148,12 +150,12 @@
                     self.strangers.pop(oldest, None)
                     self.open.discard(oldest)
                     oldest.close()
-                    self.room.take("peers")
+                    self.room.acquire("peers")
                 try:
                     conn = Connection(self.loop, one, self.room, "peers")
                 except OSError:
                     one.close()
-                    self.room.give("peers")
+                    self.room.release("peers")
                     continue
                 self.strangers[conn] = True
                 self.open.add(conn)
@@ -185,7 +187,7 @@
                 owed += 1
         except (ValueError, msgspec.MsgspecError) as error:
             self.grumble("peer_refused", why=str(error)[:120])
-        except TimedOut:
+        except WaitTimeoutError:
             self.grumble("peer_refused", why="a frame was not whole in time")
         except (OSError, EOFError):
             return
@@ -249,7 +251,7 @@
                 try:
                     yield from self.connected(way, address)
                     way.fails = 0
-                except (OSError, TimedOut, NoSocket) as error:
+                except (OSError, WaitTimeoutError, OutOfDescriptorsError) as error:
                     self.lost += len(way.waiting)
                     way.waiting.clear()
                     way.fails += 1
@@ -309,7 +311,7 @@
                 if self.who()[::2] != (fleet, life):
                     return  # it is another one now, and says so on another link
                 if unheard and loop.now() >= unheard[0] + UNHEARD:
-                    raise TimedOut
+                    raise WaitTimeoutError
                 if not unheard and not way.out and not way.waiting and loop.now() >= rested + IDLE:
                     return
         finally:
--- a/mastledge/program/connection_handoff.py
+++ b/mastledge/program/connection_handoff.py
@@ -12,8 +12,9 @@
 from mastledge.protocol import http
 from mastledge.protocol.requests import Exchange
 from mastledge.protocol.worker_connections import WorkerConnections
-from mastledge.transport import passing
-from mastledge.transport.connection import Connection, TimedOut
+from mastledge.transport import descriptor_passing
+from mastledge.transport.connection import Connection
+from mastledge.transport.errors import WaitTimeoutError
 from mastledge.transport.loop import READ
 
 EARLY = 20_000  # before the time by which the client is told; the old process had its own margin
@@ -66,12 +67,12 @@
                 }
             )
             try:
-                passing.put(path, raw, (exchange.conn.sock, launch.conn.sock))
+                descriptor_passing.send_sockets(path, raw, (exchange.conn.sock, launch.conn.sock))
             except OSError as error:
                 self.log("connection_not_handed_off", job=exchange.name, why=str(error))
                 break
             for conn in (exchange.conn, launch.conn):
-                self.loop.let_go(conn.fd)
+                self.loop.unregister(conn.fd)
             router.handed_on(self.loop.now(), job, launch)
             self.loop.cancel(exchange.conn.owner)
             count += 1
@@ -81,7 +82,7 @@
 
     def listen(self, path):
         try:
-            self.sock = passing.inlet(path)
+            self.sock = descriptor_passing.open_receiver(path)
         except OSError as error:
             # A folder whose path is too long for it, say: what outlasts the old process is killed with it.
             self.log("handoff_disabled", why=str(error))
@@ -89,7 +90,7 @@
         while True:
             yield (self.sock.fileno(), READ, None)
             for _ in range(A_TURN):
-                got = passing.taken(self.sock, 2)
+                got = descriptor_passing.receive_sockets(self.sock, 2)
                 if got is None:
                     break
                 self.take_up(*got)
@@ -117,7 +118,7 @@
         client, launch.conn = ends
         launch.headed = headed
         http.resume(client, launch.conn, headed)
-        launch.conn.buffer.keep(rest)
+        launch.conn.buffer.append(rest)
         self.exchanges.add(exchange)
         client.owner = self.loop.spawn(self.listener.resumed(client, exchange))
         task = self.loop.spawn(self.carried(launch, exchange))
@@ -135,7 +136,7 @@
         conn = launch.conn
         try:
             how, result, _ = yield from self.workers.outcome(conn, launch, exchange.until)
-        except (OSError, TimedOut, ValueError, http.TooLarge, h11.RemoteProtocolError) as error:
+        except (OSError, WaitTimeoutError, ValueError, http.TooLarge, h11.RemoteProtocolError) as error:
             how, result = str(error) or type(error).__name__, None
         finally:
             conn.close()
@@ -161,7 +162,7 @@
         and worker is not None
         and worker.fd >= 0
         and client.fd >= 0
-        and worker.whole
+        and worker.at_chunk_end
         and worker.http.trailing_data == client.http.trailing_data == (b"", False)
-        and client.quiet()
+        and client.is_quiet()
     )
--- a/mastledge/program/lifecycle.py
+++ b/mastledge/program/lifecycle.py
@@ -17,7 +17,7 @@
 from mastledge.protocol.worker_connections import WorkerConnections
 from mastledge.routing.router import Router
 from mastledge.transport.budget import Budget
-from mastledge.transport.connection import BACKLOG, bound, steer
+from mastledge.transport.listening import BACKLOG, bind_socket, select_listener
 from mastledge.transport.loop import READ, Loop, Queue
 
 STARTING, WAITING, SERVING, DRAINING, LEAVING, FINISHING, ENDED = (
@@ -228,7 +228,7 @@
         """The address may still be held by the process before, which is ending."""
         for left in reversed(range(TRIES)):
             try:
-                return bound(address, together)
+                return bind_socket(address, together)
             except OSError as error:
                 if error.errno != errno.EADDRINUSE or not left:
                     raise OSError(error.errno, f"{address[0]}:{address[1]}: {error.strerror}") from None
@@ -316,7 +316,7 @@
         self.budget.resize(
             descriptors(self.told["sockets"]) // parts - self.reserved, self.told["memory"] // parts
         )
-        self.budget.shrink()
+        self.budget.evict_excess()
 
     def watch(self):
         handover, shared, teach_at = self.upgrade_state, False, 0
@@ -392,7 +392,7 @@
         """Takes in clients from now on; all new ones where the process before is still there."""
         self.sock.listen(BACKLOG)
         if self.beside:
-            self.log("connections_steered", done=steer(self.sock, 1))
+            self.log("connections_steered", done=select_listener(self.sock, 1))
         self.accepting = self.loop.spawn(self.listener.listen(self.sock))
 
     def hand_over(self):
--- a/mastledge/protocol/client_listener.py
+++ b/mastledge/protocol/client_listener.py
@@ -6,9 +6,11 @@
 
 from mastledge.protocol import http
 from mastledge.protocol.requests import COMPLETED, KILLED, REJECTED, BadRequest, Requests
-from mastledge.transport.budget import CLIENTS
-from mastledge.transport.connection import Connection, TimedOut, accept
-from mastledge.transport.loop import ENDED, READ
+from mastledge.transport.budget import CLIENT_EVICTION_ORDER
+from mastledge.transport.connection import Connection
+from mastledge.transport.errors import WaitTimeoutError
+from mastledge.transport.listening import accept
+from mastledge.transport.loop import CONNECTION_ENDED, READ
 
 WHOLE = 10_000_000  # a request must be whole this long after its first byte, the first one after the connect
 SILENT = 3_000_000  # nor silent for longer in between: some are written slowly, others never to an end
@@ -72,7 +74,7 @@
         """Closes who rests there and will close now, but for who has only just come."""
         old = self.loop.now() - FRESH
         for conn, close in list(self.budget.idle[place].items()):
-            if conn.opened <= old:
+            if conn.opened_us <= old:
                 close()
 
     def listen(self, sock):
@@ -84,7 +86,7 @@
 
     def last_call(self, sock, most=0):
         """Takes in what the machine has accepted, or the most; True where descriptors do not suffice."""
-        while not self.budget.beyond("clients"):
+        while not self.budget.is_exhausted("clients"):
             one, short = accept(sock, self.budget)
             if one is None:
                 return short
@@ -100,21 +102,21 @@
 
     def welcome(self, sock):
         # Its request may count as taken already, so beyond the budget it still gets a proper rejection.
-        beyond = not self.budget.take("clients")
+        beyond = not self.budget.acquire("clients")
         if beyond:
             self.budget.used["clients"] += 1
         try:
             conn = http.attach(Connection(self.loop, sock, self.budget, "clients"), h11.SERVER)
         except OSError:
             sock.close()
-            self.budget.give("clients")
+            self.budget.release("clients")
             raise
         conn.owner = self.loop.spawn(self.serve(conn, beyond))
         self.clients.add(conn)
 
     def close_idle(self, conn):
         """Closes it unless a request is under way, which a client would have to send again."""
-        if not conn.quiet():
+        if not conn.is_quiet():
             return False
         self.loop.cancel(conn.owner)
         return True
@@ -131,7 +133,7 @@
                 self.rests(idle, conn)
                 if conn.http.trailing_data == (b"", False):
                     wait = until if idle == "unused" else loop.now() + IDLE
-                    if not (yield (conn.fd, READ, wait)) and conn.quiet():
+                    if not (yield (conn.fd, READ, wait)) and conn.is_quiet():
                         return
                 try:
                     until = until if idle == "unused" else loop.now() + WHOLE
@@ -144,7 +146,7 @@
                     if conn.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
                         return
                     reply = 413 if error.error_status_hint == 431 else 400, [], str(error).encode()
-                except (OSError, TimedOut):
+                except (OSError, WaitTimeoutError):
                     return
                 except Exception as error:
                     # Who is closed on with no answer sends again, while what is out for it may run.
@@ -164,7 +166,7 @@
                     or self.closing
                     or self.draining
                     or 400 <= status < 500
-                    or conn.dropped
+                    or conn.discards_input
                     or conn.http.their_state is not h11.DONE
                 )
                 yield from conn.send(http.answer(conn, status, headers, content, last), loop.now() + SLOW)
@@ -172,7 +174,7 @@
                     self.rests("unused", conn)
                     yield from self.linger(conn)
                     return
-        except (OSError, TimedOut):
+        except (OSError, WaitTimeoutError):
             return
         finally:
             self.rests(None, conn)
@@ -181,10 +183,10 @@
 
     def rests(self, place, conn):
         """Where it stands among those that give way when descriptors run short; None: not among them."""
-        for kind in CLIENTS:
-            self.budget.busy(kind, conn)
+        for kind in CLIENT_EVICTION_ORDER:
+            self.budget.remove_idle(kind, conn)
         if place is not None:
-            self.budget.rest(place, conn, lambda: self.close_idle(conn))
+            self.budget.add_idle(place, conn, lambda: self.close_idle(conn))
 
     def come(self, conn, pieces):
         """So many pieces of a request are here, the last one now; called with none while it is awaited."""
@@ -192,10 +194,12 @@
         if pieces < 2:
             # Half a request of a moment ago may be whole in the next; of long ago, hardly ever.
             young = self.loop.now() + YOUNG
-            self.budget.rest("unfinished", conn, lambda: self.loop.now() >= young and self.close_idle(conn))
+            self.budget.add_idle(
+                "unfinished", conn, lambda: self.loop.now() >= young and self.close_idle(conn)
+            )
 
     def linger(self, conn):
-        conn.end_sending()
+        conn.shutdown_write()
         until, left = self.loop.now() + LINGER, 16 * http.MOST_BODY
         while left > 0:
             part = yield from conn.receive(until)
@@ -213,8 +217,8 @@
                 return None
             size = http.framed(head)
             self.rests(None, conn)
-            if not self.budget.hold(size):
-                self.log("memory_limit", held=self.budget.bytes, clients=len(self.clients))
+            if not self.budget.reserve_memory(size):
+                self.log("memory_limit", held=self.budget.request_bytes, clients=len(self.clients))
                 self.count(self.requests.name_of(head), REJECTED)
                 return self.no_room
             try:
@@ -222,8 +226,8 @@
                 content = yield from http.body(conn, pieces)
                 return (yield from self.whole(conn, head, content, beyond))
             finally:
-                self.budget.bytes -= size
-        except TimedOut:
+                self.budget.release_memory(size)
+        except WaitTimeoutError:
             raise BadRequest(408, "request not complete in time") from None
 
     def whole(self, conn, head, content, beyond):
@@ -299,7 +303,7 @@
                 self.count(exchange.kind, reply[0])
                 yield from conn.send(http.answer(conn, *reply, True), self.loop.now() + SLOW)
                 yield from self.linger(conn)
-        except (OSError, TimedOut):
+        except (OSError, WaitTimeoutError):
             return
         finally:
             self.clients.discard(conn)
@@ -332,7 +336,7 @@
                 if isinstance(got, tuple):
                     return got
                 # Who ends only its sending has left as well: the two are not to be told apart.
-                if got & ENDED or got and http.left(conn):
+                if got & CONNECTION_ENDED or got and http.left(conn):
                     return None
             # What came in this very turn is still on its way through the decisions.
             until = self.loop.now() + LAST_WORD
--- a/mastledge/protocol/control.py
+++ b/mastledge/protocol/control.py
@@ -5,7 +5,9 @@
 import h11
 
 from mastledge.protocol import http
-from mastledge.transport.connection import Connection, TimedOut, accept
+from mastledge.transport.connection import Connection
+from mastledge.transport.errors import WaitTimeoutError
+from mastledge.transport.listening import accept
 from mastledge.transport.loop import READ
 
 WHOLE = 2_000_000  # in which a call must have come; a caller waits for its answer for half of that
@@ -53,7 +55,7 @@
         while True:
             # A call that is under way ends by itself; who only stands there goes for the next.
             silent = [conn for conn, whole in self.callers.items() if not whole]
-            if self.budget.used["operators"] >= self.budget.most["operators"]:
+            if self.budget.used["operators"] >= self.budget.limits["operators"]:
                 if not silent:
                     return
                 # One that has not run yet would not give back what it holds by itself.
@@ -68,7 +70,7 @@
                 conn = http.attach(Connection(self.loop, one, self.budget, "operators"), h11.SERVER)
             except OSError:
                 one.close()
-                self.budget.give("operators")
+                self.budget.release("operators")
                 continue
             self.callers[conn] = False
             conn.owner = self.loop.spawn(self.serve(conn), first=True)
@@ -90,7 +92,7 @@
                     status, headers, text = 200, [], told
             except No as no:
                 status, headers, text = no.status, [], no.why
-            except TimedOut:
+            except WaitTimeoutError:
                 status, headers, text = 408, [], "call not complete in time"
             except http.TooLarge:
                 status, headers, text = 413, [], "body too large"
@@ -106,11 +108,11 @@
             content = b"" if head_only else text.removesuffix("\n").encode() + b"\n"
             yield from conn.send(http.answer(conn, status, headers, content, True), self.loop.now() + WHOLE)
             self.callers[conn] = False
-            conn.end_sending()
+            conn.shutdown_write()
             last = self.loop.now() + LINGER
             while (yield from conn.receive(last)):
                 pass
-        except (OSError, TimedOut):
+        except (OSError, WaitTimeoutError):
             return
         finally:
             self.callers.pop(conn, None)
--- a/mastledge/protocol/discovery.py
+++ b/mastledge/protocol/discovery.py
@@ -3,7 +3,8 @@
 import h11
 
 from mastledge.protocol import http
-from mastledge.transport.connection import NoSocket, TimedOut, address_of, connect
+from mastledge.transport.connection import address_of, connect
+from mastledge.transport.errors import OutOfDescriptorsError, WaitTimeoutError
 from mastledge.transport.loop import Loop
 
 # What discovery holds counts as told 6 s after it can be reached (4 s after SIGHUP, which starts a call at
@@ -116,7 +117,13 @@
         except BadList as error:
             # What comes after it cannot be trusted to build on what is held.
             self.generation, why = None, f"bad list: {error}"
-        except (OSError, TimedOut, NoSocket, h11.RemoteProtocolError, http.TooLarge) as error:
+        except (
+            OSError,
+            WaitTimeoutError,
+            OutOfDescriptorsError,
+            h11.RemoteProtocolError,
+            http.TooLarge,
+        ) as error:
             why = str(error) or type(error).__name__
         if why != self.trouble:
             # Taken up again several times a second, it must not fill the log while it is down.
@@ -167,10 +174,10 @@
         """
         try:
             while isinstance(got := conn.http.next_event(), h11.Data):
-                conn.buffer.keep(got.data)
+                conn.buffer.append(got.data)
         except h11.RemoteProtocolError:
             pass
-        while (line := conn.buffer.line()) is not None:
+        while (line := conn.buffer.next_line()) is not None:
             try:
                 entries = [self.entry(one) for one in http.loads(line)["instances"]]
             except (KeyError, TypeError, AttributeError, ValueError):
--- a/mastledge/protocol/http.py
+++ b/mastledge/protocol/http.py
@@ -101,10 +101,10 @@
             return True
         if not part:
             return True
-        if not conn.dropped and len(conn.http.trailing_data[0]) + len(part) <= BEHIND:
+        if not conn.discards_input and len(conn.http.trailing_data[0]) + len(part) <= BEHIND:
             conn.http.receive_data(part)
         else:
-            conn.dropped = True
+            conn.discards_input = True
     return False
 
 
@@ -122,7 +122,7 @@
         if isinstance(got, h11.EndOfMessage):
             return conn.buffer.take()
         if isinstance(got, h11.Data):
-            conn.buffer.keep(got.data)
+            conn.buffer.append(got.data)
             chunks += got.chunk_start
             if len(conn.buffer) > most or chunks > MOST_CHUNKS:
                 raise TooLarge
@@ -133,7 +133,7 @@
 def lines(conn, until, most=MOST_LINE):
     """The next line of a chunked answer, or None where the answer has ended. `until` bounds the silence."""
     while True:
-        line = conn.buffer.line()
+        line = conn.buffer.next_line()
         if line is not None:
             return line
         if conn.http.their_state is not h11.SEND_BODY:
@@ -142,8 +142,8 @@
             raise TooLarge
         got = yield from event(conn, until)
         if isinstance(got, h11.Data):
-            conn.whole = got.chunk_end
-            conn.buffer.keep(got.data)
+            conn.at_chunk_end = got.chunk_end
+            conn.buffer.append(got.data)
 
 
 def head(conn, until):
--- a/mastledge/protocol/worker_connections.py
+++ b/mastledge/protocol/worker_connections.py
@@ -3,7 +3,8 @@
 import h11
 
 from mastledge.protocol import http
-from mastledge.transport.connection import NoSocket, TimedOut, connect
+from mastledge.transport.connection import connect
+from mastledge.transport.errors import OutOfDescriptorsError, WaitTimeoutError
 from mastledge.transport.loop import READ, WRITE
 
 RETIRED = 0.7  # of the time after which a worker may close an idle connection; a launch must not cross that
@@ -73,23 +74,23 @@
             return None
         while peer.idle:
             conn, task = peer.idle.pop()
-            self.budget.busy("workers", conn)
+            self.budget.remove_idle("workers", conn)
             conn.owner = None
             self.loop.cancel(task)
-            if conn.quiet():
+            if conn.is_quiet():
                 return conn
             conn.close()
         return None
 
     def kept(self, peer, conn, life):
-        if peer.out or life != peer.life() or not conn.quiet():
+        if peer.out or life != peer.life() or not conn.is_quiet():
             conn.close()
             return
         conn.buffer.clear()
-        conn.owner, conn.stood, conn.whole = peer, True, True
+        conn.owner, conn.reused, conn.at_chunk_end = peer, True, True
         task = self.loop.spawn(self.watch(peer, conn, self.loop.now() + self.keep))
         peer.idle.append((conn, task))
-        self.budget.rest("workers", conn, lambda: self.dropped(peer, conn))
+        self.budget.add_idle("workers", conn, lambda: self.dropped(peer, conn))
 
     def watch(self, peer, conn, until):
         try:
@@ -101,7 +102,7 @@
     def forgotten(self, peer, conn):
         conn.owner = None
         peer.idle = [pair for pair in peer.idle if pair[0] is not conn]
-        self.budget.busy("workers", conn)
+        self.budget.remove_idle("workers", conn)
         conn.close()
 
     def dropped(self, peer, conn):
@@ -128,7 +129,7 @@
             if conn is not None:
                 launch.conn = conn
                 try:
-                    stood = conn.stood
+                    stood = conn.reused
                     how, result, report = yield from self.outcome(conn, launch, until)
                     if how in ("turned away", "returned"):
                         named = how == "returned"
@@ -137,11 +138,11 @@
                         if not proof:
                             self.log("rejection_doubted", worker=peer.id, kept=stood)
                     whole = how in ("completed", "error", "full")
-                except TimedOut:
+                except WaitTimeoutError:
                     how = "timeout"
                 except (OSError, h11.RemoteProtocolError) as error:
                     # One that stood idle may long have ended at the other side, in good health or not.
-                    how = "dropped" if conn.stood else "lost"
+                    how = "dropped" if conn.reused else "lost"
                     self.held(conn, False)
                     self.log(
                         "worker_connection_broken",
@@ -187,7 +188,7 @@
             if exchange.once:
                 # No worker begins before the last byte, and what broke before it may be launched again.
                 yield from self.sent_lawfully(conn, peer, content[:-1], send_by, exchange)
-                if not (yield from conn.alive(REFUSED)):
+                if not (yield from conn.stays_quiet(REFUSED)):
                     raise OSError("broke before the last byte")
                 content = content[-1:]
             yield from self.sent_lawfully(conn, peer, content, send_by, exchange)
@@ -200,10 +201,10 @@
             # Its connection tells that as well, but where the loop is busy not before this one is up.
             self.inbox.put("left", exchange)
             return None, "unsent"
-        except NoSocket:
+        except OutOfDescriptorsError:
             self.log("out_of_descriptors", worker=peer.id)
             return None, "unsent"
-        except (OSError, TimedOut) as error:
+        except (OSError, WaitTimeoutError) as error:
             # Not all of it was written, so it cannot have run. That a connection which stood idle breaks,
             # or that the job's time was too short to connect, says nothing of the worker.
             self.log("launch_not_sent", worker=peer.id, why=str(error) or "timed out")
@@ -222,7 +223,7 @@
         """Asks again at each write: this process may have been stopped for seconds since the last one."""
         while content:
             if self.loop.now() >= until:
-                raise TimedOut
+                raise WaitTimeoutError
             if self.rule is not None and not self.rule.may_act(self.loop.now()) or peer.out:
                 self.log("launch_withheld", worker=peer.id)
                 raise Withheld
@@ -232,12 +233,12 @@
                 content = content[conn.sock.send(content) :]
             except BlockingIOError:
                 if not (yield (conn.fd, WRITE, until)):
-                    raise TimedOut from None
+                    raise WaitTimeoutError from None
 
     def held(self, conn, well):
         """How often connections that stood idle break at the next launch."""
-        if conn.stood:
-            conn.stood = False
+        if conn.reused:
+            conn.reused = False
             self.breaks += GAIN * ((not well) - self.breaks)
 
     def ended_well(self, conn):
@@ -247,7 +248,7 @@
                 yield from http.event(conn, until)
             # Bytes beyond the answer belong to nothing that was asked.
             return conn.http.trailing_data == (b"", False) and http.again(conn.http)
-        except (OSError, TimedOut, h11.RemoteProtocolError):
+        except (OSError, WaitTimeoutError, h11.RemoteProtocolError):
             return False
 
     def ended_alone(self, conn, named, until):
@@ -261,7 +262,7 @@
                 if named and isinstance(got, h11.Data) and got.data.strip():
                     return False
             return conn.http.trailing_data[0] == b""
-        except (OSError, TimedOut, h11.RemoteProtocolError):
+        except (OSError, WaitTimeoutError, h11.RemoteProtocolError):
             return False
 
     def outcome(self, conn, launch, until):
@@ -274,7 +275,7 @@
         while not launch.headed:
             try:
                 head = yield from http.head(conn, min(until, self.loop.now() + self.patience))
-            except TimedOut:
+            except WaitTimeoutError:
                 # A worker tells at once that it has taken a job, also where that has to wait there.
                 if self.loop.now() >= until:
                     raise
@@ -283,7 +284,7 @@
             self.held(conn, True)
             fields, launch.headed = dict(head.headers), True
             # Only between two chunks it is known from outside how far the parser is.
-            conn.whole = fields.get(b"transfer-encoding") == b"chunked"
+            conn.at_chunk_end = fields.get(b"transfer-encoding") == b"chunked"
             report = self.report(fields.get(b"x-pressure", b""))
             if head.status_code != 200:
                 says = [value for name, value in head.headers if name == b"x-turned-away"]
--- a/mastledge/transport/budget.py
+++ b/mastledge/transport/budget.py
@@ -1,78 +1,103 @@
 """Descriptors shared out over clients, workers and discovery, and memory for what clients send.
 
-Idle connections give way first.
+Kinds of connections are "clients", "workers", "discovery" and "operators", each with a limit. Idle ones
+are closed to make place for new ones: group after group and, within a group, the longest idle first.
 """
 
-SPARE = 16  # standard streams, epoll, wake-up, listener, and a few to answer with when all is full
-OPERATORS = 12  # connections of operators, which clients cannot use up
-HELD = 4  # beside them: their listener and epoll, the files shared with another process
-# Who goes for a new one, in this order: who said nothing, who stopped half way, who had an answer, and last
-# what still comes.
-CLIENTS = ("unused", "unfinished", "clients", "begun")
-GIVE_WAY = {"clients": CLIENTS, "workers": ("workers",), "discovery": (), "operators": ()}
-SHORT = ("unused", "unfinished", "workers", "clients", "begun")  # where the system itself has none left
+from collections.abc import Callable, Hashable
+
+RESERVED_DESCRIPTORS = (
+    16  # standard streams, epoll, wake-up, listener, and a few to answer with when all is full
+)
+OPERATOR_CONNECTIONS = 12  # which clients cannot use up
+OPERATOR_DESCRIPTORS = (
+    4  # beside the connections: their listener and epoll, the files shared with another process
+)
+MIN_CONNECTIONS = 8
+# Idle groups of clients: no request yet, part of a request, between two requests, and a request on its way.
+CLIENT_EVICTION_ORDER = ("unused", "unfinished", "clients", "begun")
+EVICTION_ORDER = {
+    "clients": CLIENT_EVICTION_ORDER,
+    "workers": ("workers",),
+    "discovery": (),
+    "operators": (),
+}
+# Where the system itself has no descriptor left.
+SHORTAGE_EVICTION_ORDER = ("unused", "unfinished", "workers", "clients", "begun")
 
 
 class Budget:
-    def __init__(self, sockets, memory, operators=False):
-        self.operators = OPERATORS if operators else 0
-        self.resize(sockets, memory)
-        self.bytes = 0
-        self.used = dict.fromkeys(self.most, 0)
-        self.idle = {kind: {} for kind in SHORT}
-
-    def resize(self, sockets, memory):
-        # A body is held once as it came and once on its way to a worker, in room that grows by doubling.
-        self.most_bytes = memory // 8
-        total = max(8, sockets - SPARE - (self.operators and self.operators + HELD))
+    """Counts open connections by kind and bytes of requests, and evicts idle connections."""
+
+    def __init__(self, descriptors: int, memory_bytes: int, operators: bool = False) -> None:
+        """`operators`: descriptors are set aside for a listener of the operators' API."""
+        self.operators = OPERATOR_CONNECTIONS if operators else 0
+        self.resize(descriptors, memory_bytes)
+        self.request_bytes = 0
+        self.used = dict.fromkeys(self.limits, 0)
+        self.idle = {group: {} for group in SHORTAGE_EVICTION_ORDER}
+
+    def resize(self, descriptors: int, memory_bytes: int) -> None:
+        """Sets the limits anew; what is open beyond them stays open."""
+        # A body is held once as it came and once on its way to a worker, in buffers that grow by doubling.
+        self.max_request_bytes = memory_bytes // 8
+        reserved = RESERVED_DESCRIPTORS + (self.operators and self.operators + OPERATOR_DESCRIPTORS)
+        total = max(MIN_CONNECTIONS, descriptors - reserved)
         # A client in hand needs a worker's connection, and some of those are still ending their last answer.
         clients = total * 12 // 25
-        self.most = {
+        self.limits = {
             "clients": clients,
             "workers": total - clients,
             "discovery": 2,
             "operators": self.operators,
         }
 
-    def shrink(self):
-        """Idle connections beyond what may be open now go at once; the others when they end."""
-        for kind, most in self.most.items():
-            while self.used[kind] > most and self.evict(*GIVE_WAY[kind]):
+    def evict_excess(self) -> None:
+        """Closes idle connections beyond the limits; the others end by themselves."""
+        for kind, limit in self.limits.items():
+            while self.used[kind] > limit and self.evict(*EVICTION_ORDER[kind]):
                 pass
 
-    def beyond(self, kind, spare=SPARE // 4):
+    def is_exhausted(self, kind: str, spare: int = RESERVED_DESCRIPTORS // 4) -> bool:
         """Whether even the few that are answered although the budget is used up are too many."""
-        return self.used[kind] >= self.most[kind] + spare and not self.evict(*GIVE_WAY[kind])
+        return self.used[kind] >= self.limits[kind] + spare and not self.evict(*EVICTION_ORDER[kind])
 
-    def take(self, kind):
+    def acquire(self, kind: str) -> bool:
         """Whether one more may be opened; the one of its kind that has been idle longest goes for it."""
-        if self.used[kind] >= self.most[kind] and not self.evict(*GIVE_WAY[kind]):
+        if self.used[kind] >= self.limits[kind] and not self.evict(*EVICTION_ORDER[kind]):
             return False
         self.used[kind] += 1
         return True
 
-    def hold(self, size):
+    def release(self, kind: str) -> None:
+        """Gives back what `acquire` took."""
+        self.used[kind] -= 1
+
+    def reserve_memory(self, size_bytes: int) -> bool:
         """Whether there is memory for so much of a request; those that never become whole go for it."""
-        while self.bytes + size > self.most_bytes:
+        while self.request_bytes + size_bytes > self.max_request_bytes:
             if not self.evict("unfinished", "begun"):
                 return False
-        self.bytes += size
+        self.request_bytes += size_bytes
         return True
 
-    def give(self, kind):
-        self.used[kind] -= 1
+    def release_memory(self, size_bytes: int) -> None:
+        """Gives back what `reserve_memory` took."""
+        self.request_bytes -= size_bytes
 
-    def rest(self, kind, what, close):
-        self.idle[kind][what] = close
+    def add_idle(self, group: str, connection: Hashable, close: Callable[[], bool]) -> None:
+        """Lets a connection be evicted: `close` tells whether it has closed it."""
+        self.idle[group][connection] = close
 
-    def busy(self, kind, what):
-        return self.idle[kind].pop(what, None) is not None
+    def remove_idle(self, group: str, connection: Hashable) -> bool:
+        """Ends what `add_idle` began; whether the connection was in this group."""
+        return self.idle[group].pop(connection, None) is not None
 
-    def evict(self, *kinds):
-        """Closes the longest idle connection of these kinds; one that will not close now is passed over."""
-        for kind in kinds:
-            for what, close in list(self.idle[kind].items()):
+    def evict(self, *groups: str) -> bool:
+        """Closes the longest idle connection of these groups; one that will not close now is passed over."""
+        for group in groups:
+            for connection, close in list(self.idle[group].items()):
                 if close():
-                    self.idle[kind].pop(what, None)
+                    self.idle[group].pop(connection, None)
                     return True
         return False
--- a/mastledge/transport/connection.py
+++ b/mastledge/transport/connection.py
@@ -1,31 +1,29 @@
 """One TCP connection: its socket, its buffer, its place in the budget."""
 
+import contextlib
 import errno
 import os
 import socket
-import struct
 import sys
-from array import array
 from ipaddress import ip_address
 
-from mastledge.transport.budget import SHORT
+from mastledge.transport.budget import SHORTAGE_EVICTION_ORDER, Budget
 from mastledge.transport.buffer import Buffer
-from mastledge.transport.loop import GONE, READ, WRITE
+from mastledge.transport.errors import OutOfDescriptorsError, WaitTimeoutError
+from mastledge.transport.loop import PEER_SHUTDOWN, READ, WRITE, Coroutine, Loop
 
-BACKLOG = 1024
-ATTACH_REUSEPORT_CBPF, RETURN = 51, 0x06  # linux/socket.h, linux/bpf_common.h
-FULL = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+DESCRIPTOR_SHORTAGE = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+# linux/tcp.h: tcpi_rtt in struct tcp_info, in microseconds
+TCP_INFO_BYTES, TCP_INFO_RTT = 72, slice(68, 72)
 
 
-class TimedOut(Exception):
-    """The time given for a wait is over."""
-
-
-class NoSocket(Exception):
-    """No descriptor is left for one more connection."""
+class Connection:
+    """A connected socket that a coroutine reads and writes.
 
+    Some fields are for the layers above: `http` (the parser), `owner` (the task or endpoint that holds it),
+    `reused`, `at_chunk_end` and `discards_input`.
+    """
 
-class Connection:
     __slots__ = (
         "loop",
         "sock",
@@ -33,53 +31,62 @@
         "budget",
         "kind",
         "buffer",
-        "left",
+        "unsent_bytes",
         "http",
         "owner",
-        "stood",
-        "turn",
-        "whole",
-        "dropped",
-        "opened",
+        "reused",
+        "read_iteration",
+        "at_chunk_end",
+        "discards_input",
+        "opened_us",
     )
 
-    def __init__(self, loop, sock, budget, kind):
+    def __init__(self, loop: Loop, sock: socket.socket, budget: Budget, kind: str) -> None:
         """Takes over a socket for which the budget has been asked."""
-        self.loop, self.sock, self.fd, self.opened = loop, sock, sock.fileno(), loop.now()
-        self.budget, self.kind, self.buffer, self.left = budget, kind, Buffer(), 0
-        self.turn = -1  # of the loop, in which it was read last
-        self.whole = True  # what has come of an answer ends with a whole chunk
-        self.dropped = False  # bytes behind a request: nothing that follows can be read any more
-        self.stood = False  # idle, and nothing has come on it since
-        self.http = self.owner = None  # the parser and the holder, for the layers above
+        self.loop, self.sock, self.fd = loop, sock, sock.fileno()
+        self.budget, self.kind = budget, kind
+        self.opened_us = loop.now()
+        self.buffer = Buffer()
+        self.unsent_bytes = 0
+        self.read_iteration = -1  # of the loop, in which it was read last
+        self.at_chunk_end = True  # what has come of an answer ends with a whole chunk
+        self.discards_input = False  # bytes behind a request: nothing that follows can be read any more
+        self.reused = False  # it was idle, and nothing has come on it since
+        self.http = self.owner = None
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    def receive(self, until):
-        """The next bytes, b"" at the end; raises OSError when the connection breaks."""
+    def receive(self, until: int | None) -> Coroutine:
+        """The next bytes, b"" at the end.
+
+        Raises OSError when the connection breaks, WaitTimeoutError at `until`.
+        """
         while True:
-            # Once a turn: who sends at full speed must not hold up all the others.
-            if self.turn != self.loop.turns:
-                self.turn = self.loop.turns
+            # Once an iteration: who sends at full speed must not hold up all the others.
+            if self.read_iteration != self.loop.iterations:
+                self.read_iteration = self.loop.iterations
                 try:
                     return self.buffer.receive(self.sock)
                 except BlockingIOError:
                     pass
             if not (yield (self.fd, READ, until)):
-                raise TimedOut
+                raise WaitTimeoutError
+
+    def send(self, data: bytes, until: int | None) -> Coroutine:
+        """Writes all of it.
 
-    def send(self, data, until):
-        """Writes all of it; `left` tells how much was not written when it raises."""
+        Raises OSError or WaitTimeoutError; `unsent_bytes` tells then how much was not written.
+        """
         view = memoryview(data)
-        self.left = len(view)
-        while self.left:
+        self.unsent_bytes = len(view)
+        while self.unsent_bytes:
             try:
-                self.left -= self.sock.send(view[len(view) - self.left :])
+                self.unsent_bytes -= self.sock.send(view[len(view) - self.unsent_bytes :])
             except BlockingIOError:
                 if not (yield (self.fd, WRITE, until)):
-                    raise TimedOut from None
+                    raise WaitTimeoutError from None
 
-    def quiet(self):
+    def is_quiet(self) -> bool:
         """Nothing unread and not ended: only then may it be used again, or closed as idle."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -89,28 +96,34 @@
             return False
         return False
 
-    def alive(self, least):
-        """Whether nothing came back for what was written, in the time that a machine needs to refuse it."""
-        info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 72)
-        rtt = int.from_bytes(info[68:72], sys.byteorder)
-        return not (yield (self.fd, READ | GONE, self.loop.now() + least + rtt))
+    def stays_quiet(self, margin_us: int) -> Coroutine:
+        """Whether nothing comes back for what was written, within a round trip and a margin.
 
-    def end_sending(self):
-        try:
+        A machine that refuses it tells so in that time.
+        """
+        info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
+        round_trip_us = int.from_bytes(info[TCP_INFO_RTT], sys.byteorder)
+        return not (yield (self.fd, READ | PEER_SHUTDOWN, self.loop.now() + margin_us + round_trip_us))
+
+    def shutdown_write(self) -> None:
+        """Ends the sending; what the other side still sends can be read."""
+        with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
-        except OSError:
-            pass
 
-    def close(self):
+    def close(self) -> None:
+        """Closes the socket and gives its place back; a second call does nothing."""
         if self.fd >= 0:
             self.loop.forget(self.fd)
             self.fd = -1
             self.sock.close()
-            self.budget.give(self.kind)
+            self.budget.release(self.kind)
+
 
+def address_of(text: str) -> tuple[str, int]:
+    """Address and port of ADDRESS:PORT; ValueError for anything else.
 
-def address_of(text):
-    """Address and port of ADDRESS:PORT. A name is none: to look it up would hold up all connections."""
+    A name is no address: to look it up would hold up all connections.
+    """
     host, _, port = text.rpartition(":")
     host = host.strip("[]")
     try:
@@ -122,79 +135,37 @@
     return host, int(port)
 
 
-def connect(loop, budget, kind, address, until):
-    """A new connection; OSError or TimedOut when it does not come up, NoSocket when none may be opened."""
-    if not budget.take(kind):
-        raise NoSocket
+def socket_for(address: tuple[str, int]) -> socket.socket:
+    """A new TCP socket of the family of an address; OSError where the system has none."""
+    return socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
+
+
+def connect(loop: Loop, budget: Budget, kind: str, address: tuple[str, int], until: int) -> Coroutine:
+    """A new Connection.
+
+    Raises OSError or WaitTimeoutError when it does not come up, OutOfDescriptorsError when none may be
+    opened.
+    """
+    if not budget.acquire(kind):
+        raise OutOfDescriptorsError
     try:
-        sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
+        sock = socket_for(address)
     except OSError as error:
-        budget.give(kind)
-        if error.errno not in FULL:
+        budget.release(kind)
+        if error.errno not in DESCRIPTOR_SHORTAGE:
             raise
-        budget.evict(*SHORT)
-        raise NoSocket from None
-    conn = Connection(loop, sock, budget, kind)
+        budget.evict(*SHORTAGE_EVICTION_ORDER)
+        raise OutOfDescriptorsError from None
+    connection = Connection(loop, sock, budget, kind)
     try:
         code = sock.connect_ex(address)
         if code == errno.EINPROGRESS:
-            if not (yield (conn.fd, WRITE, until)):
-                raise TimedOut
+            if not (yield (connection.fd, WRITE, until)):
+                raise WaitTimeoutError
             code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
             raise OSError(code, os.strerror(code))
-        return conn
+        return connection
     except BaseException:
-        conn.close()
+        connection.close()
         raise
-
-
-def bound(address, together=False):
-    """A socket that holds the address, `together` with other processes of this user that hold it so."""
-    sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
-    try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if together:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        sock.setblocking(False)
-        sock.bind(address)
-    except OSError:
-        sock.close()
-        raise
-    return sock
-
-
-def listen(address, backlog=BACKLOG):
-    sock = bound(address)
-    try:
-        sock.listen(backlog)
-    except OSError:
-        sock.close()
-        raise
-    return sock
-
-
-def steer(sock, place):
-    """New connections all go to the listener of this place among those that listen together.
-
-    Without such a listener the kernel deals them out as before. False where it knows no such filter.
-    """
-    code = array("B", struct.pack("HBBI", RETURN, 0, 0, place))
-    try:
-        sock.setsockopt(socket.SOL_SOCKET, ATTACH_REUSEPORT_CBPF, struct.pack("HP", 1, code.buffer_info()[0]))
-    except OSError:
-        return False
-    return True
-
-
-def accept(sock, budget):
-    """The next connection that waits, or None, and whether to wait a little before the next call."""
-    while True:
-        try:
-            return sock.accept()[0], False
-        except BlockingIOError:
-            return None, False
-        except OSError as error:
-            # Whatever became of one connection that waited, the next ones must still be taken.
-            if error.errno not in FULL or not budget.evict(*SHORT):
-                return None, True
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -35,7 +35,7 @@
 from mastledge.replication.node import Node
 from mastledge.storage import write_ahead_log
 from mastledge.storage.data_directory import DataDirectory
-from mastledge.transport import passing
+from mastledge.transport import descriptor_passing
 
 ADAPTER_MODULE = "mastledge.adapter"
 ENDINGS = adapter_main.ENDING
@@ -296,11 +296,17 @@
 def handed_on(directory, job):
     """The datagram by which a job is handed to another process: {name, kind, until, headed, rest}."""
     path = str(Path(directory) / "inlet")
-    inlet, client, worker = passing.inlet(path), *socket.socketpair()
+    inlet, client, worker = descriptor_passing.open_receiver(path), *socket.socketpair()
     quiet = SimpleNamespace(trailing_data=(b"", False))
     ends = [
         SimpleNamespace(
-            sock=sock, fd=sock.fileno(), http=quiet, whole=True, owner=None, quiet=lambda: True, buffer=None
+            sock=sock,
+            fd=sock.fileno(),
+            http=quiet,
+            at_chunk_end=True,
+            owner=None,
+            is_quiet=lambda: True,
+            buffer=None,
         )
         for sock in (client, worker)
     ]
@@ -311,13 +317,13 @@
     launch = SimpleNamespace(ended=False, sent=True, conn=ends[1], headed=job["headed"])
     one = SimpleNamespace(exchange=exchange, launches=[launch])
     router = SimpleNamespace(jobs={1: one}, handed_on=lambda now, job, launch: None)
-    loop = SimpleNamespace(let_go=lambda fd: None, now=lambda: 0, cancel=lambda task: None)
+    loop = SimpleNamespace(unregister=lambda fd: None, now=lambda: 0, cancel=lambda task: None)
     made = connection_handoff.ConnectionHandoff(
         loop, None, None, balancer().settings, lambda event, **fields: None
     )
     try:
         assert made.hand_on(router, path) == 1
-        raw, socks = passing.taken(inlet, 2)
+        raw, socks = descriptor_passing.receive_sockets(inlet, 2)
         for sock in socks:
             sock.close()
         return raw
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,7 +10,8 @@
 from mastledge.protocol.client_listener import ClientListener
 from mastledge.protocol.worker_connections import WorkerConnections, WorkerEndpoint
 from mastledge.transport.budget import Budget
-from mastledge.transport.connection import Connection, listen
+from mastledge.transport.connection import Connection
+from mastledge.transport.listening import listen
 from mastledge.transport.loop import Loop, Queue
 
 STEP = 4_000
@@ -112,7 +113,7 @@
         """Lets everything run until something holds, for a while at the most."""
         last = self.loop.now() + longest
         while not until() and self.loop.now() < last:
-            self.loop.once(10_000)
+            self.loop.run_once(10_000)
         return until()
 
     def called(self, sock):
@@ -147,7 +148,7 @@
 
         self.turn(heard)
         for _ in range(5):
-            self.loop.once(2_000)
+            self.loop.run_once(2_000)
             heard()
         return b"".join(got)
 
@@ -158,7 +159,7 @@
         door.setblocking(True)
         ours, _ = door.accept()
         door.close()
-        self.budget.take(kind)
+        self.budget.acquire(kind)
         return http.attach(Connection(self.loop, ours, self.budget, kind), role), theirs
 
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -6,8 +6,8 @@
 from helpers import HERE, Rig, client, door, job, queue_type
 
 from mastledge.protocol import client_listener
-from mastledge.transport.budget import CLIENTS
-from mastledge.transport.connection import listen
+from mastledge.transport.budget import CLIENT_EVICTION_ORDER
+from mastledge.transport.listening import listen
 
 BIG = b"y" * 70_000
 
@@ -173,14 +173,16 @@
     made = door(rig)
     slow, usual = client(rig, made), client(rig, made)
     slow.sendall(job(body=b"y" * 60_000)[:30_000])
-    assert rig.turn(lambda: rig.budget.bytes == 60_000 and all(conn.quiet() for conn in made.clients))
+    assert rig.turn(
+        lambda: rig.budget.request_bytes == 60_000 and all(conn.is_quiet() for conn in made.clients)
+    )
     usual.sendall(job(body=b"x" * 50_000))
-    assert rig.turn(lambda: rig.inbox.items) and rig.budget.bytes == 50_000 and len(made.clients) == 1
+    assert rig.turn(lambda: rig.inbox.items) and rig.budget.request_bytes == 50_000 and len(made.clients) == 1
     late = client(rig, made)
     late.sendall(job(body=b"z" * 60_000, X_Txn="9b20"))
     assert rig.reply(late).startswith(b"HTTP/1.1 503 ")
     rig.inbox.items[0][1].killed()
-    assert rig.reply(usual).startswith(b"HTTP/1.1 500 ") and rig.budget.bytes == 0 and not rig.errors
+    assert rig.reply(usual).startswith(b"HTTP/1.1 500 ") and rig.budget.request_bytes == 0 and not rig.errors
 
 
 def test_a_body_of_countless_chunks_is_turned_away():
@@ -232,7 +234,7 @@
     rig = Rig()
     made = door(rig)
     theirs = client(rig, made)
-    rig.loop.once(0)
+    rig.loop.run_once(0)
     theirs.sendall(unread)
     (conn,) = made.clients
     assert made.close_idle(conn) == (not unread)
@@ -252,10 +254,10 @@
     assert rig.turn(lambda: rig.inbox.items if place is None else rig.budget.idle[place])
     if place == "unfinished":
         # Bytes that wait to be read keep it for a moment longer.
-        rig.turn(lambda: rig.loop.waiters and all(conn.quiet() for conn in made.clients))
-    while rig.budget.used["clients"] < rig.budget.most["clients"]:
+        rig.turn(lambda: rig.loop.waiters and all(conn.is_quiet() for conn in made.clients))
+    while rig.budget.used["clients"] < rig.budget.limits["clients"]:
         rig.budget.used["clients"] += 1
-    assert rig.budget.take("clients") == goes and not rig.errors
+    assert rig.budget.acquire("clients") == goes and not rig.errors
 
 
 def test_requests_sent_one_behind_the_other_are_answered_in_order():
@@ -352,7 +354,7 @@
     rig.turn(lambda: False, 20_000)
     went = []
     for _ in range(4):
-        assert rig.budget.evict(*CLIENTS)
+        assert rig.budget.evict(*CLIENT_EVICTION_ORDER)
         rig.turn(lambda: False, 5_000)
         went.append(
             next(
--- a/tests/test_connection_handoff.py
+++ b/tests/test_connection_handoff.py
@@ -9,8 +9,8 @@
 
 from mastledge.program import lifecycle
 from mastledge.program.lifecycle import SERVING
-from mastledge.transport import passing
-from mastledge.transport.connection import listen
+from mastledge.transport import descriptor_passing
+from mastledge.transport.listening import listen
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -134,7 +134,7 @@
     def refused(*told):
         raise ConnectionRefusedError("nobody")
 
-    monkeypatch.setattr(passing, "put", refused)
+    monkeypatch.setattr(descriptor_passing, "send_sockets", refused)
     handing.ends(lambda: handing.old.made.phase == "ended")
     assert handing.old.rig.reply(handing.client).startswith(b"HTTP/1.1 503")
     assert handing.logged(handing.old, "connection_not_handed_off")
@@ -160,7 +160,7 @@
         return {kind: new.budget.used[kind] for kind in ("clients", "workers")}
 
     before = taken()  # discovery is tried again and again meanwhile
-    passing.put(new.upgrade_state.place("jobs", new.upgrade_state.seat), raw, ours)
+    descriptor_passing.send_sockets(new.upgrade_state.place("jobs", new.upgrade_state.seat), raw, ours)
     for one in ours:
         one.close()
     assert handing.turn(lambda: handing.logged(handing.new, "connection_not_received"))
@@ -173,15 +173,15 @@
 
 
 def test_a_full_queue_is_an_error_and_loses_no_connection(tmp_path):
-    inlet = passing.inlet(str(tmp_path / "jobs0"))
+    inlet = descriptor_passing.open_receiver(str(tmp_path / "jobs0"))
     pair = socket.socketpair()
     count = 0
     with pytest.raises(OSError):
         while count < 100_000:
-            passing.put(str(tmp_path / "jobs0"), b"x" * 1000, pair)
+            descriptor_passing.send_sockets(str(tmp_path / "jobs0"), b"x" * 1000, pair)
             count += 1
     taken = 0
-    while (got := passing.taken(inlet, 2)) is not None:
+    while (got := descriptor_passing.receive_sockets(inlet, 2)) is not None:
         taken += 1
         assert got[0] == b"x" * 1000
         for one in got[1]:
@@ -203,10 +203,10 @@
     monkeypatch.setattr(new.handoff, "attached", lambda *one: (_ for _ in ()).throw(OSError("reset")))
     raw = b'{"name":"x","kind":"render","until":9000000000000,"headed":true,"rest":""}'
     before = dict(new.budget.used)
-    passing.put(new.upgrade_state.place("jobs", new.upgrade_state.seat), raw, ours)
+    descriptor_passing.send_sockets(new.upgrade_state.place("jobs", new.upgrade_state.seat), raw, ours)
     assert handing.turn(lambda: handing.logged(handing.new, "connection_not_received"))
     monkeypatch.undo()
-    passing.put(new.upgrade_state.place("jobs", new.upgrade_state.seat), b"{}", ours)
+    descriptor_passing.send_sockets(new.upgrade_state.place("jobs", new.upgrade_state.seat), b"{}", ours)
     assert handing.turn(lambda: len(handing.logged(handing.new, "connection_not_received")) == 2)
     assert new.budget.used == before and not handing.new.rig.errors
     for one in ours:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -14,7 +14,7 @@
 from mastledge.program.configuration import BadConfiguration, configuration
 from mastledge.program.lifecycle import DRAINING, SERVING, WAITING, Program
 from mastledge.protocol import client_listener, control
-from mastledge.transport.connection import listen
+from mastledge.transport.listening import listen
 
 GIVEN = set()
 
@@ -159,12 +159,12 @@
     for _ in range(5):
         assert served.call("/api/ready")[0] == 200
     budget = served.made.budget
-    assert budget.used["operators"] <= budget.most["operators"]
+    assert budget.used["operators"] <= budget.limits["operators"]
 
 
 def test_clients_cannot_use_up_the_descriptors_of_operators(served):
     crowd = [served.connect() for _ in range(150)]
-    assert served.turn(lambda: served.made.budget.used["clients"] >= served.made.budget.most["clients"])
+    assert served.turn(lambda: served.made.budget.used["clients"] >= served.made.budget.limits["clients"])
     assert served.call("/api/ready")[0] == 200 and len(crowd) == 150
 
 
@@ -178,8 +178,8 @@
     for one in clients_:
         one.sendall(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
     caller.sendall(b"GET /api/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-    loop.step = lambda task, value: (order.append(task.epoll is loop.first), step(task, value))
-    loop.once(0)
+    loop.step = lambda task, value: (order.append(task.epoll is loop.priority_epoll), step(task, value))
+    loop.run_once(0)
     assert order.index(True) == 0 and False in order
 
 
@@ -310,7 +310,9 @@
 def test_without_a_second_address_nothing_of_it_runs(tmp_path, monkeypatch):
     monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
     made = Served(tmp_path, control=None).serving().made
-    assert made.controlling is None and made.loop.first is None and made.budget.most["operators"] == 0
+    assert (
+        made.controlling is None and made.loop.priority_epoll is None and made.budget.limits["operators"] == 0
+    )
     made.sock.close()
 
 
@@ -335,9 +337,9 @@
 def test_a_crowd_is_taken_in_a_few_a_turn(served):
     crowd = [served.connect() for _ in range(3 * client_listener.ACCEPTS)]
     most, door = 0, served.made.listener
-    while len(door.clients) < min(len(crowd), served.made.budget.most["clients"]):
+    while len(door.clients) < min(len(crowd), served.made.budget.limits["clients"]):
         before = len(door.clients)
-        served.made.loop.once(10_000)
+        served.made.loop.run_once(10_000)
         most = max(most, len(door.clients) - before)
     assert 0 < most <= client_listener.ACCEPTS
 
--- a/tests/test_crossing_search.py
+++ b/tests/test_crossing_search.py
@@ -134,8 +134,8 @@
 
 
 def descriptors_of_clients_are_not_given_back(patch):
-    give = Budget.give
-    patch(Budget, "give", lambda self, kind: None if kind == "clients" else give(self, kind))
+    release = Budget.release
+    patch(Budget, "release", lambda self, kind: None if kind == "clients" else release(self, kind))
 
 
 CAUGHT = [
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -149,7 +149,7 @@
         try:
             left -= client.send(bytes(min(left, 1 << 16)))
         except BlockingIOError:
-            made.rig.loop.once(0)
+            made.rig.loop.run_once(0)
     client.close()
 
 
@@ -253,12 +253,12 @@
 def test_the_last_byte_of_a_run_once_job_does_not_follow_a_client_that_left(leaves, serving, monkeypatch):
     looking = [True]
 
-    def alive(self, least):
+    def stays_quiet(self, margin_us):
         while looking:
             yield (-1, 0, self.loop.now() + 1_000)
         return True
 
-    monkeypatch.setattr(Connection, "alive", alive)
+    monkeypatch.setattr(Connection, "stays_quiet", stays_quiet)
     made = serving("run-once").serving()
     client = made.taken()
     theirs, request = made.rig.called(made.sock)
@@ -419,12 +419,12 @@
     other = made.taken("b1")
     conn = made.job("b1").exchange.conn
     other.setblocking(False)
-    while not conn.dropped:
+    while not conn.discards_input:
         try:
             other.send(bytes(1 << 14))
         except BlockingIOError:
             pass
-        made.rig.loop.once(0)
+        made.rig.loop.run_once(0)
     assert made.turn(lambda: made.job("b1").launches[0].sent)
     answers(theirs, b"b1")
     reply = made.rig.reply(other)
@@ -615,7 +615,7 @@
         yield (second.fd, READ, None)
 
     task, other = rig.loop.spawn(frees()), rig.loop.spawn(waits())
-    rig.loop.once(0)
+    rig.loop.run_once(0)
     its_peer.send(b"x")
     second_peer.send(b"x")
     assert rig.turn(lambda: task.ended) and got == [0]
@@ -630,8 +630,8 @@
         yield (conn.fd, READ, None)
 
     task = rig.loop.spawn(waits())
-    rig.loop.once(0)
-    rig.loop.let_go(conn.fd)
+    rig.loop.run_once(0)
+    rig.loop.unregister(conn.fd)
     rig.loop.cancel(task)
     conn.close()
     theirs.send(b"x")
@@ -693,7 +693,9 @@
     raw = helpers.job(X_Txn="a1", X_Remaining_Ms=4000)
     client = made.connect()
     client.sendall(raw[:cut])
-    assert made.turn(lambda: any(conn.turn >= 0 and conn.quiet() for conn in made.made.listener.clients))
+    assert made.turn(
+        lambda: any(conn.read_iteration >= 0 and conn.is_quiet() for conn in made.made.listener.clients)
+    )
     made.ends()
     assert made.turn(lambda: made.made.phase == "leaving")
     if phase == "finishing":
@@ -794,7 +796,7 @@
     last = made.job("a1").exchange.until
     for _ in range(signals - 1):
         made.ends()
-        made.rig.loop.once(0)
+        made.rig.loop.run_once(0)
     assert made.made.phase == "leaving" and made.job("a1").exchange.until == last
     late.held = False
     if waits == "worker":
@@ -826,12 +828,12 @@
     )
     sender.start()
     conn = next(iter(made.made.listener.clients))
-    assert made.turn(lambda: conn.left > 0)
+    assert made.turn(lambda: conn.unsent_bytes > 0)
     sender.join()
     made.ends()
     assert made.turn(lambda: made.made.phase == "leaving")
     made.jumps(40)
-    assert made.turn(lambda: made.made.phase == "finishing") and conn.left > 0
+    assert made.turn(lambda: made.made.phase == "finishing") and conn.unsent_bytes > 0
     got = []
     client.setblocking(False)
 
@@ -1078,7 +1080,7 @@
         while budget.evict(*budget.idle):
             pass
     elif short == "memory":
-        assert not budget.hold(budget.most_bytes + 1)
+        assert not budget.reserve_memory(budget.max_request_bytes + 1)
     elif short == "idle":
         made.made.listener.close_all_idle()
     else:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -158,7 +158,7 @@
         f"told = configuration({path!r}, {{}})\n"
         f"made = phases.Program(told, lambda *a, **k: None, None, {str(tmp_path)!r})\n"
         "made.begin()\n"
-        "for _ in range(20): made.loop.once(10_000)\n"
+        "for _ in range(20): made.loop.run_once(10_000)\n"
         "links = [os.readlink(f'/proc/self/fd/{fd}') for fd in os.listdir('/proc/self/fd') if fd.isdigit()"
         " and os.path.exists(f'/proc/self/fd/{fd}')]\n"
         "print(json.dumps([sorted(sys.modules), links, made.fleet is None]))\n"
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -19,7 +19,7 @@
 from mastledge.program.settings import flat
 from mastledge.protocol.requests import Exchange
 from mastledge.routing.router import Router
-from mastledge.transport.connection import listen
+from mastledge.transport.listening import listen
 
 
 def router(rig, effect="restartable", listed=1):
@@ -271,7 +271,7 @@
     path = file(tmp_path, limits={"sockets": 64})
     made = Program(configuration(path, {}), rig.log, lambda: configuration(path, {}))
     made.discovery.follow()
-    task, size = made.discovery.task, made.budget.most["clients"]
+    task, size = made.discovery.task, made.budget.limits["clients"]
     reads, writes = os.pipe()
     signals = made.loop.spawn(made.signals(reads))
     made.life = made.loop.spawn(iter(()))
@@ -281,12 +281,12 @@
         file(tmp_path, **{"limits": {"sockets": 128}, **changed})
     for _ in range(2):
         os.write(writes, bytes([signal.SIGHUP]))
-        made.loop.once(0)
-        made.loop.once(0)
+        made.loop.run_once(0)
+        made.loop.run_once(0)
     assert (made.discovery.task is not task) == bool(moves) and not signals.ended
     assert made.discovery.address == ("127.0.0.1", 8500 + moves) and task.ended == bool(moves)
     assert [what for what, _ in rig.logged if what.startswith("configuration")] == 2 * [event]
-    assert (made.budget.most["clients"] > size) == (event == "configuration_loaded")
+    assert (made.budget.limits["clients"] > size) == (event == "configuration_loaded")
     restart = next(fields for what, fields in rig.logged if what == event).get("needs_restart", [])
     assert restart == (["listen"] if changed and "listen" in changed else [])
 
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -27,7 +27,7 @@
     for _ in range(most):
         if until():
             return
-        made.loop.once(10_000)
+        made.loop.run_once(10_000)
 
 
 def ended(made):
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -286,7 +286,7 @@
     # last of them hears of it once discovery has done the work for all, and a refused call's pause later.
     count = 32
     rig = Rig(sockets=512)
-    rig.budget.most["discovery"] = 64
+    rig.budget.limits["discovery"] = 64
     place = InTurn(rig, count, each)
     within = min(TOLD, count * each + LONGEST)
     assert place.clock.run(lambda: all(one.answered for one in place.made), within, place.serves), sum(
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -3,8 +3,9 @@
 import pytest
 from helpers import HERE, Rig
 
-from mastledge.transport.buffer import FIRST, Buffer
-from mastledge.transport.connection import TimedOut, accept, listen
+from mastledge.transport.buffer import INITIAL_BYTES, Buffer
+from mastledge.transport.errors import WaitTimeoutError
+from mastledge.transport.listening import accept, listen
 from mastledge.transport.loop import READ
 
 
@@ -14,26 +15,26 @@
 def test_lines_come_whole_however_their_bytes_came(parts):
     buffer, lines = Buffer(), []
     for part in parts:
-        buffer.keep(part)
-        while (line := buffer.line()) is not None:
+        buffer.append(part)
+        while (line := buffer.next_line()) is not None:
             lines.append(line)
     assert lines == [b"one", b"two", b"three"] and len(buffer) == 0
 
 
 def test_what_was_read_makes_room_in_place():
     buffer = Buffer()
-    for n in range(4 * FIRST // 100):
-        buffer.keep(b"%099d\n" % n)
-        assert buffer.line() == b"%099d" % n
-    assert len(buffer.data) == FIRST
+    for n in range(4 * INITIAL_BYTES // 100):
+        buffer.append(b"%099d\n" % n)
+        assert buffer.next_line() == b"%099d" % n
+    assert len(buffer.data) == INITIAL_BYTES
 
 
-@pytest.mark.parametrize("size", [FIRST - 1, FIRST + 1, 20 * FIRST])
+@pytest.mark.parametrize("size", [INITIAL_BYTES - 1, INITIAL_BYTES + 1, 20 * INITIAL_BYTES])
 def test_room_grows_as_needed_and_is_given_back(size):
     buffer = Buffer()
-    buffer.keep(b"a" * size)
-    buffer.keep(b"b")
-    assert buffer.take() == b"a" * size + b"b" and len(buffer.data) <= 4 * FIRST
+    buffer.append(b"a" * size)
+    buffer.append(b"b")
+    assert buffer.take() == b"a" * size + b"b" and len(buffer.data) <= 4 * INITIAL_BYTES
 
 
 def test_one_coroutine_s_error_is_its_own():
@@ -81,7 +82,7 @@
             conn.close()
 
     task = rig.loop.spawn(holds())
-    rig.loop.once(0)
+    rig.loop.run_once(0)
     rig.loop.cancel(task)
     assert rig.budget.used["clients"] == 0 and conn.fd == -1
 
@@ -92,14 +93,14 @@
 def test_the_longest_idle_goes_first_and_one_that_may_not_is_passed_over(closes, taken):
     rig, asked = Rig(), []
     for name, does in zip(("first", "second"), closes, strict=True):
-        rig.budget.rest("workers", name, lambda name=name, does=does: asked.append(name) or does)
+        rig.budget.add_idle("workers", name, lambda name=name, does=does: asked.append(name) or does)
     rig.budget.evict("workers")
     assert asked == taken
 
 
 def test_nothing_is_opened_beyond_the_budget_while_all_is_busy():
     budget = Rig(sockets=0).budget
-    assert [budget.take("clients") for _ in range(5)] == [True] * 3 + [False] * 2
+    assert [budget.acquire("clients") for _ in range(5)] == [True] * 3 + [False] * 2
 
 
 def test_a_sender_knows_what_was_not_written():
@@ -109,8 +110,8 @@
     def sends():
         try:
             yield from conn.send(bytes(8_000_000), rig.loop.now() + 1000)
-        except TimedOut:
-            ends.append(conn.left)
+        except WaitTimeoutError:
+            ends.append(conn.unsent_bytes)
 
     rig.loop.spawn(sends())
     assert rig.turn(lambda: ends) and 0 < ends[0] < 8_000_000
@@ -135,9 +136,9 @@
     for _ in range(2_000):
         for task in tasks:
             rig.loop.wake(task)
-        rig.loop.once(0)
+        rig.loop.run_once(0)
     assert len(rig.loop.timers) < 1_000
-    assert sum(turn == task.turn for _, _, task, turn in rig.loop.timers) == len(tasks)
+    assert sum(wait_number == task.wait_number for _, _, task, wait_number in rig.loop.timers) == len(tasks)
 
 
 def test_a_wait_that_cannot_be_had_ends_its_coroutine_only():
@@ -150,7 +151,7 @@
             seen.append("ended")
 
     rig.loop.spawn(bad())
-    rig.loop.once(0)
+    rig.loop.run_once(0)
     assert seen == ["ended"] and len(rig.errors) == 1 and not rig.loop.waiters
 
 
@@ -159,11 +160,11 @@
     rig = Rig()
     conn, theirs = rig.pair()
     theirs.sendall(bytes(40_000))
-    rig.turn(lambda: not conn.quiet())
+    rig.turn(lambda: not conn.is_quiet())
     with pytest.raises(StopIteration) as first:
         next(conn.receive(None))
     assert first.value.value and next(conn.receive(7)) == (conn.fd, READ, 7)
-    rig.loop.once(0)
+    rig.loop.run_once(0)
     with pytest.raises(StopIteration):
         next(conn.receive(None))
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,7 +20,7 @@
 from mastledge.program import lifecycle, operator_api, upgrade_state
 from mastledge.program.lifecycle import SERVING
 from mastledge.program.upgrade_state import UpgradeState, nothing
-from mastledge.transport.connection import bound, steer
+from mastledge.transport.listening import bind_socket, select_listener
 
 LISTEN = ("127.0.0.1", 7070)
 
@@ -104,11 +104,11 @@
 
 
 def test_new_connections_go_to_the_newest_listener_and_back_when_it_ends():
-    one = bound((HERE, 0), True)
-    other = bound(one.getsockname(), True)
+    one = bind_socket((HERE, 0), True)
+    other = bind_socket(one.getsockname(), True)
     for sock in (one, other):
         sock.listen(64)
-    assert steer(other, 1)
+    assert select_listener(other, 1)
     callers = [socket.create_connection(one.getsockname(), 2) for _ in range(40)]
     for _ in callers:
         other.accept()
@@ -259,7 +259,7 @@
         last = time.monotonic() + longest / 1e6
         while not until() and time.monotonic() < last:
             for served in self.both:
-                served.made.loop.once(2_000)
+                served.made.loop.run_once(2_000)
         return until()
 
     def close(self):
@@ -279,11 +279,11 @@
     whole = 128 - 32
     assert pair.turn(lambda: all(served.made.router.balancer.share == 0.5 for served in pair.both))
     for served in pair.both:
-        assert served.made.budget.most["clients"] < whole * 12 // 25 // 2
-        assert served.made.budget.most_bytes == (256 << 20) // 16
+        assert served.made.budget.limits["clients"] < whole * 12 // 25 // 2
+        assert served.made.budget.max_request_bytes == (256 << 20) // 16
     pair.old.made.upgrade_state.leave()
     assert pair.turn(lambda: pair.new.made.router.balancer.share == 1)
-    assert pair.new.made.budget.most["clients"] == whole * 12 // 25
+    assert pair.new.made.budget.limits["clients"] == whole * 12 // 25
 
 
 @pytest.mark.parametrize("at", [0, 1])
@@ -343,7 +343,7 @@
     old = begun(tmp_path, folder).serving()
     new = begun(tmp_path, folder, listen="{}:{}".format(*old.made.told["listen"]), known={})
     for _ in range(20):
-        new.made.loop.once(2_000)
+        new.made.loop.run_once(2_000)
     assert new.made.accepting is None
     assert all(old.health() == 200 for _ in range(10))
     new.made.upgrade_state.leave()
@@ -407,7 +407,7 @@
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGKILL])
 def test_whole_processes_take_over_and_every_connection_is_answered(number, tmp_path, folder):
     listen, first, second = free(), free(), free()
-    worker = bound((HERE, 0))
+    worker = bind_socket((HERE, 0))
     worker.listen(8)
     old = started(tmp_path, folder, listen, worker.getsockname()[1], first)
     new = None
@@ -480,7 +480,7 @@
     dead.made.upgrade_state.leave()
     new = begun(tmp_path, folder, listen=listen, known={})
     for _ in range(3):
-        new.made.loop.once(2_000)
+        new.made.loop.run_once(2_000)
     told = new.made.upgrade_state.told
     assert new.made.upgrade_state.seat == 1 and told["ready"] == [0] and told["leaving"] == []
     for served in (old, dead, new):
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -135,7 +135,7 @@
     # Without descriptors or time left no worker must be taken for dead.
     rig = Rig(sockets=0)
     peer, _ = peer_at()
-    while how == "no socket" and rig.budget.take("workers"):
+    while how == "no socket" and rig.budget.acquire("workers"):
         pass
     launched(rig, workers(rig), peer, 500_000 if how == "no socket" else 1_000, bytes(8_000_000))
     assert outcome(rig)[0] == "unsent"
@@ -370,7 +370,7 @@
     [
         (False, False, 1_000, protocol_workers.Withheld),
         (True, True, 1_000, protocol_workers.Withheld),
-        (True, False, 0, protocol_workers.TimedOut),
+        (True, False, 0, protocol_workers.WaitTimeoutError),
     ],
 )
 def test_the_last_byte_is_withheld_without_lease_from_who_is_out_and_after_its_time(lawful, out, left, how):
