--- a/mastledge/program/lifecycle.py
+++ b/mastledge/program/lifecycle.py
@@ -18,7 +18,7 @@
 from mastledge.protocol.worker_connections import WorkerConnections
 from mastledge.routing.router import Router
 from mastledge.transport.budget import Budget
-from mastledge.transport.connection import BACKLOG, bound, steer
+from mastledge.transport.listening import BACKLOG, bind_socket, select_listener
 from mastledge.transport.loop import READ, Loop, Queue
 
 STARTING, WAITING, SERVING, DRAINING, LEAVING, FINISHING, ENDED = (
@@ -244,7 +244,7 @@
         """The address may still be held by the process before, which is ending."""
         for left in reversed(range(TRIES)):
             try:
-                return bound(address, together)
+                return bind_socket(address, together)
             except OSError as error:
                 if error.errno != errno.EADDRINUSE or not left:
                     raise OSError(error.errno, f"{address[0]}:{address[1]}: {error.strerror}") from None
@@ -335,7 +335,7 @@
             descriptors(self.configuration["sockets"]) // parts - self.reserved_descriptors,
             self.configuration["memory"] // parts,
         )
-        self.budget.shrink()
+        self.budget.evict_excess()
 
     def watch_shared_state(self):
         handover, shared, teach_at = self.upgrade_state, False, 0
@@ -415,7 +415,7 @@
         """Takes in clients from now on; all new ones where the process before is still there."""
         self.listening_socket.listen(BACKLOG)
         if self.has_sibling_process:
-            self.log("connections_steered", done=steer(self.listening_socket, 1))
+            self.log("connections_steered", done=select_listener(self.listening_socket, 1))
         self.accept_task = self.loop.spawn(self.listener.listen(self.listening_socket))
 
     def release_folders(self):
