--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -16,7 +16,7 @@
 from mastledge.consensus.worker_restrictions import OwnRestrictions
 from mastledge.peers.links import Links
 from mastledge.program.fleet_api import LOOK, FleetApi
-from mastledge.program.settings import flat, plain_map
+from mastledge.program.settings import flatten_settings, parse_settings
 from mastledge.program.shared_lease import SharedLease
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.storage.errors import DataDirectoryError
@@ -78,10 +78,10 @@
         try:
             self.folder.acquire()
         except DataDirectoryError:
-            if not self.program.beside:
+            if not self.program.has_sibling_process:
                 raise
             self.log("fleet_standby", folder=self.told["folder"])
-            self.tasks = [self.loop.spawn(self.program.vital(self.listens()), first=True)]
+            self.tasks = [self.loop.spawn(self.program.supervised(self.listens()), first=True)]
             return
         self.speak()
 
@@ -116,7 +116,7 @@
             # here.
             self.member.lease.standby_index = self.index
         self.links.begin(self.told["listen"])
-        vital, spawn = self.program.vital, self.loop.spawn
+        vital, spawn = self.program.supervised, self.loop.spawn
         self.timer = spawn(vital(self.timed()), first=True)
         self.tasks = [
             spawn(vital(self.written()), first=True),
@@ -192,7 +192,7 @@
             except DataDirectoryError:
                 continue
             self.log("fleet_active", index=self.index)
-            self.loop.spawn(self.program.vital(self.takes_over()), first=True)
+            self.loop.spawn(self.program.supervised(self.takes_over()), first=True)
             return
 
     def takes_over(self):
@@ -204,7 +204,7 @@
         to = None
         while True:
             member, now = self.member, self.loop.now()
-            if self.program.beside and member.state_machine is not None:
+            if self.program.has_sibling_process and member.state_machine is not None:
                 pid, index = self.notes.listener()
                 if pid is not None and self.held and member.state_machine.applied_index >= self.index:
                     if (
@@ -219,21 +219,28 @@
                         if pid == to
                         else member.lease.standby_index
                     )
-            elif not self.program.beside:
+            elif not self.program.has_sibling_process:
                 to = None
                 self.notes.alone()
             # One that has handed over acts by its last lease; a process that has gone acts by none.
             if (
                 member.lease.standby_index is not None
                 and to is None
-                and (not self.program.beside or now > self.spoke_at + longest_lease_us(member.lease_us))
+                and (
+                    not self.program.has_sibling_process
+                    or now > self.spoke_at + longest_lease_us(member.lease_us)
+                )
             ):
                 member.lease.standby_index = None
             yield (
                 -1,
                 0,
                 now
-                + (4 * LOOK if self.program.beside or member.lease.standby_index is not None else 20 * LOOK),
+                + (
+                    4 * LOOK
+                    if self.program.has_sibling_process or member.lease.standby_index is not None
+                    else 20 * LOOK
+                ),
             )
 
     def brief(self):
@@ -356,7 +363,7 @@
     # The worker list
 
     def registry(self):
-        told = self.program.told["discovery"]
+        told = self.program.configuration["discovery"]
         return self.told["registry"] or f"{told[0]}:{told[1]}"
 
     def listed(self, kind, entries):
@@ -386,7 +393,7 @@
     def take_news(self):
         """Another's newer list keeps off whom it restricts, until one's own is as new."""
         out = self.own_restrictions.kept_off_by(self.news)
-        if out != self.program.heard_out:
+        if out != self.program.excluded.restricted_by_fleet:
             generation = self.news and self.news.generation
             self.log(
                 "workers_restricted_by_peers",
@@ -394,8 +401,8 @@
                 generation=generation,
                 own=self.own_restrictions.generation,
             )
-            self.program.heard_out = out
-            self.program.recompose()
+            self.program.excluded.restricted_by_fleet = out
+            self.program.refresh_excluded_workers()
 
     # The rules
 
@@ -403,14 +410,14 @@
         return {name: value for name, value in document.items() if name not in OWN}
 
     def whole(self, document, state):
-        """The agreed settings with what is this dispatcher's own; BadSetting names the key."""
+        """The agreed settings with what is this dispatcher's own; SettingError names the key."""
         whole = {**document, **{name: self.document[name] for name in OWN if name in self.document}}
         # A member more takes its part before it may act, one less gives it up later: parts never sum to more
         # than all.
         count = len(state["members"]) + len(state["gone"]) if state else 0
-        pairs = flat(whole)
+        pairs = flatten_settings(whole)
         pairs["balancers"] = max(int(pairs.get("balancers", 1)), count)
-        return plain_map(pairs)
+        return parse_settings(pairs)
 
     def take_rules(self, state):
         try:
@@ -421,9 +428,9 @@
             # half of it.
             self.unreadable = f"cannot read settings of version {state['settings_version']}: {error}"
             self.log("fleet_settings_unreadable", why=self.unreadable)
-            self.program.lapse()
+            self.program.lease_lapsed()
             return
-        self.program.agreed(settings, state)
+        self.program.apply_committed(settings, state)
         if self.copies is not None and self.member is not None:
             self.copies.placed(state)
 
@@ -438,8 +445,8 @@
                 version=self.version(),
             )
             if not held and not self.rule.serves:
-                self.program.lapse()
-            self.loop.wake(self.program.life)
+                self.program.lease_lapsed()
+            self.loop.wake(self.program.lifecycle_task)
 
     def version(self):
         return (
--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -49,10 +49,10 @@
         try:
             self.folder.acquire()
         except DataDirectoryError:
-            if not self.program.beside:
+            if not self.program.has_sibling_process:
                 raise
             self.log("idempotency_waiting", folder=self.told["folder"])
-            self.tasks = [self.loop.spawn(self.program.vital(self.waits()))]
+            self.tasks = [self.loop.spawn(self.program.supervised(self.waits()))]
             return
         self.open()
 
@@ -64,7 +64,7 @@
         key_table.restore(now, kept.entries)
         self.log("idempotency_keys_loaded", held=len(key_table.records), bytes=journal.size)
         self.writer, self.key_table = Writer(journal), key_table
-        self.tasks = [self.loop.spawn(self.program.vital(self.written()), first=True)]
+        self.tasks = [self.loop.spawn(self.program.supervised(self.written()), first=True)]
 
     def opened(self, journal):
         try:
@@ -113,7 +113,7 @@
                 if error is not None and not self.failing:
                     self.log("idempotency_disk_failed", why=str(error))
                     self.failing = True
-                    self.mending = self.loop.spawn(self.program.vital(self.mended()))
+                    self.mending = self.loop.spawn(self.program.supervised(self.mended()))
                     self.tasks.append(self.mending)
                 task = self.waiting.pop(token, None)
                 if task is not None:
@@ -141,7 +141,7 @@
         last = min(until - MARGIN, self.loop.now() + PATIENCE)
         # One that hands over itself is not coming back to it.
         while (
-            self.program.beside
+            self.program.has_sibling_process
             and self.key_table is None
             and not self.program.listener.succeeded
             and self.loop.now() < last
