--- a/mastledge/consensus/bootstrap.py
+++ b/mastledge/consensus/bootstrap.py
@@ -63,7 +63,7 @@
         self.core.outbox.send(name, response)
 
     def _missed_bootstrap(self, name: str, incarnation: str) -> bool:
-        """Tell whether a member was there when the fleet began and has not been told, as far as is known."""
+        """Return whether a member was there when the fleet began and may not know of it."""
         state = self.core.state
         is_new = (
             bool(state.fleet) and state.state_machine is not None and state.state_machine.applied_index <= 1
@@ -95,7 +95,7 @@
             )
 
     def _knows_more(self, response: DiscoverResponse) -> bool:
-        """Tell whether this incarnation has promised what its disk does not know: the disk is an old one."""
+        """Return whether this incarnation has promised what its disk, an old one, does not know."""
         log = self.core.state.log
         observed = response.observed_last_term, response.observed_last_index
         return response.observed_term > self.core.state.term or observed > (log.last_term, log.last_index)
@@ -191,7 +191,7 @@
             self._send_bootstrap(name)
 
     def waiting_reason(self) -> str:
-        """Give why a member without a fleet has none, in a few words."""
+        """Return why a member without a fleet has none, in a few words."""
         state, configured = self.core.state, self.discovery.configured
         fleets = [response for response in self.discovery.responses.values() if not response.empty]
         if fleets:
--- a/mastledge/consensus/changes.py
+++ b/mastledge/consensus/changes.py
@@ -41,27 +41,27 @@
 
 
 def noop() -> dict:
-    """Give the change that a new leader begins its term with (Ongaro 2014, 6.4)."""
+    """Return the change that a new leader begins its term with (Ongaro 2014, 6.4)."""
     return {"kind": ChangeKind.NOOP.value}
 
 
 def new_incarnation(name: str, incarnation: str) -> dict:
-    """Give the change by which a member counts in another incarnation, without a vote."""
+    """Return the change by which a member counts in another incarnation, without a vote."""
     return {"kind": ChangeKind.NEW_INCARNATION.value, "name": name, "life": incarnation}
 
 
 def grant_vote(name: str, incarnation: str) -> dict:
-    """Give the change by which a learner becomes a voter."""
+    """Return the change by which a learner becomes a voter."""
     return {"kind": ChangeKind.GRANT_VOTE.value, "name": name, "life": incarnation}
 
 
 def is_valid_fan_out(fan_out: Any) -> bool:
-    """Tell whether so many members may hear from one relay."""
+    """Return whether so many members may hear from one relay."""
     return type(fan_out) is int and MIN_FAN_OUT <= fan_out <= MAX_FAN_OUT
 
 
 def is_valid(change: dict) -> bool:
-    """Tell whether a change of another process can be applied; one that cannot would halt every member."""
+    """Return whether a change of another process can be applied; one that cannot would halt every member."""
     fields_are_valid = VALIDATORS.get(change.get("kind"))
     return fields_are_valid is not None and fields_are_valid(change)
 
@@ -79,7 +79,7 @@
 
 
 def _is_signed(change: dict) -> bool:
-    """Tell whether "at" and "by", which the history shows, can be shown."""
+    """Return whether "at" and "by", which the history shows, can be shown."""
     return _is_int(change.get("at", 0)) and isinstance(change.get("by", ""), str)
 
 
@@ -147,5 +147,5 @@
 
 
 def describe(change: dict) -> str:
-    """Give the line of the history, which operators read."""
+    """Return the line of the history, which operators read."""
     return DESCRIPTIONS[change["kind"]].format_map(change)
--- a/mastledge/consensus/clock.py
+++ b/mastledge/consensus/clock.py
@@ -17,11 +17,11 @@
         self.process_id = checksum or 1
 
     def reading(self) -> int:
-        """Give the time as others are told it."""
+        """Return the time as others are told it."""
         return self.now + self.offset_us
 
     def from_reading(self, reading: int) -> int:
-        """Give the own time of a reading that another member sends back."""
+        """Return the own time of a reading that another member sends back."""
         return reading - self.offset_us
 
 
@@ -33,6 +33,6 @@
         self.seed, self.name, self.count = seed, name.encode(), 0
 
     def next(self) -> float:
-        """Give a number from 0 to below 1."""
+        """Return a number from 0 to below 1."""
         self.count += 1
         return crc32(b"%d %s %d" % (self.seed, self.name, self.count)) / 4294967296.0
--- a/mastledge/consensus/direct_members.py
+++ b/mastledge/consensus/direct_members.py
@@ -24,7 +24,7 @@
         self.adopted[name] = self.core.clock.now + ADOPTED_LEASES * state.lease_us
 
     def names(self) -> set[str]:
-        """Give to whom the leader speaks now."""
+        """Return to whom the leader speaks now."""
         state, now = self.core.state, self.core.clock.now
         members = state.members()
         names = {name for name, member in members.items() if member["votes"]}
@@ -37,7 +37,7 @@
         return names | {name for name in departed if name in self.leases.holders}
 
     def recruits(self) -> list[str]:
-        """Give followers that may be made voters: the leader has to know what their disks hold."""
+        """Return followers that may be made voters: the leader has to know what their disks hold."""
         state = self.core.state
         missing = wanted_voters(len(state.members())) - len(state.voters())
         if missing <= 0:
--- a/mastledge/consensus/discovery.py
+++ b/mastledge/consensus/discovery.py
@@ -55,7 +55,7 @@
         self.contacts[sender] = Contact(self.core.clock.now, incarnation, message)
 
     def present_members(self, now: int) -> set[str]:
-        """Give who has said something lately and has not lost its disk."""
+        """Return who has said something lately and has not lost its disk."""
         return {
             name
             for name, (at, is_empty) in self.last_messages.items()
@@ -78,7 +78,7 @@
             self.core.outbox.send(name, request)
 
     def _members_to_ask(self) -> list[str]:
-        """Give the voters, the first name, which begins a fleet, and some of the others in turn.
+        """Return the voters, the first name, which begins a fleet, and some of the others in turn.
 
         All of them at each time would be as many messages as the square of the members.
         """
@@ -92,14 +92,14 @@
         return sorted({*always, *others})
 
     def fleet_told_by(self, name: str) -> str:
-        """Give the fleet that a member has told, else that any other has; "" where none has."""
+        """Return the fleet that a member has told, else that any other has; "" where none has."""
         response = self.responses.get(name)
         if response is not None and response.fleet:
             return response.fleet
         return next((other.fleet for other in self.responses.values() if other.fleet), "")
 
     def ready_members(self) -> dict[str, tuple[str, str]] | None:
-        """Give (address, incarnation) of the other members once all are ready to begin a fleet; else None."""
+        """Return (address, incarnation) of the others once all are ready to begin a fleet; else None."""
         members = {}
         for name, address in self.configured.items():
             if name == self.core.state.name:
--- a/mastledge/consensus/elections.py
+++ b/mastledge/consensus/elections.py
@@ -70,7 +70,7 @@
         self.core.outbox.send(sender, VoteResponse(term, granted, pre_vote=True))
 
     def _has_leader(self) -> bool:
-        """Tell whether a leader was heard within the shortest election timeout, less a heartbeat."""
+        """Return whether a leader was heard within the shortest election timeout, less a heartbeat."""
         roles, span = self.core.roles, (MIN_ELECTION_TIMEOUT - 1) * self.core.state.heartbeat_us
         return roles.leader is not None and self.core.clock.now < roles.contact.heard_at + span
 
--- a/mastledge/consensus/follower.py
+++ b/mastledge/consensus/follower.py
@@ -76,7 +76,7 @@
         return True
 
     def _follows_log(self, append: AppendEntries) -> bool:
-        """Tell whether the entries follow what is in the log here (Ongaro 2014, 3.5)."""
+        """Return whether the entries follow what is in the log here (Ongaro 2014, 3.5)."""
         state, previous = self.core.state, append.prev_index
         if state.state_machine is None or previous > state.log.last_index:
             return False
--- a/mastledge/consensus/heartbeats.py
+++ b/mastledge/consensus/heartbeats.py
@@ -24,13 +24,13 @@
         self.latest_restrictions = LatestRestrictions()
 
     def restrictions_for(self, name: str, now: int) -> list[WorkerRestrictions]:
-        """Give the restrictions that go with the next message to a member."""
+        """Return the restrictions that go with the next message to a member."""
         if self.sharing.state.fan_out:
             return self.sharing.lists.restrictions_for(name)
         return self.latest_restrictions.current(now)
 
     def observations_of(self, members: dict[str, dict]) -> dict[str, Observation]:
-        """Give what voters have promised, which a new leader has to know of."""
+        """Return what voters have promised, which a new leader has to know of."""
         observations = self.observed.observations
         return {
             name: observed
@@ -105,7 +105,7 @@
         )
 
     def _grant(self, name: str, granted_at: int | None) -> int:
-        """Give the time from which a member's lease runs; only what it gets with it makes that good."""
+        """Return the time from which a member's lease runs; only what it gets with it makes that good."""
         state = self.core.state
         if granted_at is None or name not in state.state_machine.members:
             return 0
--- a/mastledge/consensus/latest_restrictions.py
+++ b/mastledge/consensus/latest_restrictions.py
@@ -14,7 +14,7 @@
         self._shared_until = 0
 
     def record(self, restrictions: WorkerRestrictions, now: int) -> bool:
-        """Take over what a member tells; tell whether it is at least as new as what was there."""
+        """Take over what a member tells; return whether it is at least as new as what was there."""
         last = self._by_registry.get(restrictions.registry)
         if last is not None and restrictions.generation < last.generation:
             return False
@@ -24,5 +24,5 @@
         return True
 
     def current(self, now: int) -> list[WorkerRestrictions]:
-        """Give what goes with the heartbeats."""
+        """Return what goes with the heartbeats."""
         return list(self._by_registry.values()) if now < self._shared_until else []
--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -114,7 +114,7 @@
         self.progress.hurry()
 
     def is_settled(self) -> bool:
-        """Tell whether the members may change: an entry of this term is committed, and no change under way.
+        """Return whether the members may change: an entry of this term is committed, and no change under way.
 
         Ongaro (2014), 4.1, and the erratum to it.
         """
@@ -124,7 +124,7 @@
         return self._knows_all_committed() and not is_changing
 
     def _may_depart(self, change: dict) -> bool:
-        """Tell whether one more may leave: so many are remembered, until the first one's lease is over."""
+        """Return whether one more may leave: so many are remembered, until the first one's lease is over."""
         if change["kind"] != ChangeKind.REMOVE_MEMBER:
             return True
         departed = self.core.state.departed()
@@ -133,7 +133,7 @@
         return self.leases.has_expired(departed[0]["name"], self.core.clock.now)
 
     def members_without_relays(self) -> list[str]:
-        """Give the members of a version without relays, or that have said nothing to this leader yet."""
+        """Return the members of a version without relays, or that have said nothing to this leader yet."""
         state = self.core.state
         return sorted(
             name for name in state.members() if name != state.name and not self.process_ids.get(name)
@@ -249,7 +249,7 @@
             self.parts.lease.extend(majority_heard_at, state.lease_us)
 
     def _knows_all_committed(self) -> bool:
-        """Tell whether an entry of this term is committed, and so all that was before it."""
+        """Return whether an entry of this term is committed, and so all that was before it."""
         return self.core.state.commit_index >= self.first_index
 
     def update_in_force(self) -> None:
@@ -264,7 +264,7 @@
         lease.record_in_force(reached, by)
 
     def promote_learner(self) -> None:
-        """Give a vote to a member that has caught up, while voters are missing."""
+        """Return a vote to a member that has caught up, while voters are missing."""
         state = self.core.state
         members = state.members()
         if len(state.voters()) >= wanted_voters(len(members)) or not self.is_settled():
@@ -277,7 +277,7 @@
                 return
 
     def _may_vote(self, name: str, member: dict) -> bool:
-        """Tell whether a learner has caught up, on its disk, and answers."""
+        """Return whether a learner has caught up, on its disk, and answers."""
         if member["votes"] or not member["life"]:
             return False
         if self.progress.match_index.get(name, 0) < self.first_index:
@@ -294,7 +294,7 @@
         self.heartbeats.send_due(names, majority_heard_at if self._knows_all_committed() else None)
 
     def successor(self) -> str | None:
-        """Give the voter that is to lead next: it has all of the log, and was heard last."""
+        """Return the voter that is to lead next: it has all of the log, and was heard last."""
         state, match_index = self.core.state, self.progress.match_index
         ready = [
             name
@@ -304,7 +304,7 @@
         return max(ready, key=lambda name: (self.echoed_at.get(name, 0), name), default=None)
 
     def wake_at(self) -> int:
-        """Give when the leader has something to do."""
+        """Return when the leader has something to do."""
         now, lease = self.core.clock.now, self.parts.lease
         times = [*self.progress.heartbeat_at.values(), now + self.core.state.heartbeat_us]
         if lease.in_force_index < self.core.state.commit_index:
--- a/mastledge/consensus/leases.py
+++ b/mastledge/consensus/leases.py
@@ -12,12 +12,12 @@
 
 
 def shortest_lease_us(lease_us: int) -> int:
-    """Give how long a holder counts on its lease by its own clock."""
+    """Return how long a holder counts on its lease by its own clock."""
     return lease_us - lease_us // DRIFT_DIVISOR
 
 
 def longest_lease_us(lease_us: int) -> int:
-    """Give after how long, by its own clock, who granted a lease takes it that nobody counts on it."""
+    """Return after how long, by its own clock, who granted a lease takes it that nobody counts on it."""
     return lease_us + lease_us // DRIFT_DIVISOR
 
 
@@ -47,7 +47,7 @@
         self.holders: dict[str, Holder] = {}
 
     def holder(self, name: str) -> Holder:
-        """Give what is known of a member, from here on if nothing was."""
+        """Return what is known of a member, from here on if nothing was."""
         if name not in self.holders:
             self.holders[name] = Holder(self.began_at + longest_lease_us(self.lease_us))
         return self.holders[name]
@@ -67,7 +67,7 @@
             holder.clock_reports.append((clock, now))
 
     def grant(self, name: str, majority_heard_at: int, commit_index: int) -> int:
-        """Give the time of the holder's own clock from which its lease runs; 0 for none yet."""
+        """Return the time of the holder's own clock from which its lease runs; 0 for none yet."""
         holder = self.holder(name)
         while holder.clock_reports and holder.clock_reports[0][1] <= majority_heard_at:
             holder.latest_grant, received_at = holder.clock_reports.popleft()
@@ -79,7 +79,7 @@
         return holder.latest_grant
 
     def covered_index(self, name: str, now: int) -> int | None:
-        """Give up to which entry this holder cannot act on older state; None: it holds no lease at all."""
+        """Return up to which entry this holder cannot act on older state; None: it holds no lease at all."""
         holder = self.holder(name)
         while holder.grants and holder.grants[0][1] <= now:
             holder.grants.popleft()
@@ -88,10 +88,10 @@
         return max(holder.applied_index, holder.grants[0][0])
 
     def expires_at(self, name: str, commit_index: int) -> int:
-        """Give when the last lease of this holder is over that was granted before `commit_index`."""
+        """Return when the last lease of this holder is over that was granted before `commit_index`."""
         grants = self.holder(name).grants
         return max((expires_at for index, expires_at in grants if index < commit_index), default=0)
 
     def has_expired(self, name: str, now: int) -> bool:
-        """Tell whether this holder holds no lease."""
+        """Return whether this holder holds no lease."""
         return self.covered_index(name, now) is None
--- a/mastledge/consensus/log.py
+++ b/mastledge/consensus/log.py
@@ -27,23 +27,23 @@
         return self.entries[-1].term if self.entries else self.base_term
 
     def term_at(self, index: int) -> int | None:
-        """Give the term of an entry; None where it is neither here nor the snapshot's last one."""
+        """Return the term of an entry; None where it is neither here nor the snapshot's last one."""
         if index == self.base_index:
             return self.base_term
-        held = self.base_index < index <= self.last_index
-        return self.entries[index - self.base_index - 1].term if held else None
+        is_present = self.base_index < index <= self.last_index
+        return self.entries[index - self.base_index - 1].term if is_present else None
 
     def entry_at(self, index: int) -> Entry:
-        """Give an entry that is held here."""
+        """Return an entry that is held here."""
         return self.entries[index - self.base_index - 1]
 
     def entries_after(self, index: int, limit: int = MAX_ENTRIES_AT_ONCE) -> list[Entry]:
-        """Give the entries after an index, `limit` of them at the most."""
+        """Return the entries after an index, `limit` of them at the most."""
         first = index - self.base_index
         return self.entries[first : first + limit]
 
     def all_after(self, index: int) -> list[Entry]:
-        """Give all entries after an index."""
+        """Return all entries after an index."""
         return self.entries_after(index, len(self.entries))
 
     def append(self, entry: Entry) -> int:
--- a/mastledge/consensus/member.py
+++ b/mastledge/consensus/member.py
@@ -113,7 +113,7 @@
     # One step
 
     def step(self, now: int, input: inputs.Input) -> list[Output]:
-        """Take one input at a time of the own clock; give what follows, in its order."""
+        """Take one input at a time of the own clock; return what follows, in its order."""
         self.clock.now = now
         self.input_handlers[type(input)](input)
         self._run()
@@ -183,7 +183,7 @@
             self.discovery.ask_members()
 
     def wake_at(self) -> int:
-        """Give when `Tick` has to be the input at the latest."""
+        """Return when `Tick` has to be the input at the latest."""
         takes_part = self.phase == Phase.PARTICIPATING
         times = [self.elections.timeout_at if takes_part else self.bootstrap.ask_at]
         if self.roles.leadership is not None:
@@ -207,7 +207,7 @@
             self.message_handlers[type(message)](sender, received.incarnation, message)
 
     def _takes(self, message: messages.AnyMessage) -> bool:
-        """Tell whether a message is heard in this phase."""
+        """Return whether a message is heard in this phase."""
         match message:
             case messages.DiscoverRequest() | messages.DiscoverResponse() | messages.BootstrapCluster():
                 return True
@@ -370,11 +370,11 @@
         return self.state.fan_out
 
     def may_act(self, now: int) -> bool:
-        """Tell whether what this member has applied may be acted on."""
+        """Return whether what this member has applied may be acted on."""
         return now < self.lease.lease_until and not self.applier.halt_reason
 
     def address_of(self, name: str) -> str | None:
-        """Give the address of a member, or of one that left; None where it is not known."""
+        """Return the address of a member, or of one that left; None where it is not known."""
         member = self.state.members().get(name)
         if member is None:
             member = next((departed for departed in self.state.departed() if departed["name"] == name), None)
@@ -385,7 +385,7 @@
         return member["address"] if member else None
 
     def no_lease_reason(self) -> str:
-        """Give why there is no lease, in a few words; "" where one is held."""
+        """Return why there is no lease, in a few words; "" where one is held."""
         name = self.configuration.name
         if self.applier.halt_reason:
             return self.applier.halt_reason
--- a/mastledge/consensus/membership.py
+++ b/mastledge/consensus/membership.py
@@ -1,16 +1,15 @@
 """Who is a member of the fleet, and who of them votes."""
 
 from mastledge.consensus.changes import ChangeKind
-from mastledge.consensus.errors import ChangeRefusedError
+from mastledge.consensus.errors import ChangeRefusedError, RefusalStatus
 from mastledge.consensus.replica_placement import remove_replica
 
 MAX_DEPARTED = 8  # members that left and may still hold a lease
-CONFLICT = 409
 MIN_REDUNDANT, MAX_VOTERS = 3, 7
 
 
 def wanted_voters(count: int) -> int:
-    """Give how many of so many members vote: 3 to 7, and odd.
+    """Return how many of so many members vote: 3 to 7, and odd.
 
     An even number needs one more for a majority and survives no more failures.
     """
@@ -18,7 +17,7 @@
 
 
 def members_after(members: dict[str, dict], change: dict) -> dict[str, dict]:
-    """Give the members after a change of them, committed or not.
+    """Return the members after a change of them, committed or not.
 
     Raises `ChangeRefusedError` where it does not fit; each member comes to the same.
     """
@@ -27,23 +26,23 @@
         return _added(members, name, change["address"])
     member = members.get(name)
     if member is None:
-        raise ChangeRefusedError(f"{name} is no member", CONFLICT)
+        raise ChangeRefusedError(f"{name} is no member", RefusalStatus.CONFLICT)
     if kind == ChangeKind.REMOVE_MEMBER:
         if len(members) == 1:
-            raise ChangeRefusedError(f"{name} is the last member", CONFLICT)
+            raise ChangeRefusedError(f"{name} is the last member", RefusalStatus.CONFLICT)
         return {other: one for other, one in members.items() if other != name}
     if kind == ChangeKind.NEW_INCARNATION:
         return {**members, name: {**member, "life": change["life"], "votes": False}}
     if member["life"] != change["life"] or member["votes"]:
-        raise ChangeRefusedError(f"{name} has another life", CONFLICT)
+        raise ChangeRefusedError(f"{name} has another life", RefusalStatus.CONFLICT)
     return {**members, name: {**member, "votes": True}}
 
 
 def _added(members: dict[str, dict], name: str, address: str) -> dict[str, dict]:
     if name in members:
-        raise ChangeRefusedError(f"{name} is a member already", CONFLICT)
+        raise ChangeRefusedError(f"{name} is a member already", RefusalStatus.CONFLICT)
     if any(member["address"] == address for member in members.values()):
-        raise ChangeRefusedError(f"another member is at {address}", CONFLICT)
+        raise ChangeRefusedError(f"another member is at {address}", RefusalStatus.CONFLICT)
     return {**members, name: {"address": address, "life": "", "votes": False}}
 
 
--- a/mastledge/consensus/observed_state.py
+++ b/mastledge/consensus/observed_state.py
@@ -24,7 +24,7 @@
         self.observations = {}
 
     def of(self, name: str, incarnation: str) -> Observation:
-        """Give what is known of this incarnation; zeros for nothing."""
+        """Return what is known of this incarnation; zeros for nothing."""
         known = self.observations.get(name)
         if known is not None and known.incarnation == incarnation:
             return known
--- a/mastledge/consensus/outbox.py
+++ b/mastledge/consensus/outbox.py
@@ -32,7 +32,7 @@
         self.outputs.append(outputs.RestrictionsReceived(restrictions))
 
     def take(self) -> list[outputs.Output]:
-        """Give the outputs of the step that ends."""
+        """Return the outputs of the step that ends."""
         taken, self.outputs = self.outputs, []
         return taken
 
@@ -47,8 +47,8 @@
         """Begin with a disk that works and a log that is persisted up to nowhere."""
         self.outbox = outbox
         self.records: list[Record] = []  # of the running step
-        self.dependent: list[tuple[str, AnyMessage]] = []  # messages that need them on disk
-        self.held: list[tuple[int, str, AnyMessage]] = []  # messages that wait for a token
+        self.unsent: list[tuple[str, AnyMessage]] = []  # messages of the step that need them on disk
+        self.waiting: list[tuple[int, str, AnyMessage]] = []  # messages by the token that they wait for
         self.token = self.persisted_token = 0
         self.last_indexes: dict[int, int] = {}  # of the log, by the token of a write that is under way
         self.persisted_index = 0  # up to which entry the disk has the log
@@ -61,7 +61,7 @@
         self.persisted_index = last_index
 
     def is_waiting(self) -> bool:
-        """Tell whether what is said in this step has to wait for records of it."""
+        """Return whether what is said in this step has to wait for records of it."""
         return bool(self.records) and not self.failed
 
     def record(self, record: Record) -> None:
@@ -70,7 +70,7 @@
 
     def send_when_persisted(self, to: str, message: AnyMessage) -> None:
         """Send a message once the records of this step, and all before, are on disk."""
-        self.dependent.append((to, message))
+        self.unsent.append((to, message))
 
     def limit_persisted(self, last_index: int) -> None:
         """The log has lost its entries after this index."""
@@ -84,10 +84,10 @@
         self.is_behind = self.failed and (self.is_behind or bool(self.records))
         self.records = []
         if not self.failed:
-            self.held += [(self.token, to, message) for to, message in self.dependent]
-        self.dependent = []
-        while self.held and self.held[0][0] <= self.persisted_token:
-            _, to, message = self.held.pop(0)
+            self.waiting += [(self.token, to, message) for to, message in self.unsent]
+        self.unsent = []
+        while self.waiting and self.waiting[0][0] <= self.persisted_token:
+            _, to, message = self.waiting.pop(0)
             self.outbox.send(to, message)
 
     def _write(self, last_index: int) -> None:
@@ -115,11 +115,11 @@
         """Send nothing more that depends on the disk, until all is written anew."""
         if not self.failed:
             self.outbox.log_event("disk_failed")
-        self.failed, self.is_behind, self.held, self.last_indexes = True, True, [], {}
+        self.failed, self.is_behind, self.waiting, self.last_indexes = True, True, [], {}
         self.retry_at = now + DISK_RETRY_US
 
     def is_retry_due(self, now: int) -> bool:
-        """Tell whether all is to be written anew, and count that as done."""
+        """Return whether all is to be written anew, and count that as done."""
         if self.retry_at is None or now < self.retry_at:
             return False
         self.retry_at = now + DISK_RETRY_US
@@ -140,4 +140,4 @@
 
     def forget_log(self) -> None:
         """Another log begins: nothing of it is on disk, and nothing of the former one is sent any more."""
-        self.held, self.persisted_index = [], 0
+        self.waiting, self.persisted_index = [], 0
--- a/mastledge/consensus/persisted_state.py
+++ b/mastledge/consensus/persisted_state.py
@@ -24,7 +24,7 @@
 
 
 def encoded_records(member: PersistedMember) -> list[tuple]:
-    """Give the fewest records that lead to this, in their form on disk."""
+    """Return the fewest records that lead to this, in their form on disk."""
     first = member.snapshot_index + 1
     log = [records.LogEntry(index, entry) for index, entry in enumerate(member.entries, first)]
     snapshot = records.Snapshot(member.snapshot_index, member.snapshot_term, member.snapshot_state)
@@ -84,11 +84,11 @@
         self.snapshot_state = snapshot.state
 
     def compacted_records(self) -> list[tuple]:
-        """Give the fewest records that lead to the same state."""
+        """Return the fewest records that lead to the same state."""
         return encoded_records(self._member()) if self.fleet else []
 
     def value(self) -> PersistedMember | None:
-        """Give what a member starts from; None where the disk holds no fleet."""
+        """Return what a member starts from; None where the disk holds no fleet."""
         return self._member() if self.fleet and self.snapshot_state is not None else None
 
     def _member(self) -> PersistedMember:
--- a/mastledge/consensus/proposals.py
+++ b/mastledge/consensus/proposals.py
@@ -24,7 +24,7 @@
         self.pending.pop(id, None)
 
     def complete(self, id: str) -> bool:
-        """It is committed; tell whether it is one of these."""
+        """It is committed; return whether it is one of these."""
         return self.pending.pop(id, None) is not None
 
     def retry_now(self, now: int) -> None:
@@ -32,7 +32,7 @@
         self.retry_at = now if self.pending else None
 
     def due(self, now: int) -> list[tuple[str, dict]]:
-        """Give the (id, change) that are to be handed in again now."""
+        """Return the (id, change) that are to be handed in again now."""
         if self.retry_at is None or now < self.retry_at:
             return []
         self.retry_at = now + PROPOSAL_RETRY_US if self.pending else None
--- a/mastledge/consensus/raft_state.py
+++ b/mastledge/consensus/raft_state.py
@@ -110,7 +110,7 @@
         self.persistence.record(snapshot)
 
     def all_records(self) -> list[tuple]:
-        """Give the fewest records that lead to this state, in their form on disk."""
+        """Return the fewest records that lead to this state, in their form on disk."""
         log = self.log
         identity, hard_state = (self.fleet, self.incarnation), (self.term, self.voted_for)
         snapshot = log.base_index, log.base_term, self.snapshot_state
@@ -119,7 +119,7 @@
     # The members
 
     def members(self) -> dict[str, dict]:
-        """Give the members as the last entry has them, committed or not (Ongaro 2014, 4.1)."""
+        """Return the members as the last entry has them, committed or not (Ongaro 2014, 4.1)."""
         if self._effective_members is None:
             self._effective_members = self._compute_members()
         return self._effective_members
@@ -141,35 +141,35 @@
         self._effective_members = None
 
     def departed(self) -> list[dict]:
-        """Give the members that left and may still hold a lease, the longest gone first."""
+        """Return the members that left and may still hold a lease, the longest gone first."""
         return self.state_machine.state["gone"] if self.state_machine else []
 
     def voters(self) -> list[str]:
-        """Give the names of the voters."""
+        """Return the names of the voters."""
         return [name for name, member in self.members().items() if member["votes"]]
 
     def is_voter(self) -> bool:
-        """Tell whether this member votes, in its incarnation."""
+        """Return whether this member votes, in its incarnation."""
         me = self.members().get(self.name)
         return me is not None and me["votes"] and me["life"] == self.incarnation
 
     def is_learner(self, name: str) -> bool:
-        """Tell whether another is a member that does not vote."""
+        """Return whether another is a member that does not vote."""
         member = self.members().get(name)
         return member is not None and not member["votes"]
 
     def is_admitted(self) -> bool:
-        """Tell whether this is a member in the incarnation that the fleet knows, as committed."""
+        """Return whether this is a member in the incarnation that the fleet knows, as committed."""
         me = self.state_machine.members.get(self.name)
         return me is not None and me["life"] == self.incarnation
 
     def knows(self, name: str, incarnation: str) -> bool:
-        """Tell whether another is a member in this incarnation."""
+        """Return whether another is a member in this incarnation."""
         member = self.members().get(name)
         return member is not None and member["life"] == incarnation
 
     def majority_of(self, figures: dict[str, int]) -> int:
-        """Give the highest figure that a majority of the voters has reached; a missing one counts as -1."""
+        """Return the highest figure that a majority of the voters has reached; a missing one counts as -1."""
         reached: list[int] = []
         for name in self.voters():
             insort(reached, figures.get(name, -1))
--- a/mastledge/consensus/records.py
+++ b/mastledge/consensus/records.py
@@ -56,7 +56,7 @@
 
 
 def encode_record(record: Record) -> tuple:
-    """Give the form on disk."""
+    """Return the form on disk."""
     return (RECORD_KINDS[type(record)], *msgspec.structs.astuple(record))
 
 
--- a/mastledge/consensus/relay_children.py
+++ b/mastledge/consensus/relay_children.py
@@ -20,7 +20,7 @@
 from mastledge.consensus.timing import LOST_AFTER_HEARTBEATS, SOON_US
 
 MAX_CHILDREN_PER_FAN_OUT = 4  # times the fan-out that one relay takes, while others are away
-MIN_PAUSE_HEARTBEATS = 3, 4  # the part of a heartbeat that lies between two messages to the same child
+MIN_PAUSE_QUARTER_HEARTBEATS = 3  # between two messages to the same child
 CHILD_HEARTBEATS = 2  # of the leader, between two messages to a child that has nothing new to hear
 
 
@@ -45,13 +45,13 @@
         self.granted: GrantedLeases | None = None  # leases that came through here
 
     def release(self) -> list[str]:
-        """Have no children any more, and give their names; what was granted to them goes on counting."""
+        """Have no children any more, and return their names; what was granted to them goes on counting."""
         names = list(self.children)
         self.children = {}
         return names
 
     def covered_index(self) -> int:
-        """Give the entry up to which nobody acts on older state by a lease that came through here."""
+        """Return the entry up to which nobody acts on older state by a lease that came through here."""
         state_machine, now = self.core.state.state_machine, self.core.clock.now
         if state_machine is None:
             return 0
@@ -95,7 +95,7 @@
             child.resent_for, child.due_at = response.sent_at, 0
 
     def _child(self, name: str, response: AppendResponse) -> Child | None:
-        """Give a child, a new one where there is room for it."""
+        """Return a child, a new one where there is room for it."""
         if name not in self.children:
             if len(self.children) >= MAX_CHILDREN_PER_FAN_OUT * self.core.state.fan_out:
                 return None
@@ -104,8 +104,7 @@
 
     def hurry(self) -> None:
         """There is something new for them."""
-        part, whole = MIN_PAUSE_HEARTBEATS
-        pause = self.core.state.heartbeat_us * part // whole
+        pause = self.core.state.heartbeat_us * MIN_PAUSE_QUARTER_HEARTBEATS // 4
         for child in self.children.values():
             child.due_at = min(child.due_at, child.sent_at + pause)
 
@@ -171,6 +170,6 @@
         child.next_index = state.log.base_index + 1
 
     def wake_times(self) -> list[int]:
-        """Give when a child has to be spoken to."""
+        """Return when a child has to be spoken to."""
         soonest = self.core.clock.now + SOON_US
         return [max(soonest, child.due_at) for child in self.children.values()]
--- a/mastledge/consensus/relay_choice.py
+++ b/mastledge/consensus/relay_choice.py
@@ -1,4 +1,4 @@
-"""The relay that a follower hears from, and its search for another one when nothing new comes of it."""
+"""The relay that a follower hears from, and its search for another one when nothing new comes from it."""
 
 from collections.abc import Callable
 
@@ -8,8 +8,8 @@
 from mastledge.consensus.relay_tree import EffectiveTree, RelayTree
 from mastledge.consensus.restriction_sharing import RestrictionSharing
 
-PATIENCE_HEARTBEATS = 5, 2  # without news of the leader, after which a follower of the first level looks
-LEVEL_PATIENCE_HEARTBEATS = 1  # more for each level below, as the one above may find another relay first
+RELAY_TIMEOUT_HALF_HEARTBEATS = 5  # without the leader, after which a follower of the first level looks
+LEVEL_TIMEOUT_HEARTBEATS = 1  # more for each level below, as the one above may find another relay first
 RETURN_US = 20_000_000  # half to one and a half of it after a move, the first relay is tried again
 
 
@@ -29,26 +29,26 @@
         self.acknowledgements, self.ask_members = acknowledgements, ask_members
         self.relay: str | None = None
         self.joined_at = core.clock.now
-        self.tried = 0  # relays, one after the other, without news
-        self.latest_news = (0, 0)  # term and time of the leader
-        self.latest_news_at = core.clock.now
+        self.failed_relays = 0  # tried one after the other since the leader was last heard of
+        self.latest_contact = (0, 0)  # term and time of the leader
+        self.leader_heard_at = core.clock.now
         self.relay_has_spoken = False
         self._tree = EffectiveTree()
 
     def forget(self) -> None:
         """Relays are turned off, or another fleet begins."""
-        self.relay, self.latest_news, self.relay_has_spoken = None, (0, 0), False
+        self.relay, self.latest_contact, self.relay_has_spoken = None, (0, 0), False
 
     def leave(self) -> None:
         """Hear from no relay, as this member leads."""
         self.relay = None
 
     def tree(self) -> RelayTree:
-        """Give the levels of the fleet."""
+        """Return the levels of the fleet."""
         return self._tree.of(self.core.state.members(), self.core.state.fan_out)
 
     def hears_relays(self) -> bool:
-        """Tell whether this member is a follower that is to hear from a relay."""
+        """Return whether this member is a follower that is to hear from a relay."""
         state = self.core.state
         is_learner = self.core.roles.is_follower() and not state.is_voter()
         return bool(state.fan_out) and is_learner and state.is_admitted()
@@ -63,22 +63,23 @@
             return
         if self.relay not in relays:
             self._join(relays[0])
-        elif now > self._patient_until():
+        elif now > self._timeout_at():
             self._try_next(relays)
         elif self.relay != relays[0] and now > self.joined_at + int(RETURN_US * (0.5 + self.draws.next())):
             # The first one may be back by now, and each has its part of the followers.
             self._join(relays[0])
 
-    def _patient_until(self) -> int:
+    def _timeout_at(self) -> int:
         level = max(1, self.tree().level(self.core.state.name))
-        heartbeat, (part, whole) = self.core.state.heartbeat_us, PATIENCE_HEARTBEATS
-        patience = heartbeat * part // whole + (level - 1) * LEVEL_PATIENCE_HEARTBEATS * heartbeat
-        return max(self.latest_news_at, self.joined_at) + patience
+        heartbeat_us = self.core.state.heartbeat_us
+        first_level_us = heartbeat_us * RELAY_TIMEOUT_HALF_HEARTBEATS // 2
+        lower_levels_us = (level - 1) * LEVEL_TIMEOUT_HEARTBEATS * heartbeat_us
+        return max(self.leader_heard_at, self.joined_at) + first_level_us + lower_levels_us
 
     def _try_next(self, relays: list[str]) -> None:
-        self.tried += 1
-        if self.tried >= len(relays):
-            self.tried = 0
+        self.failed_relays += 1
+        if self.failed_relays >= len(relays):
+            self.failed_relays = 0
             self.ask_members()
         self._join(relays[(relays.index(self.relay) + 1) % len(relays)])
 
@@ -90,19 +91,23 @@
         self.acknowledgements.send(relay, success=False, sent_at=0)
 
     def on_relayed(self, sender: str, term: int, leader_time: int) -> None:
-        """A relay has told of the leader; what it says again and again is no news."""
+        """A relay has passed on a message of the leader; a repeated one does not count."""
         if sender != self.relay:
             return
         self.relay_has_spoken = True
-        if (term, leader_time) > self.latest_news:
-            self.latest_news, self.latest_news_at, self.tried = (term, leader_time), self.core.clock.now, 0
+        if (term, leader_time) > self.latest_contact:
+            self.latest_contact, self.leader_heard_at, self.failed_relays = (
+                (term, leader_time),
+                self.core.clock.now,
+                0,
+            )
 
     def is_answered(self, sender: str, is_relayed: bool) -> bool:
-        """Tell whether a message is answered; a former relay stops speaking once it hears nothing more."""
+        """Return whether a message is answered; a former relay stops speaking once it hears nothing more."""
         return not is_relayed or sender == self.relay or not self.relay_has_spoken
 
     def wake_times(self) -> list[int]:
-        """Give when another relay has to be looked for."""
+        """Return when another relay has to be looked for."""
         if self.relay is None or not self.hears_relays():
             return []
-        return [self._patient_until() + 1]
+        return [self._timeout_at() + 1]
--- a/mastledge/consensus/relay_tree.py
+++ b/mastledge/consensus/relay_tree.py
@@ -28,11 +28,11 @@
         self._latest: dict[tuple[str, str | None], list[str]] = {}
 
     def level(self, name: str) -> int:
-        """Give 0 for voters and for who is no member, 1 for those who hear from voters, and so on."""
+        """Return 0 for voters and for who is no member, 1 for those who hear from voters, and so on."""
         return self.places.get(name, (0, 0))[0]
 
     def relays(self, name: str, leader: str | None) -> list[str]:
-        """Give those from whom a follower may hear, the first to be tried first."""
+        """Return those from whom a follower may hear, the first to be tried first."""
         if (name, leader) not in self._latest:
             self._latest = {(name, leader): self._relays_of(name, leader)}
         return self._latest[name, leader]
@@ -60,7 +60,7 @@
         self._tree = RelayTree({}, 0)
 
     def of(self, members: dict[str, dict], fan_out: int) -> RelayTree:
-        """Give the tree; `members` is the same object for as long as they are the same."""
+        """Return the tree; `members` is the same object for as long as they are the same."""
         if self._members is not members or self._tree.fan_out != fan_out:
             self._members, self._tree = members, RelayTree(members, fan_out)
         return self._tree
--- a/mastledge/consensus/replica_placement.py
+++ b/mastledge/consensus/replica_placement.py
@@ -4,9 +4,7 @@
 often each data directory was opened; "after" is the count of replicas of each key that "next" brings.
 """
 
-from mastledge.consensus.errors import ChangeRefusedError
-
-ALREADY_SO, CONFLICT = 200, 409
+from mastledge.consensus.errors import ChangeRefusedError, RefusalStatus
 
 
 def start_replica(state: dict, change: dict) -> None:
@@ -16,12 +14,12 @@
     """
     name, directory, starts = change["name"], change["id"], change["starts"]
     if name not in state["members"]:
-        raise ChangeRefusedError(f"{name} is no member", CONFLICT)
+        raise ChangeRefusedError(f"{name} is no member", RefusalStatus.CONFLICT)
     placement = state.setdefault("copies", _empty_placement(change["count"]))
     known = placement["starts"].get(name)
     if known is not None and known[0] == directory and known[1] >= starts:
         reason = f"the folder of {name} is old: it was opened {known[1]} times, not {starts - 1}"
-        raise ChangeRefusedError(reason, CONFLICT)
+        raise ChangeRefusedError(reason, RefusalStatus.CONFLICT)
     placement["starts"][name] = [directory, starts]
     if not placement["epoch"]:
         _begin_if_enough(state, placement)
@@ -65,9 +63,9 @@
     """Apply another count of replicas of each key: the same dispatchers hold more of them, or fewer."""
     placement, count = state.get("copies"), change["count"]
     if placement is None:
-        raise ChangeRefusedError("no dispatcher holds copies of keys", CONFLICT)
+        raise ChangeRefusedError("no dispatcher holds copies of keys", RefusalStatus.CONFLICT)
     if count == placement.get("after", placement["count"]):
-        raise ChangeRefusedError(f"there are {count} copies of each", ALREADY_SO)
+        raise ChangeRefusedError(f"there are {count} copies of each", RefusalStatus.ALREADY_SO)
     placement.pop("after", None)
     if not placement["epoch"]:
         placement["count"] = count
@@ -81,9 +79,9 @@
     """Apply that a replica of the next epoch has read all that it is to hold."""
     placement, name = state.get("copies"), change["name"]
     if placement is None or placement["epoch"] != change["epoch"] or placement["next"] is None:
-        raise ChangeRefusedError("the holders have changed since", CONFLICT)
+        raise ChangeRefusedError("the holders have changed since", RefusalStatus.CONFLICT)
     if placement["next"].get(name) != change["id"]:
-        raise ChangeRefusedError(f"{name} is none of the holders", CONFLICT)
+        raise ChangeRefusedError(f"{name} is none of the holders", RefusalStatus.CONFLICT)
     placement["caught"] = sorted({*placement["caught"], name})
     if len(placement["caught"]) == len(placement["next"]):
         placement["epoch"], placement["now"] = placement["epoch"] + 1, placement["next"]
--- a/mastledge/consensus/restriction_sharing.py
+++ b/mastledge/consensus/restriction_sharing.py
@@ -21,7 +21,7 @@
             self.outbox.deliver_restrictions(new)
 
     def generations(self) -> dict[str, int]:
-        """Give up to which generation each list is known here, where that is told at all."""
+        """Return up to which generation each list is known here, where that is told at all."""
         return self.lists.generations() if self.state.fan_out else {}
 
     def answer_report(self, name: str, generations: dict[str, int]) -> None:
--- a/mastledge/consensus/role_state.py
+++ b/mastledge/consensus/role_state.py
@@ -62,7 +62,7 @@
         self.leader = None
 
     def is_follower(self) -> bool:
-        """Tell whether this member follows, a known leader or not."""
+        """Return whether this member follows, a known leader or not."""
         return self.leadership is None and self.candidacy is None
 
     def raise_term(self, term: int) -> None:
--- a/mastledge/consensus/settings_history.py
+++ b/mastledge/consensus/settings_history.py
@@ -1,10 +1,9 @@
 """The settings of the fleet, and the versions of them that can be gone back to."""
 
-from mastledge.consensus.errors import ChangeRefusedError, SettingsPatchError
+from mastledge.consensus.errors import ChangeRefusedError, RefusalStatus, SettingsPatchError
 from mastledge.consensus.settings_patch import patched
 
 MAX_DOCUMENTS = 16
-PRECONDITION_FAILED, BAD_REQUEST = 412, 400
 
 
 def change_settings(state: dict, change: dict) -> None:
@@ -19,14 +18,16 @@
     try:
         settings = patched(state["settings"], change["changes"])
     except SettingsPatchError as error:
-        raise ChangeRefusedError(str(error), BAD_REQUEST) from error
+        raise ChangeRefusedError(str(error), RefusalStatus.INVALID) from error
     _replace(state, settings)
 
 
 def _check_expected(state: dict, change: dict) -> None:
     current, expected = state["settings_version"], change["expects"]
     if expected != current:
-        raise ChangeRefusedError(f"settings are of version {current}, not {expected}", PRECONDITION_FAILED)
+        raise ChangeRefusedError(
+            f"settings are of version {current}, not {expected}", RefusalStatus.OTHER_VERSION
+        )
 
 
 def _replace(state: dict, settings: dict) -> None:
--- a/mastledge/consensus/settings_patch.py
+++ b/mastledge/consensus/settings_patch.py
@@ -9,7 +9,7 @@
 
 
 def difference(before: Any, after: Any, path: tuple = ()) -> list[list] | None:
-    """Give the [path, value] pairs that lead from one document to the other.
+    """Return the [path, value] pairs that lead from one document to the other.
 
     None where no path but the root itself differs, so that only the whole document tells the change.
     """
@@ -25,7 +25,7 @@
 
 
 def _pairs(before: Any, after: Any) -> list[tuple] | None:
-    """Give (name or position, value before, value after) of two containers of one shape; else None."""
+    """Return (name or position, value before, value after) of two containers of one shape; else None."""
     if type(before) is type(after) and isinstance(before, dict) and list(before) == list(after):
         return [(name, before[name], after[name]) for name in before]
     if isinstance(before, list) and isinstance(after, list) and len(before) == len(after):
@@ -34,7 +34,7 @@
 
 
 def patched(document: Any, changes: list[list]) -> Any:
-    """Give a copy of the document with these values at these paths.
+    """Return a copy of the document with these values at these paths.
 
     Raises `SettingsPatchError` where the document has no such path.
     """
--- a/mastledge/consensus/state_machine.py
+++ b/mastledge/consensus/state_machine.py
@@ -11,13 +11,12 @@
 
 from mastledge.consensus import exclusions, membership, replica_placement, settings_history
 from mastledge.consensus.changes import UNVERSIONED_KINDS, ChangeKind, describe
-from mastledge.consensus.errors import ChangeRefusedError, UnknownChangeError
+from mastledge.consensus.errors import ChangeRefusedError, RefusalStatus, UnknownChangeError
 from mastledge.consensus.messages import Entry
 
 MAX_HISTORY = 64  # versions in the history
 MAX_RESULTS = 512  # of changes, by which one that comes again is known
 FORMAT = 1
-ALREADY_SO = 200
 
 
 class ChangeResult(msgspec.Struct, frozen=True):
@@ -31,7 +30,7 @@
     status: int = 0
 
     def to_document(self) -> dict:
-        """Give its form in the state document."""
+        """Return its form in the state document."""
         if not self.reason:
             return {"version": self.version}
         return {"version": self.version, "why": self.reason, "status": self.status}
@@ -43,7 +42,7 @@
 
 
 def initial_state(settings: dict, lease_us: int, members: dict[str, tuple[str, str]]) -> dict:
-    """Give the first version of the document; `members` are {name: (address, incarnation)}."""
+    """Return the first version of the document; `members` are {name: (address, incarnation)}."""
     voters = sorted(members)[: membership.wanted_voters(len(members))]
     return {
         "format": FORMAT,
@@ -67,7 +66,7 @@
 def change_fan_out(state: dict, change: dict) -> None:
     """Apply how many members hear from one relay; 0: all hear from the leader."""
     if state.get("fan_out", 0) == change["fan_out"]:
-        raise ChangeRefusedError(f"the fan-out is {change['fan_out']} already", ALREADY_SO)
+        raise ChangeRefusedError(f"the fan-out is {change['fan_out']} already", RefusalStatus.ALREADY_SO)
     state["fan_out"] = change["fan_out"]
 
 
@@ -106,7 +105,7 @@
         return self.state["members"]
 
     def snapshot(self) -> dict:
-        """Give a copy of the document that later entries do not change."""
+        """Return a copy of the document that later entries do not change."""
         return deepcopy(self.state)
 
     def apply(self, index: int, entry: Entry) -> ChangeResult:
--- a/mastledge/consensus/worker_restrictions.py
+++ b/mastledge/consensus/worker_restrictions.py
@@ -34,7 +34,7 @@
         self.generation = 0
 
     def update(self, kind: str, entries: WorkerStates, generation: int | None) -> bool:
-        """Take over a whole list or a change; tell whether it is a newer one.
+        """Take over a whole list or a change; return whether it is a newer one.
 
         `generation` is that of the list, None where it is not known.
         """
@@ -60,11 +60,11 @@
             del self.restricted[next(iter(self.restricted))]
 
     def to_message(self, registry: str) -> WorkerRestrictions:
-        """Give what others of the same registry have to hear."""
+        """Return what others of the same registry have to hear."""
         return WorkerRestrictions(registry, self.generation, sorted(self.restricted.items()))
 
     def kept_off_by(self, restrictions: WorkerRestrictions | None) -> frozenset[str]:
-        """Give whom another's list keeps off here: nobody once the own list is as new."""
+        """Return whom another's list keeps off here: nobody once the own list is as new."""
         if restrictions is None or restrictions.generation <= self.generation:
             return frozenset()
         return frozenset(worker for worker, _ in restrictions.workers)
@@ -108,7 +108,7 @@
             self.oldest_generation = max(self.oldest_generation, self.changes.pop(oldest)[1])
 
     def receive(self, restrictions: WorkerRestrictions) -> bool:
-        """Take over what another member tells; tell whether that was new here."""
+        """Take over what another member tells; return whether that was new here."""
         if restrictions.generation <= self.generation or restrictions.since > self.generation:
             return False
         if not restrictions.since:
@@ -118,7 +118,7 @@
         return True
 
     def since(self, generation: int, registry: str) -> WorkerRestrictions:
-        """Give what a member has to hear that knows a generation."""
+        """Return what a member has to hear that knows a generation."""
         if generation < self.oldest_generation or not generation:
             workers = [(worker, state) for worker, (state, _) in self.changes.items() if state != READY]
             return WorkerRestrictions(registry, self.generation, workers)
@@ -126,7 +126,7 @@
         return WorkerRestrictions(registry, self.generation, workers, generation)
 
     def restricted_since(self, generation: int, registry: str) -> WorkerRestrictions:
-        """Give who is restricted by what came after a generation, for the own host."""
+        """Return who is restricted by what came after a generation, for the own host."""
         workers = [
             (worker, state)
             for worker, (state, at) in self.changes.items()
@@ -167,7 +167,7 @@
         return self.registries[registry]
 
     def receive(self, restrictions: WorkerRestrictions) -> WorkerRestrictions | None:
-        """Take over what another member tells; give what the own host has to hear, None if nothing is new."""
+        """Take over what another member tells; return what is new to the own host, None if nothing is."""
         registry = restrictions.registry
         known = self._list_of(registry)
         if not known.receive(restrictions):
@@ -175,7 +175,7 @@
         return known.restricted_since(self.own_generations.get(registry, 0), registry)
 
     def generations(self) -> dict[str, int]:
-        """Give up to which generation each list is known here."""
+        """Return up to which generation each list is known here."""
         return {registry: known.generation for registry, known in self.registries.items()}
 
     def record_report(self, name: str, generations: dict[str, int]) -> None:
@@ -183,7 +183,7 @@
         self.peer_generations[name] = generations
 
     def restrictions_for(self, name: str) -> list[WorkerRestrictions]:
-        """Give what to tell a member that is still behind what it could have heard the last time."""
+        """Return what to tell a member that is still behind what it could have heard the last time."""
         known, offered = self.peer_generations.get(name, {}), self.offered_generations.get(name, {})
         self.offered_generations[name] = self.generations()
         return [
