--- a/mastledge/lab/builds.py
+++ b/mastledge/lab/builds.py
@@ -27,9 +27,9 @@
 
 def elder():
     """Speaks another version on links: an earlier one of the program beside the new."""
-    from mastledge.peers import links
+    from mastledge.peers import frames
 
-    links.VERSION = 0
+    frames.PROTOCOL_VERSION = 0
 
 
 def slow_disk():
--- a/mastledge/lab/scale/delay.py
+++ b/mastledge/lab/scale/delay.py
@@ -21,7 +21,7 @@
 
     def send(self, name, content):
         if self.here is None:
-            self.here = self.regions.get(self.who()[1])
+            self.here = self.regions.get(self.host.link_identity().name)
         if not self.delay or self.regions.get(name) == self.here:
             super().send(name, content)
             return
--- a/mastledge/lab/scale/hollow.py
+++ b/mastledge/lab/scale/hollow.py
@@ -16,6 +16,7 @@
 from mastledge.consensus.worker_restrictions import OwnList
 from mastledge.lab.scale.delay import DelayedLinks
 from mastledge.lab.sized import Sized
+from mastledge.peers.link_context import LinkIdentity
 from mastledge.protocol.discovery import Discovery
 from mastledge.transport.budget import Budget
 from mastledge.transport.connection import address_of
@@ -49,9 +50,7 @@
         )
         self.links = DelayedLinks(
             loop,
-            self.who,
-            self.address,
-            self.heard,
+            self,
             len(told["addresses"]),
             seed,
             self.log,
@@ -59,20 +58,20 @@
             round_trip=told["round_trip"],
         )
         self.own_list = OwnList()
-        self.links.begin(address_of(told["addresses"][name]))
+        self.links.start(address_of(told["addresses"][name]))
         self.timer = loop.spawn(self.timed(), first=True)
 
     def log(self, event, **fields):
         """Nobody reads the log of a hollow dispatcher."""
 
-    def who(self):
-        return self.member.fleet, self.name, self.member.life
+    def link_identity(self):
+        return LinkIdentity(self.member.fleet, self.name, self.member.life)
 
-    def address(self, name):
+    def member_address(self, name):
         text = self.member.address(name)
         return None if text is None else address_of(text)
 
-    def heard(self, name, life, content):
+    def frame_received(self, name, life, content):
         self.input(inputs.MessageReceived(name, life, messages.decode(content)))
 
     def timed(self):
--- a/mastledge/lab/scale/meter.py
+++ b/mastledge/lab/scale/meter.py
@@ -27,7 +27,8 @@
 AGREEMENT, LIST, CALLS, JOBS, UPKEEP, METER = "agreement", "list", "calls", "jobs", "upkeep", "meter"
 CONTROL = (AGREEMENT, LIST, CALLS, UPKEEP)
 PURPOSES = {
-    "Links": AGREEMENT,
+    "OutgoingLink": AGREEMENT,
+    "LinkListener": AGREEMENT,
     "DelayedLinks": AGREEMENT,
     "Fleet": AGREEMENT,
     "Discovery": LIST,
@@ -163,7 +164,7 @@
 def meter_messages(meter):
     from mastledge.program.fleet import Fleet
 
-    heard = Fleet.heard
+    frame_received = Fleet.frame_received
 
     def count(table, content, message):
         some = table[type(message).__name__ if message is not None else "other"]
@@ -184,9 +185,10 @@
         count(meter.received, content, message)
         meter.sent["read"][0] += 1
         meter.sent["read"][1] += READ_BYTE
-        heard(self, name, life, content)
+        frame_received(self, name, life, content)
 
-    Fleet.do_send, Fleet.heard = metered_send, within(meter, AGREEMENT, metered_heard)
+    Fleet.do_send = metered_send
+    Fleet.frame_received = within(meter, AGREEMENT, metered_heard)
 
 
 def hold_voters():
--- /dev/null
+++ b/mastledge/peers/outgoing_link.py
@@ -0,0 +1,196 @@
+"""Frames to one other dispatcher: a queue, and the connection that carries it while something is queued.
+
+The other side answers each frame with one byte, by which a link that is open and dead is told from one that
+is silent.
+"""
+
+import errno
+import socket
+from collections import deque
+from collections.abc import Generator
+from zlib import crc32
+
+from mastledge.peers import frames
+from mastledge.peers.link_context import DESCRIPTOR_KIND, LinkContext, LinkIdentity
+from mastledge.transport.connection import Connection, NoSocket, TimedOut, connect
+from mastledge.transport.loop import READ, WRITE, Task
+
+MAX_QUEUED_FRAMES = 256  # beyond it all are dropped: what is said here is said again where it got lost
+CONNECT_TIMEOUT_US = 500_000
+ACKNOWLEDGEMENT_TIMEOUT_US = 1_500_000
+IDLE_TIMEOUT_US = 30_000_000
+FIRST_BACKOFF_US, MAX_BACKOFF_US = 50_000, 400_000
+MAX_BACKOFF_DOUBLINGS = 8
+ACKNOWLEDGEMENTS_PER_READ = 4096
+US_PER_MS = 1000
+CRC32_RANGE = 4294967296.0
+DEADLINE_REACHED = 0  # with which the loop resumes a coroutine whose time is over
+
+
+class OutgoingLink:
+    """The link to one member. It is connected when a frame is sent, and closed after some idle time."""
+
+    __slots__ = (
+        "context",
+        "member",
+        "queue",
+        "task",
+        "connection",
+        "is_up",
+        "failures",
+        "unsent",
+        "unacknowledged",
+    )
+
+    def __init__(self, context: LinkContext, member: str) -> None:
+        """A link to the member of that name; nothing is opened yet."""
+        self.context, self.member = context, member
+        self.queue: deque[bytes] = deque()
+        self.task: Task | None = None
+        self.connection: Connection | None = None
+        self.is_up = False  # connected, and the hello is sent
+        self.failures = 0  # in a row
+        self.unsent = b""  # the rest of a frame that the socket took in part
+        self.unacknowledged: deque[int] = deque()  # when frames went out that are not acknowledged yet
+
+    def send(self, content: bytes) -> None:
+        """Queue a frame, and write it at once where the link is up."""
+        if len(self.queue) >= MAX_QUEUED_FRAMES:
+            self._drop_queue()
+        self.queue.append(frames.encode_frame(content))
+        if self.task is None or self.task.ended:
+            self.task = self.context.loop.spawn(self._run(), first=True)
+        elif self.is_up:
+            self._send_at_once()
+
+    def flush(self) -> None:
+        """Write what the socket takes without waiting, where the link is up."""
+        if self.is_up and self.queue and self.task is not None and not self.task.ended:
+            self.context.loop.step(self.task, None)
+
+    def close(self) -> None:
+        """Forget what is queued and close the connection."""
+        if self.task is not None:
+            self.context.loop.cancel(self.task)
+
+    def _send_at_once(self) -> None:
+        # Without a turn of the coroutine, unless that has to wait for something new from here on.
+        must_wake = not self.unacknowledged and not self.unsent
+        try:
+            self._write_queue()
+        except OSError:
+            must_wake = True
+        if must_wake or self.unsent:
+            self.context.loop.wake(self.task)
+
+    def _drop_queue(self) -> None:
+        self.context.counters.frames_dropped += len(self.queue)
+        self.queue.clear()
+
+    def _run(self) -> Generator:
+        """Coroutine: connects and carries frames while there are any."""
+        try:
+            while self.queue:
+                address = self.context.host.member_address(self.member)
+                if address is None:
+                    self.queue.clear()
+                    return
+                try:
+                    yield from self._carry(address)
+                    self.failures = 0
+                except (OSError, TimedOut, NoSocket) as error:
+                    yield from self._back_off(error)
+        finally:
+            self.is_up = False
+
+    def _back_off(self, error: Exception) -> Generator:
+        self._drop_queue()
+        self.failures += 1
+        if self.failures == 1:
+            self.context.log.write(f"peer_lost_{self.member}", why=str(error) or type(error).__name__)
+        loop = self.context.loop
+        retry_at = loop.now() + self._backoff_us()
+        while loop.now() < retry_at:
+            yield (-1, 0, retry_at)
+        # What has waited meanwhile is old by now, but for its newest.
+        while len(self.queue) > 1:
+            self.queue.popleft()
+
+    def _backoff_us(self) -> int:
+        """Doubles with each failure, to the maximum; half of it is jitter, drawn from the seed."""
+        backoff = min(FIRST_BACKOFF_US << min(self.failures, MAX_BACKOFF_DOUBLINGS), MAX_BACKOFF_US)
+        draw = crc32(b"%d %s %d" % (self.context.seed, self.member.encode(), self.failures)) / CRC32_RANGE
+        return int(backoff * (0.5 + draw / 2))
+
+    def _carry(self, address: tuple[str, int]) -> Generator:
+        """Connects, says hello, and writes until the link fails (an error) or has been idle for long."""
+        loop = self.context.loop
+        deadline = loop.now() + CONNECT_TIMEOUT_US
+        connection = yield from connect(loop, self.context.budget, DESCRIPTOR_KIND, address, deadline)
+        try:
+            # Else a link that was cut for seconds stays silent for as long again once it is whole.
+            user_timeout_ms = ACKNOWLEDGEMENT_TIMEOUT_US // US_PER_MS
+            connection.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, user_timeout_ms)
+            identity = self.context.host.link_identity()
+            yield from connection.send(self._hello(identity), loop.now() + CONNECT_TIMEOUT_US)
+            self.connection, self.unsent, self.is_up = connection, b"", True
+            self.unacknowledged.clear()
+            yield from self._write_until_idle(connection, identity)
+        finally:
+            self.is_up, self.connection, self.unsent = False, None, b""
+            connection.close()
+
+    def _hello(self, identity: LinkIdentity) -> bytes:
+        hello = frames.Hello(
+            frames.HELLO_MARK,
+            frames.PROTOCOL_VERSION,
+            identity.fleet,
+            identity.name,
+            identity.incarnation,
+        )
+        return frames.encode_frame(frames.encode_hello(hello))
+
+    def _write_until_idle(self, connection: Connection, identity: LinkIdentity) -> Generator:
+        loop, unacknowledged = self.context.loop, self.unacknowledged
+        busy_at = loop.now()
+        while True:
+            self._write_queue()
+            if unacknowledged:
+                busy_at = loop.now()
+                deadline = unacknowledged[0] + ACKNOWLEDGEMENT_TIMEOUT_US
+            else:
+                deadline = busy_at + IDLE_TIMEOUT_US
+            events = yield (connection.fd, READ | (WRITE if self.unsent else 0), deadline)
+            if events == DEADLINE_REACHED or (events and events & READ):
+                self._read_acknowledgements(connection)
+            if self.context.host.link_identity() != identity:
+                return  # it is another one now, and says so on another link
+            if unacknowledged and loop.now() >= unacknowledged[0] + ACKNOWLEDGEMENT_TIMEOUT_US:
+                raise TimedOut
+            has_work = unacknowledged or self.unsent or self.queue
+            if not has_work and loop.now() >= busy_at + IDLE_TIMEOUT_US:
+                return
+
+    def _write_queue(self) -> None:
+        """Writes what is queued, as far as the socket takes it."""
+        counters = self.context.counters
+        while self.unsent or self.queue:
+            if not self.unsent:
+                self.unsent = memoryview(self.queue.popleft())
+                counters.frames_sent += 1
+                counters.bytes_sent += len(self.unsent)
+                self.unacknowledged.append(self.context.loop.now())
+            try:
+                self.unsent = self.unsent[self.connection.sock.send(self.unsent) :]
+            except BlockingIOError:
+                return
+
+    def _read_acknowledgements(self, connection: Connection) -> None:
+        try:
+            acknowledgements = connection.sock.recv(ACKNOWLEDGEMENTS_PER_READ)
+        except BlockingIOError:
+            return
+        if not acknowledgements:
+            raise ConnectionResetError(errno.ECONNRESET, "closed by the other side")
+        for _ in range(min(len(acknowledgements), len(self.unacknowledged))):
+            self.unacknowledged.popleft()
--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -13,6 +13,7 @@
 from mastledge.consensus.persisted_state import PersistedState
 from mastledge.consensus.timing import LEADER
 from mastledge.consensus.worker_restrictions import OwnList
+from mastledge.peers.link_context import LinkIdentity
 from mastledge.peers.links import Links
 from mastledge.program.fleet_api import LOOK, FleetApi
 from mastledge.program.settings import flat, plain_map
@@ -107,14 +108,12 @@
             self.seed,
             now,
         )
-        self.links = Links(
-            self.loop, self.who, self.address, self.heard, len(self.told["members"]), self.seed, log
-        )
+        self.links = Links(self.loop, self, len(self.told["members"]), self.seed, log)
         if self.index:
             # The process before goes by its last lease for a while: until then nothing newer is said to hold
             # here.
             self.member.shown = self.index
-        self.links.begin(self.told["listen"])
+        self.links.start(self.told["listen"])
         vital, spawn = self.program.vital, self.loop.spawn
         self.timer = spawn(vital(self.timed()), first=True)
         self.tasks = [
@@ -231,16 +230,16 @@
 
     # What the member's decisions need of the program
 
-    def who(self):
-        return self.member.fleet, self.name, self.member.life
+    def link_identity(self):
+        return LinkIdentity(self.member.fleet, self.name, self.member.life)
 
-    def address(self, name):
+    def member_address(self, name):
         text = self.member.address(name)
         if text is None:
             return None
         return address_of(text)
 
-    def heard(self, name, life, content):
+    def frame_received(self, name, life, content):
         if content[:2] == ASKED:
             if self.program.recovery is not None:
                 self.program.recovery.heard(name, content[2:])
@@ -266,7 +265,7 @@
                 if result.error is None:
                     self.input(inputs.Persisted(result.token))
                 else:
-                    self.links.grumble("disk_failed", why=str(result.error))
+                    self.links.log.write("disk_failed", why=str(result.error))
                     self.input(inputs.DiskFailed())
 
     def input(self, input):
--- a/mastledge/program/fleet_api.py
+++ b/mastledge/program/fleet_api.py
@@ -75,10 +75,10 @@
                 "disk": "failing" if member.broken else "good",
                 "longest_write_us": self.writer.longest_write_us,
                 "longest_step_us": self.longest,
-                "frames_sent": self.links.sent,
-                "frames_got": self.links.got,
-                "bytes_sent": self.links.bytes_sent,
-                "bytes_got": self.links.bytes_got,
+                "frames_sent": self.links.counters.frames_sent,
+                "frames_got": self.links.counters.frames_received,
+                "bytes_sent": self.links.counters.bytes_sent,
+                "bytes_got": self.links.counters.bytes_received,
             }
         )
 
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -21,7 +21,9 @@
 from mastledge.idempotency.key_table import KeyTable
 from mastledge.idempotency.keyed_request import KeyedRequest
 from mastledge.idempotency.persisted_keys import PersistedKeys
+from mastledge.peers import frames as link_frames
 from mastledge.peers import links
+from mastledge.peers.link_context import LinkIdentity
 from mastledge.program import connection_handoff, recovery_service, replication_service
 from mastledge.program.fleet import Fleet
 from mastledge.program.fleet_api import FleetApi
@@ -83,9 +85,9 @@
 COPIES_LIST = MessageFamily(
     replication_messages.AnyMessage, replication_messages.decode_all, replication_messages.encode_all
 )
-HELLO = MessageFamily(links.Hello, links.decode_hello, links.encode_hello)
-frame_on_link = links.framed
-LONGEST_FRAME_BYTES = links.MOST
+HELLO = MessageFamily(link_frames.Hello, link_frames.decode_hello, link_frames.encode_hello)
+frame_on_link = link_frames.encode_frame
+LONGEST_FRAME_BYTES = link_frames.MAX_FRAME_BYTES
 
 frame_of_records, records_of_content, whole_frame = (
     frames.encode_frame,
@@ -361,7 +363,12 @@
 
 def links_of(rig, who, address, heard):
     """Links of a dispatcher that is `who`; each other one is at the address that `address()` gives."""
-    return links.Links(rig.loop, lambda: who, lambda other: address(), heard, 3, 7, rig.log)
+    host = SimpleNamespace(
+        link_identity=lambda: LinkIdentity(*who),
+        member_address=lambda other: address(),
+        frame_received=heard,
+    )
+    return links.Links(rig.loop, host, 3, 7, rig.log)
 
 
 def send_on_link(made, content):
@@ -370,8 +377,8 @@
 
 def listen_on_links(made):
     """Where other dispatchers reach these links from here on."""
-    made.begin((HERE, 0))
-    return made.sock.getsockname()
+    made.start((HERE, 0))
+    return made.listener.sock.getsockname()
 
 
 def close_links(made):
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -10,7 +10,7 @@
 from mastledge.consensus import messages as m
 from mastledge.consensus.state_machine import genesis
 from mastledge.consensus.worker_restrictions import ListExchange, OwnList
-from mastledge.peers import links
+from mastledge.peers.frames import MAX_FRAME_BYTES
 from mastledge.program.configuration import configuration
 from mastledge.program.settings import flat, plain_map
 from mastledge.recovery import fleet_snapshot
@@ -73,7 +73,7 @@
 def test_what_a_large_fleet_agrees_on_fits_a_frame_and_a_snapshot():
     made = state()
     raw = m.encode(m.BootstrapCluster("f", made))
-    assert len(raw) < links.MOST // 4
+    assert len(raw) < MAX_FRAME_BYTES // 4
     told = fleet_snapshot.unpacked(msgspec.json.encode(fleet_snapshot.packed(made, "f", "x", 1)))
     assert len(told["state"]["members"]) == MANY and len(told["state"]["out"]) == WORKERS
 
