--- a/mastledge/lab/scale/meter.py
+++ b/mastledge/lab/scale/meter.py
@@ -167,7 +167,7 @@
     frame_received = Fleet.frame_received
 
     def count(table, content, message):
-        some = table[type(message).__name__ if message is not None else "other"]
+        some = table[type(message).__struct_config__.tag if message is not None else "other"]
         some[0] += 1
         some[1] += FRAME_HEAD + len(content)
 
