--- a/mastledge/program/command.py
+++ b/mastledge/program/command.py
@@ -89,7 +89,7 @@
     if offers("fleet", arguments):
         from mastledge.program import fleet_command
 
-        fleet_command.commands(commands)
+        fleet_command.add_commands(commands)
 
 
 def run(args) -> int:
--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -17,7 +17,7 @@
 from mastledge.peers.links import Links
 from mastledge.program.fleet_api import LOOK, FleetApi
 from mastledge.program.settings import flat, plain_map
-from mastledge.program.shared_lease import SharedLease
+from mastledge.program.shared_lease import LeaseNotice, SharedLease
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.storage.errors import DataDirectoryError
 from mastledge.storage.write_ahead_log import WriteAheadLog
@@ -168,20 +168,20 @@
     def listens(self):
         """Goes by what the speaking process tells, until that gives the folder free."""
         taken = -1
-        self.notes.take(0)
+        self.notes.report(0)
         while True:
-            told = self.notes.hear()
-            if told is not None and told["index"] >= self.index:
-                if told["index"] > self.index or taken < 0:
-                    self.index = told["index"]
-                    self.take_rules(told["state"])
-                self.heard_until = max(self.heard_until, told["lease_until"])
+            notice = self.notes.notice()
+            if notice is not None and notice.index >= self.index:
+                if notice.index > self.index or taken < 0:
+                    self.index = notice.index
+                    self.take_rules(notice.state)
+                self.heard_until = max(self.heard_until, notice.lease_until)
             self.tell_lease(self.loop.now())
             if taken != self.index:
                 # The decisions have had a turn since.
                 yield (-1, 0, self.loop.now() + LOOK)
                 taken = self.index
-                self.notes.take(taken)
+                self.notes.report(taken)
             yield (-1, 0, self.loop.now() + LOOK)
             try:
                 self.folder.acquire()
@@ -201,17 +201,20 @@
         while True:
             member, now = self.member, self.loop.now()
             if self.program.beside and member.rules is not None:
-                pid, index = self.notes.listener()
+                report = self.notes.standby_report()
+                pid, index = (report.process, report.index) if report is not None else (None, 0)
                 if pid is not None and self.held and member.rules.applied >= self.index:
                     if (
-                        self.notes.say(pid, member.rules.applied, member.lease_until, self.brief())
+                        self.notes.publish(
+                            LeaseNotice(pid, member.rules.applied, member.lease_until, self.brief())
+                        )
                         and pid != to
                     ):
                         to, member.shown = pid, member.rules.applied
                     member.shown = max(member.shown or 0, index) if pid == to else member.shown
             elif not self.program.beside:
                 to = None
-                self.notes.alone()
+                self.notes.withdraw()
             # One that has handed over acts by its last lease; a process that has gone acts by none.
             if (
                 member.shown is not None
--- a/mastledge/program/fleet_command.py
+++ b/mastledge/program/fleet_command.py
@@ -1,300 +1,244 @@
-"""`mastledge fleet`: what operators ask of dispatchers that agree, at the second address of any of them."""
+"""`mastledge fleet`: what operators ask of dispatchers that agree, at the second address of any of them.
+
+Each command gives the lines that it prints. It raises `CallError` where the dispatcher refuses or does not
+answer (status 1), and `BadConfiguration` where the call itself is bad (status 2).
+"""
 
-import http.client
 import os
 import sys
-import time
+from argparse import ArgumentParser, Namespace, _SubParsersAction
+from collections.abc import Callable, Iterable, Iterator
+from dataclasses import dataclass
+from functools import partial
+from typing import Any
 
 import orjson
 
-from mastledge.program.configuration import BadConfiguration, configuration
+from mastledge.program import fleet_reports
+from mastledge.program.configuration import BadConfiguration
+from mastledge.program.operator_client import CallError, OperatorClient, control_address
 from mastledge.transport.connection import address_of
 
-SECONDS = 3.0
+OPTIONAL = "?"  # of argparse
+ACCEPT_LOSS, ABANDON = b"accept-loss", b"desert"  # bodies of /api/restore
 
 
-class Refused(Exception):
-    """The dispatcher said no, or nothing; the text says why."""
+def show(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
+    """What is agreed and in force."""
+    return report(arguments, client.get_json("/api/agreed"), fleet_reports.fleet_report)
 
 
-def control(args):
-    """The second address: as told, of the environment, or of a configuration."""
-    text = args.control or os.environ.get("GW_CONTROL")
-    if text:
-        try:
-            return address_of(text)
-        except ValueError as error:
-            raise BadConfiguration(f"--control: {error}") from None
-    if args.config:
-        told = configuration(args.config, os.environ)["control"]
-        if told:
-            return told
-    raise BadConfiguration("no second address: give --control, --config or set GW_CONTROL")
+def copies(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
+    """Show the keys that dispatchers hold for one another, or change how many hold each."""
+    if arguments.count is None:
+        return report(arguments, client.get_json("/api/copies"), fleet_reports.copies_report)
+    if not arguments.count.isdecimal():
+        raise BadConfiguration(f"no count of copies: {arguments.count}")
+    return [client.post("/api/copies", orjson.dumps({"count": int(arguments.count)}))]
 
 
-def call(args, method, path, body=b"", headers=()):
-    """Status, headers and text of one call; Refused where there is no answer."""
-    host, port = control(args)
-    conn = http.client.HTTPConnection(host, port, timeout=SECONDS)
-    try:
-        conn.request(method, path, body, dict(headers))
-        answer = conn.getresponse()
-        return answer.status, answer.headers, answer.read().decode()
-    except (OSError, http.client.HTTPException) as error:
-        raise Refused(f"{host}:{port} does not answer: {str(error) or type(error).__name__}") from None
-    finally:
-        conn.close()
-
-
-def told(args, path):
-    status, _, text = call(args, "GET", path)
-    if status != 200:
-        raise Refused(text.strip())
-    return orjson.loads(text)
-
-
-def changed(args, path, body, headers=()):
-    status, fields, text = call(args, "POST", path, body, headers)
-    if status not in (200, 202):
-        raise Refused(text.strip())
-    print(text.strip())
-    return 0
+def recovery(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
+    """How far a start is."""
+    return report(arguments, client.get_json("/api/recovery"), fleet_reports.recovery_report)
 
 
-def show(args):
-    state = told(args, "/api/agreed")
-    if args.json:
-        print(orjson.dumps(state, option=orjson.OPT_INDENT_2).decode())
-        return 0
-    force = "in force" if state["in_force"] else "agreed, not in force everywhere yet"
-    print(
-        f"fleet {state['fleet'] or '-'}, version {state['version']} {force}; term {state['term']}, "
-        f"leader {state['leader'] or 'none'}"
-    )
-    print(
-        f"{state['name']}: "
-        + (
-            f"lease for {state['lease_left_ms']} ms more"
-            if state["lease_left_ms"]
-            else f"no lease: {state['why']}"
-        )
-        + ("" if state["disk"] == "good" else "; its disk fails")
-    )
-    if state.get("fan_out"):
-        heard = f"hears from {state['relay']}" if state["relay"] else "hears from the leader"
-        print(f"relays of {state['fan_out']}: {heard}, heard by {len(state['heard_by'])}")
-    for name, member in sorted(state["members"].items()):
-        role = "votes" if member["votes"] else ("follows" if member["life"] else "has not come yet")
-        print(f"  {name}  {member['address']}  {role}")
-    for what, ids in (
-        ("out by hand", state["out"]),
-        ("out at this one alone", state["out_here"]),
-        ("kept off by the others' lists", state["heard_out"]),
-    ):
-        if ids:
-            print(f"{what}: {', '.join(ids)}")
-    return 0
+def settings(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
+    """Show the settings, or change them to those of a file."""
+    current = client.get("/api/settings")
+    if arguments.file is None:
+        return [current.text.strip()]
+    document = settings_document(arguments.file)
+    return [client.post("/api/settings", orjson.dumps(document), [("If-Match", current.headers["ETag"])])]
 
 
-def copies(args):
-    if args.count is not None:
-        if not args.count.isdecimal():
-            raise BadConfiguration(f"no count of copies: {args.count}")
-        return changed(args, "/api/copies", orjson.dumps({"count": int(args.count)}))
-    state = told(args, "/api/copies")
-    if args.json:
-        print(orjson.dumps(state, option=orjson.OPT_INDENT_2).decode())
-        return 0
-    print(
-        f"{state['held']} keys held here, {state['claimed']} of them under way; "
-        f"{state['copies']} copies of each; {state['bytes']} bytes"
-    )
-    print(f"owed to others: {state['owed']}; under-copied: {state['under_copied']}")
-    if not state.get("takes_part", True):
-        print("it takes no part yet: its start is not agreed")
-    if state.get("copies_after", state["copies"]) != state["copies"]:
-        print(f"there are to be {state['copies_after']} copies of each")
-    if state.get("moving_to"):
-        left = sorted(set(state["moving_to"]) - set(state["caught_up"]))
-        print(f"holders change: {', '.join(left)} still without all copies; {state['taken']} taken here")
-    if state["disk"] != "good":
-        print("its disk fails: no new key is taken")
-    return 0
+def history(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
+    """The last versions."""
+    return fleet_reports.history_report(client.get_json("/api/history"))
 
 
-def recovery(args):
-    state = told(args, "/api/recovery")
-    if args.json:
-        print(orjson.dumps(state, option=orjson.OPT_INDENT_2).decode())
-        return 0
-    took = ", ".join(f"{step} {ms} ms" for step, ms in state["took_ms"].items())
-    waits = f", waits for: {state['waits_for']}" if state["waits_for"] else ""
-    print(f"step: {state['step']} for {state['for_ms']} ms{waits}" + (f" ({took})" if took else ""))
-    for lesser in state["lesser_service"]:
-        print(f"lesser service: {lesser}")
-    door = state["door"]
-    shut = f"open to {100 * door['share']:.0f}%, because of: {door['why']}"
-    print(
-        f"door: {'open' if door['open'] else shut}; "
-        f"{door['held']} jobs in hand; refused {door['refused_first']} first and "
-        f"{door['refused_further']} further tries; closed {door['closed']} times"
-    )
-    known = state["believed"]
-    print(
-        f"believed of before: {known['workers']} workers, {known['out']} with launches, "
-        f"{known['learned']} learned of, {known['age_ms']} ms old"
-    )
-    for part, why in known["not"].items():
-        print(f"not believed: {part}: {why}")
-    if state["kept_off"]:
-        print(f"kept off, as the list is older than one before: {', '.join(state['kept_off'])}")
-    if state["disk"] != "good":
-        print(f"its folder: {state['disk']}")
-    return 0
+def rollback(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
+    """The settings of an earlier version again, as a new version."""
+    document = orjson.dumps(client.get_json(f"/api/settings/{arguments.version}"))
+    current = client.get("/api/settings")
+    return [client.post("/api/settings", document, [("If-Match", current.headers["ETag"])])]
 
 
-def settings(args):
-    status, fields, text = call(args, "GET", "/api/settings")
-    if status != 200:
-        raise Refused(text.strip())
-    if args.file is None:
-        print(text.strip())
-        return 0
+def add(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
+    """Add a dispatcher to the fleet."""
     try:
-        with open(args.file, "rb") as file:
-            document = orjson.loads(file.read())
-    except OSError as error:
-        raise BadConfiguration(f"{args.file}: {error.strerror}") from None
-    except orjson.JSONDecodeError as error:
-        raise BadConfiguration(f"{args.file} is no JSON: {error}") from None
-    # A whole configuration is what operators have at hand.
-    if isinstance(document, dict) and "settings" in document:
-        document = document["settings"]
-    return changed(args, "/api/settings", orjson.dumps(document), [("If-Match", fields["ETag"])])
+        address_of(arguments.address)
+    except ValueError as error:
+        raise BadConfiguration(str(error)) from None
+    change = {"kind": "add", "name": arguments.name, "address": arguments.address}
+    return [client.post("/api/members", orjson.dumps(change))]
 
 
-def history(args):
-    for one in told(args, "/api/history")["history"]:
-        at = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(one["at"] / 1e6)) if one["at"] else "-"
-        print(f"{one['version']:6d}  {at:19s}  {one['by'] or '-':12s}  {one['what']}")
-    return 0
+def remove(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
+    """Remove a dispatcher from the fleet."""
+    return [client.post("/api/members", orjson.dumps({"kind": "remove", "name": arguments.name}))]
 
 
-def rollback(args):
-    document = orjson.dumps(told(args, f"/api/settings/{args.version}"))
-    status, fields, text = call(args, "GET", "/api/settings")
-    if status != 200:
-        raise Refused(text.strip())
-    return changed(args, "/api/settings", document, [("If-Match", fields["ETag"])])
+def relays(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
+    """Set how many hear from one dispatcher; the leader alone takes it."""
+    if not arguments.fan_out.isdecimal():
+        raise BadConfiguration(f"no fan-out: {arguments.fan_out}")
+    return [client.post("/api/relays", orjson.dumps({"fan_out": int(arguments.fan_out)}))]
 
 
-def add(args):
-    try:
-        address_of(args.address)
-    except ValueError as error:
-        raise BadConfiguration(str(error)) from None
-    return changed(
-        args, "/api/members", orjson.dumps({"kind": "add", "name": args.name, "address": args.address})
-    )
+def snapshot(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
+    """Write what is agreed to a file."""
+    text = client.get("/api/snapshot").text
+    replace_file(arguments.file, text)
+    return [f"version {orjson.loads(text)['version']} is in {arguments.file}"]
+
 
+def restore(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
+    """Begin a fleet with a snapshot."""
+    return [client.post("/api/restore", read_file(arguments.file))]
 
-def remove(args):
-    return changed(args, "/api/members", orjson.dumps({"kind": "remove", "name": args.name}))
 
+def form(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
+    """Begin a fleet with what one dispatcher keeps."""
+    if not arguments.accept_loss:
+        raise BadConfiguration("fleet form begins anew with what this one dispatcher keeps: --accept-loss")
+    return [client.post("/api/restore", ACCEPT_LOSS)]
 
-def relays(args):
-    """How many hear from one dispatcher; the leader alone takes it."""
-    if not args.fan_out.isdecimal():
-        raise BadConfiguration(f"no fan-out: {args.fan_out}")
-    return changed(args, "/api/relays", orjson.dumps({"fan_out": int(args.fan_out)}))
 
+def desert(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
+    """Have a dispatcher abandon a fleet that is no more."""
+    return [client.post("/api/restore", ABANDON)]
 
-def snapshot(args):
-    """Written beside and renamed, so that a file of this name is a whole one."""
-    status, _, text = call(args, "GET", "/api/snapshot")
-    if status != 200:
-        raise Refused(text.strip())
-    place = f"{args.file}.{os.getpid()}"
-    try:
-        with open(place, "w") as file:
-            file.write(text)
-            file.flush()
-            os.fsync(file.fileno())
-        os.replace(place, args.file)
-    except OSError as error:
-        raise BadConfiguration(f"{args.file}: {error.strerror}") from None
-    print(f"version {orjson.loads(text)['version']} is in {args.file}")
-    return 0
+
+def report(
+    arguments: Namespace, document: dict[str, Any], lines: Callable[[dict[str, Any]], Iterator[str]]
+) -> Iterable[str]:
+    """A document in lines for people, or whole where --json asks for that."""
+    if arguments.json:
+        return [orjson.dumps(document, option=orjson.OPT_INDENT_2).decode()]
+    return lines(document)
 
 
-def restore(args):
+def read_file(path: str) -> bytes:
+    """The content of a file that the operator has named."""
     try:
-        with open(args.file, "rb") as file:
-            content = file.read()
+        with open(path, "rb") as file:
+            return file.read()
     except OSError as error:
-        raise BadConfiguration(f"{args.file}: {error.strerror}") from None
-    return changed(args, "/api/restore", content)
-
-
-def form(args):
-    if not args.accept_loss:
-        raise BadConfiguration("fleet form begins anew with what this one dispatcher keeps: --accept-loss")
-    return changed(args, "/api/restore", b"accept-loss")
+        raise BadConfiguration(f"{path}: {error.strerror}") from None
 
 
-def desert(args):
-    return changed(args, "/api/restore", b"desert")
+def settings_document(path: str) -> Any:
+    """The settings in a file, which may be a whole configuration: that is what operators have at hand."""
+    try:
+        document = orjson.loads(read_file(path))
+    except orjson.JSONDecodeError as error:
+        raise BadConfiguration(f"{path} is no JSON: {error}") from None
+    if isinstance(document, dict) and "settings" in document:
+        return document["settings"]
+    return document
 
 
-def run(args):
+def replace_file(path: str, text: str) -> None:
+    """Write a file beside and rename it, so that a file of this name is a whole one."""
+    replacement = f"{path}.{os.getpid()}"
     try:
-        return args.below(args)
-    except Refused as refused:
-        print(f"mastledge: {refused}", file=sys.stderr)
+        with open(replacement, "w") as file:
+            file.write(text)
+            file.flush()
+            os.fsync(file.fileno())
+        os.replace(replacement, path)
+    except OSError as error:
+        raise BadConfiguration(f"{path}: {error.strerror}") from None
+
+
+@dataclass(frozen=True, slots=True)
+class Argument:
+    """A positional argument of a command."""
+
+    name: str
+    nargs: str | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class Command:
+    """A command below `fleet`; its name is that of its function."""
+
+    call: Callable[[OperatorClient, Namespace], Iterable[str]]
+    help: str
+    arguments: tuple[Argument, ...] = ()
+
+    @property
+    def name(self) -> str:
+        """The word on the command line."""
+        return self.call.__name__
+
+
+COMMANDS = (
+    Command(show, "what is agreed and in force"),
+    Command(
+        copies,
+        "keys that dispatchers hold for one another; change how many hold each",
+        (Argument("count", OPTIONAL),),
+    ),
+    Command(recovery, "how far a start is, and what is believed of before"),
+    Command(settings, "show the settings, or change them to those of a file", (Argument("file", OPTIONAL),)),
+    Command(history, "the last versions"),
+    Command(rollback, "the settings of an earlier version again", (Argument("version"),)),
+    Command(add, "a further dispatcher", (Argument("name"), Argument("address"))),
+    Command(remove, "a dispatcher leaves for good", (Argument("name"),)),
+    Command(relays, "so many hear from one dispatcher; 0: all from the leader", (Argument("fan_out"),)),
+    Command(snapshot, "write what is agreed to a file", (Argument("file"),)),
+    Command(restore, "begin again with a snapshot, after a majority is lost", (Argument("file"),)),
+    Command(form, "begin again with what this dispatcher keeps, after a majority is lost"),
+    Command(desert, "leave a fleet that is no more, to come to the next one as new"),
+)
+WITH_JSON = (show, copies, recovery)
+
+
+def run(arguments: Namespace) -> int:
+    """Runs the command that was parsed; gives the exit status."""
+    client = OperatorClient(partial(control_address, arguments))
+    try:
+        for line in arguments.fleet_command.call(client, arguments):
+            print(line)
+    except CallError as error:
+        print(f"mastledge: {error}", file=sys.stderr)
         return 1
+    return 0
 
 
-def commands(top):
-    """The sub-commands below `fleet`."""
-    fleet = top.add_parser(
+def add_commands(commands: "_SubParsersAction[ArgumentParser]") -> None:
+    """Adds `fleet` and the commands below it to the program's own."""
+    fleet = commands.add_parser(
         "fleet",
         help="ask dispatchers that agree, or change what they agree on",
         description="Dispatchers that agree.",
     )
     below = fleet.add_subparsers(dest="asked", required=True, metavar="COMMAND")
-    for asked, about, words in (
-        (show, "what is agreed and in force", ()),
-        (copies, "keys that dispatchers hold for one another; change how many hold each", (("count", "?"),)),
-        (recovery, "how far a start is, and what is believed of before", ()),
-        (settings, "show the settings, or change them to those of a file", (("file", "?"),)),
-        (history, "the last versions", ()),
-        (rollback, "the settings of an earlier version again", (("version", None),)),
-        (add, "a further dispatcher", (("name", None), ("address", None))),
-        (remove, "a dispatcher leaves for good", (("name", None),)),
-        (relays, "so many hear from one dispatcher; 0: all from the leader", (("fan_out", None),)),
-        (snapshot, "write what is agreed to a file", (("file", None),)),
-        (restore, "begin again with a snapshot, after a majority is lost", (("file", None),)),
-        (form, "begin again with what this dispatcher keeps, after a majority is lost", ()),
-        (desert, "leave a fleet that is no more, to come to the next one as new", ()),
-    ):
-        command = below.add_parser(asked.__name__, help=about, description=about)
-        command.set_defaults(call=run, below=asked)
-        for word, many in words:
-            command.add_argument(word, metavar=word.upper(), **({"nargs": many} if many else {}))
-        command.add_argument(
-            "--control",
-            metavar="ADDRESS",
-            help="second address of any of them " "(default: $GW_CONTROL, else that of --config)",
-        )
-        command.add_argument(
-            "--config",
-            default=os.environ.get("GW_CONFIG"),
-            metavar="FILE",
-            help="configuration file (default: $GW_CONFIG)",
+    for command in COMMANDS:
+        parser = below.add_parser(command.name, help=command.help, description=command.help)
+        parser.set_defaults(call=run, fleet_command=command)
+        add_arguments(parser, command)
+
+
+def add_arguments(parser: ArgumentParser, command: Command) -> None:
+    """Adds the arguments and options of one command."""
+    for argument in command.arguments:
+        parser.add_argument(argument.name, metavar=argument.name.upper(), nargs=argument.nargs)
+    parser.add_argument(
+        "--control",
+        metavar="ADDRESS",
+        help="second address of any of them (default: $GW_CONTROL, else that of --config)",
+    )
+    parser.add_argument(
+        "--config",
+        default=os.environ.get("GW_CONFIG"),
+        metavar="FILE",
+        help="configuration file (default: $GW_CONFIG)",
+    )
+    if command.call is form:
+        parser.add_argument(
+            "--accept-loss", action="store_true", help="what only those who are lost knew is gone"
         )
-        if asked is form:
-            command.add_argument(
-                "--accept-loss", action="store_true", help="what only those who are lost knew is gone"
-            )
-        if asked in (show, copies, recovery):
-            command.add_argument("--json", action="store_true", help="all of it")
+    if command.call in WITH_JSON:
+        parser.add_argument("--json", action="store_true", help="all of it")
--- a/mastledge/program/shared_lease.py
+++ b/mastledge/program/shared_lease.py
@@ -1,83 +1,123 @@
-"""Two processes of one dispatcher while one takes over: one folder, one that speaks to the other dispatchers.
+"""Two processes of one dispatcher while one takes over: one data directory, and one lease for both.
 
-Who holds the folder speaks. The other goes by what it is told in a small file, addressed to it alone, as
-long as the lease in there lasts, and says in another file what it has taken up. docs/consensus.md has the
-reasons.
+Who has the directory's lock is active: it speaks to the other dispatchers. The standby process goes by what
+it reads in a small file, addressed to it alone, for as long as the lease in there lasts, and reports in
+another file what it has applied. docs/consensus.md has the reasons, docs/formats.md the files.
 """
 
+import contextlib
 import os
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
 
 import orjson
 
-VERSION = 1
+FORMAT_VERSION = 1
+NOTICE_FILE, REPORT_FILE = "said", "taken"
+LEASE_GRANULARITY_US = 50_000  # a lease that lasts no longer than by this is no news
 
 
-class SharedLease:
-    """The two files. What can't be read or written is as if nothing had been told: leases run out by
-    themselves.
+@dataclass(frozen=True, slots=True)
+class LeaseNotice:
+    """What the active process lends: the state as of entry `index`, and until when it may be acted on.
+
+    `lease_until` is a monotonic time of this machine in microseconds, `to` the standby's process id.
     """
 
-    def __init__(self, folder, log):
-        self.folder, self.log, self.pid = folder, log, os.getpid()
-        self.written = None
+    to: int
+    index: int
+    lease_until: int
+    state: dict[str, Any]
 
-    def place(self, name):
-        return os.path.join(self.folder, name)
 
-    def put(self, name, told):
-        place = self.place(f"{name}.{self.pid}")
-        try:
-            with open(place, "wb") as file:
-                file.write(orjson.dumps({"format": VERSION, "from": self.pid, **told}))
-            os.replace(place, self.place(name))
-        except OSError as error:
-            self.log("shared_lease_unwritten", why=str(error))
+@dataclass(frozen=True, slots=True)
+class StandbyReport:
+    """The standby process, and the last entry that it has applied."""
+
+    process: int
+    index: int
+
+
+class SharedLease:
+    """The two files. What can't be read or written is as if it were not there: leases end by themselves."""
+
+    def __init__(self, directory: str, log: Callable[..., None]) -> None:
+        """The files in that directory, for this process; `log` takes an event and its fields."""
+        self.directory, self.log, self.process = directory, log, os.getpid()
+        self.published: tuple[int, int, int] | None = None  # of the last notice, what makes another one news
+
+    # The active process
+
+    def publish(self, notice: LeaseNotice) -> bool:
+        """Lend the lease to the standby process; whether it can read of it."""
+        published = (notice.to, notice.index, notice.lease_until // LEASE_GRANULARITY_US)
+        if published == self.published:
+            return True
+        document = {
+            "to": notice.to,
+            "index": notice.index,
+            "lease_until": notice.lease_until,
+            "state": notice.state,
+        }
+        if not self._write(NOTICE_FILE, document):
             return False
+        self.published = published
         return True
 
-    def read(self, name):
-        try:
-            with open(self.place(name), "rb") as file:
-                told = orjson.loads(file.read())
-        except (OSError, ValueError):
+    def standby_report(self) -> StandbyReport | None:
+        """What the standby process has reported; None where there is none."""
+        document = self._read(REPORT_FILE)
+        if document is None or document["from"] == self.process:
             return None
-        return told if isinstance(told, dict) and told.get("format") == VERSION else None
+        return StandbyReport(document["from"], document["index"])
 
-    def drop(self, name):
-        try:
-            os.unlink(self.place(name))
-        except OSError:
-            pass
+    def withdraw(self) -> None:
+        """No standby is there any more: the next one must not find what was lent to this one."""
+        if self.published is not None:
+            self.published = None
+            self._remove(NOTICE_FILE)
+            self._remove(REPORT_FILE)
 
-    # Who speaks
+    # The standby process
 
-    def say(self, to, index, lease_until, state):
-        """Tells the other process what is agreed and until when it may act on it."""
-        told = (to, index, lease_until // 50_000)
-        if told == self.written:
-            return True
-        if self.put("said", {"to": to, "index": index, "lease_until": lease_until, "state": state}):
-            self.written = told
-            return True
-        return False
+    def notice(self) -> LeaseNotice | None:
+        """What was lent to this process last."""
+        document = self._read(NOTICE_FILE)
+        if document is None or document["to"] != self.process:
+            return None
+        return LeaseNotice(document["to"], document["index"], document["lease_until"], document["state"])
 
-    def listener(self):
-        """The other process and the entry that it has taken up, as far as it says so."""
-        told = self.read("taken")
-        return (told["from"], told["index"]) if told and told["from"] != self.pid else (None, 0)
+    def report(self, index: int) -> None:
+        """Report that this process goes by the state as of that entry; 0 for none yet."""
+        self._write(REPORT_FILE, {"index": index})
 
-    def alone(self):
-        """Nobody is there any more: what was said must not be found by the next one."""
-        if self.written is not None:
-            self.written = None
-            self.drop("said")
-            self.drop("taken")
+    def _path(self, name: str) -> str:
+        return os.path.join(self.directory, name)
 
-    # Who listens
+    def _write(self, name: str, document: dict[str, Any]) -> bool:
+        """Replaces a file as a whole."""
+        replacement = self._path(f"{name}.{self.process}")
+        content = orjson.dumps({"format": FORMAT_VERSION, "from": self.process, **document})
+        try:
+            with open(replacement, "wb") as file:
+                file.write(content)
+            os.replace(replacement, self._path(name))
+        except OSError as error:
+            self.log("shared_lease_unwritten", why=str(error))
+            return False
+        return True
 
-    def hear(self):
-        told = self.read("said")
-        return told if told and told["to"] == self.pid else None
+    def _read(self, name: str) -> dict[str, Any] | None:
+        try:
+            with open(self._path(name), "rb") as file:
+                document = orjson.loads(file.read())
+        except (OSError, ValueError):
+            return None
+        if not isinstance(document, dict) or document.get("format") != FORMAT_VERSION:
+            return None
+        return document
 
-    def take(self, index):
-        self.put("taken", {"index": index})
+    def _remove(self, name: str) -> None:
+        with contextlib.suppress(OSError):
+            os.unlink(self._path(name))
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -6,6 +6,7 @@
 
 import io
 import socket
+from dataclasses import asdict
 from pathlib import Path
 from types import SimpleNamespace
 from typing import get_args
@@ -27,7 +28,7 @@
 from mastledge.program import connection_handoff, recovery_service, replication_service
 from mastledge.program.fleet import Fleet
 from mastledge.program.fleet_api import FleetApi
-from mastledge.program.shared_lease import SharedLease
+from mastledge.program.shared_lease import LeaseNotice, SharedLease
 from mastledge.program.upgrade_state import UpgradeState
 from mastledge.protocol import load_messages
 from mastledge.protocol.worker_connections import WorkerEndpoint
@@ -282,11 +283,12 @@
 
 
 def write_said(directory, told):
-    assert notes(directory).say(told["to"], told["index"], told["lease_until"], told["state"])
+    notice = LeaseNotice(told["to"], told["index"], told["lease_until"], told["state"])
+    assert notes(directory).publish(notice)
 
 
 def read_said(directory):
-    return notes(directory).hear()
+    return asdict(notes(directory).notice())
 
 
 def brief_of_fleet(state):
@@ -296,12 +298,12 @@
 
 
 def write_taken(directory, told):
-    notes(directory).take(told["index"])
+    notes(directory).report(told["index"])
 
 
 def read_taken(directory):
-    process, index = notes(directory).listener()
-    return {"from": process, "index": index}
+    report = notes(directory).standby_report()
+    return {"from": report.process, "index": report.index}
 
 
 def handed_on(directory, job):
