--- a/mastledge/idempotency/records.py
+++ b/mastledge/idempotency/records.py
@@ -21,8 +21,8 @@
     """One key of one tenant. Times are microseconds of the monotonic clock.
 
     Kept from the garbage collector on purpose (`gc=False`): a full collection that looks at 100,000 of them
-    stops the dispatcher for a tenth of a second. So a record must never be part of a reference cycle, and
-    whoever sets `waiters` or `task` clears them in the end.
+    stops the dispatcher for a tenth of a second. So a record must never be part of a reference cycle: nothing
+    would find one. All that it refers to is plain data.
     """
 
     scoped_key: ScopedKey
@@ -33,5 +33,3 @@
     status: int = 0  # HTTP status of the answer
     content: bytes = b""  # body of the answer
     size_bytes: int = 0  # what it is charged with
-    waiters: object = None  # connections whose clients wait for the first job; the host's alone
-    task: object = None  # the coroutine that runs the first job; the host's alone
--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -1,252 +1,192 @@
-"""Keys that came before, on one dispatcher and its disk: the book, its journal, and who waits for what.
+"""Idempotency keys on one dispatcher and its disk: the table's log, and which client waits for what.
 
 Imported only where the configuration names `repeats`. A claim is on the disk before its job is handed to the
 decisions, an outcome before its answer.
 """
 
-import time
+from collections.abc import Callable, Generator, Mapping
 
 import orjson
 
 from mastledge.idempotency.key_table import KeyTable
-from mastledge.idempotency.keyed_request import KeyedRequest, request_fingerprint
+from mastledge.idempotency.keyed_request import KeyedRequest, ScopedKey, request_fingerprint
 from mastledge.idempotency.persisted_keys import PersistedKeys
-from mastledge.idempotency.verdicts import EXPLANATION, HTTP_STATUS, Verdict
+from mastledge.idempotency.records import Record
+from mastledge.idempotency.verdicts import Verdict
+from mastledge.program.keyed_job import KILLED_REPLY, REJECTED_REPLY, KeyedJob, Reply, rejection, replay
+from mastledge.program.keyed_service import DISK_RETRY_US, KeyedService, Steps, unix_now_us
 from mastledge.protocol import http
-from mastledge.protocol.control import Answer
-from mastledge.protocol.requests import COMPLETED, KILLED, REJECTED
-from mastledge.storage.data_directory import DataDirectory, DataDirectoryError
+from mastledge.protocol.control import Answer, Request
+from mastledge.protocol.requests import COMPLETED, REJECTED, Exchange
 from mastledge.storage.write_ahead_log import WriteAheadLog
 from mastledge.storage.writer import Writer
-from mastledge.transport.loop import READ
-
-LOOK = 20_000  # for a folder that the process before still holds
-AGAIN = 500_000
-PATIENCE = 1_000_000  # of a job that comes while the process before still holds the folder
-MARGIN = 50_000  # after the decisions must have ended a job
-
-
-def unix():
-    return time.time_ns() // 1000
-
-
-class IdempotencyService:
-    MENDS = 1_000_000  # between two tries of a disk that has failed
-
-    def __init__(self, program, told, log):
-        self.program, self.told, self.log, self.loop = program, told["repeats"], log, program.loop
-        self.name, self.inbox = told["name"], program.inbox
-        self.folder = DataDirectory(self.told["folder"])
-        self.key_table, self.writer, self.token, self.failing = None, None, 0, False
-        self.waiting, self.keeping, self.tasks = {}, 0, []
-        self.first = {}  # by place, the exchange of the job that is under way for a key
-
-    def begin(self):
-        """Opens the folder, or waits for the process before to leave it; BadFolder where that is another
-        one.
-        """
-        try:
-            self.folder.hold()
-        except DataDirectoryError:
-            if not self.program.beside:
-                raise
-            self.log("idempotency_waiting", folder=self.told["folder"])
-            self.tasks = [self.loop.spawn(self.program.vital(self.waits()))]
-            return
-        self.open()
-
-    def open(self):
-        kept = PersistedKeys(unix)
-        journal = self.opened(WriteAheadLog(self.folder, "repeats", {"name": self.name}, kept, self.log))
-        now = self.loop.now()
-        key_table = KeyTable(self.told["keep"], self.told["entries"], self.told["bytes"], unix() - now)
-        key_table.restore(now, kept.entries)
-        self.log("idempotency_keys_loaded", held=len(key_table.records), bytes=journal.size)
-        self.writer, self.key_table = Writer(journal), key_table
-        self.tasks = [self.loop.spawn(self.program.vital(self.written()), first=True)]
-
-    def opened(self, journal):
-        try:
-            return journal.open()
-        except DataDirectoryError:
-            self.folder.release()
-            raise
+from mastledge.transport.connection import Connection
+from mastledge.transport.loop import READ, Task
+
+
+class IdempotencyService(KeyedService):
+    """Keys of which this dispatcher alone has the records."""
+
+    def __init__(self, program, configuration: Mapping, log: Callable[..., None]) -> None:
+        """As of `KeyedService`."""
+        super().__init__(program, configuration, log)
+        self.first_jobs: dict[ScopedKey, KeyedJob] = {}  # the job that is under way for a key
+        self.rewriting: Task | None = None
+
+    # The log
+
+    def open(self) -> None:
+        """Reads the log and starts to serve; DataDirectoryError where it can't be read."""
+        persisted = PersistedKeys(unix_now_us)
+        log = self.open_log(
+            WriteAheadLog(self.directory, "repeats", {"name": self.name}, persisted, self.log)
+        )
+        now, settings = self.loop.now(), self.settings
+        key_table = KeyTable(settings["keep"], settings["entries"], settings["bytes"], unix_now_us() - now)
+        key_table.restore(now, persisted.entries)
+        self.log("idempotency_keys_loaded", held=len(key_table.records), bytes=log.size)
+        self.writer, self.key_table = Writer(log), key_table
+        self.tasks = [self.loop.spawn(self.program.vital(self._take_writer_results()), first=True)]
+
+    def save(self) -> int:
+        """Hands the table's changes to the writer; the token under which they are on the disk."""
+        self.last_token += 1
+        self.writer.save(self.last_token, self.key_table.take_changes())
+        return self.last_token
+
+    def persist(self, job: KeyedJob) -> Generator[tuple, object, bool]:
+        """Waits until the table as it is now is on the disk; False where the disk fails."""
+        token = self.save()
+        if self.disk_failing:
+            return False
+        self.save_waiters[token] = job.task
+        return (yield (-1, 0, None)) is True
 
-    def waits(self):
-        while True:
-            yield (-1, 0, self.loop.now() + LOOK)
-            try:
-                self.folder.hold()
-            except DataDirectoryError:
-                continue
-            self.open()
-            return
-
-    def end(self):
-        for task in self.tasks:
-            self.loop.cancel(task)
-        self.tasks = []
-        if self.writer is not None:
-            self.loop.forget(self.writer.fd)
-            self.writer.close()
-            self.writer = self.key_table = None
-        self.folder.release()
-
-    def idle(self):
-        """Whether another process of this dispatcher may take over: nothing here waits for the disk."""
-        return not self.keeping
-
-    # The disk
-
-    def save(self):
-        """Hands over what the book has changed; the token under which it is on the disk."""
-        self.token += 1
-        self.writer.save(self.token, self.key_table.take_changes())
-        return self.token
-
-    def written(self):
+    def _take_writer_results(self) -> Steps:
         while True:
             yield (self.writer.fd, READ, None)
             for token, error in self.writer.done():
-                if error is not None and not self.failing:
-                    self.log("idempotency_disk_failed", why=str(error))
-                    self.failing = True
-                    self.mending = self.loop.spawn(self.program.vital(self.mended()))
-                    self.tasks.append(self.mending)
-                task = self.waiting.pop(token, None)
+                if error is not None and not self.disk_failing:
+                    self._begin_rewriting(error)
+                task = self.save_waiters.pop(token, None)
                 if task is not None:
                     self.loop.wake(task, error is None)
 
-    def mended(self):
-        """Writes all anew, once a second, until that goes well."""
+    def _begin_rewriting(self, error: Exception) -> None:
+        self.log("idempotency_disk_failed", why=str(error))
+        self.disk_failing = True
+        self.rewriting = self.loop.spawn(self.program.vital(self._rewrite()))
+        self.tasks.append(self.rewriting)
+
+    def _rewrite(self) -> Steps:
+        """Writes all of the table anew, again and again until that goes well."""
         while True:
-            yield (-1, 0, self.loop.now() + self.MENDS)
-            self.key_table.take_changes()
-            self.token += 1
-            self.waiting[self.token] = self.mending
-            self.writer.rewrite(self.token, self.key_table.snapshot())
+            yield (-1, 0, self.loop.now() + DISK_RETRY_US)
+            self.key_table.take_changes()  # they are in the snapshot
+            self.last_token += 1
+            self.save_waiters[self.last_token] = self.rewriting
+            self.writer.rewrite(self.last_token, self.key_table.snapshot())
             if (yield (-1, 0, None)) is True:
-                self.failing = False
+                self.disk_failing = False
                 self.log("idempotency_disk_recovered")
                 return
 
     # Jobs
 
-    def awaited(self, until, conn):
-        """Waits for the process before to leave the folder, where it is about to, and while its client
-        does.
+    def offer(
+        self, conn: Connection, exchange: Exchange, arrival: tuple
+    ) -> Generator[tuple, object, Reply | None]:
+        """The answer to a job with a key, or None where its client has gone.
+
+        `arrival`: what the decisions are told of the job.
         """
-        last = min(until - MARGIN, self.loop.now() + PATIENCE)
-        # One that hands over itself is not coming back to it.
-        while (
-            self.program.beside
-            and self.key_table is None
-            and not self.program.listener.succeeded
-            and self.loop.now() < last
-            and not http.left(conn)
-        ):
-            yield (-1, 0, self.loop.now() + LOOK)
-
-    def offer(self, conn, exchange, told):
-        """The answer to a job with a key, or None where its client has gone."""
-        yield from self.awaited(exchange.until, conn)
+        yield from self.wait_until_open(exchange.until, conn)
         if http.left(conn):
             return None
-        loop, key_table = self.loop, self.key_table
-        if key_table is None or self.failing:
-            return self.refusal(Verdict.FULL)
+        if self.key_table is None or self.disk_failing:
+            return rejection(Verdict.FULL)
         fingerprint = request_fingerprint(exchange.target, exchange.body)
         request = KeyedRequest(exchange.tenant, exchange.key, fingerprint, exchange.until)
-        verdict, record = key_table.claim(loop.now(), request)
+        verdict, record = self.key_table.claim(self.loop.now(), request)
         if verdict == Verdict.ANSWER:
-            return record.status, [(b"content-type", b"application/octet-stream")], record.content
-        if verdict not in (Verdict.NEW, Verdict.JOIN):
-            return self.refusal(verdict)
+            return replay(record.status, record.content)
         if verdict == Verdict.NEW:
-            record.waiters = waiters = set()
-            exchange.gone = lambda: all([http.left(conn) for conn in waiters])
-            self.first[record.scoped_key] = exchange
-            record.task = loop.spawn(self.kept(exchange, told, record))
-        record.waiters.add(conn)
+            self._start_job(record, exchange, arrival)
+        elif verdict != Verdict.JOIN:
+            return rejection(verdict)
+        return (yield from self._wait_for_job(self.first_jobs[record.scoped_key], conn, exchange.until))
+
+    def _start_job(self, record: Record, exchange: Exchange, arrival: tuple) -> None:
+        job = self.first_jobs[record.scoped_key] = KeyedJob(record, exchange)
+        job.task = self.loop.spawn(self._run_job(job, arrival))
+
+    def _wait_for_job(
+        self, job: KeyedJob, conn: Connection, until: int
+    ) -> Generator[tuple, object, Reply | None]:
+        job.waiters.add(conn)
         try:
-            got = yield from self.program.listener.awaited(conn, exchange.until)
-            return got if got != () else (KILLED, [], b"")
+            reply = yield from self.program.listener.awaited(conn, until)
+            return KILLED_REPLY if reply == () else reply
         finally:
-            record.waiters.discard(conn)
-            if not record.waiters and record.scoped_key in self.first:
-                self.inbox.put("left", self.first[record.scoped_key])
-
-    def refusal(self, verdict):
-        hold_off = [(b"retry-after", b"%.3f" % (AGAIN / 1e6))] if verdict == Verdict.FULL else []
-        return HTTP_STATUS[verdict], hold_off, EXPLANATION[verdict].encode()
+            job.waiters.discard(conn)
+            if not job.waiters and self.first_jobs.get(job.record.scoped_key) is job:
+                self.inbox.put("left", job.exchange)
 
-    def kept(self, exchange, told, record):
-        """Sees a first job through, whoever of its clients stays: what it came to is promised to all that
-        come.
-        """
-        self.keeping += 1
+    def _run_job(self, job: KeyedJob, arrival: tuple) -> Steps:
+        """Sees a first job through, whoever of its clients stays: all of them are promised its outcome."""
+        self.jobs_under_way += 1
         try:
-            reply = yield from self.seen_through(exchange, told, record)
-            for conn in list(record.waiters):
-                self.loop.wake(conn.owner, reply)
+            reply = yield from self._reply_of(job, arrival)
         finally:
-            del self.first[record.scoped_key]
-            record.task = None  # the collector doesn't look at records, so nothing may go round in a ring
-            self.keeping -= 1
-
-    def seen_through(self, exchange, told, record):
-        loop, key_table = self.loop, self.key_table
-        if not (yield from self.lasting(record)) or loop.now() >= exchange.until or exchange.left():
-            # Nothing was launched, and what the disk may hold of it is taken back once it holds anything.
+            self.jobs_under_way -= 1
+        for conn in list(job.waiters):
+            self.loop.wake(conn.owner, reply)
+        # Where the claim was given back, another job of the key may have begun meanwhile.
+        if self.first_jobs.get(job.record.scoped_key) is job:
+            del self.first_jobs[job.record.scoped_key]
+
+    def _reply_of(self, job: KeyedJob, arrival: tuple) -> Generator[tuple, object, Reply]:
+        key_table, record, exchange = self.key_table, job.record, job.exchange
+        claimed = yield from self.persist(job)
+        if not claimed or self.loop.now() >= exchange.until or exchange.left():
+            # Nothing was launched. What the disk may hold of the claim is taken back once it holds anything.
             key_table.release(record)
             self.save()
-            return REJECTED, [], b""
-        reply = yield from self.decided(record.task, exchange, told)
-        status, _, content = reply
-        if status == COMPLETED:
-            key_table.complete(loop.now(), record, status, content)
-        elif status == REJECTED:
-            key_table.release(record)
-        else:
-            key_table.mark_unsure(loop.now(), record)
-        if not (yield from self.lasting(record)) and status == COMPLETED:
-            # It could not be said again after a crash, so it is not said now.
-            key_table.mark_unsure(loop.now(), record)
-            return KILLED, [], b""
+            return REJECTED_REPLY
+        reply = yield from self.decide(job.task, exchange, arrival)
+        self._note_outcome(key_table, record, reply)
+        persisted = yield from self.persist(job)
+        if not persisted and reply.status == COMPLETED:
+            # It could not be told again after a crash, so it is not told now.
+            key_table.mark_unsure(self.loop.now(), record)
+            return KILLED_REPLY
         return reply
 
-    def decided(self, task, exchange, told):
-        """What the decisions make of a job that this task sees through."""
-        exchange.answer = lambda *answer: self.loop.wake(task, answer)
-        self.inbox.put("arrived", exchange, *told)
-        reply = yield (-1, 0, exchange.until + MARGIN)
-        if not isinstance(reply, tuple):
-            self.log("answer_late", job=exchange.name)
-            exchange.open = False
-            self.inbox.put("abandoned", exchange)
-            reply = KILLED, [], b""
-        return reply
+    def _note_outcome(self, key_table: KeyTable, record: Record, reply: Reply) -> None:
+        now = self.loop.now()
+        if reply.status == COMPLETED:
+            key_table.complete(now, record, reply.status, reply.content)
+        elif reply.status == REJECTED:
+            key_table.release(record)
+        else:
+            key_table.mark_unsure(now, record)
 
-    def lasting(self, record):
-        """Waits until the book as it is now is on the disk; False where the disk fails."""
-        token = self.save()
-        if self.failing:
-            return False
-        self.waiting[token] = record.task
-        return (yield (-1, 0, None)) is True
+    # Operators
 
-    def copies(self, request):
-        """What operators see."""
+    def copies(self, request: Request) -> Answer:
+        """What `GET /api/copies` tells: figures of the table and of the disk."""
         if self.key_table is None:
             return Answer(503, "the folder is held by the process before this one")
-        told = {
+        figures = {
             **self.key_table.statistics(),
             "copies": 1,
             "owed": 0,
             "under_copied": 0,
-            "disk": "failing" if self.failing else "good",
+            "disk": "failing" if self.disk_failing else "good",
             "longest_write_us": self.writer.longest,
         }
-        oldest = told.pop("oldest_until")
-        told["oldest_left_ms"] = max(0, oldest - self.loop.now()) // 1000 if oldest else 0
-        return Answer(200, orjson.dumps(told, option=orjson.OPT_INDENT_2).decode(), [], "application/json")
+        oldest_until = figures.pop("oldest_until")
+        left_us = max(0, oldest_until - self.loop.now()) if oldest_until else 0
+        figures["oldest_left_ms"] = left_us // 1000
+        text = orjson.dumps(figures, option=orjson.OPT_INDENT_2).decode()
+        return Answer(200, text, [], "application/json")
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -15,7 +15,8 @@
 from mastledge.idempotency.records import RecordState
 from mastledge.idempotency.verdicts import Verdict
 from mastledge.program.configuration import COPIES
-from mastledge.program.idempotency_service import MARGIN, IdempotencyService, unix
+from mastledge.program.keyed_job import rejection
+from mastledge.program.keyed_service import ANSWER_MARGIN_US, DISK_RETRY_US, KeyedService, unix_now_us
 from mastledge.protocol import http
 from mastledge.protocol.control import Answer, No
 from mastledge.protocol.requests import COMPLETED, KILLED, REJECTED
@@ -43,7 +44,7 @@
 decode = msgspec.msgpack.Decoder(Frame).decode
 
 
-class ReplicationService(IdempotencyService):
+class ReplicationService(KeyedService):
     def __init__(self, program, told, log):
         super().__init__(program, told, log)
         self.fleet, self.seed = program.fleet, told["seed"]
@@ -56,7 +57,7 @@
     # The folder
 
     def open(self):
-        kept = PersistedReplica(unix)
+        kept = PersistedReplica(unix_now_us)
         journal = self.journal(kept)
         now = self.loop.now()
         if not kept.id:
@@ -78,16 +79,20 @@
 
     def journal(self, kept):
         fleet = {"fleet": self.fleet.told["fleet"]} if self.fleet.told["fleet"] else {}
-        return self.opened(WriteAheadLog(self.folder, "copies", {"name": self.name, **fleet}, kept, self.log))
+        return self.open_log(
+            WriteAheadLog(self.directory, "copies", {"name": self.name, **fleet}, kept, self.log)
+        )
 
     def begins(self, now, kept, id_, starts):
         """With what the disk held; it takes part once its start is agreed, as an old folder has no say."""
         self.id, self.starts, self.fence, self.node = id_, starts, kept.fence, None
-        self.key_table = KeyTable(self.told["keep"], self.told["entries"], self.told["bytes"], unix() - now)
+        self.key_table = KeyTable(
+            self.settings["keep"], self.settings["entries"], self.settings["bytes"], unix_now_us() - now
+        )
         self.key_table.restore(now, kept.entries, False)
-        self.lasts, self.token = False, self.token + 1
-        self.starting = self.token
-        self.writer.save(self.token, head(self.id, self.starts, self.fence))
+        self.lasts, self.last_token = False, self.last_token + 1
+        self.starting = self.last_token
+        self.writer.save(self.last_token, head(self.id, self.starts, self.fence))
 
     def join(self):
         """Says that it is there, as soon as there is a fleet that agrees."""
@@ -95,7 +100,7 @@
         if self.lasts and self.node is None and self.proposed != name and self.fleet.member is not None:
             self.proposed = name
             change = {"kind": "holds", "name": self.name, "id": self.id, "starts": self.starts}
-            self.fleet.propose(name, {**change, "count": self.told["copies"]}, self.joined)
+            self.fleet.propose(name, {**change, "count": self.settings["copies"]}, self.joined)
 
     def joined(self, result):
         if self.writer is None or self.node is not None:
@@ -103,10 +108,10 @@
         if "why" in result and self.name in self.fleet.member.rules.members:
             # What others count on is not in it, so it comes as an empty one.
             self.log("replica_directory_stale", why=result["why"])
-            kept = PersistedReplica(unix)
+            kept = PersistedReplica(unix_now_us)
             self.begins(self.loop.now(), kept, uuid.uuid4().hex[:16], 1)
-            self.token += 1
-            self.writer.rewrite(self.token, head(self.id, self.starts, 0))
+            self.last_token += 1
+            self.writer.rewrite(self.last_token, head(self.id, self.starts, 0))
         elif "why" in result:
             self.proposed = ""
 
@@ -121,7 +126,7 @@
                 self.join()
                 return
             # All that was promised before is over after that, by whatever clock.
-            patience = self.told["keep"] + 3 * self.program.walltime + 2 * self.fleet.told["lease"]
+            patience = self.settings["keep"] + 3 * self.program.walltime + 2 * self.fleet.told["lease"]
             self.node = Node(
                 self.name,
                 self.id,
@@ -131,13 +136,13 @@
                 self.seed,
                 patience,
                 self.loop.now(),
-                self.told["sync"],
+                self.settings["sync"],
             )
-            self.node.token = self.node.safe = self.token
-            if self.failing:
+            self.node.token = self.node.safe = self.last_token
+            if self.disk_failing:
                 self.node.broken = True
-            if copies["count"] != self.told["copies"]:
-                self.log("replica_count_differs", agreed=copies["count"], here=self.told["copies"])
+            if copies["count"] != self.settings["copies"]:
+                self.log("replica_count_differs", agreed=copies["count"], here=self.settings["copies"])
         if (copies["epoch"], copies["caught"]) != (
             self.node.placement.epoch,
             sorted(self.node.placement.caught),
@@ -150,19 +155,19 @@
             yield (self.writer.fd, READ, None)
             for token, error in self.writer.done():
                 if error is not None:
-                    if not self.failing:
+                    if not self.disk_failing:
                         self.log("replication_disk_failed", why=str(error))
-                        self.failing = True
+                        self.disk_failing = True
                         self.input("broken")
                         self.tasks.append(self.loop.spawn(self.program.vital(self.mended())))
                     continue
                 if token == self.starting:
                     self.lasts = True
                     self.join()
-                task = self.waiting.pop(token, None)
+                task = self.save_waiters.pop(token, None)
                 if task is not None:
                     self.loop.wake(task, True)
-                elif not self.failing:
+                elif not self.disk_failing:
                     self.input("saved", token)
 
     def everything(self):
@@ -172,16 +177,16 @@
     def mended(self):
         """Writes all anew, once a second, until that goes well."""
         task = self.tasks[-1]
-        while self.failing:
-            yield (-1, 0, self.loop.now() + self.MENDS)
+        while self.disk_failing:
+            yield (-1, 0, self.loop.now() + DISK_RETRY_US)
             self.key_table.take_changes()
-            self.token = max(self.token, self.node.token if self.node else 0) + 1
+            self.last_token = max(self.last_token, self.node.token if self.node else 0) + 1
             if self.node is not None:
-                self.node.token = self.token
-            self.waiting[self.token] = task
-            self.writer.rewrite(self.token, self.everything())
-            if (yield (-1, 0, self.loop.now() + self.MENDS)) is True:
-                self.failing = False
+                self.node.token = self.last_token
+            self.save_waiters[self.last_token] = task
+            self.writer.rewrite(self.last_token, self.everything())
+            if (yield (-1, 0, self.loop.now() + DISK_RETRY_US)) is True:
+                self.disk_failing = False
                 self.lasts = True
                 self.log("replication_disk_recovered")
                 self.input("mended")
@@ -226,7 +231,7 @@
         self.outbox.setdefault(to, []).append(message)
 
     def do_save(self, token, records):
-        self.token = token
+        self.last_token = token
         self.writer.save(token, records)
 
     def do_tell(self, n, what, status, content):
@@ -273,16 +278,16 @@
     # Jobs
 
     def idle(self):
-        return not self.keeping
+        return not self.jobs_under_way
 
     def offer(self, conn, exchange, told):
         """The answer to a job with a key, or None where its client has gone."""
         loop = self.loop
-        yield from self.awaited(exchange.until, conn)
+        yield from self.wait_until_open(exchange.until, conn)
         if http.left(conn):
             return None
-        if self.node is None or self.failing:
-            return self.refusal(Verdict.FULL)
+        if self.node is None or self.disk_failing:
+            return rejection(Verdict.FULL)
         self.numbers += 1
         n = self.numbers
         task = self.jobs[n] = loop.spawn(self.seen_through(n, exchange, told))
@@ -305,7 +310,7 @@
 
     def seen_through(self, n, exchange, told):
         """Sees a job through, also where its client has left, and wakes that one with the answer."""
-        self.keeping += 1
+        self.jobs_under_way += 1
         try:
             reply = yield from self.answered(n, exchange, told)
             if n in self.clients:
@@ -313,14 +318,14 @@
         finally:
             del self.jobs[n]
             self.going.discard(n)
-            self.keeping -= 1
+            self.jobs_under_way -= 1
 
     def answered(self, n, exchange, told):
         loop = self.loop
         left = exchange.until - loop.now()
         print_ = request_fingerprint(exchange.target, exchange.body)
         self.input("offer", n, exchange.tenant, exchange.key, print_, left)
-        got = yield (-1, 0, exchange.until + MARGIN)
+        got = yield (-1, 0, exchange.until + ANSWER_MARGIN_US)
         if not isinstance(got, tuple):
             self.input("left", n)
             return KILLED, [], b""
@@ -328,20 +333,20 @@
         if what == o.ANSWER:
             return status, ANSWERS, content
         if what == o.UNSURE:
-            return self.refusal(Verdict.MAY_HAVE_RUN)
+            return rejection(Verdict.MAY_HAVE_RUN)
         if what == o.REFUSED:
             return status, [], content
         if what != o.GO:
-            return self.refusal(Verdict.FULL)
+            return rejection(Verdict.FULL)
         if loop.now() >= exchange.until or exchange.left():
             self.input("ended", n, m.DROPPED)
             return REJECTED, [], b""
         self.going.add(n)
-        reply = yield from self.decided(self.jobs[n], exchange, told)
+        reply = yield from self.decide(self.jobs[n], exchange, told)
         status, _, content = reply
         how = {COMPLETED: RecordState.ANSWERED, REJECTED: m.DROPPED}.get(status, RecordState.UNSURE)
         self.input("ended", n, how, status, content if how == RecordState.ANSWERED else b"")
-        got = yield (-1, 0, max(exchange.until, loop.now()) + MARGIN)
+        got = yield (-1, 0, max(exchange.until, loop.now()) + ANSWER_MARGIN_US)
         if how == RecordState.ANSWERED and not (isinstance(got, tuple) and got[0] == o.LASTING):
             # No majority has it, so another could be told otherwise: it may have run.
             return KILLED, [], b""
@@ -370,8 +375,8 @@
                 what: self.counts[what]
                 for what in (o.GO, o.ANSWER, o.UNSURE, o.REFUSED, o.FULL, o.NOBODY, o.SHORT)
             },
-            "copies": placement.count if placement else self.told["copies"],
-            "copies_after": placement.after if placement else self.told["copies"],
+            "copies": placement.count if placement else self.settings["copies"],
+            "copies_after": placement.after if placement else self.settings["copies"],
             "takes_part": node is not None,
             "epoch": placement.epoch if placement else 0,
             "holders": sorted(placement.now) if placement else [],
@@ -379,7 +384,7 @@
             "caught_up": sorted(placement.caught) if placement else [],
             "taken": node.restore.taken if node else 0,
             "given": node.restore.given if node else 0,
-            "disk": "failing" if self.failing else "good",
+            "disk": "failing" if self.disk_failing else "good",
             "longest_write_us": self.writer.longest,
             "longest_step_us": self.longest,
             "oldest_left_ms": max(0, oldest - self.loop.now()) // 1000 if oldest else 0,
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -321,11 +321,11 @@
     made = serving(repeats=keeps(tmp_path)).serving()
     disk = Stalled(made.made.idempotency, monkeypatch)
     client = made.asked(Idempotency_Key="k1")
-    assert made.turn(lambda: made.made.idempotency.first)
+    assert made.turn(lambda: made.made.idempotency.first_jobs)
     leaves(made, client)
     assert made.turn(lambda: not made.made.listener.clients)
     disk.goes_on.set()
-    assert made.turn(lambda: not made.made.idempotency.keeping)
+    assert made.turn(lambda: not made.made.idempotency.jobs_under_way)
     assert not made.made.idempotency.key_table.records and not made.made.router.count
     made.asked("a2", Idempotency_Key="k1")
     made.only("a2")
@@ -347,7 +347,8 @@
         assert made.rig.reply(second).endswith(b"\r\n\r\nr")
         return
     assert (
-        made.turn(lambda: not made.made.idempotency.keeping) and not made.made.idempotency.key_table.records
+        made.turn(lambda: not made.made.idempotency.jobs_under_way)
+        and not made.made.idempotency.key_table.records
     )
     made.lists()
     made.asked("a3", Idempotency_Key="k1")
@@ -375,7 +376,7 @@
         theirs.sendall(b"HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
     else:
         theirs.close()
-    assert made.turn(lambda: not made.made.idempotency.keeping) and not made.made.router.jobs
+    assert made.turn(lambda: not made.made.idempotency.jobs_under_way) and not made.made.router.jobs
     made.lists(name="s-2")
     assert made.turn(lambda: "s-1" not in made.made.router.peers)
     second = made.asked("a2", Idempotency_Key="k1")
@@ -663,7 +664,7 @@
     made = agreed(ready=False)
     client = made.taken("a1", Idempotency_Key="k1")
     leaves(made, client)
-    assert made.turn(lambda: not made.made.idempotency.keeping) and not made.made.router.jobs
+    assert made.turn(lambda: not made.made.idempotency.jobs_under_way) and not made.made.router.jobs
     made.lists()
     made.asked("a2", Idempotency_Key="k1")
     made.only("a2")
@@ -674,7 +675,7 @@
     made = agreed(ready=False)
     client = made.taken("a1", Idempotency_Key="k1")
     second = made.asked("a2", Idempotency_Key="k1")
-    assert made.turn(lambda: made.made.idempotency.keeping == 2)
+    assert made.turn(lambda: made.made.idempotency.jobs_under_way == 2)
     leaves(made, client)
     assert made.turn(lambda: made.job("a2"))
     made.lists()
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -224,10 +224,10 @@
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(repeats.writer.journal, "append", full)
-    assert b" 503 " in made.reply("a1") and repeats.failing
+    assert b" 503 " in made.reply("a1") and repeats.disk_failing
     assert b" 503 " in made.reply("a2", key="k2")
     monkeypatch.undo()
-    assert made.turn(lambda: not repeats.failing, 4_000_000)
+    assert made.turn(lambda: not repeats.disk_failing, 4_000_000)
     made.asked("a3")
     theirs, head = made.rig.called(made.sock)
     assert b"a3" in head
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -148,9 +148,10 @@
     """Writes its claim on a key down with the outcome, after the launch."""
     from mastledge.program.idempotency_service import IdempotencyService
 
-    lasting = IdempotencyService.lasting
+    persist = IdempotencyService.persist
 
-    def later(self, record):
+    def later(self, job):
+        record = job.record
         if record.state == "claimed":
             self.later = [
                 *getattr(self, "later", ()),
@@ -161,9 +162,9 @@
         self.key_table.changes = [
             r for r in self.later if r[1:3] == record.scoped_key
         ] + self.key_table.changes
-        return (yield from lasting(self, record))
+        return (yield from persist(self, job))
 
-    IdempotencyService.lasting = later
+    IdempotencyService.persist = later
 
 
 def boastful():
