--- a/mastledge/idempotency/persisted_keys.py
+++ b/mastledge/idempotency/persisted_keys.py
@@ -55,18 +55,18 @@
 
 
 class PersistedKeys:
-    """What the entries of a log amount to: `records` in the form that `WriteAheadLog` asks for."""
+    """What the entries of a log amount to, in the form that `WriteAheadLog` asks for."""
 
     def __init__(self, unix_clock: Callable[[], int]) -> None:
         """`unix_clock` gives Unix microseconds, by which a rewrite leaves out what has expired."""
         self.unix_clock = unix_clock
         self.entries: dict[ScopedKey, PersistedRecord] = {}
 
-    def clear(self) -> None:
+    def reset(self) -> None:
         """Forgets all, before a log is read anew."""
         self.entries = {}
 
-    def take(self, record: Sequence) -> None:
+    def apply(self, record: Sequence) -> None:
         """Follows one entry; PersistedRecordError where it can't be followed."""
         kind, tenant, key, *fields = record
         if kind == CLAIM:
@@ -87,7 +87,7 @@
         persisted.state = RecordState.ANSWERED if answered else RecordState.UNSURE
         persisted.status, persisted.content, persisted.expires_at = status, content, expires_at
 
-    def records(self) -> list[LogEntry]:
+    def compacted_records(self) -> list[LogEntry]:
         """The fewest entries that lead to the same.
 
         A claim stays, however old: the dispatcher that made it may still be running its job.
--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -51,7 +51,7 @@
     def save(self) -> int:
         """Hands the table's changes to the writer; the token under which they are on the disk."""
         self.last_token += 1
-        self.writer.save(self.last_token, self.key_table.take_changes())
+        self.writer.append(self.last_token, self.key_table.take_changes())
         return self.last_token
 
     def persist(self, job: KeyedJob) -> Generator[tuple, object, bool]:
@@ -65,12 +65,12 @@
     def _take_writer_results(self) -> Steps:
         while True:
             yield (self.writer.fd, READ, None)
-            for token, error in self.writer.done():
-                if error is not None and not self.disk_failing:
-                    self._begin_rewriting(error)
-                task = self.save_waiters.pop(token, None)
+            for result in self.writer.completed():
+                if result.error is not None and not self.disk_failing:
+                    self._begin_rewriting(result.error)
+                task = self.save_waiters.pop(result.token, None)
                 if task is not None:
-                    self.loop.wake(task, error is None)
+                    self.loop.wake(task, result.error is None)
 
     def _begin_rewriting(self, error: Exception) -> None:
         self.log("idempotency_disk_failed", why=str(error))
@@ -183,7 +183,7 @@
             "owed": 0,
             "under_copied": 0,
             "disk": "failing" if self.disk_failing else "good",
-            "longest_write_us": self.writer.longest,
+            "longest_write_us": self.writer.longest_write_us,
         }
         oldest_until = figures.pop("oldest_until")
         left_us = max(0, oldest_until - self.loop.now()) if oldest_until else 0
--- a/mastledge/program/keyed_service.py
+++ b/mastledge/program/keyed_service.py
@@ -10,7 +10,8 @@
 from mastledge.program.keyed_job import KILLED_REPLY, Reply
 from mastledge.protocol import http
 from mastledge.protocol.requests import Exchange
-from mastledge.storage.data_directory import DataDirectory, DataDirectoryError
+from mastledge.storage.data_directory import DataDirectory
+from mastledge.storage.errors import DataDirectoryError
 from mastledge.storage.write_ahead_log import WriteAheadLog
 from mastledge.storage.writer import Writer
 from mastledge.transport.connection import Connection
@@ -56,7 +57,7 @@
         DataDirectoryError where it is held by another one, or can't be used.
         """
         try:
-            self.directory.hold()
+            self.directory.acquire()
         except DataDirectoryError:
             if not self.program.beside:
                 raise
@@ -69,7 +70,7 @@
         while True:
             yield (-1, 0, self.loop.now() + DIRECTORY_POLL_US)
             try:
-                self.directory.hold()
+                self.directory.acquire()
             except DataDirectoryError:
                 continue
             self.open()
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -92,7 +92,7 @@
         self.key_table.restore(now, kept.entries, False)
         self.lasts, self.last_token = False, self.last_token + 1
         self.starting = self.last_token
-        self.writer.save(self.last_token, head(self.id, self.starts, self.fence))
+        self.writer.append(self.last_token, head(self.id, self.starts, self.fence))
 
     def join(self):
         """Says that it is there, as soon as there is a fleet that agrees."""
@@ -153,7 +153,8 @@
     def written(self):
         while True:
             yield (self.writer.fd, READ, None)
-            for token, error in self.writer.done():
+            for result in self.writer.completed():
+                token, error = result.token, result.error
                 if error is not None:
                     if not self.disk_failing:
                         self.log("replication_disk_failed", why=str(error))
@@ -232,7 +233,7 @@
 
     def do_save(self, token, records):
         self.last_token = token
-        self.writer.save(token, records)
+        self.writer.append(token, records)
 
     def do_tell(self, n, what, status, content):
         self.counts[what] += 1
@@ -385,7 +386,7 @@
             "taken": node.restore.taken if node else 0,
             "given": node.restore.given if node else 0,
             "disk": "failing" if self.disk_failing else "good",
-            "longest_write_us": self.writer.longest,
+            "longest_write_us": self.writer.longest_write_us,
             "longest_step_us": self.longest,
             "oldest_left_ms": max(0, oldest - self.loop.now()) // 1000 if oldest else 0,
         }
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -34,10 +34,10 @@
     """As after a restart: by what was handed out for the disk alone."""
     kept = PersistedKeys(lambda: now + 5)
     for record in key_table.take_changes():
-        kept.take(record)
+        kept.apply(record)
     other = PersistedKeys(lambda: now + 5)
-    for record in kept.records():
-        other.take(record)
+    for record in kept.compacted_records():
+        other.apply(record)
     after = made()
     after.restore(now, other.entries)
     return after
@@ -127,7 +127,7 @@
                 may_run[key], claims[key] = float("inf"), record
         elif what == "crash":
             for record in key_table.take_changes():
-                disk.take(record)
+                disk.apply(record)
             key_table = made()
             key_table.restore(now, disk.entries)
             may_run.update({key: now + KEEP for key in claims})
@@ -142,7 +142,7 @@
                 key_table.release(record)
             may_run[key] = 0 if what == "drop" else now + KEEP
         for record in key_table.take_changes():
-            disk.take(record)
+            disk.apply(record)
         assert key_table.room.used_bytes == sum(one.size_bytes for one in key_table.records.values())
 
 
@@ -223,7 +223,7 @@
     def full(records):
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(repeats.writer.journal, "append", full)
+    monkeypatch.setattr(repeats.writer.wal, "append", full)
     assert b" 503 " in made.reply("a1") and repeats.disk_failing
     assert b" 503 " in made.reply("a2", key="k2")
     monkeypatch.undo()
