--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,7 +1,10 @@
-"""Repeats: the same key again, in memory and after a restart; nothing that may have run is a first one
-again.
+"""Idempotency keys on one dispatcher: a repeat in memory, after a restart and on sockets.
+
+Nothing that may have run is a first job again before its retention is over.
 """
 
+import threading
+
 import orjson
 import pytest
 from helpers import job
@@ -10,6 +13,7 @@
 from test_control import Served
 from test_program import file
 
+from mastledge.idempotency.errors import PersistedRecordError
 from mastledge.idempotency.key_table import KeyTable
 from mastledge.idempotency.keyed_request import KeyedRequest, request_fingerprint
 from mastledge.idempotency.persisted_keys import PersistedKeys
@@ -18,132 +22,165 @@
 from mastledge.program import lifecycle
 from mastledge.program.configuration import BadConfiguration, configuration
 
-KEEP = 1_000_000
+RETENTION_US = 1_000_000
+WALLTIME_US = 100
+UNIX_OFFSET_US = 5
 FINGERPRINT = request_fingerprint(b"/post", b"x")
 
 
-def made(max_records=10, max_bytes=100_000):
-    return KeyTable(KEEP, max_records, max_bytes, 5)
+def table_of(max_records=10, max_bytes=100_000):
+    return KeyTable(RETENTION_US, max_records, max_bytes, UNIX_OFFSET_US)
+
+
+@pytest.fixture
+def key_table():
+    return table_of()
 
 
 def claim(key_table, now=0, tenant="t", key=b"k", fingerprint=FINGERPRINT):
-    return key_table.claim(now, KeyedRequest(tenant, key, fingerprint, now + 100))
-
-
-def again(key_table, now):
-    """As after a restart: by what was handed out for the disk alone."""
-    kept = PersistedKeys(lambda: now + 5)
-    for record in key_table.take_changes():
-        kept.apply(record)
-    other = PersistedKeys(lambda: now + 5)
-    for record in kept.compacted_records():
-        other.apply(record)
-    after = made()
-    after.restore(now, other.entries)
+    return key_table.claim(now, KeyedRequest(tenant, key, fingerprint, now + WALLTIME_US))
+
+
+def verdict_of(key_table, *args, **fields):
+    return claim(key_table, *args, **fields).verdict
+
+
+def persisted_keys(now, entries):
+    """What entries of the log amount to at a time of the monotonic clock."""
+    persisted = PersistedKeys(lambda: now + UNIX_OFFSET_US)
+    for entry in entries:
+        persisted.apply(entry)
+    return persisted
+
+
+def restarted(key_table, now):
+    """The table after a restart: by what was handed out for the disk alone, written anew in between."""
+    written = persisted_keys(now, key_table.take_changes())
+    rewritten = persisted_keys(now, written.compacted_records())
+    after = table_of()
+    after.restore(now, rewritten.entries)
     return after
 
 
-def test_a_repeat_joins_then_gets_the_same_answer_until_its_time_is_over():
-    key_table = made()
-    what, record = claim(key_table)
-    assert what == Verdict.NEW and claim(key_table, 1) == (Verdict.JOIN, record)
+# The table
+
+
+def test_a_repeat_joins_then_gets_the_same_answer_until_its_retention_is_over(key_table):
+    verdict, record = claim(key_table)
+    assert verdict == Verdict.NEW
+    assert claim(key_table, 1) == (Verdict.JOIN, record)
     key_table.complete(10, record, 200, b"done")
-    assert claim(key_table, 20) == (Verdict.ANSWER, record) and record.content == b"done"
-    assert claim(again(key_table, 20), 21)[0] == Verdict.ANSWER
-    assert claim(key_table, 10 + KEEP)[0] == Verdict.NEW
-
-
-def test_what_may_have_run_is_told_as_such_and_what_never_ran_is_a_first_one_again():
-    key_table = made()
-    _, record = claim(key_table)
-    key_table.mark_unsure(10, record)
-    assert (
-        claim(key_table, 20)[0] == Verdict.MAY_HAVE_RUN
-        and claim(again(key_table, 20), 21)[0] == Verdict.MAY_HAVE_RUN
-    )
-    _, other = claim(key_table, key=b"k2")
-    key_table.release(other)
-    assert claim(key_table, key=b"k2")[0] == Verdict.NEW
+    assert claim(key_table, 20) == (Verdict.ANSWER, record)
+    assert record.content == b"done"
+    assert verdict_of(restarted(key_table, 20), 21) == Verdict.ANSWER
+    assert verdict_of(key_table, 10 + RETENTION_US) == Verdict.NEW
 
 
-def test_a_claim_that_a_crash_left_may_have_run_and_a_clock_set_back_keeps_it_no_longer():
-    key_table = made()
-    claim(key_table, 50 * KEEP)
-    after = again(key_table, 0)
-    assert claim(after, 1)[0] == Verdict.MAY_HAVE_RUN
-    assert claim(after, KEEP)[0] == Verdict.NEW
+def test_what_may_have_run_is_told_as_such_and_what_never_ran_is_a_first_job_again(key_table):
+    _, unsure = claim(key_table)
+    key_table.mark_unsure(10, unsure)
+    assert verdict_of(key_table, 20) == Verdict.MAY_HAVE_RUN
+    assert verdict_of(restarted(key_table, 20), 21) == Verdict.MAY_HAVE_RUN
+    _, released = claim(key_table, key=b"k2")
+    key_table.release(released)
+    assert verdict_of(key_table, key=b"k2") == Verdict.NEW
 
 
-def test_another_body_another_tenant_and_keys_that_are_none():
-    key_table = made()
+def test_a_claim_that_a_crash_left_may_have_run_and_a_clock_set_back_keeps_it_no_longer(key_table):
+    claim(key_table, 50 * RETENTION_US)
+    after = restarted(key_table, 0)
+    assert verdict_of(after, 1) == Verdict.MAY_HAVE_RUN
+    assert verdict_of(after, RETENTION_US) == Verdict.NEW
+
+
+def test_a_key_with_another_body_is_refused_and_another_tenant_has_its_own(key_table):
     claim(key_table)
-    assert claim(key_table, fingerprint=request_fingerprint(b"/post", b"y"))[0] == Verdict.OTHER_REQUEST
-    assert claim(key_table, tenant="u")[0] == Verdict.NEW
-    for key in (b"", b"a b", b"\xff", b"x" * 256):
-        assert claim(key_table, key=key)[0] == Verdict.INVALID_KEY
-
-
-def test_a_full_book_refuses_new_keys_and_forgets_no_claim():
-    key_table = made(max_records=2)
-    first, second = claim(key_table, key=b"a")[1], claim(key_table, key=b"b")[1]
-    assert claim(key_table, key=b"c")[0] == Verdict.FULL
-    assert claim(key_table, key=b"a") == (Verdict.JOIN, first) and claim(key_table, key=b"b") == (
-        Verdict.JOIN,
-        second,
-    )
+    other_fingerprint = request_fingerprint(b"/post", b"y")
+    assert verdict_of(key_table, fingerprint=other_fingerprint) == Verdict.OTHER_REQUEST
+    assert verdict_of(key_table, tenant="u") == Verdict.NEW
+
+
+@pytest.mark.parametrize("key", [b"", b"a b", b"\xff", b"x" * 256])
+def test_a_key_that_is_not_1_to_255_visible_ascii_characters_is_refused(key, key_table):
+    assert verdict_of(key_table, key=key) == Verdict.INVALID_KEY
+
+
+def test_a_full_table_refuses_new_keys_and_forgets_no_claim():
+    key_table = table_of(max_records=2)
+    _, first = claim(key_table, key=b"a")
+    _, second = claim(key_table, key=b"b")
+    assert verdict_of(key_table, key=b"c") == Verdict.FULL
+    assert claim(key_table, key=b"a") == (Verdict.JOIN, first)
+    assert claim(key_table, key=b"b") == (Verdict.JOIN, second)
     key_table.release(first)
-    assert claim(key_table, key=b"c")[0] == Verdict.NEW
+    assert verdict_of(key_table, key=b"c") == Verdict.NEW
 
 
 def test_one_tenant_does_not_take_all_the_room_and_an_answer_too_large_still_says_that_it_ran():
-    key_table = made(1000, 4 * (RECORD_OVERHEAD_BYTES + 1))
-    assert [claim(key_table, key=bytes([65 + n]))[0] for n in range(4)] == [Verdict.NEW] * 3 + [Verdict.FULL]
-    assert claim(key_table, tenant="u", key=b"z")[0] == Verdict.NEW
-    record = claim(key_table, key=b"A")[1]
+    key_table = table_of(1000, 4 * (RECORD_OVERHEAD_BYTES + 1))
+    verdicts = [verdict_of(key_table, key=key) for key in (b"A", b"B", b"C", b"D")]
+    assert verdicts == [Verdict.NEW] * 3 + [Verdict.FULL]
+    assert verdict_of(key_table, tenant="u", key=b"z") == Verdict.NEW
+    _, record = claim(key_table, key=b"A")
     key_table.complete(1, record, 200, b"x" * 10_000)
-    assert claim(key_table, 2, key=b"A")[0] == Verdict.MAY_HAVE_RUN
+    assert verdict_of(key_table, 2, key=b"A") == Verdict.MAY_HAVE_RUN
+
+
+@pytest.mark.parametrize(
+    ("entry", "says"),
+    [
+        (("end", "t", b"k", True, 200, b"", 9), "an end without its claim: b'k'"),
+        (("lend", "t", b"k"), "a record of a later version: lend"),
+    ],
+)
+def test_entries_that_cannot_be_followed_are_named(entry, says):
+    with pytest.raises(PersistedRecordError, match=says):
+        persisted_keys(0, [entry])
 
 
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from(["offer", "end", "unsure", "drop", "crash"]),
+            st.sampled_from(["claim", "complete", "mark_unsure", "release", "crash"]),
             st.integers(0, 3),
-            st.integers(1, KEEP // 3),
+            st.integers(1, RETENTION_US // 3),
         ),
         max_size=60,
     )
 )
 def test_no_key_that_may_have_run_is_new_again_in_its_time(moves):
-    """`may_run`: until when each key must not be launched again, kept beside the key_table by the test."""
-    key_table, now, may_run, claims = made(), 0, {}, {}
-    disk = PersistedKeys(lambda: now + 5)
-    for what, n, wait in moves:
-        now, key = now + wait, b"k%d" % n
-        if what == "offer":
-            got, record = claim(key_table, now, key=key)
-            if got == Verdict.NEW:
+    """`may_run`: until when each key must not be launched again, kept beside the table by the test."""
+    key_table, now, may_run, claims = table_of(), 0, {}, {}
+    disk = PersistedKeys(lambda: now + UNIX_OFFSET_US)
+    for move, number, wait in moves:
+        now, key = now + wait, b"k%d" % number
+        if move == "claim":
+            verdict, record = claim(key_table, now, key=key)
+            if verdict == Verdict.NEW:
                 assert may_run.get(key, 0) <= now
                 may_run[key], claims[key] = float("inf"), record
-        elif what == "crash":
-            for record in key_table.take_changes():
-                disk.apply(record)
-            key_table = made()
+        elif move == "crash":
+            for entry in key_table.take_changes():
+                disk.apply(entry)
+            key_table = table_of()
             key_table.restore(now, disk.entries)
-            may_run.update({key: now + KEEP for key in claims})
+            may_run.update({key: now + RETENTION_US for key in claims})
             claims = {}
         elif key in claims:
             record = claims.pop(key)
-            if what == "end":
+            if move == "complete":
                 key_table.complete(now, record, 200, b"r")
-            elif what == "unsure":
+            elif move == "mark_unsure":
                 key_table.mark_unsure(now, record)
             else:
                 key_table.release(record)
-            may_run[key] = 0 if what == "drop" else now + KEEP
-        for record in key_table.take_changes():
-            disk.apply(record)
-        assert key_table.room.used_bytes == sum(one.size_bytes for one in key_table.records.values())
+            may_run[key] = 0 if move == "release" else now + RETENTION_US
+        for entry in key_table.take_changes():
+            disk.apply(entry)
+        assert key_table.room.used_bytes == sum(record.size_bytes for record in key_table.records.values())
+
+
+# The service, on sockets and a disk
 
 
 class Keyed(Served):
@@ -153,6 +190,13 @@
         repeats = {"folder": str(path / "kept"), "entries": 100, "bytes": 100_000, **changed}
         super().__init__(path, repeats=repeats)
 
+    @property
+    def service(self):
+        return self.made.idempotency
+
+    def verdict_count(self, verdict):
+        return self.service.key_table.verdict_counts[verdict]
+
     def asked(self, txn, key="k1", body=b"x"):
         client = self.connect()
         client.sendall(job(body=body, X_Txn=txn, X_Remaining_Ms=4000, Idempotency_Key=key))
@@ -161,24 +205,49 @@
     def reply(self, txn, **how):
         return self.rig.reply(self.asked(txn, **how))
 
+    def launched(self):
+        """The connection of the stand-in worker that the next job comes on, and the head of its request."""
+        return self.rig.called(self.sock)
+
     def over(self):
-        self.made.idempotency.end()
+        self.service.end()
         self.close()
 
 
 @pytest.fixture
 def keyed(tmp_path, monkeypatch):
+    """A dispatcher that serves, and what starts it again with the same folder."""
     monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
-    made = [Keyed(tmp_path).serving()]
+    dispatchers = [Keyed(tmp_path).serving()]
+
+    def restart():
+        dispatchers[-1].over()
+        dispatchers.append(Keyed(tmp_path).serving())
+        return dispatchers[-1]
 
-    def again():
-        made[-1].over()
-        made.append(Keyed(tmp_path).serving())
-        return made[-1]
+    yield dispatchers[0], restart
+    dispatchers[-1].over()
+    assert not dispatchers[-1].rig.errors
+    assert not dispatchers[-1].made.router.faults
 
-    yield made[0], again
-    made[-1].over()
-    assert not made[-1].rig.errors and not made[-1].made.router.faults
+
+@pytest.fixture
+def stall_disk(monkeypatch):
+    """Makes the disk of a service wait for the event that is given back."""
+    goes_on = threading.Event()
+
+    def stall(service):
+        append = service.writer.wal.append
+
+        def waits(records):
+            goes_on.wait(10)
+            append(records)
+
+        monkeypatch.setattr(service.writer.wal, "append", waits)
+        return goes_on
+
+    yield stall
+    goes_on.set()
 
 
 def answers(theirs, txn):
@@ -186,53 +255,77 @@
     theirs.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(raw), raw))
 
 
+def is_answer(reply):
+    return reply.endswith(b"\r\n\r\nr")
+
+
 def test_a_repeat_on_sockets_joins_and_gets_the_first_answer_also_after_a_restart(keyed):
-    made, again = keyed
-    first = made.asked("a1")
-    theirs, _ = made.rig.called(made.sock)
-    second = made.asked("a2")
-    assert made.turn(lambda: made.made.idempotency.key_table.verdict_counts["join"] == 1)
+    dispatcher, restart = keyed
+    first = dispatcher.asked("a1")
+    worker, _ = dispatcher.launched()
+    second = dispatcher.asked("a2")
+    assert dispatcher.turn(lambda: dispatcher.verdict_count(Verdict.JOIN) == 1)
     first.close()  # who leaves doesn't take the job along
-    made.turn(lambda: made.made.listener.in_hand == 1)
-    answers(theirs, b"a1")
-    assert made.rig.reply(second).endswith(b"\r\n\r\nr")
-    assert made.reply("a3").endswith(b"\r\n\r\nr")
-    assert b" 422 " in made.reply("a4", body=b"y") and b" 400 " in made.reply("a5", key="")
-    after = again()
-    assert (
-        after.reply("a6").endswith(b"\r\n\r\nr")
-        and after.made.idempotency.key_table.verdict_counts["answer"] == 1
-    )
+    dispatcher.turn(lambda: dispatcher.made.listener.in_hand == 1)
+    answers(worker, b"a1")
+    assert is_answer(dispatcher.rig.reply(second))
+    assert is_answer(dispatcher.reply("a3"))
+    assert b" 422 " in dispatcher.reply("a4", body=b"y")
+    assert b" 400 " in dispatcher.reply("a5", key="")
+    after = restart()
+    assert is_answer(after.reply("a6"))
+    assert after.verdict_count(Verdict.ANSWER) == 1
     status, text = after.call("/api/copies")
-    assert status == 200 and orjson.loads(text)["held"] == 1
+    assert status == 200
+    assert orjson.loads(text)["held"] == 1
 
 
 def test_a_repeat_of_what_was_running_at_the_end_is_told_that_it_may_have_run(keyed):
-    made, again = keyed
-    made.asked("a1")
-    made.rig.called(made.sock)
-    after = again()
-    reply = after.reply("a2")
-    assert b" 409 " in reply and b"may have run" in reply
+    dispatcher, restart = keyed
+    dispatcher.asked("a1")
+    dispatcher.launched()
+    reply = restart().reply("a2")
+    assert b" 409 " in reply
+    assert b"may have run" in reply
 
 
 def test_a_disk_that_fails_takes_no_new_key_and_is_written_anew(keyed, monkeypatch):
-    made, _ = keyed
-    repeats = made.made.idempotency
+    dispatcher, _ = keyed
+    service = dispatcher.service
 
     def full(records):
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(repeats.writer.wal, "append", full)
-    assert b" 503 " in made.reply("a1") and repeats.disk_failing
-    assert b" 503 " in made.reply("a2", key="k2")
+    monkeypatch.setattr(service.writer.wal, "append", full)
+    assert b" 503 " in dispatcher.reply("a1")
+    assert service.disk_failing
+    assert b" 503 " in dispatcher.reply("a2", key="k2")
     monkeypatch.undo()
-    assert made.turn(lambda: not repeats.disk_failing, 4_000_000)
-    made.asked("a3")
-    theirs, head = made.rig.called(made.sock)
+    assert dispatcher.turn(lambda: not service.disk_failing, 4_000_000)
+    dispatcher.asked("a3")
+    _, head = dispatcher.launched()
     assert b"a3" in head
 
 
+def test_a_key_that_is_claimed_again_while_its_release_is_written_is_seen_through(keyed, stall_disk):
+    dispatcher, _ = keyed
+    service = dispatcher.service
+    dispatcher.asked("a1")
+    dispatcher.launched()
+    (first_job,) = service.first_jobs.values()
+    disk_goes_on = stall_disk(service)
+    first_job.exchange.rejected(0)
+    second = dispatcher.asked("a2")
+    assert dispatcher.turn(lambda: dispatcher.verdict_count(Verdict.NEW) == 2)
+    disk_goes_on.set()
+    worker, head = dispatcher.launched()
+    assert b"a2" in head
+    answers(worker, b"a2")
+    assert is_answer(dispatcher.rig.reply(second))
+    assert dispatcher.turn(service.idle)
+    assert not service.first_jobs
+
+
 @pytest.mark.parametrize(
     ("changed", "says"),
     [
