--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -108,12 +108,13 @@
         fingerprint = request_fingerprint(exchange.target, exchange.body)
         request = KeyedRequest(exchange.tenant, exchange.key, fingerprint, exchange.until)
         verdict, record = self.key_table.claim(self.loop.now(), request)
-        if verdict == Verdict.ANSWER:
-            return replay(record.status, record.content)
         if verdict == Verdict.NEW:
             self._start_job(record, exchange, arrival)
-        elif verdict != Verdict.JOIN:
+        elif verdict == Verdict.ANSWER and record.scoped_key not in self.first_jobs:
+            return replay(record.status, record.content)
+        elif verdict not in (Verdict.JOIN, Verdict.ANSWER):
             return rejection(verdict)
+        # An answer that is not on the disk yet is waited for like one that is not there yet.
         return (yield from self._wait_for_job(self.first_jobs[record.scoped_key], conn, exchange.until))
 
     def _start_job(self, record: Record, exchange: Exchange, arrival: tuple) -> None:
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -17,7 +17,7 @@
 from mastledge.idempotency.key_table import KeyTable
 from mastledge.idempotency.keyed_request import KeyedRequest, request_fingerprint
 from mastledge.idempotency.persisted_keys import PersistedKeys
-from mastledge.idempotency.records import RECORD_OVERHEAD_BYTES
+from mastledge.idempotency.records import RECORD_OVERHEAD_BYTES, RecordState
 from mastledge.idempotency.verdicts import Verdict
 from mastledge.program import lifecycle
 from mastledge.program.configuration import BadConfiguration, configuration
@@ -326,6 +326,34 @@
     assert not service.first_jobs
 
 
+@pytest.mark.parametrize(("disk_fails", "says"), [(False, b" 200 "), (True, b" 500 ")])
+def test_a_repeat_gets_no_answer_before_it_is_on_the_disk(disk_fails, says, keyed, stall_disk, monkeypatch):
+    dispatcher, _ = keyed
+    service = dispatcher.service
+    first = dispatcher.asked("a1")
+    worker, _ = dispatcher.launched()
+    if disk_fails:
+
+        def full(records):
+            raise OSError(28, "No space left on device")
+
+        monkeypatch.setattr(service.writer.wal, "append", full)
+    disk_goes_on = stall_disk(service)
+    answers(worker, b"a1")
+    (record,) = service.key_table.records.values()
+    assert dispatcher.turn(lambda: record.state == RecordState.ANSWERED)
+    second = dispatcher.asked("a2")
+    assert dispatcher.turn(lambda: dispatcher.verdict_count(Verdict.ANSWER) == 1)
+    assert not dispatcher.turn(lambda: service.idle(), 50_000)
+    second.setblocking(False)
+    with pytest.raises(BlockingIOError):
+        second.recv(1)
+    second.setblocking(True)
+    disk_goes_on.set()
+    assert says in dispatcher.rig.reply(first)
+    assert says in dispatcher.rig.reply(second)
+
+
 @pytest.mark.parametrize(
     ("changed", "says"),
     [
