--- a/mastledge/idempotency/key_table.py
+++ b/mastledge/idempotency/key_table.py
@@ -57,16 +57,16 @@
     """One record a key and tenant: what is known and promised of its first job.
 
     Each change has to be on the disk before the launch, or the answer, that depends on it: `take_changes`
-    hands them out as entries of the log. Times given and kept are microseconds of the monotonic clock; the
+    hands them out as entries of the log. Times here are microseconds of the monotonic clock; the
     log has Unix microseconds, `unix_offset_us` more.
     """
 
     def __init__(self, retention_us: int, max_records: int, max_bytes: int, unix_offset_us: int) -> None:
-        """`retention_us`: for how long an answer, or that a job may have run, is told."""
+        """`retention_us`: for how long a repeat is answered; `max_records`, `max_bytes`: the room of all tenants."""
         self.retention_us, self.unix_offset_us = retention_us, unix_offset_us
         self.room = Room(max_records, max_bytes)
         self.records: dict[ScopedKey, Record] = {}
-        self.expirations: deque[tuple[int, Record]] = deque()
+        self.expirations: deque[tuple[int, Record]] = deque()  # by time, but for shortened retentions
         self.changes: list[LogEntry] = []
         self.claimed_count = 0
         self.verdict_counts: Counter[Verdict] = Counter()
@@ -122,7 +122,7 @@
             state, content = RecordState.UNSURE, b""
         record.status, record.content = status, content
         record.size_bytes += len(content)
-        self.room.charge(record.scoped_key[0], len(content))
+        self.room.charge(record.tenant, len(content))
         self._end(record, state, now + self.retention_us, status, content)
 
     def mark_unsure(self, now: int, record: Record) -> None:
@@ -154,7 +154,7 @@
         """
         if self.records.pop(record.scoped_key, None) is not None:
             self._count_claim_ended(record)
-            self.room.charge(record.scoped_key[0], -record.size_bytes)
+            self.room.charge(record.tenant, -record.size_bytes)
             self.changes.append(drop_entry(record.scoped_key))
 
     def expire(self, now: int) -> None:
@@ -164,7 +164,7 @@
             # A record that has ended again, or was released, has another entry here or none.
             if record.expires_at == expires_at and self.records.get(record.scoped_key) is record:
                 del self.records[record.scoped_key]
-                self.room.charge(record.scoped_key[0], -record.size_bytes)
+                self.room.charge(record.tenant, -record.size_bytes)
 
     # What is persisted
 
--- a/mastledge/idempotency/persisted_keys.py
+++ b/mastledge/idempotency/persisted_keys.py
@@ -50,7 +50,7 @@
 
 
 def with_expiry(entry: LogEntry, expires_at: int) -> LogEntry:
-    """The same end of a claim, told until another time."""
+    """The same end of a claim with another expiry."""
     return (*entry[:-1], expires_at)
 
 
--- a/mastledge/idempotency/records.py
+++ b/mastledge/idempotency/records.py
@@ -33,3 +33,8 @@
     status: int = 0  # HTTP status of the answer
     content: bytes = b""  # body of the answer
     size_bytes: int = 0  # what it is charged with
+
+    @property
+    def tenant(self) -> str:
+        """Whose key it is, and who is charged with its room."""
+        return self.scoped_key[0]
--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -5,6 +5,7 @@
 """
 
 from collections.abc import Callable, Generator, Mapping
+from typing import TYPE_CHECKING
 
 import orjson
 
@@ -23,11 +24,14 @@
 from mastledge.transport.connection import Connection
 from mastledge.transport.loop import READ, Task
 
+if TYPE_CHECKING:
+    from mastledge.program.lifecycle import Program
+
 
 class IdempotencyService(KeyedService):
     """Keys of which this dispatcher alone has the records."""
 
-    def __init__(self, program, configuration: Mapping, log: Callable[..., None]) -> None:
+    def __init__(self, program: "Program", configuration: Mapping, log: Callable[..., None]) -> None:
         """As of `KeyedService`."""
         super().__init__(program, configuration, log)
         self.first_jobs: dict[ScopedKey, KeyedJob] = {}  # the job that is under way for a key
@@ -98,7 +102,7 @@
     ) -> Generator[tuple, object, Reply | None]:
         """The answer to a job with a key, or None where its client has gone.
 
-        `arrival`: what the decisions are told of the job.
+        `arrival`: fields of the job as the decisions take them.
         """
         yield from self.wait_until_open(exchange.until, conn)
         if http.left(conn):
@@ -158,7 +162,7 @@
         self._note_outcome(key_table, record, reply)
         persisted = yield from self.persist(job)
         if not persisted and reply.status == COMPLETED:
-            # It could not be told again after a crash, so it is not told now.
+            # It could not be given again after a crash, so it is not given now.
             key_table.mark_unsure(self.loop.now(), record)
             return KILLED_REPLY
         return reply
--- a/mastledge/program/keyed_job.py
+++ b/mastledge/program/keyed_job.py
@@ -21,8 +21,8 @@
     content: bytes
 
 
-REJECTED_REPLY = Reply(REJECTED, [], b"")  # nothing ran
-KILLED_REPLY = Reply(KILLED, [], b"")  # it may have run
+REJECTED_REPLY = Reply(REJECTED, (), b"")  # nothing ran
+KILLED_REPLY = Reply(KILLED, (), b"")  # it may have run
 
 
 def replay(status: int, content: bytes) -> Reply:
--- a/mastledge/program/keyed_service.py
+++ b/mastledge/program/keyed_service.py
@@ -5,6 +5,7 @@
 
 import time
 from collections.abc import Callable, Generator, Mapping
+from typing import TYPE_CHECKING
 
 from mastledge.idempotency.key_table import KeyTable
 from mastledge.program.keyed_job import KILLED_REPLY, Reply
@@ -17,6 +18,9 @@
 from mastledge.transport.connection import Connection
 from mastledge.transport.loop import Task
 
+if TYPE_CHECKING:
+    from mastledge.program.lifecycle import Program
+
 DIRECTORY_POLL_US = 20_000  # between two tries of a directory that the process before still holds
 DIRECTORY_PATIENCE_US = 1_000_000  # of a job that comes meanwhile
 ANSWER_MARGIN_US = 50_000  # after the decisions must have ended a job
@@ -36,7 +40,7 @@
     A subclass opens the log (`open`) and says what becomes of a job (`offer`).
     """
 
-    def __init__(self, program, configuration: Mapping, log: Callable[..., None]) -> None:
+    def __init__(self, program: "Program", configuration: Mapping, log: Callable[..., None]) -> None:
         """`configuration`: all of it; `log(event, **fields)` writes a line of the program's log."""
         self.program, self.loop, self.inbox, self.log = program, program.loop, program.inbox, log
         self.name, self.settings = configuration["name"], configuration["repeats"]
@@ -122,7 +126,7 @@
     def decide(self, task: Task, exchange: Exchange, arrival: tuple) -> Generator[tuple, object, Reply]:
         """Hands a job to the decisions and waits for its answer; `task` is the coroutine that runs this.
 
-        `arrival`: what the decisions are told of the job.
+        `arrival`: fields of the job as the decisions take them.
         """
         exchange.answer = lambda *answer: self.loop.wake(task, Reply(*answer))
         self.inbox.put("arrived", exchange, *arrival)
