--- a/mastledge/idempotency/key_table.py
+++ b/mastledge/idempotency/key_table.py
@@ -62,7 +62,7 @@
     """
 
     def __init__(self, retention_us: int, max_records: int, max_bytes: int, unix_offset_us: int) -> None:
-        """`retention_us`: for how long a repeat is answered; `max_records`, `max_bytes`: the room of all tenants."""
+        """`retention_us`: for how long a repeat is answered; the limits are of all tenants together."""
         self.retention_us, self.unix_offset_us = retention_us, unix_offset_us
         self.room = Room(max_records, max_bytes)
         self.records: dict[ScopedKey, Record] = {}
--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -50,7 +50,7 @@
         key_table.restore(now, persisted.entries)
         self.log("idempotency_keys_loaded", held=len(key_table.records), bytes=log.size)
         self.writer, self.key_table = Writer(log), key_table
-        self.tasks = [self.loop.spawn(self.program.vital(self._take_writer_results()), first=True)]
+        self.tasks = [self.loop.spawn(self.program.supervised(self._take_writer_results()), first=True)]
 
     def save(self) -> int:
         """Hands the table's changes to the writer; the token under which they are on the disk."""
@@ -79,7 +79,7 @@
     def _begin_rewriting(self, error: Exception) -> None:
         self.log("idempotency_disk_failed", why=str(error))
         self.disk_failing = True
-        self.rewriting = self.loop.spawn(self.program.vital(self._rewrite()))
+        self.rewriting = self.loop.spawn(self.program.supervised(self._rewrite()))
         self.tasks.append(self.rewriting)
 
     def _rewrite(self) -> Steps:
--- a/mastledge/program/keyed_service.py
+++ b/mastledge/program/keyed_service.py
@@ -63,10 +63,10 @@
         try:
             self.directory.acquire()
         except DataDirectoryError:
-            if not self.program.beside:
+            if not self.program.has_sibling_process:
                 raise
             self.log("idempotency_waiting", folder=self.settings["folder"])
-            self.tasks = [self.loop.spawn(self.program.vital(self._wait_for_directory()))]
+            self.tasks = [self.loop.spawn(self.program.supervised(self._wait_for_directory()))]
             return
         self.open()
 
@@ -121,7 +121,7 @@
     def _may_open(self) -> bool:
         # A process that hands over itself does not get the directory back.
         program = self.program
-        return program.beside and self.key_table is None and not program.listener.succeeded
+        return program.has_sibling_process and self.key_table is None and not program.listener.succeeded
 
     def decide(self, task: Task, exchange: Exchange, arrival: tuple) -> Generator[tuple, object, Reply]:
         """Hands a job to the decisions and waits for its answer; `task` is the coroutine that runs this.
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -20,7 +20,7 @@
 from mastledge.idempotency.records import RECORD_OVERHEAD_BYTES, RecordState
 from mastledge.idempotency.verdicts import Verdict
 from mastledge.program import lifecycle
-from mastledge.program.configuration import BadConfiguration, configuration
+from mastledge.program.configuration import ConfigurationError, load_configuration
 
 RETENTION_US = 1_000_000
 WALLTIME_US = 100
@@ -366,5 +366,5 @@
     ],
 )
 def test_a_bad_configuration_of_repeats_is_one_plain_message(changed, says, tmp_path):
-    with pytest.raises(BadConfiguration, match=says):
-        configuration(file(tmp_path, repeats={"folder": "x", **changed}), {})
+    with pytest.raises(ConfigurationError, match=says):
+        load_configuration(file(tmp_path, repeats={"folder": "x", **changed}), {})
