--- a/mastledge/lab/builds.py
+++ b/mastledge/lab/builds.py
@@ -34,15 +34,15 @@
 
 def slow_disk():
     """Not wrong: its folder of starts takes 4 s to be read."""
-    from mastledge.program.recovery_service import RecoveryService
+    from mastledge.program.recovery_directory import RecoveryDirectory
 
-    opened = RecoveryService.opened
+    read_log = RecoveryDirectory.read_log
 
     def slowly(self):
         time.sleep(4)
-        opened(self)
+        read_log(self)
 
-    RecoveryService.opened = slowly
+    RecoveryDirectory.read_log = slowly
 
 
 def baseline(policy):
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -19,8 +19,10 @@
 from mastledge.lab.rig import document, limits
 from mastledge.lab.scenario import BadScenario
 from mastledge.program.settings import flat, plain_map
-from mastledge.recovery import restored_state as b
-from mastledge.recovery.admission_ramp import DONE, ELSE, TURNED, AdmissionRamp
+from mastledge.recovery.admission_ramp import AdmissionRamp, AdmittedJobOutcome, PeerLoad
+from mastledge.recovery.newest_list import NewestList
+from mastledge.recovery.recovery_record import ClockReading, RecoveryRecord, StoredWorker, UnfinishedLoad
+from mastledge.recovery.restored_state import WorkerIdentity, inherited_workers, restore
 from mastledge.replication import coordinator as o
 from mastledge.replication import messages as m
 
@@ -39,6 +41,8 @@
 }  # fmt: skip
 CALLED = {"exclude", "include"}
 
+OUTCOME_BY_STATUS = {200: AdmittedJobOutcome.COMPLETED, 503: AdmittedJobOutcome.REJECTED}
+
 
 def entries_of(told):
     """(id, state, start) as the decisions take them: one zone, one kind, one size."""
@@ -123,7 +127,8 @@
         self.up = self.ready = False
         self.until, self.deferred = 0, []
         self.kept, self.late, self.silent = None, 0, False
-        self.jobs, self.balancer, self.opening, self.belief = {}, None, None, None
+        self.jobs, self.balancer, self.ramp, self.restored = {}, None, None, None
+        self.newest_list = NewestList()
         self.claims, self.numbers = {}, 0
 
     def boot(self):
@@ -146,14 +151,17 @@
         self.out, self.heard_restricted = frozenset(), {}
         self.balancer = world.decisions(settings, seed, now)
         recovery = world.scenario.recovery
-        self.opening, self.belief = None, None
+        self.ramp, self.restored = None, None
         if recovery:
             bound = int(recovery.get("open_ms", 5_000)) * 1000
-            self.opening = AdmissionRamp(seed, now, bound, settings["most_hold_off"])
+            self.ramp = AdmissionRamp(seed, now, bound, settings["most_hold_off"])
             kept, self.kept = self.kept, None
-            self.belief = b.believed(kept, now, now, "", "lab", int(recovery.get("list_ms", 60_000)) * 1000)
-            if self.belief.workers:
-                some = [(id, one.state, one.born) for id, one in self.belief.workers.items()]
+            validity_us = int(recovery.get("list_ms", 60_000)) * 1000
+            self.restored = restore(kept or RecoveryRecord(), ClockReading(now, now, ""), "lab", validity_us)
+            self.newest_list = NewestList()
+            self.newest_list.restore(self.restored.generation, self.restored.restricted())
+            if self.restored.workers:
+                some = [(id, one.state, one.started_at) for id, one in self.restored.workers.items()]
                 self.balancer.members(now, "cached", entries_of(some))
         if world.keys is not None:
             world.keys.hosts[self.name].start()
@@ -171,7 +179,7 @@
         self.life += 1
         if world.agreeing and world.nodes[self.name].up:
             world.nodes[self.name].crash()
-        self.balancer = self.opening = self.belief = None
+        self.balancer = self.ramp = self.restored = None
         if world.keys is not None:
             world.keys.hosts[self.name].crash()
         claims, self.claims = self.claims, {}
@@ -189,19 +197,19 @@
         """What its folder has of it, as `program.recovery` writes it down."""
         now, out, workers = self.world.now, {}, {}
         for wkr in self.balancer.workers.values():
-            workers[wkr.id] = b.Worker(wkr.state, wkr.born, ["", 0])
+            workers[wkr.id] = StoredWorker(wkr.state, wkr.born, ["", 0])
             known = [launch for launch in wkr.out.values() if launch.sent <= now - KEPT]
             if known:
                 last = max(launch.job.last for launch in known)
-                out[wkr.id] = b.Out(wkr.born, ["", 0], sum(launch.load for launch in known), last)
+                out[wkr.id] = UnfinishedLoad(wkr.born, ["", 0], sum(launch.load for launch in known), last)
         learned = {id: [*told[:3], []] for id, told in self.balancer.learned().items()}
-        return b.RecoveryRecord(
-            at=now,
+        return RecoveryRecord(
+            unix_us=now,
             registry="lab",
             generation=self.generation or 0,
             listed_at=now,
             workers=workers,
-            out=out,
+            loads=out,
             learned_at=now,
             learned=learned,
         )
@@ -219,43 +227,44 @@
         if life != self.life or not self.up:
             return
         world, now = self.world, self.world.now
-        if self.opening is not None:
+        if self.ramp is not None:
             slots = sum(wkr.slots * self.balancer.warmth(wkr, now) for wkr in self.balancer.ready)
-            self.opening.sized(now, slots, world.settings["dispatchers"])
-            self.opening.look(now)
+            self.ramp.resize(slots, world.settings["dispatchers"])
+            self.ramp.update(now)
         if not self.ready and self.may_act() and self.balancer.ready:
             self.ready = True
-            if self.opening is not None:
+            if self.ramp is not None:
                 self.take_over(now)
-        if self.belief is not None and self.belief.restricted:
-            self.keep_off()
+        if self.restored is not None and self.newest_list.restricted:
+            self.exclude_by_newer_list()
         world.at(100_000 if self.ready else 10_000, self.look, life)
 
     def take_over(self, now):
-        workers = {wkr.id: (wkr.born, ["", 0]) for wkr in self.balancer.workers.values()}
-        told = b.taught(self.belief, now, workers)
-        self.balancer.inherited(now, {id: one for id, one in told.items()})
+        workers = {wkr.id: WorkerIdentity(wkr.born, ["", 0]) for wkr in self.balancer.workers.values()}
+        inherited = inherited_workers(self.restored, now, workers)
+        self.balancer.inherited(now, {id: one.fields() for id, one in inherited.items()})
         others = [one for one in self.world.dispatchers.values() if one is not self and one.up]
         some = [others[self.world.draw(len(others))] for _ in range(min(5, len(others)))]
-        self.opening.heard(now, [(one.opening.held, not one.opening.closed) for one in some if one.opening])
-        self.opening.begins(now)
+        loads = [PeerLoad(one.ramp.in_flight, not one.ramp.limited) for one in some if one.ramp]
+        self.ramp.use_peer_loads(loads)
+        self.ramp.start(now)
 
-    def keep_off(self):
+    def exclude_by_newer_list(self):
         known = {wkr.id: wkr.born for wkr in self.balancer.workers.values()}
-        off = b.kept_off(self.belief, self.generation, known) if self.generation is not None else frozenset()
-        if self.generation is not None and not off:
-            self.belief.restricted = {}
-        self.by_hand(off)
+        excluded = self.newest_list.excluded(self.generation, known)
+        if self.generation is not None and not excluded:
+            self.newest_list.restricted = {}
+        self.by_hand(excluded)
 
-    def by_hand(self, kept_off=None):
+    def by_hand(self, excluded_by_newer_list=None):
         world, now = self.world, self.world.now
-        if kept_off is not None:
-            self.kept_off = kept_off
+        if excluded_by_newer_list is not None:
+            self.excluded_by_newer_list = excluded_by_newer_list
         agreed, back = (), {}
         if world.agreeing and world.nodes[self.name].up and world.nodes[self.name].member.rules is not None:
             state = world.nodes[self.name].member.rules.state
             agreed = state["out"]
-        out = frozenset({*agreed, *self.kept_off})
+        out = frozenset({*agreed, *self.excluded_by_newer_list})
         if out != self.out:
             self.out = out
             self.balancer.by_hand(now, out, back)
@@ -264,7 +273,7 @@
                     if launch.wkr.name in out and not launch.sent and not launch.ended:
                         self.hear(launch, "unsent")
 
-    kept_off = frozenset()
+    excluded_by_newer_list = frozenset()
 
     # The list
 
@@ -325,8 +334,8 @@
         if not self.may_act():
             self.answer(job, 503, min(ROOM, world.settings["most_hold_off"]), door=True)
             return
-        if self.opening is not None:
-            hold_off = self.opening.admit(now, bool(job.attempt))
+        if self.ramp is not None:
+            hold_off = self.ramp.admit(now, bool(job.attempt))
             if hold_off is not None:
                 self.answer(job, 503, hold_off, door=True)
                 return
@@ -400,9 +409,9 @@
 
     def say(self, job, status, hold_off=0, result="", door=False):
         world = self.world
-        if self.opening is not None and not door:
-            how = {200: DONE, 503: TURNED}.get(status, ELSE)
-            self.opening.ended(world.now, how, world.now - job.began)
+        if self.ramp is not None and not door:
+            outcome = OUTCOME_BY_STATUS.get(status, AdmittedJobOutcome.FAILED)
+            self.ramp.record_outcome(world.now, outcome, world.now - job.began)
         world.at(world.link(), world.replied, job, status, hold_off, result)
 
     def left(self, job):
@@ -412,13 +421,17 @@
                 del self.claims[job.claim]
                 self.key_step("left", job.claim)
                 job.open = False
-                if self.opening is not None:
-                    self.opening.ended(self.world.now, ELSE, self.world.now - job.began)
+                if self.ramp is not None:
+                    self.ramp.record_outcome(
+                        self.world.now, AdmittedJobOutcome.FAILED, self.world.now - job.began
+                    )
             return
         if job.open and job.n is not None and self.jobs.get(job.n) is job:
             job.open = False
-            if self.opening is not None:
-                self.opening.ended(self.world.now, ELSE, self.world.now - job.began)
+            if self.ramp is not None:
+                self.ramp.record_outcome(
+                    self.world.now, AdmittedJobOutcome.FAILED, self.world.now - job.began
+                )
             self.balancer.abandoned(self.world.now, job.n)
             self.pull()
 
--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -242,7 +242,7 @@
     def heard(self, name, life, content):
         if content[:2] == ASKED:
             if self.program.recovery is not None:
-                self.program.recovery.heard(name, content[2:])
+                self.program.recovery.receive(name, content[2:])
             return
         if content[:1] == b"\xc1":
             if self.copies is not None:
--- a/mastledge/program/fleet_api.py
+++ b/mastledge/program/fleet_api.py
@@ -10,6 +10,7 @@
 from mastledge.consensus.timing import LEADER
 from mastledge.protocol.control import Answer, No
 from mastledge.recovery import fleet_snapshot
+from mastledge.recovery.errors import FleetStartRefusedError, SnapshotError
 from mastledge.transport.connection import address_of
 
 PATIENCE = 700_000  # of a caller, who waits for 1 s
@@ -162,7 +163,9 @@
     def snapshot(self, request):
         """What is agreed, as it is here; asked of one with a lease it is all that is in force."""
         state = self.state()
-        return self.json(fleet_snapshot.packed(state, self.member.fleet, self.name, time.time_ns() // 1000))
+        return self.json(
+            fleet_snapshot.pack_snapshot(state, self.member.fleet, self.name, time.time_ns() // 1000)
+        )
 
     def restore(self, request):
         """Begins a fleet with a snapshot, or with what is kept here; or leaves one that is no more."""
@@ -170,8 +173,8 @@
         known = member.rules.state if member.rules else None
         why = {b"accept-loss": "formed, loss accepted", b"desert": ""}.get(bytes(request.body))
         try:
-            told = fleet_snapshot.unpacked(request.body) if why is None else None
-        except fleet_snapshot.SnapshotError as error:
+            told = fleet_snapshot.unpack_snapshot(request.body) if why is None else None
+        except SnapshotError as error:
             raise No(400, str(error)) from None
         state = told["state"] if told else known
         lease, heard = member.may_act(now) and not self.unreadable, member.there(now)
@@ -182,9 +185,11 @@
                 raise No(409, "nothing is kept here that could be left")
             self.input("desert", uuid.uuid4().hex[:16])
             return f"{self.name} has left its fleet, and comes to the next one as new"
-        no = fleet_snapshot.refused(self.name, state, member.fleet, known, lease, heard, told)
-        if no:
-            raise No(409, no)
+        start = fleet_snapshot.FleetStart(self.name, state, told, member.fleet, known, lease, heard)
+        try:
+            fleet_snapshot.check_fleet_start(start)
+        except FleetStartRefusedError as error:
+            raise No(409, str(error)) from None
         try:
             self.whole(state["settings"], state)
         except ValueError as error:
@@ -193,9 +198,8 @@
         if self.copies is not None and self.copies.node is not None:
             holder = self.copies.id
         what = why or f"restored from version {state['version']}"
-        after = fleet_snapshot.succeeding(
-            state, self.name, life, holder, what, self.name, time.time_ns() // 1000
-        )
+        entry = fleet_snapshot.FormationEntry(what, self.name, time.time_ns() // 1000)
+        after = fleet_snapshot.successor_state(state, self.name, life, holder, entry)
         self.log("fleet_restored", version=after["version"], before=member.fleet, what=what)
         self.applied = -1
         self.input("restore", uuid.uuid4().hex[:16], life, after)
--- a/mastledge/program/lifecycle.py
+++ b/mastledge/program/lifecycle.py
@@ -113,7 +113,8 @@
         if told["recovery"]:
             from mastledge.program.recovery_service import RecoveryService
 
-            self.recovery = self.listener.gate = RecoveryService(self, told, log)
+            self.recovery = RecoveryService(self, told, log)
+            self.listener.gate = self.recovery.gate
             self.router.listed = self.listed
             self.reserved += FILES
             self.share()
@@ -133,7 +134,7 @@
 
     def listed(self, kind, entries):
         """Who goes by what the list has told, beside the decisions."""
-        self.recovery.listed(kind, entries)
+        self.recovery.list_changed(kind, entries)
         if self.fleet is not None:
             self.fleet.listed(kind, entries)
 
@@ -149,7 +150,7 @@
 
     # As it is where no others are named.
     idempotency, fleet, agreed_out, agreed_back, heard_out, reserved = None, None, (), {}, frozenset(), 0
-    recovery, kept_off = None, frozenset()  # who is off by a list that was newer than the one of now
+    recovery, excluded_by_newer_list = None, frozenset()
 
     def agreed(self, settings, state):
         """Rules in force from here on: settings, and who is out by hand at all dispatchers."""
@@ -166,7 +167,12 @@
         self.take_up()
 
     def all_out(self):
-        return {*self.upgrade_state.told["out"], *self.agreed_out, *self.heard_out, *self.kept_off}
+        return {
+            *self.upgrade_state.told["out"],
+            *self.agreed_out,
+            *self.heard_out,
+            *self.excluded_by_newer_list,
+        }
 
     def lapse(self):
         self.inbox.put("lapsed")
@@ -412,7 +418,7 @@
     def phases(self):
         loop, door, router = self.loop, self.listener, self.router
         if self.recovery is not None:
-            yield from self.recovery.prepared()
+            yield from self.recovery.prepare()
         try:
             self.discovery.apply(self.told["known"], "cached")
         except BadList as error:
@@ -428,7 +434,7 @@
                 if self.beside:
                     self.inbox.put("inherited", self.upgrade_state.taught())
                 elif self.recovery is not None:
-                    self.inbox.put("inherited", self.recovery.taught())
+                    self.inbox.put("inherited", self.recovery.inherited())
             if self.accepting is None and (door.ready or not self.beside):
                 self.opened()
             if door.draining:
--- a/mastledge/program/operator_api.py
+++ b/mastledge/program/operator_api.py
@@ -36,7 +36,7 @@
         if not self.program.listener.up():
             why = self.program.fleet.why() if self.program.fleet is not None else ""
             if self.program.recovery is not None and not why:
-                why = self.program.recovery.waiting()
+                why = self.program.recovery.waiting_for()
             raise No(503, f"not ready: {self.program.phase}" + (f"; {why}" if why else ""))
         return "ready"
 
--- /dev/null
+++ b/mastledge/program/recovery_persistence.py
@@ -0,0 +1,92 @@
+"""Stores, every little while, what changed of the state that a next start may rely on."""
+
+from mastledge.program.recovery_clock import RecoveryClock
+from mastledge.program.recovery_records import RecordBuilder
+from mastledge.recovery.recovery_record import AnyRecord, ClockReading, LoadRecord, encode_record
+from mastledge.storage.write_ahead_log import WriteAheadLog
+from mastledge.storage.writer import Writer
+
+STORE_INTERVAL_US = 200_000
+LEARNED_ROUNDS = 10
+"""What was learned is stored once in so many rounds."""
+
+
+class RecoveryPersistence:
+    """Hands records to the thread that writes, once there is a log."""
+
+    def __init__(self, builder: RecordBuilder, clock: RecoveryClock, loop, log):
+        """`log`: takes an event and its fields."""
+        self.writer: Writer | None = None
+        self.is_failing = False
+        self.stored_list: tuple | None = None
+        self._builder, self._clock, self._loop, self._log = builder, clock, loop, log
+        self._stored_loads: dict | None = None
+        self._token = 0
+
+    def start(self, write_ahead_log: WriteAheadLog) -> None:
+        """From here on records are written to this log."""
+        self.writer = Writer(write_ahead_log)
+
+    def run(self, before_start):
+        """A task that stores for ever; `before_start` is called instead as long as there is no log."""
+        rounds = 0
+        while True:
+            yield (-1, 0, self._loop.now() + STORE_INTERVAL_US)
+            if self.writer is None:
+                before_start()
+                continue
+            self._check_writes()
+            rounds += 1
+            self.store(rounds % LEARNED_ROUNDS == 0)
+
+    def _check_writes(self) -> None:
+        for _, error in self.writer.done():
+            if (error is not None) != self.is_failing:
+                self.is_failing = error is not None
+                event = "recovery_disk_failed" if error else "recovery_disk_mended"
+                self._log(event, why=str(error or ""))
+
+    def store(self, with_learned: bool) -> None:
+        """Hands in the records of what changed since the last time."""
+        written_at = self._clock.now()
+        records = [*self._changed_list(written_at), *self._changed_loads(written_at)]
+        if with_learned:
+            records.append(self._builder.learned(written_at))
+        if not records:
+            return
+        self._token += 1
+        fields = [encode_record(record) for record in records]
+        if self.is_failing:
+            # What came before is not on the disk, so all of it is written anew.
+            self.stored_list = self._stored_loads = None
+            self.writer.rewrite(self._token, fields)
+        else:
+            self.writer.save(self._token, fields)
+
+    def _changed_list(self, written_at: ClockReading) -> list[AnyRecord]:
+        record = self._builder.endpoint_list(written_at)
+        if record is None:
+            return []
+        content = (record.registry, record.generation, record.workers)
+        if content == self.stored_list:
+            return []
+        self.stored_list = content
+        return [record]
+
+    def _changed_loads(self, written_at: ClockReading) -> list[LoadRecord]:
+        record = self._builder.unfinished_loads(written_at)
+        if record.loads == self._stored_loads:
+            return []
+        self._stored_loads = record.loads
+        return [record]
+
+    def longest_write_us(self) -> int:
+        """Of all writes so far."""
+        return self.writer.longest if self.writer else 0
+
+    def stop(self) -> None:
+        """Stores all that is left to be stored, and waits for it."""
+        if self.writer is not None:
+            self.store(True)
+            self.writer.close()
+            self.writer = None
--- /dev/null
+++ b/mastledge/program/recovery_records.py
@@ -0,0 +1,125 @@
+"""Records of what a running dispatcher stores for its next start, and the way back to the decisions."""
+
+from dataclasses import astuple
+
+from mastledge.balance import CUT_OFF
+from mastledge.recovery.newest_list import MAX_WORKERS, NewestList
+from mastledge.recovery.recovery_record import (
+    ClockReading,
+    LearnedRecord,
+    ListRecord,
+    LoadRecord,
+    RestrictedWorker,
+    StoredWorker,
+    UnfinishedLoad,
+)
+
+STORED_CUT_OFF = "cut_off"
+"""How the reason `CUT_OFF` of the decisions, which is no text, is stored."""
+LOAD_END_STEP_US = 100_000
+"""Ends of loads are rounded up to it, lest the same load be written again and again."""
+
+
+def registry_name(configuration: dict) -> str:
+    """The registry that names the workers: as the fleet calls it, else its address."""
+    peers = configuration["peers"]
+    if peers and peers["registry"]:
+        return peers["registry"]
+    host, port = configuration["discovery"]
+    return f"{host}:{port}"
+
+
+def start_of(endpoint, discovery) -> int:
+    """When a worker started, in Unix microseconds; 0 for long ago."""
+    return endpoint.born + discovery.since if endpoint.born else 0
+
+
+def worker_starts(program) -> dict[str, int]:
+    """{worker id: start in Unix microseconds} of the workers of the list of now."""
+    endpoints = program.router.peers
+    return {id: start_of(endpoint, program.discovery) for id, endpoint in endpoints.items()}
+
+
+def stored_asides(asides: list, now: int) -> list:
+    """[reason, fields] of why a worker is set aside, with its next trial as a span from `now`.
+
+    Monotonic clocks end with the machine, so no time of them is stored.
+    """
+    return [
+        [STORED_CUT_OFF if reason == CUT_OFF else reason, {**fields, "back_at": fields["back_at"] - now}]
+        for reason, fields in asides
+    ]
+
+
+def asides_from_stored(asides: list, now: int) -> list:
+    """The inverse of `stored_asides`; a start counts the spans from itself."""
+    return [
+        [CUT_OFF if reason == STORED_CUT_OFF else reason, {**fields, "back_at": now + fields["back_at"]}]
+        for reason, fields in asides
+    ]
+
+
+class RecordBuilder:
+    """Makes records of the program's state of now."""
+
+    def __init__(self, program, newest_list: NewestList):
+        """Only reads what it is given."""
+        self._program, self._newest_list = program, newest_list
+
+    def endpoint_list(self, written_at: ClockReading) -> ListRecord | None:
+        """The list as this process heard it; None where what is stored is newer."""
+        discovery = self._program.discovery
+        generation = discovery.generation
+        if not discovery.answered or generation is None or generation < self._newest_list.generation:
+            return None
+        workers = {
+            id: RestrictedWorker("gone", start, ["", 0]) for id, start in self._newest_list.restricted.items()
+        }
+        workers.update(self._listed_workers())
+        registry = registry_name(self._program.told)
+        return ListRecord(*astuple(written_at), registry, generation, workers)
+
+    def _listed_workers(self) -> dict[str, StoredWorker]:
+        discovery = self._program.discovery
+        zones = {number: name for name, number in discovery.zones.items()}
+        machine_types = {number: name for name, number in discovery.kinds.items()}
+        workers = {}
+        for worker in list(self._program.router.balancer.workers.values())[:MAX_WORKERS]:
+            endpoint = worker.id
+            if endpoint.address is not None:
+                workers[endpoint.id] = StoredWorker(
+                    worker.state,
+                    start_of(endpoint, discovery),
+                    [*endpoint.address],
+                    zones.get(worker.zone, ""),
+                    machine_types.get(worker.kind, ""),
+                    int(worker.cell),
+                    float(worker.units),
+                )
+        return workers
+
+    def unfinished_loads(self, written_at: ClockReading) -> LoadRecord:
+        """What is in flight at each worker, and until when that may be so."""
+        discovery = self._program.discovery
+        unix_us, now = written_at.unix_us, written_at.monotonic_us
+        loads = {}
+        for worker in self._program.router.balancer.workers.values():
+            endpoint = worker.id
+            if worker.load > 0 and endpoint.address is not None:
+                last = max((launch.job.last for launch in worker.out.values()), default=now)
+                until = (unix_us + max(0, last - now)) // LOAD_END_STEP_US * LOAD_END_STEP_US
+                loads[endpoint.id] = UnfinishedLoad(
+                    start_of(endpoint, discovery),
+                    [*endpoint.address],
+                    float(worker.load),
+                    until + LOAD_END_STEP_US,
+                )
+        return LoadRecord(*astuple(written_at), loads)
+
+    def learned(self, written_at: ClockReading) -> LearnedRecord:
+        """What the decisions learned of each worker."""
+        workers = {
+            id: [slots, peak, slow, stored_asides(asides, written_at.monotonic_us)]
+            for id, (slots, peak, slow, asides) in self._program.router.balancer.learned().items()
+        }
+        return LearnedRecord(*astuple(written_at), workers)
--- a/mastledge/protocol/client_listener.py
+++ b/mastledge/protocol/client_listener.py
@@ -37,7 +37,7 @@
         self.names, self.known = set(), deque()
         self.idempotency = None  # where keys are kept: what becomes of a job whose key has come before
         self.rule = None  # where dispatchers agree: whether what is in force is known here
-        self.gate = None  # where a start is gradual: who is let in, by `passed`, round `taken`
+        self.gate = None  # where a start is gradual: who is admitted, by `serve`, round `taken`
         self.configure(words)
 
     def configure(self, words):
@@ -254,7 +254,7 @@
             return self.no_room
         if self.gate is None:
             return (yield from self.taken(conn, exchange, told))
-        return (yield from self.gate.passed(conn, exchange, told, (b"x-resent", b"1") in head.headers))
+        return (yield from self.gate.serve(conn, exchange, told, (b"x-resent", b"1") in head.headers))
 
     def taken(self, conn, exchange, told):
         """A job that is let in: its answer, or None where its client has gone."""
--- a/mastledge/recovery/__init__.py
+++ b/mastledge/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""What is believed and begun again after most is lost; no I/O."""
+"""Decisions of a start after most is lost: restored state, stages, admission, snapshots. No I/O."""
--- a/mastledge/recovery/admission_ramp.py
+++ b/mastledge/recovery/admission_ramp.py
@@ -1,152 +1,256 @@
-"""How far the door of a dispatcher is open after a start, and while the fleet doesn't get up by itself.
-
-Room is how many jobs may be in hand at once. It begins at half of this dispatcher's part of what the workers
-can take, and grows with what ends well: slow start and additive increase of TCP (RFC 5681), on jobs in place
-of segments. A job for which there is no room is rejected at once, as nothing of it was sent anywhere. Once
-the room is its part and what chance adds to that, or nothing was short of it for a second, the door is open
-and the decisions alone say who is turned away.
-
-Where further tries feed an overload whose cause has gone (Bronson et al., "Metastable failures in distributed
-systems", HotOS 2021) less than half of what is taken ends well. Then the door closes down to its part again.
-While it is not open, further tries get only what first ones leave idle: they are let in while less than four
-fifths of the part is in hand.
+"""How many jobs may be in flight after a start, and in an overload that feeds itself.
+
+The limit begins at half of this dispatcher's share of the workers' slots and grows with the jobs that
+complete: slow start and additive increase of TCP (RFC 5681), on jobs in place of segments. A job above the
+limit is rejected at once, as nothing of it was sent anywhere. Once the limit is the share and what chance
+adds to it, or nothing was rejected for a second, the limit is lifted and the decisions alone shed load.
+
+Where retries feed an overload whose cause has gone (Bronson et al., "Metastable failures in distributed
+systems", HotOS 2021) less than half of the admitted jobs complete. Then the limit is in force again, at the
+share. While it is in force retries get only what first attempts leave idle: they are admitted while less than
+four fifths of the share are in flight.
+
+All times are whole microseconds of one monotonic clock.
 """
 
 from collections import deque
+from collections.abc import Sequence
+from dataclasses import dataclass
+from enum import Enum
 from zlib import crc32
 
-START = 0.5  # of this dispatcher's part of the slots, where nothing is known of the others
-FLOOR = 0.5  # of that part: what the room never falls below
-CHANCE = 3.0  # times the root of its part is added to it: more is in hand at once by chance, as arrivals are
-BACK = 0.75  # times the room where the decisions turn away what was let in
-FURTHER = 0.8  # of the part: with more in hand no further try is let in
-LAST, OLD = 32, 4_000_000  # jobs that ended last, and not longer ago, are set against those that ended well
-ENOUGH = 8  # of them, below which they say nothing
-GOOD = 0.5  # of them; with less the door closes
-SECOND = 1_000_000  # over which refusals are counted
-CALM = 1_000_000  # with nothing refused, after which it is open
-LEAST = 20_000  # of a hold off
-GAIN = 0.125
-# What became of a job that was let in.
-DONE, TURNED, ELSE = "done", "turned", "else"
+INITIAL_FRACTION = 0.5
+"""Of the share of slots: the limit at the start, where nothing is known of other dispatchers."""
+MIN_FRACTION = 0.5
+"""Of the share of slots: what the limit never falls below in a start."""
+BURST_ROOTS = 3.0
+"""Times the root of the share is added to it, as by chance more is in flight at once (Poisson arrivals)."""
+DECREASE_FACTOR = 0.75
+"""Times the limit, where the decisions reject what was admitted."""
+RETRY_FRACTION = 0.8
+"""Of the share of slots: with more in flight no retry is admitted."""
+MAX_RECENT_OUTCOMES = 32
+OUTCOME_AGE_US = 4_000_000
+"""Older outcomes are not set against those of now."""
+MIN_OUTCOMES = 8
+"""With fewer recent outcomes no overload is concluded."""
+HEALTHY_FRACTION = 0.5
+"""Of the recent outcomes that completed; with less it is an overload."""
+REJECTION_WINDOW_US = 1_000_000
+"""Over which rejections are counted for `Retry-After`."""
+QUIET_US = 1_000_000
+"""Without a rejection, after which nothing is limited."""
+MIN_RETRY_AFTER_US = 20_000
+RUN_TIME_GAIN = 0.125
+"""Of a new run time in the smoothed one."""
+
+
+class AdmittedJobOutcome(Enum):
+    """What became of an admitted job."""
+
+    COMPLETED = "completed"
+    REJECTED = "rejected"
+    """By the decisions, before it cost a worker anything."""
+    FAILED = "failed"
+    """Anything else: given up, lost, its client has gone."""
+
+
+class LimitReason(Enum):
+    """Why a limit is in force; the values are what operators are shown."""
+
+    NONE = ""
+    START = "start"
+    OVERLOAD = "overload"
+
+
+@dataclass(frozen=True, slots=True)
+class PeerLoad:
+    """What another dispatcher has in flight, and whether it admits without a limit."""
+
+    in_flight: int
+    unlimited: bool
+
+
+@dataclass(slots=True)
+class AdmissionCounts:
+    """Events since the start of the process."""
+
+    admitted: int = 0
+    rejected_first_attempts: int = 0
+    rejected_retries: int = 0
+    overloads: int = 0
+    limits_lifted: int = 0
 
 
 class AdmissionRamp:
-    """`slots`: what the eligible workers run at once, as far as they are warm; `dispatchers` share them.
-
-    All times are whole microseconds. `most_hold_off`: of a rejection, 0 where none may be told. `bound`:
-    after which a start is over and the door is open, whatever was seen.
-    """
-
-    def __init__(self, seed, now, bound, most_hold_off):
-        self.seed, self.draws, self.most_hold_off = seed, 0, most_hold_off
-        self.part, self.others, self.room, self.rising = 1.0, None, 0.0, True
-        self.closed, self.until, self.why = True, None, "start"
-        self.bound, self.held, self.span = bound, 0, 0.0
-        self.ends, self.refusals, self.good = deque(), deque(), 0
-        self.cut_at, self.calm_since = now, now
-        self.counts = {"let_in": 0, "refused_first": 0, "refused_further": 0, "closed": 0, "opened": 0}
-
-    def chance(self):
-        self.draws += 1
-        return crc32(b"door %d %d" % (self.seed, self.draws)) / 4294967296.0
-
-    def wide(self):
-        """Room that holds nothing back but a queue."""
-        return self.part + CHANCE * self.part**0.5
-
-    # What is known
-
-    def begins(self, now):
-        """From here on it may serve: what went before, a lease that was awaited say, opens nothing."""
-        self.until, self.calm_since = now + self.bound, now
-
-    def sized(self, now, slots, dispatchers):
-        """The workers that may be given something, by the list that is in force."""
-        before, self.part = self.part, max(1.0, slots / max(1, dispatchers))
-        if not self.room:
-            self.room = self.part * START
-        elif self.closed and before != self.part:
-            self.room = max(self.room, self.part * FLOOR)
-
-    def heard(self, now, loads):
-        """What other dispatchers tell of themselves, [(jobs in hand, open)]: a fleet that serves has room for
-        one more that takes as much as each of them; where all have just started nobody knows.
+    """The limit of jobs in flight, by what workers can take and what became of the admitted jobs."""
+
+    def __init__(self, seed: int, now: int, max_ramp_us: int, max_retry_after_us: int):
+        """`max_ramp_us`: after which a start is over whatever was seen; `max_retry_after_us`: 0 for none."""
+        self.slot_share = 1.0
+        self.limit = 0.0
+        self.limited = True
+        self.reason = LimitReason.START
+        self.in_flight = 0
+        self.counts = AdmissionCounts()
+        self._seed, self._draws = seed, 0
+        self._max_ramp_us = max_ramp_us
+        self._max_retry_after_us = max_retry_after_us
+        self._ramp_ends_at: int | None = None
+        self._in_slow_start = True
+        self._run_time_us = 0.0
+        self._outcomes: deque[tuple[int, bool]] = deque()  # (time, completed)
+        self._recent_completions = 0
+        self._rejections: deque[int] = deque()
+        self._decreased_at = now
+        self._quiet_since = now
+
+    def start(self, now: int) -> None:
+        """The dispatcher may serve from here on; time before, without a lease say, lifts no limit."""
+        self._ramp_ends_at = now + self._max_ramp_us
+        self._quiet_since = now
+
+    def resize(self, slots: float, dispatchers: int) -> None:
+        """`slots`: of the eligible workers as far as they are warm, which `dispatchers` share."""
+        before = self.slot_share
+        self.slot_share = max(1.0, slots / max(1, dispatchers))
+        if not self.limit:
+            self.limit = self.slot_share * INITIAL_FRACTION
+        elif self.limited and before != self.slot_share:
+            self.limit = max(self.limit, self.slot_share * MIN_FRACTION)
+
+    def use_peer_loads(self, loads: Sequence[PeerLoad]) -> None:
+        """Raises the limit of a start where most of the other dispatchers admit without a limit.
+
+        A fleet that serves has room for one more that takes as much as each of them. Where most have just
+        started as well nothing follows.
         """
-        some = [held for held, open_ in loads if open_]
-        if not self.closed or self.why != "start" or 2 * len(some) <= len(loads):
+        serving = [load.in_flight for load in loads if load.unlimited]
+        if not self.limited or self.reason != LimitReason.START or 2 * len(serving) <= len(loads):
+            return
+        mean_in_flight = sum(serving) / len(serving)
+        self.limit = max(self.limit, min(2 * mean_in_flight + 1, self.full_limit()))
+
+    def full_limit(self) -> float:
+        """The limit that holds nothing back but a queue."""
+        return self.slot_share + BURST_ROOTS * self.slot_share**0.5
+
+    def admit(self, now: int, is_retry: bool) -> int | None:
+        """None: admitted, and its outcome has to be recorded. Else the `Retry-After` of its rejection."""
+        self.update(now)
+        limit = min(self.limit, RETRY_FRACTION * self.slot_share) if is_retry else self.limit
+        if not self.limited or self.in_flight < limit:
+            self.in_flight += 1
+            self.counts.admitted += 1
+            return None
+        if is_retry:
+            self.counts.rejected_retries += 1
+        else:
+            self.counts.rejected_first_attempts += 1
+        self._rejections.append(now)
+        self._quiet_since = now
+        return self._retry_after_us()
+
+    def _retry_after_us(self) -> int:
+        """Until so much has ended that those rejected lately have room, spread by chance."""
+        turns = 1 + len(self._rejections) / self.slot_share
+        wait = (self._run_time_us or MIN_RETRY_AFTER_US) * turns * (0.5 + self._draw())
+        return min(max(MIN_RETRY_AFTER_US, int(wait)), self._max_retry_after_us)
+
+    def _draw(self) -> float:
+        self._draws += 1
+        return crc32(b"door %d %d" % (self._seed, self._draws)) / 4294967296.0
+
+    def record_outcome(self, now: int, outcome: AdmittedJobOutcome, run_time_us: int) -> None:
+        """An admitted job has its answer `run_time_us` after it was admitted, or its client has gone."""
+        self.in_flight -= 1
+        completed = outcome == AdmittedJobOutcome.COMPLETED
+        if outcome != AdmittedJobOutcome.REJECTED:
+            # What the decisions rejected has cost the workers nothing.
+            self._outcomes.append((now, completed))
+            self._recent_completions += completed
+        if completed:
+            self._increase(run_time_us)
+        elif outcome == AdmittedJobOutcome.REJECTED and self.limited:
+            self._decrease(now)
+        self.update(now)
+
+    def _increase(self, run_time_us: int) -> None:
+        if self._run_time_us:
+            self._run_time_us += RUN_TIME_GAIN * (run_time_us - self._run_time_us)
+        else:
+            self._run_time_us = run_time_us
+        self.limit += 1.0 if self._in_slow_start else 1.0 / max(1.0, self.limit)
+        self.limit = min(self.limit, self.full_limit())
+
+    def _decrease(self, now: int) -> None:
+        """Once a run time at most, as what was admitted before ends for so long."""
+        self._in_slow_start = False
+        if now < self._decreased_at + self._run_time_us:
             return
-        self.others = sum(some) / len(some)
-        self.room = max(self.room, min(2 * self.others + 1, self.wide()))
-
-    # Jobs
-
-    def admit(self, now, further):
-        """None: let in, and its end has to be told. Else the hold off of its rejection."""
-        self.look(now)
-        limit = min(self.room, FURTHER * self.part) if further else self.room
-        if self.closed and self.held >= limit:
-            self.counts["refused_further" if further else "refused_first"] += 1
-            self.refusals.append(now)
-            self.calm_since = now
-            return self.hold_off(now)
-        self.held += 1
-        self.counts["let_in"] += 1
-        return None
-
-    def hold_off(self, now):
-        """Until so much has ended that those who were refused lately have room, spread by chance."""
-        wait = (self.span or LEAST) * (1 + len(self.refusals) / self.part) * (0.5 + self.chance())
-        return min(max(LEAST, int(wait)), self.most_hold_off)
-
-    def ended(self, now, how, span):
-        """A job that was let in has its answer after `span`, or its client has left."""
-        self.held -= 1
-        if how != TURNED:
-            # What the decisions turned away has cost the workers nothing.
-            self.ends.append((now, how == DONE))
-            self.good += how == DONE
-        if how == DONE:
-            self.span += GAIN * (span - self.span) if self.span else span
-            self.room += 1.0 if self.rising else 1.0 / max(1.0, self.room)
-            self.room = min(self.room, self.wide())
-        elif how == TURNED and self.closed:
-            self.rising = False
-            if now >= self.cut_at + self.span:
-                floor = FLOOR * self.part if self.why == "start" else self.part
-                self.cut_at, self.room = now, max(1.0, floor, BACK * self.room)
-        self.look(now)
-
-    def look(self, now):
-        while self.ends and (self.ends[0][0] <= now - OLD or len(self.ends) > LAST):
-            self.good -= self.ends.popleft()[1]
-        while self.refusals and self.refusals[0] <= now - SECOND:
-            self.refusals.popleft()
-        if self.until is None:
+        fraction = MIN_FRACTION if self.reason == LimitReason.START else 1.0
+        self._decreased_at = now
+        self.limit = max(1.0, fraction * self.slot_share, DECREASE_FACTOR * self.limit)
+
+    def update(self, now: int) -> None:
+        """Lifts the limit or puts it in force again, by what was seen until now."""
+        self._forget_old(now)
+        if self._ramp_ends_at is None:
             return
-        if self.closed:
-            started = self.why == "start" and (self.room >= self.wide() or now >= self.until)
-            if started or now >= self.calm_since + CALM:
-                self.closed, self.why = False, ""
-                self.counts["opened"] += 1
-        elif len(self.ends) >= ENOUGH and self.good < GOOD * len(self.ends):
-            self.closed, self.why, self.rising = True, "overload", False
-            self.room, self.cut_at, self.calm_since = self.part, now, now
-            self.ends.clear()
-            self.good = 0
-            self.counts["closed"] += 1
-
-    def share(self):
-        """How far it is open, 0 to 1."""
-        return 1.0 if not self.closed else min(1.0, self.room / self.wide())
-
-    def figures(self):
+        if self.limited:
+            if self._ramp_is_over(now) or now >= self._quiet_since + QUIET_US:
+                self._lift_limit()
+        elif self._is_overloaded():
+            self._limit_by_overload(now)
+
+    def _forget_old(self, now: int) -> None:
+        outcomes, rejections = self._outcomes, self._rejections
+        while outcomes and (outcomes[0][0] <= now - OUTCOME_AGE_US or len(outcomes) > MAX_RECENT_OUTCOMES):
+            _, completed = outcomes.popleft()
+            self._recent_completions -= completed
+        while rejections and rejections[0] <= now - REJECTION_WINDOW_US:
+            rejections.popleft()
+
+    def _ramp_is_over(self, now: int) -> bool:
+        if self.reason != LimitReason.START:
+            return False
+        return self.limit >= self.full_limit() or now >= self._ramp_ends_at
+
+    def _is_overloaded(self) -> bool:
+        count = len(self._outcomes)
+        return count >= MIN_OUTCOMES and self._recent_completions < HEALTHY_FRACTION * count
+
+    def _lift_limit(self) -> None:
+        self.limited = False
+        self.reason = LimitReason.NONE
+        self.counts.limits_lifted += 1
+
+    def _limit_by_overload(self, now: int) -> None:
+        self.limited = True
+        self.reason = LimitReason.OVERLOAD
+        self.limit = self.slot_share
+        self._in_slow_start = False
+        self._decreased_at = self._quiet_since = now
+        self._outcomes.clear()
+        self._recent_completions = 0
+        self.counts.overloads += 1
+
+    def open_fraction(self) -> float:
+        """The limit as a part of the full one, 0 to 1; 1 without a limit."""
+        return min(1.0, self.limit / self.full_limit()) if self.limited else 1.0
+
+    def figures(self) -> dict:
+        """What operators are shown; the names are those of `door` at `/api/recovery`."""
         return {
-            **self.counts,
-            "open": not self.closed,
-            "share": round(self.share(), 3),
-            "why": self.why,
-            "room": round(self.room, 1),
-            "part": round(self.part, 1),
-            "held": self.held,
+            "let_in": self.counts.admitted,
+            "refused_first": self.counts.rejected_first_attempts,
+            "refused_further": self.counts.rejected_retries,
+            "closed": self.counts.overloads,
+            "opened": self.counts.limits_lifted,
+            "open": not self.limited,
+            "share": round(self.open_fraction(), 3),
+            "why": self.reason.value,
+            "room": round(self.limit, 1),
+            "part": round(self.slot_share, 1),
+            "held": self.in_flight,
         }
--- a/mastledge/recovery/fleet_snapshot.py
+++ b/mastledge/recovery/fleet_snapshot.py
@@ -1,18 +1,25 @@
-"""A copy of what a fleet has agreed on, and the fleet that begins with it after a majority is lost.
+"""An operator's copy of what a fleet has committed, and the fleet that begins with it after a loss.
 
 A snapshot is one JSON object with a checksum over the rest (BLAKE2b, keys in order); docs/formats.md.
 """
 
+from collections.abc import Collection
 from copy import deepcopy
+from dataclasses import dataclass
 from hashlib import blake2b
 
 import msgspec
 
+from mastledge.recovery.errors import FleetStartRefusedError, SnapshotError
+
 FORMAT = 1
 KIND = "mastledge fleet snapshot"
-FAR = 1_000_000  # epochs that are skipped: of those behind the snapshot none may seem the same again
-MOST = 4 << 20  # bytes of a snapshot
-PARTS = {
+CHECKSUM_BYTES = 16
+MAX_SNAPSHOT_BYTES = 4 << 20
+MAX_HISTORY_ENTRIES = 64
+SKIPPED_EPOCHS = 1_000_000
+"""No epoch of the lost fleet, also of those after the snapshot, may seem to be one of the new fleet."""
+STATE_PARTS = {
     "settings": dict,
     "documents": dict,
     "members": dict,
@@ -26,20 +33,39 @@
     "lease": int,
     "format": int,
 }
+"""What the committed state has to have, and of which type."""
+
+
+@dataclass(frozen=True, slots=True)
+class FormationEntry:
+    """What the history of a new fleet says of its beginning; `at`: Unix microseconds."""
 
+    what: str
+    by: str
+    at: int
 
-class SnapshotError(ValueError):
-    """Why it can't be used; one line."""
 
+@dataclass(frozen=True, slots=True)
+class FleetStart:
+    """What a new fleet would begin with, and what the member that would begin it knows.
+
+    `state`: None where there is none; `snapshot`: that the state is from, None where it is the member's own;
+    `fleet`, `known_state`: of the fleet that the member is of; `holds_lease`: it serves; `reachable`: members
+    that were heard lately and have not lost their data directories.
+    """
 
-def summed(told):
-    rest = {name: value for name, value in told.items() if name != "sum"}
-    return blake2b(msgspec.json.encode(rest, order="sorted"), digest_size=16).hexdigest()
+    name: str
+    state: dict | None
+    snapshot: dict | None
+    fleet: str
+    known_state: dict | None
+    holds_lease: bool
+    reachable: Collection[str]
 
 
-def packed(state, fleet, by, at):
-    """The snapshot as a map; `at` in Unix microseconds."""
-    told = {
+def pack_snapshot(state: dict, fleet: str, by: str, at: int) -> dict:
+    """The snapshot as a map; `by`: who made it, `at`: when, in Unix microseconds."""
+    snapshot = {
         "kind": KIND,
         "format": FORMAT,
         "fleet": fleet,
@@ -48,76 +74,108 @@
         "at": at,
         "state": deepcopy(state),
     }
-    return {**told, "sum": summed(told)}
+    return {**snapshot, "sum": _checksum(snapshot)}
 
 
-def unpacked(raw):
-    """The map of a snapshot that is whole; BadSnapshot with the reason."""
-    if len(raw) > MOST:
-        raise SnapshotError(f"the snapshot is over {MOST >> 20} MiB")
+def unpack_snapshot(raw: bytes) -> dict:
+    """The map of a snapshot that is whole and of this format; SnapshotError with the reason."""
+    if len(raw) > MAX_SNAPSHOT_BYTES:
+        raise SnapshotError(f"the snapshot is over {MAX_SNAPSHOT_BYTES >> 20} MiB")
     try:
-        told = msgspec.json.decode(raw)
+        snapshot = msgspec.json.decode(raw)
     except msgspec.DecodeError as error:
         raise SnapshotError(f"the snapshot is cut or no JSON: {error}") from None
-    if not isinstance(told, dict) or told.get("kind") != KIND:
+    _validate_envelope(snapshot)
+    _validate_state(snapshot["state"])
+    return snapshot
+
+
+def _checksum(snapshot: dict) -> str:
+    rest = {name: value for name, value in snapshot.items() if name != "sum"}
+    return blake2b(msgspec.json.encode(rest, order="sorted"), digest_size=CHECKSUM_BYTES).hexdigest()
+
+
+def _validate_envelope(snapshot: object) -> None:
+    if not isinstance(snapshot, dict) or snapshot.get("kind") != KIND:
         raise SnapshotError("this is no snapshot of a fleet")
-    if told.get("format") != FORMAT:
-        raise SnapshotError(f"the snapshot is of format {told.get('format')}, this version reads {FORMAT}")
-    if told.get("sum") != summed(told):
+    if snapshot.get("format") != FORMAT:
+        raise SnapshotError(
+            f"the snapshot is of format {snapshot.get('format')}, this version reads {FORMAT}"
+        )
+    if snapshot.get("sum") != _checksum(snapshot):
         raise SnapshotError("the snapshot is spoilt: its checksum differs")
-    state = told["state"]
-    for part, kind in PARTS.items():
+
+
+def _validate_state(state: dict) -> None:
+    for part, kind in STATE_PARTS.items():
         if not isinstance(state.get(part), kind):
             raise SnapshotError(f"the snapshot lacks {part}")
-    return told
 
 
-def succeeding(state, name, life, holder, what, by, at):
-    """The state that a fleet begins with after the one that had this state is lost.
+def successor_state(
+    state: dict, name: str, incarnation: str, directory_id: str, entry: FormationEntry
+) -> dict:
+    """The state that a fleet begins with after the one that had `state` is lost; `state` is not changed.
 
-    Its members are the same, but only the one that begins votes: the others come as new lives, each by
-    itself. What dispatchers had promised for keys is sure to be found nowhere, so all of it has to run out
-    first: no holder of then is known any more. `holder`: id of this one's folder of keys, "" for none.
+    Its members are the same, but only `name`, which begins it, votes: the others come as new incarnations,
+    each by itself. `directory_id`: of this member's directory of keys, "" for none.
     """
-    after = deepcopy(state)
-    after["version"] += 1
-    after["history"] = [*after["history"], {"version": after["version"], "what": what, "by": by, "at": at}][
-        -64:
-    ]
-    after["gone"] = []
-    after["members"] = {
-        other: {**one, "life": life if other == name else "", "votes": other == name}
-        for other, one in after["members"].items()
+    successor = deepcopy(state)
+    version = state["version"] + 1
+    successor["version"] = version
+    formed = {"version": version, "what": entry.what, "by": entry.by, "at": entry.at}
+    successor["history"] = [*successor["history"], formed][-MAX_HISTORY_ENTRIES:]
+    successor["gone"] = []
+    successor["members"] = {
+        other: {**member, "life": incarnation if other == name else "", "votes": other == name}
+        for other, member in successor["members"].items()
     }
-    copies = after.get("copies")
-    if copies and copies["epoch"]:
-        copies["now"] = {other: f"lost {id_}" for other, id_ in copies["now"].items()}
-        copies["epoch"], copies["caught"], copies["starts"] = copies["epoch"] + FAR, [], {}
-        copies["next"] = {name: holder} if holder else {}
-    return after
-
-
-def refused(name, state, fleet, known, lease, heard, told=None):
-    """Why no fleet may begin here with this state, "" where it may.
-
-    `fleet`, `known`: of the fleet that this member is of, its state or None; `lease`: it holds one; `heard`:
-    members that have said something of late and have not lost their folders.
-    """
-    if lease:
-        return "this fleet runs: its majority answers"
-    if state is None:
-        return "nothing is kept here: give a snapshot, or set form where all folders are empty"
-    if name not in state["members"]:
-        return f"{name} is no member in it"
-    if told is not None and fleet and told["fleet"] != fleet:
-        return f"it is of another fleet: {told['fleet']}, not {fleet}"
-    if told is not None and known is not None and known["version"] > state["version"]:
-        return (
-            f"it is of version {state['version']}, and this dispatcher has {known['version']}: "
+    _void_replicas(successor.get("copies"), name, directory_id)
+    return successor
+
+
+def _void_replicas(copies: dict | None, name: str, directory_id: str) -> None:
+    """What replicas had promised may be found nowhere, so all of it has to run out first: none counts."""
+    if not copies or not copies["epoch"]:
+        return
+    copies["now"] = {other: f"lost {id}" for other, id in copies["now"].items()}
+    copies["epoch"] += SKIPPED_EPOCHS
+    copies["caught"], copies["starts"] = [], {}
+    copies["next"] = {name: directory_id} if directory_id else {}
+
+
+def check_fleet_start(start: FleetStart) -> None:
+    """FleetStartRefusedError with the reason where no fleet may begin here with this state."""
+    if start.holds_lease:
+        raise FleetStartRefusedError("this fleet runs: its majority answers")
+    if start.state is None:
+        raise FleetStartRefusedError(
+            "nothing is kept here: give a snapshot, or set form where all folders are empty"
+        )
+    if start.name not in start.state["members"]:
+        raise FleetStartRefusedError(f"{start.name} is no member in it")
+    if start.snapshot is not None:
+        _check_origin(start)
+    _check_majority_is_lost(start)
+
+
+def _check_origin(start: FleetStart) -> None:
+    """A snapshot of another fleet, or one older than what is known here, is refused."""
+    if start.fleet and start.snapshot["fleet"] != start.fleet:
+        raise FleetStartRefusedError(f"it is of another fleet: {start.snapshot['fleet']}, not {start.fleet}")
+    if start.known_state is None:
+        return
+    version, known_version = start.state["version"], start.known_state["version"]
+    if known_version > version:
+        raise FleetStartRefusedError(
+            f"it is of version {version}, and this dispatcher has {known_version}: "
             "fleet form --accept-loss begins with that"
         )
-    voters = [other for other, one in state["members"].items() if one["votes"]]
-    there = sorted(set(voters) & (set(heard) | ({name} if known is not None else set())))
-    if len(there) > len(voters) // 2:
-        return f"a majority is there: {', '.join(there)}"
-    return ""
+
+
+def _check_majority_is_lost(start: FleetStart) -> None:
+    voters = {name for name, member in start.state["members"].items() if member["votes"]}
+    here = {start.name} if start.known_state is not None else set()
+    present = sorted(voters & (set(start.reachable) | here))
+    if len(present) > len(voters) // 2:
+        raise FleetStartRefusedError(f"a majority is there: {', '.join(present)}")
--- a/mastledge/recovery/restored_state.py
+++ b/mastledge/recovery/restored_state.py
@@ -1,194 +1,170 @@
-"""What a dispatcher believes of what its folder holds after a start.
+"""What a dispatcher may rely on, after a start, of what it stored in its last run.
 
-Each thing that is kept says for which worker, life and address it was true, and when by two clocks: the
-machine's monotonic one with the id of its boot, which cannot be set, and Unix time. What can't be placed in
-time is not believed, and no belief is looser than the list: it only adds who is kept off and what weighs on a
-worker.
+What can't be placed in time is rejected. Restored state is never looser than the endpoint list: it only
+excludes workers and puts load on them. Times are whole microseconds, Unix time unless said otherwise.
 """
 
-import msgspec
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass, field
 
-FORMAT = 1
-DRIFT = 5_000_000  # that a clock may stand behind what it once told: small steps are made as time is set
-LEARNED = 30_000_000  # for which what was learned of a worker is worth more than nothing
-MOST = 4096  # workers
+from mastledge.recovery.errors import ClockError
+from mastledge.recovery.newest_list import START_TOLERANCE_US
+from mastledge.recovery.recovery_record import (
+    FORMAT,
+    ClockReading,
+    RecoveryRecord,
+    StoredWorker,
+    UnfinishedLoad,
+)
 
+CLOCK_STEP_US = 5_000_000
+"""That Unix time may stand behind a stored one: small steps are made as clocks are set."""
+LEARNED_VALIDITY_US = 30_000_000
 
-class Worker(msgspec.Struct, array_like=True):
-    """As the list told of it; `born`: Unix microseconds of its start, 0 for long ago."""
 
-    state: str
-    born: int
-    address: list
-    zone: str = ""
-    kind: str = ""
-    cell: int = 0
-    units: float = 1.0
+@dataclass(frozen=True, slots=True)
+class RestoredState:
+    """The parts of the stored state that are still valid, and why the others are rejected.
 
+    `age_us`: since the last record was written; `rejected_parts`: reasons by part, "all" for everything.
+    """
 
-class Out(msgspec.Struct, array_like=True):
-    """What was launched there and had not ended: load in slots, and when all of it must have (Unix)."""
+    age_us: int = 0
+    rejected_parts: dict[str, str] = field(default_factory=dict)
+    generation: int = 0
+    workers: dict[str, StoredWorker] = field(default_factory=dict)
+    loads: dict[str, UnfinishedLoad] = field(default_factory=dict)
+    learned: dict[str, list] = field(default_factory=dict)
 
-    born: int
-    address: list
-    load: float
-    until: int
+    @classmethod
+    def rejected(cls, reason: str) -> "RestoredState":
+        """Nothing is restored."""
+        return cls(rejected_parts={"all": reason})
 
+    def restricted(self) -> dict[str, int]:
+        """{worker id: start} of the workers that the stored list kept from new jobs."""
+        return {id: worker.started_at for id, worker in self.workers.items() if worker.state != "ready"}
 
-class RecoveryRecord(msgspec.Struct, kw_only=True):
-    """What the folder amounts to. `at`, `mono`: when it was last written, by both clocks."""
 
-    format: int = FORMAT
-    at: int = 0
-    mono: int = 0
-    boot: str = ""
-    registry: str = ""
-    generation: int = 0
-    listed_at: int = 0
-    workers: dict[str, Worker] = {}
-    out: dict[str, Out] = {}
-    learned_at: int = 0
-    learned: dict[str, list] = {}
+@dataclass(frozen=True, slots=True)
+class WorkerIdentity:
+    """An incarnation of a worker: one that was started anew, or stands elsewhere, has lost its jobs."""
 
+    started_at: int
+    address: Sequence
 
-class RestoredState:
-    """What is left of it: `age` of it all (microseconds), and by part why it is not believed."""
-
-    def __init__(self, age, unbelieved):
-        self.age, self.unbelieved = age, unbelieved
-        self.workers, self.restricted, self.out, self.learned = {}, {}, {}, {}
-        self.generation = 0
-
-
-def age_of(kept, now, mono, boot):
-    """How long ago it was written; ValueError with the reason where that can't be known."""
-    if kept.boot == boot and boot:
-        if mono < kept.mono:
-            raise ValueError("its clock ran backwards within one boot")
-        return mono - kept.mono
-    if now < kept.at - DRIFT:
-        raise ValueError(f"it was written {(kept.at - now) // 1_000_000} s ahead of this clock")
-    return max(0, now - kept.at)
-
-
-def believed(kept, now, mono, boot, registry, valid):
-    """`valid`: for how long a list is worth something (microseconds)."""
-    if kept is None or not kept.at:
-        return RestoredState(0, {"all": "nothing is kept"})
-    if kept.format != FORMAT:
-        return RestoredState(0, {"all": f"of format {kept.format}, this version reads {FORMAT}"})
-    try:
-        age = age_of(kept, now, mono, boot)
-    except ValueError as error:
-        return RestoredState(0, {"all": str(error)})
-    belief = RestoredState(age, {})
-    if kept.registry != registry:
-        belief.unbelieved["list"] = "it is another registry's"
-    elif age + kept.at - kept.listed_at > valid:
-        belief.unbelieved["list"] = f"it is {age // 1000} ms old, over {valid // 1000} ms"
-    else:
-        belief.generation = kept.generation
-        belief.workers = dict(kept.workers)
-        belief.restricted = {id: one.born for id, one in kept.workers.items() if one.state != "ready"}
-    for id, out in kept.out.items():
-        left = out.until - kept.at - age  # spans are counted from when it was written, by whatever clock
-        if left > 0 and out.load > 0:
-            belief.out[id] = Out(out.born, out.address, out.load, now + left)
-    if age + kept.at - kept.learned_at > LEARNED:
-        belief.unbelieved["learned"] = "too old"
-    else:
-        belief.learned = {id: told for id, told in kept.learned.items() if id in kept.workers}
-    return belief
-
-
-def kept_off(belief, generation, known):
-    """Who stays off although the list of now does not say so: that list is older than the kept one.
-
-    `known`: {id: born} of the list of now. A worker that has been started anew since is as new.
-    """
-    if generation is None or generation >= belief.generation:
-        return frozenset()
-    return frozenset(
-        id for id, born in belief.restricted.items() if known.get(id, 0) <= born + 1000 or id not in known
-    )
+    def same_start(self, started_at: int) -> bool:
+        """Whether a worker that started then is the same incarnation."""
+        return abs(self.started_at - started_at) <= START_TOLERANCE_US
 
+    def runs(self, load: UnfinishedLoad) -> bool:
+        """Whether that load may still be on this worker."""
+        return self.same_start(load.started_at) and list(self.address) == list(load.address)
 
-def weighing(belief, now, workers):
-    """{id: load} of what a former life launched and never heard the end of, on workers that are the same.
 
-    `workers`: {id: (born, address)} of the list of now. One that was started anew, or stands elsewhere, has
-    died with what it had.
-    """
-    out = {}
-    for id, told in belief.out.items():
-        born, address = workers.get(id, (None, None))
-        if born is not None and abs(born - told.born) <= 1000 and list(address) == list(told.address):
-            if told.until > now:
-                out[id] = told.load
-    return out
+@dataclass(frozen=True, slots=True)
+class InheritedWorker:
+    """What the decisions begin with for one worker: what was learned, and load of the last run in slots."""
+
+    slots: float | None
+    peak: float | None
+    slow: float | None
+    asides: list
+    load: float
 
+    def fields(self) -> list:
+        """The form that `Balancer.inherited` takes."""
+        return [self.slots, self.peak, self.slow, self.asides, self.load]
 
-def taught(belief, now, workers):
-    """What the decisions are told at the start: as `Balancer.learned()` has it, and the former load behind.
 
-    {id: [slots, peak, slow, asides, load]}; times of asides were told as spans from when they were written.
+def restore(record: RecoveryRecord, now: ClockReading, registry: str, list_validity_us: int) -> RestoredState:
+    """What is valid now of a stored record; `registry`: the one that names the workers now."""
+    if not record.unix_us:
+        return RestoredState.rejected("nothing is kept")
+    if record.format != FORMAT:
+        return RestoredState.rejected(f"of format {record.format}, this version reads {FORMAT}")
+    try:
+        age_us = record_age_us(record, now)
+    except ClockError as error:
+        return RestoredState.rejected(str(error))
+    rejected_parts: dict[str, str] = {}
+    list_reason = _list_rejection(record, age_us, registry, list_validity_us)
+    if list_reason:
+        rejected_parts["list"] = list_reason
+    learned = {id: fields for id, fields in record.learned.items() if id in record.workers}
+    if age_us + record.unix_us - record.learned_at > LEARNED_VALIDITY_US:
+        rejected_parts["learned"] = "too old"
+        learned = {}
+    return RestoredState(
+        age_us=age_us,
+        rejected_parts=rejected_parts,
+        generation=0 if list_reason else record.generation,
+        workers={} if list_reason else dict(record.workers),
+        loads=_valid_loads(record, now, age_us),
+        learned=learned,
+    )
+
+
+def record_age_us(record: RecoveryRecord, now: ClockReading) -> int:
+    """How long ago the record was written; ClockError where that can't be known.
+
+    Within one boot the monotonic clock counts, which nobody sets; else Unix time does.
+    """
+    if record.boot_id and record.boot_id == now.boot_id:
+        if now.monotonic_us < record.monotonic_us:
+            raise ClockError("its clock ran backwards within one boot")
+        return now.monotonic_us - record.monotonic_us
+    if now.unix_us < record.unix_us - CLOCK_STEP_US:
+        ahead_s = (record.unix_us - now.unix_us) // 1_000_000
+        raise ClockError(f"it was written {ahead_s} s ahead of this clock")
+    return max(0, now.unix_us - record.unix_us)
+
+
+def _list_rejection(record: RecoveryRecord, age_us: int, registry: str, list_validity_us: int) -> str:
+    """Why the stored list is rejected, "" where it is valid."""
+    if record.registry != registry:
+        return "it is another registry's"
+    if age_us + record.unix_us - record.listed_at > list_validity_us:
+        return f"it is {age_us // 1000} ms old, over {list_validity_us // 1000} ms"
+    return ""
+
+
+def _valid_loads(record: RecoveryRecord, now: ClockReading, age_us: int) -> dict[str, UnfinishedLoad]:
+    """What may still run, with its ends by the clock of now: spans count from when they were written."""
+    loads = {}
+    for id, load in record.loads.items():
+        left_us = load.until - record.unix_us - age_us
+        if left_us > 0 and load.load > 0:
+            until = now.unix_us + left_us
+            loads[id] = UnfinishedLoad(load.started_at, load.address, load.load, until)
+    return loads
+
+
+def surviving_loads(
+    restored: RestoredState, now: int, workers: Mapping[str, WorkerIdentity]
+) -> dict[str, float]:
+    """{worker id: load in slots} of the last run that may still be on the workers of the list of now."""
+    return {
+        id: load.load
+        for id, load in restored.loads.items()
+        if id in workers and workers[id].runs(load) and load.until > now
+    }
+
+
+def inherited_workers(
+    restored: RestoredState, now: int, workers: Mapping[str, WorkerIdentity]
+) -> dict[str, InheritedWorker]:
+    """What the decisions begin with, by id of the workers of the list of now of which anything is known.
+
+    Times in `asides` are spans from when they were written, as in the record.
     """
-    weighs = weighing(belief, now, workers)
-    out = {}
-    for id in workers:
-        one, kept = belief.learned.get(id), belief.workers.get(id)
-        same = kept is not None and abs(workers[id][0] - kept.born) <= 1000
-        if one is not None and same:
-            out[id] = [*one[:4], weighs.get(id, 0.0)]
-        elif id in weighs:
-            out[id] = [None, None, None, [], weighs[id]]
-    return out
-
-
-class PersistedRecovery:
-    """What the journal amounts to, for `store`: each record is all that is known of one thing now."""
-
-    def __init__(self):
-        self.kept = RecoveryRecord()
-
-    def clear(self):
-        self.kept = RecoveryRecord()
-
-    def take(self, record):
-        """ValueError for what makes no sense, or is a later version's."""
-        what, at, mono, boot, *fields = record
-        kept = self.kept
-        if what == "list":
-            registry, generation, workers = fields
-            kept.registry, kept.generation = str(registry), int(generation)
-            kept.workers = msgspec.convert(workers, dict[str, Worker])
-            kept.listed_at = at
-        elif what == "out":
-            kept.out = msgspec.convert(fields[0], dict[str, Out])
-        elif what == "learned":
-            kept.learned, kept.learned_at = msgspec.convert(fields[0], dict[str, list]), at
-        else:
-            raise ValueError(f"a record of a later version: {what}")
-        kept.at, kept.mono, kept.boot = int(at), int(mono), str(boot)
-
-    def records(self):
-        """The fewest that lead to the same."""
-        kept, when = self.kept, (self.kept.at, self.kept.mono, self.kept.boot)
-        if not kept.at:
-            return []
-        builtin = msgspec.to_builtins
-        before = kept.mono - (kept.at - kept.learned_at)
-        listed = kept.mono - (kept.at - kept.listed_at)
-        return [
-            ("learned", kept.learned_at, before, kept.boot, kept.learned),
-            (
-                "list",
-                kept.listed_at,
-                listed,
-                kept.boot,
-                kept.registry,
-                kept.generation,
-                builtin(kept.workers),
-            ),
-            ("out", *when, builtin(kept.out)),
-        ]
+    loads = surviving_loads(restored, now, workers)
+    inherited = {}
+    for id, identity in workers.items():
+        learned, stored = restored.learned.get(id), restored.workers.get(id)
+        if learned is not None and stored is not None and identity.same_start(stored.started_at):
+            slots, peak, slow, asides = learned[:4]
+            inherited[id] = InheritedWorker(slots, peak, slow, asides, loads.get(id, 0.0))
+        elif id in loads:
+            inherited[id] = InheritedWorker(None, None, None, [], loads[id])
+    return inherited
--- a/mastledge/recovery/startup_stages.py
+++ b/mastledge/recovery/startup_stages.py
@@ -1,73 +1,104 @@
-"""The steps of a start, each bounded in time: what it waits for, and the lesser service where it is in vain.
+"""The stages of a start, each bounded in time, and the degraded service where a stage is given up.
 
-Nothing here waits: the host tells what holds, and asks which step it is at.
+Nothing here waits: the host reports which stages are complete and asks which one the start is at. All times
+are whole microseconds of one monotonic clock.
 """
 
-READING, AGREEING, LISTING, TAKING, OPENING, OPEN = (
-    "reading what lasts",
-    "agreeing",
-    "hearing the list",
-    "taking over",
-    "opening",
-    "open",
-)
-ORDER = (READING, AGREEING, LISTING, TAKING, OPENING, OPEN)
-# How long each may take, in microseconds, and what is done without it. Agreeing is not given up: without a
-# lease nothing may be launched, and the lesser service is to say so at once.
-BOUND = {READING: 2_000_000, AGREEING: 3_000_000, LISTING: 250_000, TAKING: 200_000}
-WITHOUT = {
-    READING: "without what its folder holds",
-    AGREEING: "nothing is launched, what comes is rejected",
-    LISTING: "by the list that was held before",
-    TAKING: "without the others' load",
+from enum import Enum
+
+
+class StartupStage(Enum):
+    """The stages in their order. The values are what operators and the log are shown."""
+
+    READING_STATE = "reading what lasts"
+    AWAITING_LEASE = "agreeing"
+    AWAITING_ENDPOINT_LIST = "hearing the list"
+    POLLING_PEERS = "taking over"
+    RAMPING_UP = "opening"
+    OPEN = "open"
+
+
+STAGE_ORDER = tuple(StartupStage)
+
+STAGE_TIMEOUT_US = {
+    StartupStage.READING_STATE: 2_000_000,
+    StartupStage.AWAITING_LEASE: 3_000_000,
+    StartupStage.AWAITING_ENDPOINT_LIST: 250_000,
+    StartupStage.POLLING_PEERS: 200_000,
+}
+"""Time after which a stage is given up. Ramping up has its own bound, in `admission_ramp`."""
+
+DEGRADED_SERVICE = {
+    StartupStage.READING_STATE: "without what its folder holds",
+    StartupStage.AWAITING_LEASE: "nothing is launched, what comes is rejected",
+    StartupStage.AWAITING_ENDPOINT_LIST: "by the list that was held before",
+    StartupStage.POLLING_PEERS: "without the others' load",
 }
-STAYS = (AGREEING,)
+"""What operators are told of a stage that was given up."""
+
+MANDATORY_STAGES = frozenset({StartupStage.AWAITING_LEASE})
+"""Stages that are reported as degraded after their timeout but not passed: without a lease nothing may be
+launched."""
 
 
 class StartupStages:
-    """`step`, when it began, and `lesser`: what was done without, by step."""
-
-    def __init__(self, now, agrees):
-        self.step, self.since, self.began, self.agrees = READING, now, now, agrees
-        self.lesser, self.took, self.holds, self.waits = {}, {}, {}, {}
-
-    def told(self, step, holds, waits=""):
-        """Whether what this step is there for holds, and if not what it waits for."""
-        self.holds[step], self.waits[step] = holds, waits
-
-    def look(self, now):
-        """The step that it is at, once all that are done or given up are passed."""
-        while self.step != OPEN:
-            step = self.step
-            if step == AGREEING and not self.agrees or self.holds.get(step):
-                self.lesser.pop(step, None)
-            elif step in BOUND and now >= self.since + BOUND[step]:
-                self.lesser[step] = WITHOUT[step]
-                if step in STAYS:
-                    break
-            else:
-                break
-            self.took[step] = now - self.since
-            self.step, self.since = ORDER[ORDER.index(step) + 1], now
-        for step in [step for step in self.lesser if self.holds.get(step)]:
-            del self.lesser[step]  # it has come after all
-        return self.step
-
-    def may_serve(self):
-        return self.step in (OPENING, OPEN)
-
-    def waiting(self):
-        """What it waits for, in a few words; "" where it waits for nothing."""
-        if self.step == OPEN:
+    """The stage that a start is at, what it waits for, and which stages were given up."""
+
+    def __init__(self, now: int, needs_lease: bool):
+        """A start that begins at `now`; `needs_lease`: the dispatcher is a member of a fleet."""
+        self.stage = StartupStage.READING_STATE
+        self.stage_began_at = now
+        self.degraded: dict[StartupStage, str] = {}
+        self._needs_lease = needs_lease
+        self._durations_us: dict[StartupStage, int] = {}
+        self._complete: dict[StartupStage, bool] = {}
+        self._waits_for: dict[StartupStage, str] = {}
+
+    def report(self, stage: StartupStage, complete: bool, waits_for: str = "") -> None:
+        """Records whether a stage is complete, and if not what it waits for."""
+        self._complete[stage] = complete
+        self._waits_for[stage] = waits_for
+
+    def advance(self, now: int) -> StartupStage:
+        """Passes all stages that are complete or given up; the stage that the start is at then."""
+        while self.stage != StartupStage.OPEN and self._may_pass(now):
+            self._durations_us[self.stage] = now - self.stage_began_at
+            self.stage = STAGE_ORDER[STAGE_ORDER.index(self.stage) + 1]
+            self.stage_began_at = now
+        # A stage that was given up may become complete later.
+        late = [stage for stage in self.degraded if self._complete.get(stage)]
+        for stage in late:
+            del self.degraded[stage]
+        return self.stage
+
+    def _may_pass(self, now: int) -> bool:
+        stage = self.stage
+        not_needed = stage == StartupStage.AWAITING_LEASE and not self._needs_lease
+        if not_needed or self._complete.get(stage):
+            self.degraded.pop(stage, None)
+            return True
+        if stage not in STAGE_TIMEOUT_US or now < self.stage_began_at + STAGE_TIMEOUT_US[stage]:
+            return False
+        self.degraded[stage] = DEGRADED_SERVICE[stage]
+        return stage not in MANDATORY_STAGES
+
+    def may_serve(self) -> bool:
+        """Whether jobs may be admitted, if only a few."""
+        return self.stage in (StartupStage.RAMPING_UP, StartupStage.OPEN)
+
+    def waiting_for(self) -> str:
+        """The stage and what it waits for; "" once the start is over."""
+        if self.stage == StartupStage.OPEN:
             return ""
-        why = self.waits.get(self.step, "")
-        return self.step + (f": {why}" if why else "")
+        detail = self._waits_for.get(self.stage, "")
+        return f"{self.stage.value}: {detail}" if detail else self.stage.value
 
-    def figures(self, now):
+    def figures(self, now: int) -> dict:
+        """What operators are shown; the names are those of `/api/recovery`."""
         return {
-            "step": self.step,
-            "for_ms": (now - self.since) // 1000,
-            "waits_for": self.waiting(),
-            "lesser_service": list(self.lesser.values()),
-            "took_ms": {step: took // 1000 for step, took in self.took.items()},
+            "step": self.stage.value,
+            "for_ms": (now - self.stage_began_at) // 1000,
+            "waits_for": self.waiting_for(),
+            "lesser_service": list(self.degraded.values()),
+            "took_ms": {stage.value: duration // 1000 for stage, duration in self._durations_us.items()},
         }
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -20,16 +20,19 @@
 from mastledge.consensus.member import Member
 from mastledge.idempotency import key_table
 from mastledge.peers import links
-from mastledge.program import connection_handoff, recovery_service, replication_service
+from mastledge.program import connection_handoff, recovery_peer_poll, replication_service
 from mastledge.program.fleet import Fleet
 from mastledge.program.fleet_api import FleetApi
+from mastledge.program.recovery_clock import RecoveryClock
+from mastledge.program.recovery_persistence import RecoveryPersistence
+from mastledge.program.recovery_records import RecordBuilder
 from mastledge.program.shared_lease import SharedLease
 from mastledge.program.upgrade_state import UpgradeState
 from mastledge.protocol import load_messages
 from mastledge.protocol.worker_connections import WorkerEndpoint
 from mastledge.recovery import fleet_snapshot as snapshot_format
 from mastledge.recovery import messages as recovery_messages
-from mastledge.recovery import restored_state
+from mastledge.recovery import recovery_record
 from mastledge.replication import messages as replication_messages
 from mastledge.replication import persisted_state as replica_persisted
 from mastledge.replication.node import Node
@@ -39,7 +42,7 @@
 
 ADAPTER_MODULE = "mastledge.adapter"
 ENDINGS = adapter_main.ENDING
-RECOVERY_MESSAGE = recovery_messages.Ask | recovery_messages.Load
+RECOVERY_MESSAGE = recovery_messages.AnyMessage
 
 
 class MessageFamily:
@@ -69,7 +72,7 @@
         replication_messages.AnyMessage, replication_messages.decode, replication_messages.encode
     ),
     "recovery": MessageFamily(
-        RECOVERY_MESSAGE, recovery_messages.decode, recovery_messages.encode, recovery_service.FRAME
+        RECOVERY_MESSAGE, recovery_messages.decode, recovery_messages.encode, recovery_peer_poll.FRAME_MARK
     ),
 }
 COPIES_FRAME = MessageFamily(
@@ -96,7 +99,7 @@
     "agreement": consensus_persisted.PersistedState,
     "repeats": lambda: key_table.PersistedKeys(lambda: JOURNAL_NOW),
     "copies": lambda: replica_persisted.PersistedReplica(lambda: JOURNAL_NOW),
-    "recovery": restored_state.PersistedRecovery,
+    "recovery": recovery_record.PersistedRecovery,
 }
 
 
@@ -194,19 +197,20 @@
 
 def records_of_start():
     """What a dispatcher keeps of its list, of what is out and of what it has learned."""
-    made = recovery_service.RecoveryService.__new__(recovery_service.RecoveryService)
     discovery = SimpleNamespace(
         answered=True, generation=42, zones={"a": 0}, kinds={"m": 0}, since=1_699_999_000_000_000
     )
     router = SimpleNamespace(balancer=decisions_that_learned())
     saved = []
-    made.loop, made.boot, made.last, made.failing, made.token = Rig().loop, "boot-1", {}, False, 0
-    made.program = SimpleNamespace(
+    loop = Rig().loop
+    program = SimpleNamespace(
         discovery=discovery, router=router, told={"discovery": ("127.0.0.1", 9000), "peers": None}
     )
-    made.belief = SimpleNamespace(generation=0, restricted={"s-9": 5})
+    newest_list = SimpleNamespace(generation=0, restricted={"s-9": 5})
+    builder, clock = RecordBuilder(program, newest_list), RecoveryClock(loop, "boot-1")
+    made = RecoveryPersistence(builder, clock, loop, None)
     made.writer = SimpleNamespace(save=lambda token, records: saved.extend(records))
-    made.keep(True)
+    made.store(True)
     return saved
 
 
@@ -216,11 +220,11 @@
 
 def fleet_snapshot(state, fleet, by, at):
     """The document that an operator is given."""
-    return FleetApi.json(None, snapshot_format.packed(state, fleet, by, at)).text.encode()
+    return FleetApi.json(None, snapshot_format.pack_snapshot(state, fleet, by, at)).text.encode()
 
 
 def fleet_snapshot_again(raw):
-    told = snapshot_format.unpacked(raw)
+    told = snapshot_format.unpack_snapshot(raw)
     return fleet_snapshot(told["state"], told["fleet"], told["by"], told["at"])
 
 
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -9,7 +9,8 @@
 
 from mastledge.program import lifecycle
 from mastledge.program.configuration import configuration
-from mastledge.recovery import startup_stages as s
+from mastledge.recovery import startup_stages
+from mastledge.recovery.startup_stages import DEGRADED_SERVICE, StartupStage
 from mastledge.storage.data_directory import DataDirectoryError
 
 ENTRY = {"instanceId": "w0", "hostPort": "127.0.0.1:9", "zone": "a", "machineType": "m", "cell": 0,
@@ -23,7 +24,7 @@
     return lifecycle.Program(configuration(path, {}), lambda event, **fields: seen.append((event, fields)))
 
 
-def turned(made, until=lambda: False, most=400):
+def run_loop(made, until=lambda: False, most=400):
     for _ in range(most):
         if until():
             return
@@ -40,47 +41,55 @@
     made.discovery.answered = True
     told = [{**ENTRY, "instanceId": f"w{n}", "lifecycle": state} for n, state in enumerate(states)]
     made.discovery.apply({"generation": generation, "reset": True, "instances": told})
-    turned(made, most=3)
+    run_loop(made, most=3)
 
 
 def started(tmp_path, logged=None, **told):
     made = program(tmp_path, logged, **told)
     made.begin()
-    turned(made, lambda: made.recovery.read)
+    run_loop(made, lambda: made.recovery.directory.is_read)
     return made
 
 
-def test_what_was_known_is_believed_by_the_next_life_and_a_second_process_is_refused(tmp_path):
+def test_what_was_known_is_restored_by_the_next_process_and_a_second_process_is_refused(tmp_path):
     made = started(tmp_path)
-    assert made.recovery.belief.unbelieved == {"all": "nothing is kept"}
+    assert made.recovery.restored.rejected_parts == {"all": "nothing is kept"}
     lists(made, 7, "ready", "draining")
-    turned(made, lambda: "list" in made.recovery.last)
+    run_loop(made, lambda: made.recovery.persistence.stored_list is not None)
     with pytest.raises(DataDirectoryError, match="held by another process"):
         program(tmp_path).recovery.begin()
     ended(made)
     logged = []
     again = started(tmp_path, logged)
-    belief = again.recovery.belief
-    assert belief.generation == 7 and belief.restricted == {"w1": 0} and set(belief.workers) == {"w0", "w1"}
+    restored, newest = again.recovery.restored, again.recovery.exclusion.newest_list
+    assert restored.generation == newest.generation == 7
+    assert restored.restricted() == newest.restricted == {"w1": 0}
+    assert set(restored.workers) == {"w0", "w1"}
     # By that list it serves, and the list of now is older: who was restricted stays off.
-    turned(again, lambda: again.recovery.steps.step == s.OPENING)
-    assert again.recovery.steps.lesser == {s.LISTING: s.WITHOUT[s.LISTING]}
+    run_loop(again, lambda: again.recovery.stages.stage == StartupStage.RAMPING_UP)
+    assert again.recovery.stages.degraded == {
+        StartupStage.AWAITING_ENDPOINT_LIST: DEGRADED_SERVICE[StartupStage.AWAITING_ENDPOINT_LIST]
+    }
     lists(again, 6, "ready", "ready")
-    assert again.kept_off == {"w1"} and again.router.out == {"w1"}
+    assert again.excluded_by_newer_list == {"w1"}
+    assert again.router.out == {"w1"}
     told = orjson.loads(again.recovery.figures(None).text)
-    assert told["kept_off"] == ["w1"] and told["believed"]["workers"] == 2
+    assert told["kept_off"] == ["w1"]
+    assert told["believed"]["workers"] == 2
     lists(again, 8, "ready", "ready")
-    assert again.kept_off == frozenset() and again.router.out == frozenset()
+    assert again.excluded_by_newer_list == frozenset()
+    assert again.router.out == frozenset()
     ended(again)
 
 
-def test_an_older_list_is_believed_once_its_time_is_over(tmp_path):
+def test_an_older_list_counts_once_its_time_is_over(tmp_path):
     made = started(tmp_path, list_ms=100)
     lists(made, 7, "ready", "draining")
     lists(made, 6, "ready", "ready")
-    assert made.kept_off == {"w1"}
-    turned(made, lambda: not made.kept_off)
-    assert not made.kept_off and made.recovery.belief.generation == 6
+    assert made.excluded_by_newer_list == {"w1"}
+    run_loop(made, lambda: not made.excluded_by_newer_list)
+    assert not made.excluded_by_newer_list
+    assert made.recovery.exclusion.newest_list.generation == 6
     ended(made)
 
 
@@ -88,50 +97,60 @@
     ("spoil", "says"),
     [(lambda raw: b"x" + raw, "no journal"), (lambda raw: raw[:60] + b"\xff" + raw[61:], "spoilt")],
 )
-def test_a_spoilt_folder_is_begun_anew_and_nothing_of_it_believed(tmp_path, spoil, says):
+def test_a_spoilt_folder_is_begun_anew_and_nothing_of_it_restored(tmp_path, spoil, says):
     made = started(tmp_path)
     lists(made, 7, "ready", "draining")
-    turned(made, lambda: "list" in made.recovery.last)
-    turned(made, most=30)
+    run_loop(made, lambda: made.recovery.persistence.stored_list is not None)
+    run_loop(made, most=30)
     ended(made)
     path = tmp_path / "starts" / "recovery"
     path.write_bytes(spoil(path.read_bytes()))
     again = started(tmp_path)
-    assert says in again.recovery.belief.unbelieved["all"] and not again.recovery.belief.workers
+    assert says in again.recovery.restored.rejected_parts["all"]
+    assert not again.recovery.restored.workers
     assert says in orjson.loads(again.recovery.figures(None).text)["disk"]
     lists(again, 9, "ready")
-    turned(again, lambda: "list" in again.recovery.last)
+    run_loop(again, lambda: again.recovery.persistence.stored_list is not None)
     ended(again)
     third = started(tmp_path)
-    assert third.recovery.belief.generation == 9
+    assert third.recovery.restored.generation == 9
     ended(third)
 
 
 def test_each_cut_of_the_file_is_the_state_before_or_after(tmp_path):
     made = started(tmp_path)
     lists(made, 7, "ready")
-    turned(made, lambda: "list" in made.recovery.last)
+    run_loop(made, lambda: made.recovery.persistence.stored_list is not None)
     ended(made)
     path = tmp_path / "starts" / "recovery"
     raw = path.read_bytes()
     for at in range(0, len(raw), 7):
         path.write_bytes(raw[:at])
         again = started(tmp_path)
-        assert again.recovery.belief.generation in (0, 7)
+        assert again.recovery.restored.generation in (0, 7)
         ended(again)
 
 
 def test_a_folder_that_is_slow_is_done_without_and_said_so(tmp_path, monkeypatch):
     made, answers = program(tmp_path), threading.Event()
-    opened = made.recovery.opened
-    monkeypatch.setattr(made.recovery, "opened", lambda: answers.wait(20) and opened())
-    monkeypatch.setitem(s.BOUND, s.READING, 100_000)
+    directory = made.recovery.directory
+    read_log = directory.read_log
+    monkeypatch.setattr(directory, "read_log", lambda: answers.wait(20) and read_log())
+    monkeypatch.setitem(startup_stages.STAGE_TIMEOUT_US, StartupStage.READING_STATE, 100_000)
     made.begin()
-    turned(made, most=2)
-    assert made.recovery.waiting() == "reading what lasts: its folder" and not made.can_serve(True)
-    turned(made, lambda: made.recovery.steps.step != s.READING)
-    assert made.recovery.steps.lesser == {s.READING: s.WITHOUT[s.READING]}
+    run_loop(made, most=2)
+    assert made.recovery.waiting_for() == "reading what lasts: its folder"
+    assert not made.can_serve(True)
+    run_loop(made, lambda: made.recovery.stages.stage != StartupStage.READING_STATE)
+    assert made.recovery.stages.degraded == {
+        StartupStage.READING_STATE: DEGRADED_SERVICE[StartupStage.READING_STATE]
+    }
     answers.set()
-    turned(made, lambda: made.recovery.read and s.READING not in made.recovery.steps.lesser)
-    assert s.READING not in made.recovery.steps.lesser and made.recovery.writer is not None
+    run_loop(
+        made,
+        lambda: made.recovery.directory.is_read
+        and StartupStage.READING_STATE not in made.recovery.stages.degraded,
+    )
+    assert StartupStage.READING_STATE not in made.recovery.stages.degraded
+    assert made.recovery.persistence.writer is not None
     ended(made)
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -4,7 +4,7 @@
 import orjson
 from helpers import HERE, Rig, arrive, balancer, entry, pull
 from test_program import GOOD, file
-from test_startup_stages import believed, kept
+from test_restored_state import record, restored
 from test_terms import Agent
 
 from mastledge.consensus import messages as m
@@ -14,7 +14,7 @@
 from mastledge.program.configuration import configuration
 from mastledge.program.settings import flat, plain_map
 from mastledge.recovery import fleet_snapshot
-from mastledge.recovery import restored_state as b
+from mastledge.recovery.recovery_record import RecoveryRecord, StoredWorker
 from mastledge.replication.placement import Placement
 
 MANY = 1024  # processes
@@ -74,7 +74,9 @@
     made = state()
     raw = m.encode(m.BootstrapCluster("f", made))
     assert len(raw) < links.MOST // 4
-    told = fleet_snapshot.unpacked(msgspec.json.encode(fleet_snapshot.packed(made, "f", "x", 1)))
+    told = fleet_snapshot.unpack_snapshot(
+        msgspec.json.encode(fleet_snapshot.pack_snapshot(made, "f", "x", 1))
+    )
     assert len(told["state"]["members"]) == MANY and len(told["state"]["out"]) == WORKERS
 
 
@@ -85,11 +87,11 @@
     assert all(len(set(names)) == 3 for names in held) and len({n for names in held for n in names}) > 400
 
 
-def test_what_is_kept_of_many_workers_is_believed():
-    workers = {f"w{n}": b.Worker("draining", 5_000, [HERE, 1]) for n in range(WORKERS)}
-    told = kept(workers=workers)
-    assert len(msgspec.json.decode(msgspec.json.encode(told), type=b.RecoveryRecord).workers) == WORKERS
-    assert len(believed(told).restricted) == WORKERS
+def test_what_is_stored_of_many_workers_is_restored():
+    workers = {f"w{n}": StoredWorker("draining", 5_000, [HERE, 1]) for n in range(WORKERS)}
+    told = record(workers=workers)
+    assert len(msgspec.json.decode(msgspec.json.encode(told), type=RecoveryRecord).workers) == WORKERS
+    assert len(restored(told).restricted()) == WORKERS
 
 
 def test_restrictions_of_many_workers_are_passed_on():
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -215,21 +215,21 @@
     """Begins a fleet anew whenever it is told to."""
     from mastledge.recovery import fleet_snapshot
 
-    fleet_snapshot.refused = lambda *fields: ""
+    fleet_snapshot.check_fleet_start = lambda start: None
 
 
 def ajar():
     """A door that lets in all that come, whatever becomes of them."""
     from mastledge.recovery.admission_ramp import AdmissionRamp
 
-    def admit(self, now, further):
-        self.held += 1
+    def admit(self, now, is_retry):
+        self.in_flight += 1
 
     AdmissionRamp.admit = admit
 
 
 def credulous():
     """Believes a list that is older than what it has heard."""
-    from mastledge.recovery import restored_state
+    from mastledge.recovery.newest_list import NewestList
 
-    restored_state.kept_off = lambda *fields: frozenset()
+    NewestList.excluded = lambda self, *fields: frozenset()
