--- a/mastledge/program/recovery_directory.py
+++ b/mastledge/program/recovery_directory.py
@@ -7,7 +7,8 @@
 import threading
 
 from mastledge.recovery.recovery_record import PersistedRecovery, RecoveryRecord
-from mastledge.storage.data_directory import DataDirectory, DataDirectoryError
+from mastledge.storage.data_directory import DataDirectory
+from mastledge.storage.errors import DataDirectoryError
 from mastledge.storage.write_ahead_log import WriteAheadLog
 
 LOG_NAME = "recovery"
@@ -33,7 +34,7 @@
         writing, and what it knows comes by the upgrade. Else DataDirectoryError is raised if it can't be had.
         """
         try:
-            self._directory.hold()
+            self._directory.acquire()
         except DataDirectoryError as error:
             if not other_process_runs:
                 raise
@@ -46,7 +47,7 @@
         if self._reader is not None or self._directory.lock is not None:
             return
         try:
-            self._directory.hold()
+            self._directory.acquire()
         except DataDirectoryError:
             return
         self.trouble = None
@@ -64,7 +65,7 @@
             self.write_ahead_log.open()
         except OSError as error:
             self.trouble = str(error)
-            self._persisted.clear()
+            self._persisted.reset()
             self._begin_anew()
 
     def _begin_anew(self) -> None:
--- a/mastledge/program/recovery_persistence.py
+++ b/mastledge/program/recovery_persistence.py
@@ -40,7 +40,8 @@
             self.store(rounds % LEARNED_ROUNDS == 0)
 
     def _check_writes(self) -> None:
-        for _, error in self.writer.done():
+        for result in self.writer.completed():
+            error = result.error
             if (error is not None) != self.is_failing:
                 self.is_failing = error is not None
                 event = "recovery_disk_failed" if error else "recovery_disk_mended"
@@ -61,7 +62,7 @@
             self.stored_list = self._stored_loads = None
             self.writer.rewrite(self._token, fields)
         else:
-            self.writer.save(self._token, fields)
+            self.writer.append(self._token, fields)
 
     def _changed_list(self, written_at: ClockReading) -> list[AnyRecord]:
         record = self._builder.endpoint_list(written_at)
@@ -82,7 +83,7 @@
 
     def longest_write_us(self) -> int:
         """Of all writes so far."""
-        return self.writer.longest if self.writer else 0
+        return self.writer.longest_write_us if self.writer else 0
 
     def stop(self) -> None:
         """Stores all that is left to be stored, and waits for it."""
--- a/mastledge/recovery/recovery_record.py
+++ b/mastledge/recovery/recovery_record.py
@@ -117,17 +117,17 @@
 
 
 class PersistedRecovery:
-    """Follows the records of a log; the form that `storage.write_ahead_log` wants of its keeper."""
+    """The state that the records of a log are replayed into, as `storage.replayed_state` wants it."""
 
     def __init__(self):
         """Nothing is stored yet."""
         self.record = RecoveryRecord()
 
-    def clear(self) -> None:
+    def reset(self) -> None:
         """Forgets all records."""
         self.record = RecoveryRecord()
 
-    def take(self, fields: list | tuple) -> None:
+    def apply(self, fields: list | tuple) -> None:
         """Follows one record, given as its array; RecoveryRecordError where it can't be read."""
         taken, record = decode_record(fields), self.record
         match taken:
@@ -141,7 +141,7 @@
         record.unix_us = taken.unix_us
         record.monotonic_us, record.boot_id = taken.monotonic_us, taken.boot_id
 
-    def records(self) -> list[list]:
+    def compacted_records(self) -> list[list]:
         """The fewest records, as arrays, that lead to the same."""
         record = self.record
         if not record.unix_us:
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -7,6 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from mastledge.consensus import inputs, outputs
 from mastledge.consensus import messages as m
 from mastledge.consensus.leases import Leases
 from mastledge.consensus.member import Member
@@ -60,10 +61,11 @@
 class Forgetful(Member):
     """Says that it is saved before it is."""
 
-    def step(self, now, what, *fields):
-        out = super().step(now, what, *fields)
-        if any(one[0] == "save" for one in out):
-            out = [one for one in out if one[0] != "save"] + super().step(now, "saved", self.token)
+    def step(self, now, input):
+        out = super().step(now, input)
+        if any(isinstance(one, outputs.Persist) for one in out):
+            out = [one for one in out if not isinstance(one, outputs.Persist)]
+            out += super().step(now, inputs.Persisted(self.token))
         return out
 
 
@@ -147,7 +149,7 @@
     leader = fleet.leader()
     fleet.run(fleet.now + 500_000)
     began = fleet.now
-    leader.step("leaves", leader.member)
+    leader.step(leader.member, inputs.Leave())
     assert fleet.run(
         began + 100_000,
         lambda: fleet.leader() is not None
@@ -226,7 +228,7 @@
 def test_what_others_know_of_a_list_reaches_all():
     fleet = formed()
     news = m.WorkerRestrictions("r", 7, [("w0", "draining")])
-    fleet.nodes["n2"].step("passed", fleet.nodes["n2"].member, news)
+    fleet.nodes["n2"].step(fleet.nodes["n2"].member, inputs.ShareRestrictions(news))
     assert fleet.run(fleet.now + 1_000_000, lambda: {who for _, who, _ in fleet.news} == {"n0", "n1", "n2"})
     # As they were said: a plain list in their place ended the step that heard it.
     assert all(heard == news for _, _, heard in fleet.news)
@@ -291,28 +293,28 @@
         0,
         0,
     )
-    member.step(node.clock(), "heard", member.leader, "l", append)
+    member.step(node.clock(), inputs.MessageReceived(member.leader, "l", append))
     assert member.lease_until == 0
 
 
 @given(st.lists(st.sampled_from(["hard", "entry", "cut", "snapshot"]), max_size=30), st.integers(0, 99))
 def test_fewest_records_lead_to_the_same(kinds, seed):
     kept, again = PersistedState(), PersistedState()
-    kept.take(("identity", "f", "l"))
-    kept.take(("snapshot", 1, 1, {"v": 1}))
+    kept.apply(("identity", "f", "l"))
+    kept.apply(("snapshot", 1, 1, {"v": 1}))
     for n, kind in enumerate(kinds):
         last = kept.last + len(kept.entries)
         if kind == "hard":
-            kept.take(("hard", n, "x"))
+            kept.apply(("hard", n, "x"))
         elif kind == "entry":
-            kept.take(("entry", last + 1, m.Entry(n, f"{n}", {"kind": "noop"})))
+            kept.apply(("entry", last + 1, m.Entry(n, f"{n}", {"kind": "noop"})))
         elif kind == "cut" and kept.entries:
-            kept.take(("cut", kept.last + 1 + seed % len(kept.entries)))
+            kept.apply(("cut", kept.last + 1 + seed % len(kept.entries)))
         elif kind == "snapshot" and kept.entries:
             at = 1 + seed % len(kept.entries)
-            kept.take(("snapshot", kept.last + at, kept.entries[at - 1].term, {"v": n}))
-    for record in kept.records():
-        again.take(record)
+            kept.apply(("snapshot", kept.last + at, kept.entries[at - 1].term, {"v": n}))
+    for record in kept.compacted_records():
+        again.apply(record)
     assert again.value() == kept.value()
 
 
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -11,7 +11,7 @@
 from mastledge.program.configuration import configuration
 from mastledge.recovery import startup_stages
 from mastledge.recovery.startup_stages import DEGRADED_SERVICE, StartupStage
-from mastledge.storage.data_directory import DataDirectoryError
+from mastledge.storage.errors import DataDirectoryError
 
 ENTRY = {"instanceId": "w0", "hostPort": "127.0.0.1:9", "zone": "a", "machineType": "m", "cell": 0,
          "lifecycle": "ready", "weight": 1.0, "startedAtMs": 0}  # fmt: skip
--- a/tests/test_restored_state.py
+++ b/tests/test_restored_state.py
@@ -161,7 +161,7 @@
 
 def take_as_read(keeper, fields):
     """A record as it comes from the disk."""
-    keeper.take(msgspec.msgpack.decode(msgspec.msgpack.encode(fields)))
+    keeper.apply(msgspec.msgpack.decode(msgspec.msgpack.encode(fields)))
 
 
 @given(st.integers(0, 3), st.booleans())
@@ -177,14 +177,14 @@
     for fields in records[:cut]:
         take_as_read(keeper, fields)
     other = PersistedRecovery()
-    for fields in keeper.records():
+    for fields in keeper.compacted_records():
         take_as_read(other, fields)
     assert other.record.workers == keeper.record.workers
     assert other.record.loads == keeper.record.loads
     assert other.record.learned == keeper.record.learned
     assert other.record.unix_us == keeper.record.unix_us
     with pytest.raises(RecoveryRecordError, match="later version"):
-        keeper.take(["what", *when])
+        keeper.apply(["what", *when])
 
 
 @pytest.mark.parametrize(
