--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -21,7 +21,13 @@
 from mastledge.program.settings import flat, plain_map
 from mastledge.recovery.admission_ramp import AdmissionRamp, AdmittedJobOutcome, PeerLoad
 from mastledge.recovery.newest_list import NewestList
-from mastledge.recovery.recovery_record import ClockReading, RecoveryRecord, StoredWorker, UnfinishedLoad
+from mastledge.recovery.recovery_record import (
+    ClockReading,
+    LearnedWorker,
+    RecoveryRecord,
+    StoredWorker,
+    UnfinishedLoad,
+)
 from mastledge.recovery.restored_state import WorkerIdentity, inherited_workers, restore
 from mastledge.replication import coordinator as o
 from mastledge.replication import messages as m
@@ -202,7 +208,7 @@
             if known:
                 last = max(launch.job.last for launch in known)
                 out[wkr.id] = UnfinishedLoad(wkr.born, ["", 0], sum(launch.load for launch in known), last)
-        learned = {id: [*told[:3], []] for id, told in self.balancer.learned().items()}
+        learned = {id: LearnedWorker(*told[:3], []) for id, told in self.balancer.learned().items()}
         return RecoveryRecord(
             unix_us=now,
             registry="lab",
--- a/mastledge/program/recovery_records.py
+++ b/mastledge/program/recovery_records.py
@@ -7,6 +7,7 @@
 from mastledge.recovery.recovery_record import (
     ClockReading,
     LearnedRecord,
+    LearnedWorker,
     ListRecord,
     LoadRecord,
     RestrictedWorker,
@@ -119,7 +120,7 @@
     def learned(self, written_at: ClockReading) -> LearnedRecord:
         """What the decisions learned of each worker."""
         workers = {
-            id: [slots, peak, slow, stored_asides(asides, written_at.monotonic_us)]
+            id: LearnedWorker(slots, peak, slow, stored_asides(asides, written_at.monotonic_us))
             for id, (slots, peak, slow, asides) in self._program.router.balancer.learned().items()
         }
         return LearnedRecord(*astuple(written_at), workers)
--- a/mastledge/recovery/recovery_record.py
+++ b/mastledge/recovery/recovery_record.py
@@ -53,6 +53,18 @@
     until: int
 
 
+class LearnedWorker(msgspec.Struct, array_like=True):
+    """What the decisions learned of a worker, as `Balancer.learned` gives it.
+
+    `asides`: [reason, fields] of each ejection; `back_at` among the fields is a span from the record's time.
+    """
+
+    slots: int | float | None
+    peak: int | float | None
+    slow: int | float | None
+    asides: list
+
+
 class ListRecord(msgspec.Struct, tag="list", array_like=True, forbid_unknown_fields=True):
     """The endpoint list: its registry, generation and workers by id."""
 
@@ -74,12 +86,12 @@
 
 
 class LearnedRecord(msgspec.Struct, tag="learned", array_like=True):
-    """What the decisions learned, by worker id: [slots, peak, slow, asides] of `Balancer.learned`."""
+    """What the decisions learned, by worker id."""
 
     unix_us: int
     monotonic_us: int
     boot_id: str
-    workers: dict[str, list]
+    workers: dict[str, LearnedWorker]
 
 
 AnyRecord = ListRecord | LoadRecord | LearnedRecord
@@ -113,7 +125,7 @@
     workers: dict[str, StoredWorker] = {}
     loads: dict[str, UnfinishedLoad] = {}
     learned_at: int = 0
-    learned: dict[str, list] = {}
+    learned: dict[str, LearnedWorker] = {}
 
 
 class PersistedRecovery:
--- a/mastledge/recovery/restored_state.py
+++ b/mastledge/recovery/restored_state.py
@@ -12,6 +12,7 @@
 from mastledge.recovery.recovery_record import (
     FORMAT,
     ClockReading,
+    LearnedWorker,
     RecoveryRecord,
     StoredWorker,
     UnfinishedLoad,
@@ -34,7 +35,7 @@
     generation: int = 0
     workers: dict[str, StoredWorker] = field(default_factory=dict)
     loads: dict[str, UnfinishedLoad] = field(default_factory=dict)
-    learned: dict[str, list] = field(default_factory=dict)
+    learned: dict[str, LearnedWorker] = field(default_factory=dict)
 
     @classmethod
     def rejected(cls, reason: str) -> "RestoredState":
@@ -91,7 +92,7 @@
     list_reason = _list_rejection(record, age_us, registry, list_validity_us)
     if list_reason:
         rejected_parts["list"] = list_reason
-    learned = {id: fields for id, fields in record.learned.items() if id in record.workers}
+    learned = {id: worker for id, worker in record.learned.items() if id in record.workers}
     if age_us + record.unix_us - record.learned_at > LEARNED_VALIDITY_US:
         rejected_parts["learned"] = "too old"
         learned = {}
@@ -163,8 +164,9 @@
     for id, identity in workers.items():
         learned, stored = restored.learned.get(id), restored.workers.get(id)
         if learned is not None and stored is not None and identity.same_start(stored.started_at):
-            slots, peak, slow, asides = learned[:4]
-            inherited[id] = InheritedWorker(slots, peak, slow, asides, loads.get(id, 0.0))
+            inherited[id] = InheritedWorker(
+                learned.slots, learned.peak, learned.slow, learned.asides, loads.get(id, 0.0)
+            )
         elif id in loads:
             inherited[id] = InheritedWorker(None, None, None, [], loads[id])
     return inherited
--- a/tests/test_restored_state.py
+++ b/tests/test_restored_state.py
@@ -10,6 +10,7 @@
 from mastledge.recovery.newest_list import NewestList
 from mastledge.recovery.recovery_record import (
     ClockReading,
+    LearnedWorker,
     PersistedRecovery,
     RecoveryRecord,
     StoredWorker,
@@ -36,7 +37,7 @@
         "listed_at": 100_000_000,
         "workers": {"w0": StoredWorker("ready", 0, HERE), "w1": StoredWorker("draining", 5_000, HERE)},
         "learned_at": 100_000_000,
-        "learned": {"w0": [4.0, 4.0, 1.5, []]},
+        "learned": {"w0": LearnedWorker(4.0, 4.0, 1.5, [])},
         "loads": {
             "w0": UnfinishedLoad(0, HERE, 3.0, 102_000_000),
             "w1": UnfinishedLoad(5_000, HERE, 2.0, 100_500_000),
