--- a/mastledge/program/recovery_admission.py
+++ b/mastledge/program/recovery_admission.py
@@ -1,7 +1,12 @@
 """Stands between the client listener and the queue: who is admitted, by the admission ramp."""
 
-from mastledge.protocol.requests import COMPLETED, REJECTED
+from collections.abc import Generator
+
+from mastledge.protocol.client_listener import ClientListener
+from mastledge.protocol.requests import COMPLETED, REJECTED, Exchange
 from mastledge.recovery.admission_ramp import AdmissionRamp, AdmittedJobOutcome
+from mastledge.transport.connection import Connection
+from mastledge.transport.loop import Loop
 
 OUTCOME_BY_STATUS = {COMPLETED: AdmittedJobOutcome.COMPLETED, REJECTED: AdmittedJobOutcome.REJECTED}
 
@@ -9,11 +14,11 @@
 class AdmissionGate:
     """Rejects a job at once, or has the listener take it and records its outcome."""
 
-    def __init__(self, loop, listener, ramp: AdmissionRamp):
+    def __init__(self, loop: Loop, listener: ClientListener, ramp: AdmissionRamp):
         """`listener`: whose `taken` carries an admitted job out."""
         self._loop, self._listener, self._ramp = loop, listener, ramp
 
-    def serve(self, connection, exchange, request, is_retry: bool):
+    def serve(self, connection: Connection, exchange: Exchange, request: tuple, is_retry: bool) -> Generator:
         """A coroutine that gives the answer (status, headers, body), None where the client has gone."""
         admitted_at = self._loop.now()
         retry_after_us = self._ramp.admit(admitted_at, is_retry)
@@ -30,7 +35,7 @@
             now = self._loop.now()
             self._ramp.record_outcome(now, outcome, now - admitted_at)
 
-    def _reject(self, exchange, retry_after_us: int) -> tuple:
+    def _reject(self, exchange: Exchange, retry_after_us: int) -> tuple:
         exchange.open = False
         self._listener.count(exchange.kind, REJECTED)
         headers = [(b"retry-after", b"%.3f" % (retry_after_us / 1e6))] if retry_after_us else []
--- a/mastledge/program/recovery_clock.py
+++ b/mastledge/program/recovery_clock.py
@@ -3,6 +3,7 @@
 import time
 
 from mastledge.recovery.recovery_record import ClockReading
+from mastledge.transport.loop import Loop
 
 BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
 
@@ -19,7 +20,7 @@
 class RecoveryClock:
     """Unix time, and the monotonic clock of the event loop with the id of the machine's boot."""
 
-    def __init__(self, loop, boot_id: str):
+    def __init__(self, loop: Loop, boot_id: str):
         """`loop`: its `now()` gives the monotonic clock in microseconds."""
         self._loop, self._boot_id = loop, boot_id
 
--- a/mastledge/program/recovery_directory.py
+++ b/mastledge/program/recovery_directory.py
@@ -5,6 +5,7 @@
 """
 
 import threading
+from collections.abc import Callable
 
 from mastledge.recovery.recovery_record import PersistedRecovery, RecoveryRecord
 from mastledge.storage.data_directory import DataDirectory
@@ -17,7 +18,7 @@
 class RecoveryDirectory:
     """Holds the directory, and reads its log once."""
 
-    def __init__(self, path: str, dispatcher: str, log):
+    def __init__(self, path: str, dispatcher: str, log: Callable[..., None]):
         """`dispatcher`: its name, to which the log belongs; `log`: takes an event and its fields."""
         self.trouble: str | None = None
         self.is_read = False
--- a/mastledge/program/recovery_exclusion.py
+++ b/mastledge/program/recovery_exclusion.py
@@ -1,13 +1,19 @@
 """Keeps workers from new jobs while the endpoint list is older than one that was heard before."""
 
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
 from mastledge.program.recovery_records import worker_starts
 from mastledge.recovery.newest_list import NewestList
 
+if TYPE_CHECKING:
+    from mastledge.program.lifecycle import Program
+
 
 class WorkerExclusion:
     """Sets `program.excluded_by_newer_list`, by the newest list and the one of now."""
 
-    def __init__(self, program, list_validity_us: int, log):
+    def __init__(self, program: "Program", list_validity_us: int, log: Callable[..., None]):
         """`list_validity_us`: after which an older list counts, as registries may count anew."""
         self.newest_list = NewestList()
         self._program, self._list_validity_us, self._log = program, list_validity_us, log
--- a/mastledge/program/recovery_peer_poll.py
+++ b/mastledge/program/recovery_peer_poll.py
@@ -1,8 +1,14 @@
 """Asks some other dispatchers at the start for their load, and answers those that ask."""
 
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
 from mastledge.recovery.admission_ramp import AdmissionRamp, PeerLoad
 from mastledge.recovery.messages import LoadQuery, LoadResponse, decode, encode
 
+if TYPE_CHECKING:
+    from mastledge.program.lifecycle import Program
+
 MAX_POLLED = 5
 POLL_INTERVAL_US = 50_000
 FRAME_MARK = b"\xc1R"
@@ -12,7 +18,7 @@
 class PeerLoadPoll:
     """Which dispatchers are asked, and what they have answered."""
 
-    def __init__(self, program, name: str, ramp: AdmissionRamp, draw):
+    def __init__(self, program: "Program", name: str, ramp: AdmissionRamp, draw: Callable[[], float]):
         """`name`: of this dispatcher; `draw`: gives the next random number from 0 to 1."""
         self._program, self._name, self._ramp, self._draw = program, name, ramp, draw
         self._started_at = program.loop.now()
--- a/mastledge/program/recovery_persistence.py
+++ b/mastledge/program/recovery_persistence.py
@@ -1,10 +1,13 @@
 """Stores, every little while, what changed of the state that a next start may rely on."""
 
+from collections.abc import Callable, Generator
+
 from mastledge.program.recovery_clock import RecoveryClock
 from mastledge.program.recovery_records import RecordBuilder
 from mastledge.recovery.recovery_record import AnyRecord, ClockReading, LoadRecord, encode_record
 from mastledge.storage.write_ahead_log import WriteAheadLog
 from mastledge.storage.writer import Writer
+from mastledge.transport.loop import Loop
 
 STORE_INTERVAL_US = 200_000
 LEARNED_ROUNDS = 10
@@ -14,7 +17,7 @@
 class RecoveryPersistence:
     """Hands records to the thread that writes, once there is a log."""
 
-    def __init__(self, builder: RecordBuilder, clock: RecoveryClock, loop, log):
+    def __init__(self, builder: RecordBuilder, clock: RecoveryClock, loop: Loop, log: Callable[..., None]):
         """`log`: takes an event and its fields."""
         self.writer: Writer | None = None
         self.is_failing = False
@@ -27,7 +30,7 @@
         """From here on records are written to this log."""
         self.writer = Writer(write_ahead_log)
 
-    def run(self, before_start):
+    def run(self, before_start: Callable[[], None]) -> Generator:
         """A task that stores for ever; `before_start` is called instead as long as there is no log."""
         rounds = 0
         while True:
--- a/mastledge/program/recovery_records.py
+++ b/mastledge/program/recovery_records.py
@@ -1,8 +1,11 @@
 """Records of what a running dispatcher stores for its next start, and the way back to the decisions."""
 
 from dataclasses import astuple
+from typing import TYPE_CHECKING
 
 from mastledge.balance import CUT_OFF
+from mastledge.protocol.discovery import Discovery
+from mastledge.protocol.worker_connections import WorkerEndpoint
 from mastledge.recovery.newest_list import MAX_WORKERS, NewestList
 from mastledge.recovery.recovery_record import (
     ClockReading,
@@ -15,6 +18,9 @@
     UnfinishedLoad,
 )
 
+if TYPE_CHECKING:
+    from mastledge.program.lifecycle import Program
+
 STORED_CUT_OFF = "cut_off"
 """How the reason `CUT_OFF` of the decisions, which is no text, is stored."""
 LOAD_END_STEP_US = 100_000
@@ -30,12 +36,12 @@
     return f"{host}:{port}"
 
 
-def start_of(endpoint, discovery) -> int:
+def start_of(endpoint: WorkerEndpoint, discovery: Discovery) -> int:
     """When a worker started, in Unix microseconds; 0 for long ago."""
     return endpoint.born + discovery.since if endpoint.born else 0
 
 
-def worker_starts(program) -> dict[str, int]:
+def worker_starts(program: "Program") -> dict[str, int]:
     """{worker id: start in Unix microseconds} of the workers of the list of now."""
     endpoints = program.router.peers
     return {id: start_of(endpoint, program.discovery) for id, endpoint in endpoints.items()}
@@ -63,7 +69,7 @@
 class RecordBuilder:
     """Makes records of the program's state of now."""
 
-    def __init__(self, program, newest_list: NewestList):
+    def __init__(self, program: "Program", newest_list: NewestList):
         """Only reads what it is given."""
         self._program, self._newest_list = program, newest_list
 
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -4,6 +4,8 @@
 of its own, and drives the stages; the decisions are those of `recovery/`.
 """
 
+from collections.abc import Callable, Generator
+from typing import TYPE_CHECKING
 from zlib import crc32
 
 import orjson
@@ -20,11 +22,14 @@
     registry_name,
     worker_starts,
 )
-from mastledge.protocol.control import Answer
+from mastledge.protocol.control import Answer, Request
 from mastledge.recovery.admission_ramp import AdmissionRamp
 from mastledge.recovery.restored_state import RestoredState, WorkerIdentity, inherited_workers, restore
 from mastledge.recovery.startup_stages import StartupStage, StartupStages
 
+if TYPE_CHECKING:
+    from mastledge.program.lifecycle import Program
+
 STAGE_INTERVAL_US = 10_000
 """Between two looks at the stages."""
 RESIZE_INTERVAL_US = 100_000
@@ -49,7 +54,7 @@
 class RecoveryService:
     """Composes the parts of a start; what the program, the fleet and the operators' API call."""
 
-    def __init__(self, program, configuration: dict, log):
+    def __init__(self, program: "Program", configuration: dict, log: Callable[..., None]):
         """`configuration`: of the program, with `recovery`; `log`: takes an event and its fields."""
         own, settings = configuration["recovery"], configuration["settings"]
         now = program.loop.now()
@@ -84,7 +89,7 @@
         if not self._program.listener.succeeded:
             self.directory.take_over()
 
-    def prepare(self):
+    def prepare(self) -> Generator:
         """A coroutine that ends once the first call for the list may be made.
 
         It waits for the directory within the stage's bound and applies the list that it holds; then for a
@@ -128,7 +133,7 @@
 
     # Stages
 
-    def _run(self):
+    def _run(self) -> Generator:
         """A task that drives the stages until the start is over, and the ramp all the time."""
         resize_at = 0
         while True:
@@ -237,7 +242,7 @@
 
     # Operators
 
-    def figures(self, request) -> Answer:
+    def figures(self, request: Request) -> Answer:
         """The answer to `GET /api/recovery`, whose fields have the operators' names."""
         figures = {
             **self.stages.figures(self._loop.now()),
