--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -15,14 +15,14 @@
 from mastledge.idempotency.records import Record
 from mastledge.idempotency.verdicts import Verdict
 from mastledge.program.keyed_job import KILLED_REPLY, REJECTED_REPLY, KeyedJob, Reply, rejection, replay
-from mastledge.program.keyed_service import DISK_RETRY_US, KeyedService, Steps, unix_now_us
+from mastledge.program.keyed_service import DISK_RETRY_US, KeyedService, unix_now_us
 from mastledge.protocol import http
 from mastledge.protocol.control import Answer, Request
 from mastledge.protocol.requests import COMPLETED, REJECTED, Exchange
 from mastledge.storage.write_ahead_log import WriteAheadLog
 from mastledge.storage.writer import Writer
 from mastledge.transport.connection import Connection
-from mastledge.transport.loop import READ, Task
+from mastledge.transport.loop import READ, Coroutine, Task
 
 if TYPE_CHECKING:
     from mastledge.program.lifecycle import Program
@@ -66,7 +66,7 @@
         self.save_waiters[token] = job.task
         return (yield (-1, 0, None)) is True
 
-    def _take_writer_results(self) -> Steps:
+    def _take_writer_results(self) -> Coroutine:
         while True:
             yield (self.writer.fd, READ, None)
             for result in self.writer.completed():
@@ -82,7 +82,7 @@
         self.rewriting = self.loop.spawn(self.program.supervised(self._rewrite()))
         self.tasks.append(self.rewriting)
 
-    def _rewrite(self) -> Steps:
+    def _rewrite(self) -> Coroutine:
         """Writes all of the table anew, again and again until that goes well."""
         while True:
             yield (-1, 0, self.loop.now() + DISK_RETRY_US)
@@ -137,7 +137,7 @@
             if not job.waiters and self.first_jobs.get(job.record.scoped_key) is job:
                 self.inbox.put("left", job.exchange)
 
-    def _run_job(self, job: KeyedJob, arrival: tuple) -> Steps:
+    def _run_job(self, job: KeyedJob, arrival: tuple) -> Coroutine:
         """Sees a first job through, whoever of its clients stays: all of them are promised its outcome."""
         self.jobs_under_way += 1
         try:
--- a/mastledge/program/keyed_service.py
+++ b/mastledge/program/keyed_service.py
@@ -16,7 +16,7 @@
 from mastledge.storage.write_ahead_log import WriteAheadLog
 from mastledge.storage.writer import Writer
 from mastledge.transport.connection import Connection
-from mastledge.transport.loop import Task
+from mastledge.transport.loop import Coroutine, Task
 
 if TYPE_CHECKING:
     from mastledge.program.lifecycle import Program
@@ -26,8 +26,6 @@
 ANSWER_MARGIN_US = 50_000  # after the decisions must have ended a job
 DISK_RETRY_US = 1_000_000  # between two tries of a disk that has failed
 
-Steps = Generator[tuple, object, None]  # a coroutine of the loop that gives nothing back
-
 
 def unix_now_us() -> int:
     """Unix time in microseconds."""
@@ -70,7 +68,7 @@
             return
         self.open()
 
-    def _wait_for_directory(self) -> Steps:
+    def _wait_for_directory(self) -> Coroutine:
         while True:
             yield (-1, 0, self.loop.now() + DIRECTORY_POLL_US)
             try:
@@ -109,7 +107,7 @@
 
     # Jobs
 
-    def wait_until_open(self, until: int, conn: Connection) -> Steps:
+    def wait_until_open(self, until: int, conn: Connection) -> Coroutine:
         """Waits while the process before is about to leave the directory, and as long as the client does.
 
         `until`: end of the job's walltime.
