--- a/mastledge/lab/bench.py
+++ b/mastledge/lab/bench.py
@@ -19,8 +19,8 @@
 from mastledge.lab.sized import grown
 from mastledge.lab.sized import measured as measured_size
 from mastledge.lab.wire import call
-from mastledge.replication.persisted_state import PersistedReplica, head
-from mastledge.replication.placement import ranked
+from mastledge.replication.persisted_state import PersistedReplica, head_records
+from mastledge.replication.placement import heaviest
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.storage.write_ahead_log import WriteAheadLog
 
@@ -243,10 +243,10 @@
     async def build(self):
         await super().build()
         names, until = list(self.nodes), time.time_ns() // 1000 + 600_000_000
-        records = {name: head(f"id-{name}", 1, 0) for name in names}
+        records = {name: head_records(f"id-{name}", 1, 0) for name in names}
         for n in range(self.keys):
             key = b"key-%032d" % n
-            for name in ranked(names, "", key, 3):
+            for name in heaviest(names, "", key, 3):
                 records[name].append(("claim", "", key, b"p" * 16, until, f"{n}.0123456789ab.{name}"))
                 records[name].append(("end", "", key, True, 200, self.answer, until))
         self.written = {}
--- a/mastledge/lab/copying.py
+++ b/mastledge/lab/copying.py
@@ -13,12 +13,13 @@
 
 from mastledge.consensus.messages import Entry
 from mastledge.consensus.state_machine import StateMachine, genesis
-from mastledge.idempotency.key_table import KeyTable, RecordState
+from mastledge.idempotency.key_table import KeyTable
 from mastledge.lab.simulated import Simulated
-from mastledge.replication import coordinator as o
-from mastledge.replication import messages as m
-from mastledge.replication.node import Node
-from mastledge.replication.persisted_state import PersistedReplica, head
+from mastledge.replication import inputs, messages, outputs
+from mastledge.replication.inputs import JobOutcome
+from mastledge.replication.node import Node, NodeOptions
+from mastledge.replication.outputs import Verdict
+from mastledge.replication.persisted_state import PersistedReplica, head_records
 
 KEEP, WALLTIME = 20_000_000, 2_000_000
 PATIENCE = KEEP + 3 * WALLTIME
@@ -35,6 +36,12 @@
         self.fleet, self.name, self.disk, self.up, self.until = fleet, name, [], False, 0
         self.node, self.runs, self.idle_at, self.full, self.failed = None, 0, 0, False, False
         self.applied, self.jobs, self.wake = 0, {}, None
+        self.output_handlers = {
+            outputs.Send: self.do_send,
+            outputs.Persist: self.do_persist,
+            outputs.CaughtUp: self.do_caught_up,
+            outputs.JobVerdict: self.do_verdict,
+        }
 
     def start(self):
         fleet = self.fleet
@@ -43,54 +50,61 @@
             kept.take(deepcopy(record))
         self.runs += 1
         self.up, self.failed, self.applied = True, False, 0
-        kept.id = kept.id or f"{self.name}-{self.runs}"
+        directory_id = kept.directory_id or f"{self.name}-{self.runs}"
         book = KeyTable(fleet.keep, fleet.entries, fleet.bytes_, 0)
         book.restore(fleet.now, kept.entries, False)
-        self.node = fleet.make(
-            self.name,
-            kept.id,
-            f"r{self.runs}",
-            book,
-            kept.fence,
-            fleet.draw(1 << 30),
-            fleet.patience,
-            fleet.now,
+        options = NodeOptions(
+            name=self.name,
+            directory_id=directory_id,
+            incarnation=f"r{self.runs}",
+            fence=kept.fence,
+            seed=fleet.draw(1 << 30),
+            promise_us=fleet.patience,
         )
-        self.starts = kept.starts + 1
-        self.disk = head(kept.id, self.starts, kept.fence) + [
+        self.node = fleet.make(options, book, fleet.now)
+        self.starts = kept.start_count + 1
+        self.disk = head_records(directory_id, self.starts, kept.fence) + [
             r for r in self.disk if r[0] not in ("holder", "fence")
         ]
         self.jobs = {}
         fleet.agree(
-            {"kind": "holds", "name": self.name, "id": kept.id, "starts": self.starts, "count": fleet.copies}
+            {
+                "kind": "holds",
+                "name": self.name,
+                "id": directory_id,
+                "starts": self.starts,
+                "count": fleet.copies,
+            }
         )
-        fleet.at(0, self.step, self.node, "time")
+        fleet.at(0, self.step, self.node, inputs.Tick())
 
     def crash(self):
         self.up, self.node = False, None
 
-    def step(self, node, what, *fields):
+    def step(self, node, input_):
         if node is not self.node or not self.up:
             return
         fleet = self.fleet
         if self.until > fleet.now:
-            fleet.at(self.until - fleet.now + fleet.draw(2000), self.step, node, what, *fields)
+            fleet.at(self.until - fleet.now + fleet.draw(2000), self.step, node, input_)
             return
-        for output, *rest in node.step(fleet.now, what, *fields):
-            getattr(self, "do_" + output)(*rest)
+        for output in node.step(fleet.now, input_):
+            self.output_handlers[type(output)](output)
         at = node.wake_at()
         if at is not None and self.node is node:
             at = max(at, fleet.now + 1)
             if self.wake is None or self.wake[0] != node or at < self.wake[1] or self.wake[1] <= fleet.now:
                 self.wake = (node, at)
-                fleet.at(at - fleet.now, self.step, node, "time")
+                fleet.at(at - fleet.now, self.step, node, inputs.Tick())
 
-    def do_send(self, to, message):
-        self.fleet.send(self, to, message)
+    def do_send(self, send):
+        self.fleet.send(self, send.recipient, send.message)
 
-    def do_save(self, token, records):
+    def do_persist(self, persist):
         self.idle_at = max(self.idle_at, self.fleet.now) + 100 + self.fleet.draw(3_000)
-        self.fleet.at(self.idle_at - self.fleet.now, self.saved, self.node, token, deepcopy(records))
+        self.fleet.at(
+            self.idle_at - self.fleet.now, self.saved, self.node, persist.token, deepcopy(persist.records)
+        )
 
     def saved(self, node, token, records):
         if node is not self.node or not self.up:
@@ -98,11 +112,11 @@
         if self.full or self.failed:
             if not self.failed:
                 self.failed = True
-                self.step(node, "broken")
+                self.step(node, inputs.DiskFailed())
                 self.fleet.at(500_000, self.mend, node)
             return
         self.disk += records
-        self.step(node, "saved", token)
+        self.step(node, inputs.Persisted(token))
 
     def mend(self, node):
         if node is not self.node or not self.up:
@@ -111,14 +125,17 @@
             self.fleet.at(500_000, self.mend, node)
             return
         self.failed = False
-        self.disk = head(node.id, self.starts, node.fence) + deepcopy(node.holder.book.snapshot())
-        self.step(node, "mended")
+        self.disk = head_records(node.directory_id, self.starts, node.fence)
+        self.disk += deepcopy(node.replica.table.snapshot())
+        self.step(node, inputs.DiskRecovered())
 
-    def do_caught(self, epoch):
-        self.fleet.agree({"kind": "caught", "name": self.name, "id": self.node.id, "epoch": epoch})
+    def do_caught_up(self, caught_up):
+        self.fleet.agree(
+            {"kind": "caught", "name": self.name, "id": self.node.directory_id, "epoch": caught_up.epoch}
+        )
 
-    def do_tell(self, n, what, status, content):
-        self.fleet.told(self, n, what, status, content)
+    def do_verdict(self, verdict):
+        self.fleet.told(self, verdict)
 
 
 class Fleet(Simulated):
@@ -162,7 +179,7 @@
                 return
             host.applied = index
             if self.log[index - 1] is not None:
-                host.step(host.node, "placed", self.log[index - 1])
+                host.step(host.node, inputs.PlacementChanged(self.log[index - 1]))
 
     def remove(self, name):
         self.agree({"kind": "remove", "name": name, "by": "", "at": 0})
@@ -170,16 +187,16 @@
     # Links
 
     def send(self, host, to, message):
-        raw = m.encode(message)
+        raw = messages.encode(message)
         self.sent, self.bytes = self.sent + 1, self.bytes + len(raw)
         for _ in range(1 + self.chance(self.doubled)):
             if to in self.hosts and (host.name, to) not in self.cut and not self.chance(self.lost):
-                self.at(100 + self.draw(self.delay), self.arrive, to, host.name, host.node.id, raw)
+                self.at(100 + self.draw(self.delay), self.arrive, to, host.name, host.node.directory_id, raw)
 
     def arrive(self, to, sender, id_, raw):
         host = self.hosts[to]
         if host.up and (sender, to) not in self.cut:
-            host.step(host.node, "heard", sender, id_, m.decode(raw))
+            host.step(host.node, inputs.MessageReceived(sender, id_, messages.decode(raw)))
 
     # Clients: each key is one job, tried again anywhere
 
@@ -192,42 +209,43 @@
         self.numbers += 1
         n = self.numbers
         self.tries[n] = (key, tries, self.now, host.node)
-        host.step(host.node, "offer", n, "t", key, print_, WALLTIME)
+        host.step(host.node, inputs.Offer(n, "t", key, print_, WALLTIME))
         self.at(WALLTIME, self.too_late, host, n)
 
     def too_late(self, host, n):
         if n in self.tries:
             key, tries, _, node = self.tries.pop(n)
             if n not in host.jobs:
-                host.step(node, "left", n)
+                host.step(node, inputs.ClientLeft(n))
             self.counts["unanswered"] += 1
             if tries:
                 self.at(self.draw(400_000), self.offer, key, tries - 1)
 
-    def told(self, host, n, what, status, content):
+    def told(self, host, told):
+        n, verdict, content = told.job_id, told.verdict, told.content
         if n not in self.tries:
-            if what == o.GO:
+            if verdict is Verdict.GRANTED:
                 # Nobody waits any more, so nothing is launched for it.
-                host.step(host.node, "ended", n, m.DROPPED)
+                host.step(host.node, inputs.JobEnded(n, JobOutcome.RELEASED))
             return
         key, tries, began, node = self.tries[n]
-        if what == o.GO:
+        if verdict is Verdict.GRANTED:
             self.go(host, n, key)
             return
         del self.tries[n]
-        self.counts[what] += 1
-        if what in (o.LASTING, o.SHORT):
-            how, content = host.jobs.pop(n, (m.DROPPED, b""))
-            if how == RecordState.ANSWERED and what == o.LASTING:
+        self.counts[verdict] += 1
+        if verdict in (Verdict.REPLICATED, Verdict.NOT_REPLICATED):
+            how, content = host.jobs.pop(n, (JobOutcome.RELEASED, b""))
+            if how is JobOutcome.ANSWERED and verdict is Verdict.REPLICATED:
                 self.answered(key, content)
-            elif how == m.DROPPED and tries:
+            elif how is JobOutcome.RELEASED and tries:
                 self.at(self.draw(300_000), self.offer, key, tries - 1)
                 return
-        elif what == o.ANSWER:
+        elif verdict is Verdict.ANSWERED:
             self.answered(key, content)
-        elif what == o.UNSURE and not self.launches[key]:
+        elif verdict is Verdict.UNSURE and not self.launches[key]:
             self.counts["needless"] += 1
-        if tries and (what != o.UNSURE or self.chance(0.5)):
+        if tries and (verdict is not Verdict.UNSURE or self.chance(0.5)):
             self.at(self.draw(3_000_000), self.offer, key, tries - 1)
 
     def answered(self, key, content):
@@ -238,9 +256,9 @@
     def go(self, host, n, key):
         """The job may be launched: what comes of it is drawn here."""
         if self.chance(0.15):
-            how, wait = m.DROPPED, self.draw(300_000)
+            how, wait = JobOutcome.RELEASED, self.draw(300_000)
         else:
-            how = RecordState.UNSURE if self.chance(0.15) else RecordState.ANSWERED
+            how = JobOutcome.UNSURE if self.chance(0.15) else JobOutcome.ANSWERED
             wait = self.draw(WALLTIME * 3 // 4)
             before = [at for at, _ in self.launches[key]]
             if before and self.now < max(before) + KEEP:
@@ -248,9 +266,8 @@
             self.launches[key].append((self.now, host.name))
         content = f"{key} {n}".encode()
         host.jobs[n] = how, content
-        self.at(
-            wait, host.step, host.node, "ended", n, how, 200, content if how == RecordState.ANSWERED else b""
-        )
+        answer = content if how is JobOutcome.ANSWERED else b""
+        self.at(wait, host.step, host.node, inputs.JobEnded(n, how, 200, answer))
 
 
 FAULTS = ("crash", "crash", "stop", "cut", "cut_one_way", "wipe", "full", "late", "remove", "recount")
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -13,7 +13,6 @@
 from copy import deepcopy
 from types import SimpleNamespace
 
-from mastledge.idempotency.key_table import RecordState
 from mastledge.lab import copying, faults, outages, policies, schedule
 from mastledge.lab.load import Clients
 from mastledge.lab.rig import document, limits
@@ -21,8 +20,9 @@
 from mastledge.program.settings import flat, plain_map
 from mastledge.recovery import restored_state as b
 from mastledge.recovery.admission_ramp import DONE, ELSE, TURNED, AdmissionRamp
-from mastledge.replication import coordinator as o
-from mastledge.replication import messages as m
+from mastledge.replication import inputs
+from mastledge.replication.inputs import JobOutcome
+from mastledge.replication.outputs import Verdict
 
 LINK = 100, 600  # microseconds on the way, least and most
 BOOT = 200_000, 320_000  # from the start of a process to its first step
@@ -336,7 +336,7 @@
         self.numbers += 1
         job.claim = self.numbers
         self.claims[job.claim] = job
-        self.key_step("offer", job.claim, "", job.key.encode(), PRINT, job.until - now)
+        self.key_step(inputs.Offer(job.claim, "", job.key.encode(), PRINT, job.until - now))
         world.at(job.until - now, self.key_late, job, self.life)
 
     def take(self, job):
@@ -351,38 +351,38 @@
 
     # Keys
 
-    def key_step(self, what, *fields):
+    def key_step(self, input_):
         host = self.world.keys.hosts[self.name]
-        host.step(host.node, what, *fields)
+        host.step(host.node, input_)
 
-    def key_told(self, n, what, status, content):
+    def key_told(self, told):
         """What becomes of a keyed job, as its node says."""
-        job = self.claims.get(n)
+        job, verdict = self.claims.get(told.job_id), told.verdict
         if job is None:
-            if what == o.GO:
-                self.key_step("ended", n, m.DROPPED)
+            if verdict is Verdict.GRANTED:
+                self.key_step(inputs.JobEnded(told.job_id, JobOutcome.RELEASED))
             return
-        if what == o.GO:
+        if verdict is Verdict.GRANTED:
             self.take(job)
             return
-        del self.claims[n]
-        if what in (o.LASTING, o.SHORT):
+        del self.claims[told.job_id]
+        if verdict in (Verdict.REPLICATED, Verdict.NOT_REPLICATED):
             if job.reply is not None:
-                kept = what == o.LASTING or job.reply[0] != 200
+                kept = verdict is Verdict.REPLICATED or job.reply[0] != 200
                 self.say(job, *(job.reply if kept else (500, 0, "")))
-        elif what == o.ANSWER:
-            self.answer(job, status, 0, content.decode())
-        elif what == o.UNSURE:
+        elif verdict is Verdict.ANSWERED:
+            self.answer(job, told.status, 0, told.content.decode())
+        elif verdict is Verdict.UNSURE:
             self.answer(job, 409)
-        elif what == o.REFUSED:
-            self.answer(job, status)
+        elif verdict is Verdict.REFUSED:
+            self.answer(job, told.status)
         else:
             self.answer(job, 503, KEY_AGAIN)
 
     def key_late(self, job, life):
         if life == self.life and self.claims.get(job.claim) is job and job.n is None:
             del self.claims[job.claim]
-            self.key_step("left", job.claim)
+            self.key_step(inputs.ClientLeft(job.claim))
             self.answer(job, 500)
 
     def answer(self, job, status, hold_off=0, result="", door=False):
@@ -391,10 +391,10 @@
         job.open = False
         if job.n is not None and job.claim in self.claims:
             # What it came to has to be kept before it is told.
-            how = {200: RecordState.ANSWERED, 503: m.DROPPED}.get(status, RecordState.UNSURE)
+            how = {200: JobOutcome.ANSWERED, 503: JobOutcome.RELEASED}.get(status, JobOutcome.UNSURE)
             job.reply = status, hold_off, result
-            content = result.encode() if how == RecordState.ANSWERED else b""
-            self.key_step("ended", job.claim, how, status, content)
+            content = result.encode() if how is JobOutcome.ANSWERED else b""
+            self.key_step(inputs.JobEnded(job.claim, how, status, content))
             return
         self.say(job, status, hold_off, result, door)
 
@@ -410,7 +410,7 @@
         if job.claim and self.claims.get(job.claim) is job:
             if job.n is None:
                 del self.claims[job.claim]
-                self.key_step("left", job.claim)
+                self.key_step(inputs.ClientLeft(job.claim))
                 job.open = False
                 if self.opening is not None:
                     self.opening.ended(self.world.now, ELSE, self.world.now - job.began)
@@ -531,8 +531,8 @@
     def at(self, wait, call, *fields):
         self.world.at(wait, call, *fields)
 
-    def told(self, host, n, what, status, content):
-        self.world.dispatchers[host.name].key_told(n, what, status, content)
+    def told(self, host, told):
+        self.world.dispatchers[host.name].key_told(told)
 
 
 class Member(schedule.Node):
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -1,4 +1,4 @@
-"""Keys of which several dispatchers hold copies: the folder, links and jobs round `copies.node`.
+"""Keys of which several dispatchers hold copies: the folder, links and jobs round `replication.node`.
 
 Imported only where the configuration names `repeats` with more than one copy. A claim is on the disks of a
 majority of its key's holders before its job is handed to the decisions, an outcome before its answer.
@@ -10,22 +10,24 @@
 import msgspec
 import orjson
 
-from mastledge.idempotency.key_table import KeyTable, RecordState, Verdict, request_fingerprint
+from mastledge.idempotency.key_table import KeyTable, Verdict, request_fingerprint
 from mastledge.program.configuration import COPIES
 from mastledge.program.idempotency_service import MARGIN, IdempotencyService, unix
 from mastledge.protocol import http
 from mastledge.protocol.control import Answer, No
 from mastledge.protocol.requests import COMPLETED, KILLED, REJECTED
-from mastledge.replication import coordinator as o
-from mastledge.replication import messages as m
-from mastledge.replication.node import Node
-from mastledge.replication.persisted_state import PersistedReplica, head
+from mastledge.replication import inputs, outputs
+from mastledge.replication.inputs import JobOutcome
+from mastledge.replication.messages import AnyMessage
+from mastledge.replication.node import Node, NodeOptions
+from mastledge.replication.persisted_state import PersistedReplica, head_records
 from mastledge.storage.write_ahead_log import WriteAheadLog
 from mastledge.storage.writer import Writer
 from mastledge.transport.loop import READ
 
 MARK = b"\xc1"  # begins a frame of this kind: MessagePack, in which agreement speaks, never uses it
 FRAME = 1 << 20  # bytes of messages that go out as one
+COUNTED = tuple(verdict for verdict in outputs.Verdict if verdict is not outputs.Verdict.REPLICATED)
 ANSWERS = [(b"content-type", b"application/octet-stream")]
 
 
@@ -33,7 +35,7 @@
     """All that one dispatcher says to another in one turn; `id` is that of the folder behind it."""
 
     id: str
-    messages: list[m.AnyMessage]
+    messages: list[AnyMessage]
 
 
 encode = msgspec.msgpack.Encoder().encode
@@ -49,6 +51,12 @@
         self.jobs, self.numbers, self.outbox, self.counts = {}, 0, {}, Counter()
         self.clients, self.going = {}, set()  # who waits for a job; jobs that the decisions have, or had
         self.longest, self.timer, self.flusher, self.lasts = 0, None, None, False
+        self.output_handlers = {
+            outputs.Send: self.do_send,
+            outputs.Persist: self.do_persist,
+            outputs.JobVerdict: self.do_verdict,
+            outputs.CaughtUp: self.do_caught_up,
+        }
 
     # The folder
 
@@ -56,10 +64,9 @@
         kept = PersistedReplica(unix)
         journal = self.journal(kept)
         now = self.loop.now()
-        if not kept.id:
-            kept.id = uuid.uuid4().hex[:16]
+        directory_id = kept.directory_id or uuid.uuid4().hex[:16]
         self.writer = Writer(journal)
-        self.begins(now, kept, kept.id, kept.starts + 1)
+        self.begins(now, kept, directory_id, kept.start_count + 1)
         vital, spawn = self.program.vital, self.loop.spawn
         self.timer = spawn(vital(self.timed()), first=True)
         self.flusher = spawn(vital(self.flushed()))
@@ -84,7 +91,7 @@
         self.key_table.restore(now, kept.entries, False)
         self.lasts, self.token = False, self.token + 1
         self.starting = self.token
-        self.writer.save(self.token, head(self.id, self.starts, self.fence))
+        self.writer.save(self.token, head_records(self.id, self.starts, self.fence))
 
     def join(self):
         """Says that it is there, as soon as there is a fleet that agrees."""
@@ -103,7 +110,7 @@
             kept = PersistedReplica(unix)
             self.begins(self.loop.now(), kept, uuid.uuid4().hex[:16], 1)
             self.token += 1
-            self.writer.rewrite(self.token, head(self.id, self.starts, 0))
+            self.writer.rewrite(self.token, head_records(self.id, self.starts, 0))
         elif "why" in result:
             self.proposed = ""
 
@@ -119,28 +126,26 @@
                 return
             # All that was promised before is over after that, by whatever clock.
             patience = self.told["keep"] + 3 * self.program.walltime + 2 * self.fleet.told["lease"]
-            self.node = Node(
-                self.name,
-                self.id,
-                uuid.uuid4().hex[:12],
-                self.key_table,
-                self.fence,
-                self.seed,
-                patience,
-                self.loop.now(),
-                self.told["sync"],
+            options = NodeOptions(
+                name=self.name,
+                directory_id=self.id,
+                incarnation=uuid.uuid4().hex[:12],
+                fence=self.fence,
+                seed=self.seed,
+                promise_us=patience,
+                synced=self.told["sync"],
+                token=self.token,
+                disk_failed=self.failing,
             )
-            self.node.token = self.node.safe = self.token
-            if self.failing:
-                self.node.broken = True
+            self.node = Node(options, self.key_table, self.loop.now())
             if copies["count"] != self.told["copies"]:
                 self.log("replica_count_differs", agreed=copies["count"], here=self.told["copies"])
         if (copies["epoch"], copies["caught"]) != (
             self.node.placement.epoch,
-            sorted(self.node.placement.caught),
+            sorted(self.node.placement.caught_up),
         ):
             self.log("replica_placement", epoch=copies["epoch"], moving=copies["next"] is not None)
-            self.input("placed", copies)
+            self.input(inputs.PlacementChanged(copies))
 
     def written(self):
         while True:
@@ -150,7 +155,7 @@
                     if not self.failing:
                         self.log("replication_disk_failed", why=str(error))
                         self.failing = True
-                        self.input("broken")
+                        self.input(inputs.DiskFailed())
                         self.tasks.append(self.loop.spawn(self.program.vital(self.mended())))
                     continue
                 if token == self.starting:
@@ -160,11 +165,11 @@
                 if task is not None:
                     self.loop.wake(task, True)
                 elif not self.failing:
-                    self.input("saved", token)
+                    self.input(inputs.Persisted(token))
 
     def everything(self):
         fence = self.node.fence if self.node is not None else self.fence
-        return head(self.id, self.starts, fence) + self.key_table.snapshot()
+        return head_records(self.id, self.starts, fence) + self.key_table.snapshot()
 
     def mended(self):
         """Writes all anew, once a second, until that goes well."""
@@ -172,16 +177,16 @@
         while self.failing:
             yield (-1, 0, self.loop.now() + self.MENDS)
             self.key_table.take_changes()
-            self.token = max(self.token, self.node.token if self.node else 0) + 1
+            self.token = max(self.token, self.node.outbox.last_token if self.node else 0) + 1
             if self.node is not None:
-                self.node.token = self.token
+                self.node.outbox.skip_to(self.token)
             self.waiting[self.token] = task
             self.writer.rewrite(self.token, self.everything())
             if (yield (-1, 0, self.loop.now() + self.MENDS)) is True:
                 self.failing = False
                 self.lasts = True
                 self.log("replication_disk_recovered")
-                self.input("mended")
+                self.input(inputs.DiskRecovered())
                 self.join()
 
     def end(self):
@@ -194,15 +199,15 @@
 
     # The node
 
-    def input(self, what, *fields):
+    def input(self, input_):
         node = self.node
         if node is None:
             return
         now, due = self.loop.now(), node.wake_at()
-        for output, *rest in node.step(now, what, *fields):
-            getattr(self, "do_" + output)(*rest)
+        for output in node.step(now, input_):
+            self.output_handlers[type(output)](output)
         wakes = node.wake_at()
-        if what != "time" and wakes is not None and (due is None or wakes < due):
+        if not isinstance(input_, inputs.Tick) and wakes is not None and (due is None or wakes < due):
             self.loop.wake(self.timer)
         self.longest = max(self.longest, self.loop.now() - now)
 
@@ -215,24 +220,25 @@
                 and (wakes := self.node.wake_at()) is not None
                 and wakes <= self.loop.now()
             ):
-                self.input("time")
+                self.input(inputs.Tick())
 
-    def do_send(self, to, message):
+    def do_send(self, send):
         if not self.outbox:
             self.loop.wake(self.flusher)
-        self.outbox.setdefault(to, []).append(message)
+        self.outbox.setdefault(send.recipient, []).append(send.message)
 
-    def do_save(self, token, records):
-        self.token = token
-        self.writer.save(token, records)
+    def do_persist(self, persist):
+        self.token = persist.token
+        self.writer.save(persist.token, persist.records)
 
-    def do_tell(self, n, what, status, content):
-        self.counts[what] += 1
-        task = self.jobs.get(n)
+    def do_verdict(self, told):
+        self.counts[told.verdict] += 1
+        task = self.jobs.get(told.job_id)
         if task is not None:
-            self.loop.wake(task, (what, status, content))
+            self.loop.wake(task, told)
 
-    def do_caught(self, epoch):
+    def do_caught_up(self, caught_up):
+        epoch = caught_up.epoch
         change = {"kind": "caught", "name": self.name, "id": self.id, "epoch": epoch}
         self.fleet.propose(f"caught.{self.name}.{self.id}.{epoch}", change)
 
@@ -265,7 +271,7 @@
         """A frame from another dispatcher; ValueError where it can't be read."""
         frame = decode(content)
         for message in frame.messages:
-            self.input("heard", name, frame.id, message)
+            self.input(inputs.MessageReceived(name, frame.id, message))
 
     # Jobs
 
@@ -296,7 +302,7 @@
             self.inbox.put("left", exchange)
         elif n in self.jobs:
             # Nothing of it is under way yet, and nobody waits for it any more.
-            self.input("left", n)
+            self.input(inputs.ClientLeft(n))
             loop.cancel(task)
         return None if got is None else (KILLED, [], b"")
 
@@ -316,30 +322,33 @@
         loop = self.loop
         left = exchange.until - loop.now()
         print_ = request_fingerprint(exchange.target, exchange.body)
-        self.input("offer", n, exchange.tenant, exchange.key, print_, left)
+        self.input(inputs.Offer(n, exchange.tenant, exchange.key, print_, left))
         got = yield (-1, 0, exchange.until + MARGIN)
-        if not isinstance(got, tuple):
-            self.input("left", n)
+        if not isinstance(got, outputs.JobVerdict):
+            self.input(inputs.ClientLeft(n))
             return KILLED, [], b""
-        what, status, content = got
-        if what == o.ANSWER:
-            return status, ANSWERS, content
-        if what == o.UNSURE:
+        if got.verdict is outputs.Verdict.ANSWERED:
+            return got.status, ANSWERS, got.content
+        if got.verdict is outputs.Verdict.UNSURE:
             return self.refusal(Verdict.MAY_HAVE_RUN)
-        if what == o.REFUSED:
-            return status, [], content
-        if what != o.GO:
+        if got.verdict is outputs.Verdict.REFUSED:
+            return got.status, [], got.content
+        if got.verdict is not outputs.Verdict.GRANTED:
             return self.refusal(Verdict.FULL)
         if loop.now() >= exchange.until or exchange.left():
-            self.input("ended", n, m.DROPPED)
+            self.input(inputs.JobEnded(n, JobOutcome.RELEASED))
             return REJECTED, [], b""
         self.going.add(n)
         reply = yield from self.decided(self.jobs[n], exchange, told)
         status, _, content = reply
-        how = {COMPLETED: RecordState.ANSWERED, REJECTED: m.DROPPED}.get(status, RecordState.UNSURE)
-        self.input("ended", n, how, status, content if how == RecordState.ANSWERED else b"")
+        outcome = {COMPLETED: JobOutcome.ANSWERED, REJECTED: JobOutcome.RELEASED}.get(
+            status, JobOutcome.UNSURE
+        )
+        answered = outcome is JobOutcome.ANSWERED
+        self.input(inputs.JobEnded(n, outcome, status, content if answered else b""))
         got = yield (-1, 0, max(exchange.until, loop.now()) + MARGIN)
-        if how == RecordState.ANSWERED and not (isinstance(got, tuple) and got[0] == o.LASTING):
+        lasts = isinstance(got, outputs.JobVerdict) and got.verdict is outputs.Verdict.REPLICATED
+        if answered and not lasts:
             # No majority has it, so another could be told otherwise: it may have run.
             return KILLED, [], b""
         return reply
@@ -362,20 +371,21 @@
         oldest = told.pop("oldest_until")
         placement = node.placement if node is not None else None
         told |= {
-            **(node.owner.figures() if node is not None else {"owed": 0, "under_copied": 0, "under_way": 0}),
-            **{
-                what: self.counts[what]
-                for what in (o.GO, o.ANSWER, o.UNSURE, o.REFUSED, o.FULL, o.NOBODY, o.SHORT)
-            },
-            "copies": placement.count if placement else self.told["copies"],
-            "copies_after": placement.after if placement else self.told["copies"],
+            **(
+                node.coordinator.statistics()
+                if node is not None
+                else {"owed": 0, "under_copied": 0, "under_way": 0}
+            ),
+            **{verdict.value: self.counts[verdict] for verdict in COUNTED},
+            "copies": placement.replica_count if placement else self.told["copies"],
+            "copies_after": placement.next_replica_count if placement else self.told["copies"],
             "takes_part": node is not None,
             "epoch": placement.epoch if placement else 0,
-            "holders": sorted(placement.now) if placement else [],
+            "holders": sorted(placement.current) if placement else [],
             "moving_to": sorted(placement.next) if placement and placement.next else [],
-            "caught_up": sorted(placement.caught) if placement else [],
-            "taken": node.restore.taken if node else 0,
-            "given": node.restore.given if node else 0,
+            "caught_up": sorted(placement.caught_up) if placement else [],
+            "taken": node.catch_up.records_taken if node else 0,
+            "given": node.scan_server.records_given if node else 0,
             "disk": "failing" if self.failing else "good",
             "longest_write_us": self.writer.longest,
             "longest_step_us": self.longest,
--- a/mastledge/replication/catch_up.py
+++ b/mastledge/replication/catch_up.py
@@ -1,127 +1,187 @@
-"""Copies for who becomes a holder: takes from the old holders what is to be its own, and says when it has it.
+"""Catch-up: a new replica reads the records that are to be its own from the current ones.
 
-Who is asked lets nothing of an earlier placement in any more (`fence`), before it tells what it has. So what
-a majority of the old holders took by then is told, and what comes later needs a majority of the new ones as
-well. Where too many of the old holders are lost for that, nothing that they promised is sure to be found:
-then it is waited until all promises of then are over.
+Who is read refuses requests of earlier epochs from then on (the fence), before it tells what it has. So what
+a majority of the current replicas took by then is read, and what comes later needs a majority of the next
+replicas too. Where too many of the current replicas are lost, nothing that they promised is sure to be
+found: then the new one waits until all promises of that time are over.
 """
 
-from mastledge.idempotency.key_table import KeyTableFullError
-from mastledge.replication import messages as m
+from __future__ import annotations
 
-BATCH, BYTES = 128, 1 << 18  # records of one message, and bytes of their answers
-LOOKED = 128  # records looked at for one: each costs two rankings, and a turn of the loop has to stay short
-AGAIN = 200_000
+from collections.abc import Callable
+from typing import TYPE_CHECKING
 
+from mastledge.idempotency.key_table import KeyTableFullError
+from mastledge.replication.messages import Record, ScanRequest, ScanResponse
+from mastledge.replication.outbox import Outbox
+from mastledge.replication.placement import Placement
+from mastledge.replication.replica import Replica
 
-class Source:
-    """What one new holder is told, and how far it has got. What comes later is told to it as claims."""
+if TYPE_CHECKING:
+    from mastledge.replication.node import NodeOptions
 
-    def __init__(self, epoch, places):
-        self.epoch, self.places, self.place, self.at, self.batch = epoch, places, 0, 0, None
-        self.keeps = False
+BATCH_RECORDS, BATCH_BYTES = 128, 1 << 18  # of one response; bytes are those of the answers in it
+# Keys looked at for one response: each costs two rankings, and a turn of the event loop has to stay short.
+BATCH_KEYS = 128
+RETRY_US = 200_000
+NO_EPOCH = -1
 
 
 class CatchUp:
-    def __init__(self, node, patience):
-        self.node, self.patience = node, patience
-        self.sources, self.epoch, self.heard, self.whole, self.said = {}, -1, {}, set(), False
-        self.again_at = self.until = 0
-        self.caught, self.taken, self.given = None, 0, 0
-
-    # From others
-
-    def configured(self, now, placement):
-        """Begins anew with each placement that this one is to be a holder of."""
-        self.sources = {name: one for name, one in self.sources.items() if one.epoch == placement.epoch}
-        wanted = placement.next is not None and placement.next.get(self.node.name) == self.node.id
-        if not wanted or self.node.name in placement.caught:
-            self.epoch, self.caught = -1, None
-        elif self.epoch != placement.epoch:
-            self.epoch, self.heard, self.whole, self.said = placement.epoch, {}, set(), False
-            self.until, self.again_at = now + self.patience, now
-            if self.keeps(self.node.name, self.node.id) and placement.now.keys() == placement.next.keys():
-                # Others' folders are new. What it holds is what it held, and it needs none of it again.
-                self.whole.update(placement.now)
+    """Reads the records of a new replica. Times are microseconds."""
+
+    def __init__(self, options: NodeOptions, replica: Replica, outbox: Outbox):
+        """The replica takes up what is read; `options` say who it is and how long promises last."""
+        self._name, self._directory_id = options.name, options.directory_id
+        self._promise_us, self._replica, self._outbox = options.promise_us, replica, outbox
+        self._placement = Placement()
+        self._epoch = NO_EPOCH  # for which records are read
+        self._positions: dict[str, int] = {}  # up to which each current replica was read
+        self._read_whole: set[str] = set()
+        self._is_done = False
+        self._retry_at = self._promises_over_at = 0
+        self.records_taken = 0
+
+    def on_placement(self, now: int, placement: Placement) -> None:
+        """Begins anew with each placement by which this dispatcher is to be a replica."""
+        self._placement = placement
+        is_wanted = placement.next is not None and placement.next.get(self._name) == self._directory_id
+        if not is_wanted or self._name in placement.caught_up:
+            self._epoch = NO_EPOCH
+        elif self._epoch != placement.epoch:
+            self._begin(now)
         self.run(now)
 
-    def keeps(self, name, id_):
-        """Whether what this one holds of its keys counts on.
-
-        Of each key a majority of the new holders has what a majority of the old ones had, if each new one
-        gets it and there are as many: who stays need not get what it had missed.
-        """
-        placement = self.node.placement
-        now, after, count = placement.now, placement.next, placement.count
-        if placement.after != count:
-            # Fewer holders have no majority of a key by what they had, more have one of another size.
-            return False
-        return now.get(name) == id_ and len(now) >= count and len(after) >= count
-
-    def wake_at(self):
-        return min(self.again_at, self.until) if self.epoch >= 0 and not self.said else None
-
-    def run(self, now):
-        if self.epoch < 0 or self.said:
+    def _begin(self, now: int) -> None:
+        placement = self._placement
+        self._epoch, self._positions, self._read_whole = placement.epoch, {}, set()
+        self._is_done = False
+        self._promises_over_at, self._retry_at = now + self._promise_us, now
+        if (
+            placement.keeps_records(self._name, self._directory_id)
+            and placement.current.keys() == placement.next.keys()
+        ):
+            # Others' data directories are new. This one has what it had, and needs none of it again.
+            self._read_whole.update(placement.current)
+
+    def on_disk_recovered(self) -> None:
+        """What waited for the disk is lost: it is done once that was committed."""
+        self._is_done = self._is_done and self._name in self._placement.caught_up
+
+    def wake_at(self) -> int | None:
+        """When `run` has something to do; None for never."""
+        if self._epoch == NO_EPOCH or self._is_done:
+            return None
+        return min(self._retry_at, self._promises_over_at)
+
+    def run(self, now: int) -> None:
+        """Ends the catch-up once enough is read, or asks again who has not answered."""
+        if self._epoch == NO_EPOCH or self._is_done:
             return
-        placement = self.node.placement
-        old = {name for name, id_ in placement.now.items() if (name, id_) != (self.node.name, self.node.id)}
-        missing = old - self.whole
-        if len(missing) <= placement.spare() or now >= self.until:
-            self.said = True
-            self.node.caught_up(self.epoch)
-        elif now >= self.again_at:
-            self.again_at = now + AGAIN
+        missing = self._unread()
+        if len(missing) <= self._placement.spare_replicas() or now >= self._promises_over_at:
+            self._is_done = True
+            self._outbox.caught_up(self._epoch)
+        elif now >= self._retry_at:
+            self._retry_at = now + RETRY_US
             for name in sorted(missing):
-                self.node.say(name, m.ScanRequest(self.epoch, self.heard.get(name, 0)))
+                self._ask(name)
 
-    def on_ScanResponse(self, now, sender, id_, batch):
-        placement = self.node.placement
-        if batch.epoch != self.epoch or placement.now.get(sender) != id_ or sender in self.whole:
-            return
-        if batch.place != self.heard.get(sender, 0):
+    def _unread(self) -> set[str]:
+        this_one = self._name, self._directory_id
+        current = {name for name, id_ in self._placement.current.items() if (name, id_) != this_one}
+        return current - self._read_whole
+
+    def _ask(self, name: str) -> None:
+        self._outbox.send(name, ScanRequest(self._epoch, self._positions.get(name, 0)))
+
+    def on_response(self, now: int, sender: str, directory_id: str, response: ScanResponse) -> None:
+        """Takes up records; what was not asked for is ignored."""
+        if not self._is_expected(sender, directory_id, response):
             return
         try:
-            for record in batch.records:
-                self.node.holder.merge(now, record)
+            for record in response.records:
+                self._replica.merge(now, record)
         except KeyTableFullError:
-            # No room for what others hold: it is no holder until there is some.
-            return
-        self.taken += len(batch.records)
-        self.heard[sender] = batch.to
-        if batch.last:
-            self.whole.add(sender)
+            return  # it does not become a replica until there is room
+        self.records_taken += len(response.records)
+        self._positions[sender] = response.next_position
+        if response.last:
+            self._read_whole.add(sender)
             self.run(now)
         else:
-            self.node.say(sender, m.ScanRequest(self.epoch, self.heard[sender]))
+            self._ask(sender)
 
-    # To others
+    def _is_expected(self, sender: str, directory_id: str, response: ScanResponse) -> bool:
+        return (
+            response.epoch == self._epoch
+            and self._placement.current.get(sender) == directory_id
+            and sender not in self._read_whole
+            and response.position == self._positions.get(sender, 0)
+        )
 
-    def on_ScanRequest(self, now, sender, id_, scan):
-        node, placement = self.node, self.node.placement
-        if scan.epoch != placement.epoch or placement.next is None or placement.next.get(sender) != id_:
+
+class _Scan:
+    """How far one new replica has read. Keys that come later reach it as claims."""
+
+    __slots__ = ("epoch", "scoped_keys", "skips_kept", "position", "next_index", "response")
+
+    def __init__(self, epoch: int, scoped_keys: list[tuple[str, bytes]], skips_kept: bool):
+        self.epoch, self.scoped_keys, self.skips_kept = epoch, scoped_keys, skips_kept
+        self.position, self.next_index = 0, 0
+        self.response: ScanResponse | None = None  # the last one, for a repeated request
+
+
+class ScanServer:
+    """Gives new replicas their records."""
+
+    def __init__(self, replica: Replica, outbox: Outbox, raise_fence: Callable[[int], None]):
+        """`raise_fence(epoch)` refuses requests of earlier epochs from then on."""
+        self._replica, self._outbox, self._raise_fence = replica, outbox, raise_fence
+        self._placement = Placement()
+        self._scans: dict[str, _Scan] = {}
+        self.records_given = 0
+
+    def on_placement(self, placement: Placement) -> None:
+        """Forgets scans of earlier epochs."""
+        self._placement = placement
+        self._scans = {name: scan for name, scan in self._scans.items() if scan.epoch == placement.epoch}
+
+    def on_request(self, now: int, sender: str, directory_id: str, request: ScanRequest) -> None:
+        """Sends the next records, or the last ones again; a request of another epoch is ignored."""
+        placement = self._placement
+        if request.epoch != placement.epoch or placement.next is None:
             return
-        source = self.sources.get(sender)
-        if source is None or scan.place < source.place:
-            node.raise_fence(scan.epoch)
-            source = self.sources[sender] = Source(scan.epoch, list(node.holder.book.records))
-            source.keeps = self.keeps(sender, id_)
-        if source.batch is None or scan.place > source.place:
-            source.place = scan.place
-            source.batch = self.batch(now, sender, source)
-        if source.batch.place == scan.place:
-            node.say(sender, source.batch, safe=True)
-
-    def batch(self, now, sender, source):
-        node, records, looked, size = self.node, [], 0, 0
-        while source.at < len(source.places) and len(records) < BATCH and looked < LOOKED and size < BYTES:
-            place = source.places[source.at]
-            source.at, looked = source.at + 1, looked + 1
-            record = node.holder.book.records.get(place)
-            if record is None or source.keeps and node.placement.held(sender, *place):
-                continue
-            if node.placement.holds(sender, *place):
-                records.append(node.holder.copy(now, record))
-                size += len(record.content)
-        self.given += len(records)
-        return m.ScanResponse(source.epoch, source.place, source.at, records, source.at >= len(source.places))
+        if placement.next.get(sender) != directory_id:
+            return
+        scan = self._scans.get(sender)
+        if scan is None or request.position < scan.position:
+            self._raise_fence(request.epoch)
+            skips_kept = placement.keeps_records(sender, directory_id)
+            scan = _Scan(request.epoch, list(self._replica.table.records), skips_kept)
+            self._scans[sender] = scan
+        if scan.response is None or request.position > scan.position:
+            scan.position = request.position
+            scan.response = self._next_response(now, sender, scan)
+        if scan.response.position == request.position:
+            self._outbox.send_once_persisted(sender, scan.response)
+
+    def _next_response(self, now: int, sender: str, scan: _Scan) -> ScanResponse:
+        records: list[Record] = []
+        size_bytes = 0
+        end = min(scan.next_index + BATCH_KEYS, len(scan.scoped_keys))
+        while scan.next_index < end and len(records) < BATCH_RECORDS and size_bytes < BATCH_BYTES:
+            scoped_key = scan.scoped_keys[scan.next_index]
+            scan.next_index += 1
+            record = self._replica.table.records.get(scoped_key)
+            if record is not None and self._is_to_have(sender, scan, scoped_key):
+                records.append(self._replica.copy_of(now, record))
+                size_bytes += len(record.content)
+        self.records_given += len(records)
+        is_last = scan.next_index >= len(scan.scoped_keys)
+        return ScanResponse(scan.epoch, scan.position, scan.next_index, records, is_last)
+
+    def _is_to_have(self, sender: str, scan: _Scan, scoped_key: tuple[str, bytes]) -> bool:
+        if scan.skips_kept and self._placement.is_current_replica(sender, *scoped_key):
+            return False
+        return self._placement.is_next_replica(sender, *scoped_key)
--- /dev/null
+++ b/mastledge/replication/listeners.py
@@ -0,0 +1,88 @@
+"""Tells who waits for the outcome of this dispatcher's claims, here and elsewhere."""
+
+from collections.abc import Callable
+
+import msgspec
+
+from mastledge.replication.jobs import (
+    OUTCOME_IS_OPEN,
+    KeyedJob,
+    RemoteListener,
+)
+from mastledge.replication.messages import (
+    ClaimStatus,
+    OwnerQuery,
+    OwnerResponse,
+    parse_claim_name,
+)
+from mastledge.replication.services import CoordinatorServices
+
+
+class ClaimOutcome(msgspec.Struct, frozen=True, gc=False):
+    """What became of a claim; an HTTP status and a body where it is answered."""
+
+    claim_status: ClaimStatus
+    status: int = 0
+    content: bytes = b""
+
+
+RELEASED = ClaimOutcome(ClaimStatus.RELEASED)
+UNSURE = ClaimOutcome(ClaimStatus.UNSURE)
+UNKNOWN = ClaimOutcome(ClaimStatus.UNKNOWN)
+READ_REPLICAS = ClaimOutcome(ClaimStatus.READ_REPLICAS)
+
+
+def outcome_of(job: KeyedJob) -> ClaimOutcome:
+    """The outcome of a claim whose job has ended."""
+    if not job.answered:
+        return UNSURE
+    if job.content is None:
+        return READ_REPLICAS
+    return ClaimOutcome(ClaimStatus.ANSWERED, job.status, job.content)
+
+
+class ClaimListeners:
+    """Answers questions for claims: at once, or when the claim has an outcome."""
+
+    def __init__(self, services: CoordinatorServices, resolve: Callable[[int, KeyedJob, ClaimOutcome], None]):
+        """`resolve(now, job, outcome)` answers a job of this dispatcher."""
+        self._names, self._jobs, self._send = services.names, services.jobs, services.send
+        self._resolve = resolve
+
+    def on_query(self, now: int, sender: str, query: OwnerQuery) -> None:
+        """Another dispatcher asks; a question for what is no claim is ignored."""
+        try:
+            owner, incarnation = parse_claim_name(query.claim_name)
+        except ValueError:
+            return
+        listener = RemoteListener(sender, query.call_id, query.claim_name)
+        job = self._jobs.with_claim(query.claim_name)
+        if job is None:
+            # Of this incarnation all claims are known that were not released, of a former one none.
+            is_own = owner == self._names.owner and incarnation == self._names.incarnation
+            self._respond(listener, RELEASED if is_own else UNKNOWN)
+        elif job.phase not in OUTCOME_IS_OPEN:
+            self._respond(listener, outcome_of(job))
+        elif listener not in job.listeners:
+            job.listeners.append(listener)
+
+    def notify(self, now: int, job: KeyedJob, outcome: ClaimOutcome) -> None:
+        """Tells all who wait for the claim of this job."""
+        listeners, job.listeners = job.listeners, []
+        for listener in listeners:
+            if isinstance(listener, RemoteListener):
+                self._respond(listener, outcome)
+            else:
+                self._resolve(now, listener, outcome)
+
+    def _respond(self, listener: RemoteListener, outcome: ClaimOutcome) -> None:
+        self._send(
+            listener.dispatcher,
+            OwnerResponse(
+                listener.call_id,
+                listener.claim_name,
+                outcome.claim_status,
+                outcome.status,
+                outcome.content,
+            ),
+        )
--- a/mastledge/replication/messages.py
+++ b/mastledge/replication/messages.py
@@ -1,26 +1,47 @@
-"""What dispatchers tell one another about keys. Times are spans in microseconds: no two clocks are compared.
+"""Messages about keys between dispatchers.
 
-Fields are only ever added at the end, with a value that stands in. `op` is the sender's own number of what it
-asks, and comes back with the answer.
+Times are spans in microseconds, as no two clocks are compared. Fields are only ever added at the end, with a
+default. `call_id` is the sender's own number of its request and comes back with the response.
 """
 
+from enum import StrEnum
+
 import msgspec
 
-# What a holder says of a key.
-GRANTED, HELD, ANSWERED, MAYBE, OTHER, FULL, DISK, STALE, DONE, NONE = (
-    "granted",
-    "held",
-    "answered",
-    "maybe",
-    "other",
-    "full",
-    "disk",
-    "stale",
-    "done",
-    "none",
-)
-# What the owner of a claim says of it.
-DROPPED, UNKNOWN, LOOK = "dropped", "unknown", "look"
+
+class ReplicaResult(StrEnum):
+    """What a replica answers about a key. The values go over the wire."""
+
+    GRANTED = "granted"  # the key is the claim's
+    CLAIMED = "held"  # it is another claim's, which is under way
+    ANSWERED = "answered"
+    UNSURE = "maybe"  # its job may have run
+    OTHER_REQUEST = "other"  # the key came with another body
+    FULL = "full"
+    DISK_FAILED = "disk"
+    STALE_EPOCH = "stale"  # the request is of a placement below the fence
+    DONE = "done"
+    UNKNOWN_KEY = "none"
+    UNRECOGNIZED = ""  # of a later version; it counts as no acknowledgement
+
+    @classmethod
+    def _missing_(cls, value):
+        return cls.UNRECOGNIZED
+
+
+class ClaimStatus(StrEnum):
+    """What the owner of a claim answers about it. The values go over the wire."""
+
+    ANSWERED = "answered"
+    UNSURE = "maybe"  # its job may have run
+    RELEASED = "dropped"  # nothing ran, or a retry is harmless
+    UNKNOWN = "unknown"  # it was made in an earlier incarnation of its owner
+    READ_REPLICAS = "look"  # it has an answer, which only the replicas still have
+    UNRECOGNIZED = ""  # of a later version; it is ignored
+
+    @classmethod
+    def _missing_(cls, value):
+        return cls.UNRECOGNIZED
 
 
 class Message(msgspec.Struct, array_like=True):
@@ -28,101 +49,109 @@
 
 
 class ClaimKey(Message, tag="Claim"):
-    """May `claim` be the only one of its key? `left`: of its walltime; `over`: claims that were dropped."""
+    """Asks a replica to grant the key to `claim_name`.
 
-    op: int
+    `remaining_us` is what is left of the job's walltime; `released_claims` are former ones of the key that
+    were given back.
+    """
+
+    call_id: int
     epoch: int
     tenant: str
     key: bytes
-    print: bytes
-    claim: str
-    left: int
-    over: list[str] = []
+    fingerprint: bytes
+    claim_name: str
+    remaining_us: int
+    released_claims: list[str] = []
 
 
 class CompleteKey(Message, tag="End"):
-    """What the claim came to: answered, or it may have run; told for `left` more."""
+    """The claim's outcome: `answered`, or its job may have run; it is kept for `remaining_us`."""
 
-    op: int
+    call_id: int
     epoch: int
     tenant: str
     key: bytes
-    print: bytes
-    claim: str
-    known: bool
+    fingerprint: bytes
+    claim_name: str
+    answered: bool
     status: int
     content: bytes
-    left: int
+    remaining_us: int
 
 
 class ReleaseClaim(Message, tag="Drop"):
-    """The claim is given back: nothing ran, or trying again is harmless."""
+    """The claim is given back: nothing ran, or a retry is harmless."""
 
-    op: int
+    call_id: int
     tenant: str
     key: bytes
-    claim: str
+    claim_name: str
 
 
 class ReadKey(Message, tag="Look"):
-    """What is known of this key? It changes nothing."""
+    """Asks what a replica knows of a key; changes nothing."""
 
-    op: int
+    call_id: int
     tenant: str
     key: bytes
 
 
 class ReplicaResponse(Message, tag="Had"):
-    """A holder's answer; `claim`, `left` and what follows are of the record that it has."""
+    """A replica's answer; `claim_name` and what follows are of the record that it has."""
 
-    op: int
-    what: str
-    claim: str = ""
-    left: int = 0
+    call_id: int
+    result: ReplicaResult
+    claim_name: str = ""
+    remaining_us: int = 0
     status: int = 0
     content: bytes = b""
-    print: bytes = b""
+    fingerprint: bytes = b""
 
 
 class OwnerQuery(Message, tag="Ask"):
-    """To the dispatcher that made a claim: what has become of it?"""
+    """Asks the owner of a claim what has become of it."""
 
-    op: int
-    claim: str
+    call_id: int
+    claim_name: str
 
 
 class OwnerResponse(Message, tag="Told"):
-    op: int
-    claim: str
-    what: str
+    """The owner's answer; `status` and `content` are set where the claim is answered."""
+
+    call_id: int
+    claim_name: str
+    claim_status: ClaimStatus
     status: int = 0
     content: bytes = b""
 
 
 class ScanRequest(Message, tag="Scan"):
-    """From who becomes a holder: the next of the records that are to be its own, from this place on."""
+    """From a new replica: asks for the next of the records that are to be its own, from `position` on."""
 
     epoch: int
-    place: int
+    position: int
 
 
 class Record(msgspec.Struct, array_like=True):
+    """A copy of one key's record. `state` is a `RecordState`; one of a later version counts as unsure."""
+
     tenant: str
     key: bytes
-    print: bytes
-    claim: str
+    fingerprint: bytes
+    claim_name: str
     state: str
-    left: int
+    remaining_us: int
     status: int = 0
     content: bytes = b""
 
 
 class ScanResponse(Message, tag="Batch"):
-    """What there is from `place` up to `to`, which may be nothing."""
+    """The records, which may be none, from `position` up to `next_position`."""
 
     epoch: int
-    place: int
-    to: int
+    position: int
+    next_position: int
     records: list[Record]
     last: bool
 
@@ -144,12 +173,12 @@
 decode_all = msgspec.msgpack.Decoder(list[AnyMessage]).decode
 
 
-def named(owner, run, n):
-    """The name of a claim: which one of which run of which dispatcher."""
-    return f"{n}.{run}.{owner}"
+def format_claim_name(owner: str, incarnation: str, number: int) -> str:
+    """The name of a claim: which one of which incarnation of which dispatcher."""
+    return f"{number}.{incarnation}.{owner}"
 
 
-def parts(claim):
-    """(owner, run) of a claim; ValueError for what is none."""
-    _, run, owner = claim.split(".", 2)
-    return owner, run
+def parse_claim_name(claim_name: str) -> tuple[str, str]:
+    """(owner, incarnation) of a claim; ValueError where it is no name of one."""
+    _, incarnation, owner = claim_name.split(".", 2)
+    return owner, incarnation
--- a/mastledge/replication/node.py
+++ b/mastledge/replication/node.py
@@ -1,198 +1,247 @@
-"""One dispatcher's part in the copies of keys: a pure step, as `consensus.member` is one.
+"""One dispatcher's part in the replication of keys, without I/O: `step` takes an input and gives outputs.
 
-`step(now, what, ...)` takes one input and gives a list of what follows from it; `wake_at()` when it must be
-called again with "time" at the latest.
-
-Inputs: ("time",); ("offer", n, tenant, key, fingerprint, left) for a job with a key; ("ended", n, how,
-status, content) of one that was told to go; ("left", n): nobody waits for it; ("heard", sender, id, message);
-("saved", token), ("broken",) and ("mended",) from the disk; ("placed", state): what the fleet has agreed.
-Outputs: ("send", to, message); ("save", token, records); ("tell", n, what, status, content), what of `owner`;
-("caught", epoch): to be agreed.
+It is the owner of the claims of its jobs (`coordinator`), a replica of some keys (`replica`), and reads the
+records that are to be its own while replicas change (`catch_up`).
 """
 
-from mastledge.replication import messages as m
-from mastledge.replication.catch_up import CatchUp
+from dataclasses import dataclass
+
+from mastledge.idempotency.key_table import KeyTable
+from mastledge.replication.catch_up import CatchUp, ScanServer
 from mastledge.replication.coordinator import Coordinator
+from mastledge.replication.inputs import (
+    ClientLeft,
+    DiskFailed,
+    DiskRecovered,
+    Input,
+    JobEnded,
+    MessageReceived,
+    Offer,
+    Persisted,
+    PlacementChanged,
+    Tick,
+)
+from mastledge.replication.messages import (
+    AnyMessage,
+    ClaimKey,
+    CompleteKey,
+    OwnerQuery,
+    OwnerResponse,
+    ReadKey,
+    ReleaseClaim,
+    ReplicaResponse,
+    ReplicaResult,
+    ScanRequest,
+    ScanResponse,
+    parse_claim_name,
+)
+from mastledge.replication.outbox import Outbox
+from mastledge.replication.outputs import CaughtUp, Output
 from mastledge.replication.placement import Placement
 from mastledge.replication.replica import Replica
 
 
-class Node:
-    """`id`: of its folder, which a new one has anew; `run`: of this process. `fence`: as on the disk.
+@dataclass(frozen=True, slots=True)
+class NodeOptions:
+    """What a node is started with.
 
-    `patience`: after which all that was promised before is over (microseconds).
+    `directory_id` is of its data directory, `incarnation` of this process. Requests of epochs below `fence`
+    are refused, as the disk has it. After `promise_us` (microseconds) all that was promised before is over.
+    `token` is the last one that was handed to the disk.
     """
 
-    def __init__(self, name, id_, run, book, fence, seed, patience, now, synced=True):
-        self.name, self.id, self.fence, self.synced = name, id_, fence, synced
-        self.holder, self.owner = Replica(book, now), Coordinator(self, name, run, book.retention_us, seed)
-        self.restore = CatchUp(self, patience)
-        self.placement, self.ids = Placement(), {name: id_}
-        self.out, self.records, self.held, self.token, self.safe = [], [], [], 0, 0
-        self.broken, self.now, self.inner = False, now, []
-
-    def step(self, now, what, *fields):
-        self.now = now
-        getattr(self, "on_" + what)(now, *fields)
-        if self.holder.ends and self.holder.ends[0][0] <= now:
-            self.holder.expire(now)
-        if self.owner.due and self.owner.due[0][0] <= now:
-            self.owner.run_due(now)
-        if self.restore.epoch >= 0:
-            self.restore.run(now)
-        while True:
-            while self.inner:
-                self.hear(now, self.name, self.id, self.inner.pop(0))
-            records = self.records + self.holder.book.take_changes()
-            self.records = []
-            if records and not self.broken:
-                self.token += 1
-                self.out.append(("save", self.token, records))
-            if self.held:
-                self.release()
-            if not self.inner:
-                break
-        out, self.out = self.out, []
-        return out
-
-    def wake_at(self):
-        ends, due = self.holder.ends, self.owner.due
-        at = ends[0][0] if ends else None
-        if due and (at is None or due[0][0] < at):
-            at = due[0][0]
-        if self.restore.epoch >= 0:
-            then = self.restore.wake_at()
-            at = then if at is None or then is not None and then < at else at
-        return at
-
-    # What goes out
-
-    def say(self, to, message, safe=False):
-        """`safe`: it says that something lasts, and goes out once that is on the disk."""
-        if safe and self.synced:
-            self.held.append((None, to, message))
-        elif to == self.name:
-            self.inner.append(message)
-        else:
-            self.out.append(("send", to, message))
-
-    def release(self):
-        """What was held back for the disk: for the records of this step, or of one before."""
-        held, self.held = self.held, []
-        for token, to, message in held:
-            token = self.token if token is None else token
-            if self.broken:
-                continue
-            if token > self.safe:
-                self.held.append((token, to, message))
-            elif to == self.name:
-                self.inner.append(message)
-            else:
-                self.out.append(("send", to, message))
-
-    def tell(self, n, what, status=0, content=b""):
-        self.out.append(("tell", n, what, status, content))
-
-    def raise_fence(self, epoch):
-        if epoch > self.fence:
-            self.fence = epoch
-            self.records.append(("fence", epoch))
-
-    def caught_up(self, epoch):
-        """All that it was to have is on its disk once this step's records are."""
-        self.held.append((None, self.name, ("caught", epoch)))
+    name: str
+    directory_id: str
+    incarnation: str
+    fence: int
+    seed: int
+    promise_us: int
+    synced: bool = True
+    token: int = 0
+    disk_failed: bool = False
 
-    # What comes in
 
-    def on_time(self, now):
-        pass
+class Node:
+    """Takes inputs one by one. Call `step` with a `Tick` at `wake_at()` at the latest."""
+
+    def __init__(self, options: NodeOptions, table: KeyTable, now: int):
+        """`table` is restored from the disk and from here on changed by this node alone."""
+        self.name, self.directory_id, self.fence = options.name, options.directory_id, options.fence
+        self.placement = Placement()
+        self.directory_ids = {self.name: self.directory_id}  # by dispatcher, as last heard
+        self._fence_records: list[tuple] = []
+        self.outbox = Outbox(self.name, options.synced, options.token, options.disk_failed)
+        self.send, self.report = self.outbox.send, self.outbox.report
+        self.replica = Replica(table, now)
+        self.coordinator = Coordinator(self, self.name, options.incarnation, table.retention_us, options.seed)
+        self.catch_up = CatchUp(options, self.replica, self.outbox)
+        self.scan_server = ScanServer(self.replica, self.outbox, self.raise_fence)
+        self._input_handlers = {
+            Tick: self.on_tick,
+            Offer: self.coordinator.offer,
+            JobEnded: self.coordinator.job_ended,
+            ClientLeft: self.coordinator.client_left,
+            MessageReceived: self.on_message_received,
+            Persisted: self.on_persisted,
+            DiskFailed: self.on_disk_failed,
+            DiskRecovered: self.on_disk_recovered,
+            PlacementChanged: self.on_placement_changed,
+        }
+        self._message_handlers = {
+            ClaimKey: self.on_claim_key,
+            CompleteKey: self.on_complete_key,
+            ReleaseClaim: self.on_release_claim,
+            ReadKey: self.on_read_key,
+            ReplicaResponse: self.on_replica_response,
+            OwnerQuery: self.on_owner_query,
+            OwnerResponse: self.on_owner_response,
+            ScanRequest: self.on_scan_request,
+            ScanResponse: self.on_scan_response,
+            CaughtUp: self.on_caught_up,
+        }
+
+    def step(self, now: int, input_: Input) -> list[Output]:
+        """What follows from an input; ValueError, and no change, where a message makes no sense."""
+        self._input_handlers[type(input_)](now, input_)
+        self.replica.expire(now)
+        self.coordinator.timers.run_due(now)
+        self.catch_up.run(now)
+        has_local = True
+        while has_local:
+            while (message := self.outbox.take_local()) is not None:
+                self._handle(now, self.name, self.directory_id, message)
+            has_local = self.outbox.end_round(self._take_records())
+        return self.outbox.take_outputs()
+
+    def wake_at(self) -> int | None:
+        """When the next step is due without an input, in microseconds; None for never."""
+        wake_at = self.replica.next_expiry_at()
+        for other in (self.coordinator.timers.next_at(), self.catch_up.wake_at()):
+            if other is not None and (wake_at is None or other < wake_at):
+                wake_at = other
+        return wake_at
+
+    def raise_fence(self, epoch: int) -> None:
+        """Refuses requests of earlier epochs from here on."""
+        if epoch > self.fence:
+            self.fence = epoch
+            self._fence_records.append(("fence", epoch))
 
-    def on_saved(self, now, token):
-        self.safe = max(self.safe, token)
+    def _take_records(self) -> list[tuple]:
+        records, self._fence_records = self._fence_records, []
+        return records + self.replica.table.take_changes()
 
-    def on_broken(self, now):
-        """Nothing that depends on the disk is said until all of it has been written anew."""
-        self.broken, self.held = True, []
+    # Inputs
 
-    def on_mended(self, now):
-        self.broken, self.safe = False, self.token
-        self.holder.book.take_changes()
-        # What it was asked meanwhile is asked again, and so is what it had not said yet.
-        self.restore.said = self.restore.said and self.name in self.placement.caught
+    def on_tick(self, now: int, tick: Tick) -> None:
+        """What is due is done by each step."""
 
-    def on_offer(self, now, n, *fields):
-        self.owner.offer(now, n, *fields)
+    def on_persisted(self, now: int, persisted: Persisted) -> None:
+        """Sends what has waited for these records."""
+        self.outbox.persisted(persisted.token)
 
-    def on_ended(self, now, n, *fields):
-        self.owner.ended(now, n, *fields)
+    def on_disk_failed(self, now: int, failed: DiskFailed) -> None:
+        """Requests that need the disk are refused."""
+        self.outbox.fail_disk()
 
-    def on_left(self, now, n):
-        self.owner.gone_client(now, n)
+    def on_disk_recovered(self, now: int, recovered: DiskRecovered) -> None:
+        """Who was refused asks again; what was not sent yet of a catch-up is sent again."""
+        self.outbox.recover_disk()
+        self.replica.table.take_changes()
+        self.catch_up.on_disk_recovered()
 
-    def on_placed(self, now, state):
-        placement = Placement(state)
+    def on_placement_changed(self, now: int, changed: PlacementChanged) -> None:
+        """Takes up a placement; one that is older than what is known is ignored."""
+        placement = Placement(changed.state)
         if placement.epoch < self.placement.epoch:
             return
         self.placement = placement
-        self.restore.configured(now, placement)
-        self.owner.configured(now, placement)
-
-    def on_heard(self, now, sender, id_, message):
-        """ValueError where it makes no sense, and then nothing of it counts."""
-        for told in message.records if isinstance(message, m.ScanResponse) else (message,):
-            if (
-                isinstance(told, m.ClaimKey | m.CompleteKey | m.OwnerQuery)
-                or isinstance(told, m.Record)
-                and told.claim
-            ):
-                m.parts(told.claim)
-        self.ids[sender] = id_
-        self.hear(now, sender, id_, message)
-
-    def hear(self, now, sender, id_, message):
-        if isinstance(message, tuple):
-            self.out.append(message)
+        self.scan_server.on_placement(placement)
+        self.catch_up.on_placement(now, placement)
+        self.coordinator.on_placement(now, placement)
+
+    def on_message_received(self, now: int, received: MessageReceived) -> None:
+        """ValueError where the message makes no sense."""
+        _check_claim_names(received.message)
+        self.directory_ids[received.sender] = received.directory_id
+        self._handle(now, received.sender, received.directory_id, received.message)
+
+    # Messages
+
+    def _handle(self, now: int, sender: str, directory_id: str, message: AnyMessage | CaughtUp) -> None:
+        self._message_handlers[type(message)](now, sender, directory_id, message)
+
+    def _refusal(self, epoch: int) -> ReplicaResult | None:
+        """Why a request can't be granted, whatever the key."""
+        if epoch < self.fence:
+            return ReplicaResult.STALE_EPOCH
+        return ReplicaResult.DISK_FAILED if self.outbox.disk_failed else None
+
+    def on_claim_key(self, now: int, sender: str, directory_id: str, request: ClaimKey) -> None:
+        """A grant is sent once it is on the disk."""
+        if (refusal := self._refusal(request.epoch)) is not None:
+            self.outbox.send(sender, ReplicaResponse(request.call_id, refusal))
             return
-        getattr(self, "hear_" + type(message).__name__.lower())(now, sender, id_, message)
-
-    def hear_claimkey(self, now, sender, id_, told):
-        if told.epoch < self.fence:
-            self.say(sender, m.ReplicaResponse(told.op, m.STALE))
-        elif self.broken:
-            self.say(sender, m.ReplicaResponse(told.op, m.DISK))
-        else:
-            had = self.holder.claim(now, told)
-            self.say(sender, had, safe=had.what == m.GRANTED)
-
-    def hear_completekey(self, now, sender, id_, told):
-        if told.epoch < self.fence:
-            self.say(sender, m.ReplicaResponse(told.op, m.STALE))
-        elif self.broken:
-            self.say(sender, m.ReplicaResponse(told.op, m.DISK))
+        response = self.replica.claim(now, request)
+        if response.result is ReplicaResult.GRANTED:
+            self.outbox.send_once_persisted(sender, response)
         else:
-            had = self.holder.end(now, told)
-            self.say(sender, had, safe=had.what == m.DONE)
-
-    def hear_releaseclaim(self, now, sender, id_, told):
-        if not self.broken:
-            self.say(sender, self.holder.drop(now, told), safe=True)
-
-    def hear_readkey(self, now, sender, id_, told):
-        self.say(sender, self.holder.look(now, told))
-
-    def hear_replicaresponse(self, now, sender, id_, told):
-        self.owner.on_ReplicaResponse(now, sender, id_, told)
+            self.outbox.send(sender, response)
 
-    def hear_ownerquery(self, now, sender, id_, told):
-        self.owner.on_OwnerQuery(now, sender, told)
-
-    def hear_ownerresponse(self, now, sender, id_, told):
-        self.owner.on_OwnerResponse(now, sender, told)
-
-    def hear_scanrequest(self, now, sender, id_, told):
-        if not self.broken:
-            self.restore.on_ScanRequest(now, sender, id_, told)
-
-    def hear_scanresponse(self, now, sender, id_, told):
-        if not self.broken:
-            self.restore.on_ScanResponse(now, sender, id_, told)
+    def on_complete_key(self, now: int, sender: str, directory_id: str, request: CompleteKey) -> None:
+        """An acknowledgement is sent once the outcome is on the disk."""
+        if (refusal := self._refusal(request.epoch)) is not None:
+            self.outbox.send(sender, ReplicaResponse(request.call_id, refusal))
+            return
+        response = self.replica.complete(now, request)
+        if response.result is ReplicaResult.DONE:
+            self.outbox.send_once_persisted(sender, response)
+        else:
+            self.outbox.send(sender, response)
+
+    def on_release_claim(self, now: int, sender: str, directory_id: str, request: ReleaseClaim) -> None:
+        """Needs the disk; without it the owner repeats its request."""
+        if not self.outbox.disk_failed:
+            self.outbox.send_once_persisted(sender, self.replica.release(request))
+
+    def on_read_key(self, now: int, sender: str, directory_id: str, request: ReadKey) -> None:
+        """A read relies on nothing that is not on the disk."""
+        self.outbox.send(sender, self.replica.read(now, request))
+
+    def on_replica_response(
+        self, now: int, sender: str, directory_id: str, response: ReplicaResponse
+    ) -> None:
+        """A replica has answered this owner."""
+        self.coordinator.on_replica_response(now, sender, directory_id, response)
+
+    def on_owner_query(self, now: int, sender: str, directory_id: str, query: OwnerQuery) -> None:
+        """Another dispatcher asks this owner."""
+        self.coordinator.on_owner_query(now, sender, query)
+
+    def on_owner_response(self, now: int, sender: str, directory_id: str, response: OwnerResponse) -> None:
+        """Another owner has answered."""
+        self.coordinator.on_owner_response(now, response)
+
+    def on_scan_request(self, now: int, sender: str, directory_id: str, request: ScanRequest) -> None:
+        """A new replica reads; its response waits for the fence to be on the disk."""
+        if not self.outbox.disk_failed:
+            self.scan_server.on_request(now, sender, directory_id, request)
+
+    def on_scan_response(self, now: int, sender: str, directory_id: str, response: ScanResponse) -> None:
+        """Records that this replica has asked for."""
+        if not self.outbox.disk_failed:
+            self.catch_up.on_response(now, sender, directory_id, response)
+
+    def on_caught_up(self, now: int, sender: str, directory_id: str, caught_up: CaughtUp) -> None:
+        """This node's own: its records are on the disk by now."""
+        self.outbox.commit_caught_up(caught_up)
+
+
+def _check_claim_names(message: AnyMessage) -> None:
+    """ValueError where one is no name of a claim; a record may be of none."""
+    if isinstance(message, ScanResponse):
+        for record in message.records:
+            if record.claim_name:
+                parse_claim_name(record.claim_name)
+    elif isinstance(message, ClaimKey | CompleteKey | OwnerQuery):
+        parse_claim_name(message.claim_name)
--- a/mastledge/replication/persisted_state.py
+++ b/mastledge/replication/persisted_state.py
@@ -1,33 +1,40 @@
-"""What the disk of a holder keeps, from its records in their order."""
+"""What a replica's write-ahead log amounts to."""
+
+from collections.abc import Callable
 
 from mastledge.idempotency.key_table import PersistedKeys
 
 
 class PersistedReplica(PersistedKeys):
-    """As of one dispatcher's keys, and ("holder", id, starts): which folder this is, and how often it was
-    opened; ("fence", epoch): of earlier placements nothing is let in any more.
+    """The records of keys, and two more: ("holder", directory id, starts) tells which data directory this is
+    and how often it was opened; ("fence", epoch): requests of earlier placements are refused.
     """
 
-    def __init__(self, now):
-        super().__init__(now)
-        self.id, self.starts, self.fence = "", 0, 0
+    def __init__(self, unix_clock: Callable[[], int]):
+        """`unix_clock` gives Unix microseconds, by which what is over is left out of a rewrite."""
+        super().__init__(unix_clock)
+        self.directory_id, self.start_count, self.fence = "", 0, 0
 
-    def clear(self):
+    def clear(self) -> None:
+        """Forgets all records."""
         super().clear()
-        self.id, self.starts, self.fence = "", 0, 0
-
-    def take(self, record):
-        what, *fields = record
-        if what == "holder":
-            self.id, self.starts = fields
-        elif what == "fence":
+        self.directory_id, self.start_count, self.fence = "", 0, 0
+
+    def take(self, record: tuple) -> None:
+        """Applies the next record; ValueError where it is of no known kind."""
+        kind, *fields = record
+        if kind == "holder":
+            self.directory_id, self.start_count = fields
+        elif kind == "fence":
             self.fence = max(self.fence, *fields)
         else:
             super().take(record)
 
-    def records(self):
-        return head(self.id, self.starts, self.fence) + super().records()
+    def records(self) -> list[tuple]:
+        """The fewest records that lead to the same."""
+        return head_records(self.directory_id, self.start_count, self.fence) + super().records()
 
 
-def head(id_, starts, fence):
-    return [("holder", id_, starts), ("fence", fence)] if id_ else []
+def head_records(directory_id: str, start_count: int, fence: int) -> list[tuple]:
+    """The records of a replica itself, none where it has no data directory yet."""
+    return [("holder", directory_id, start_count), ("fence", fence)] if directory_id else []
--- a/mastledge/replication/replica.py
+++ b/mastledge/replication/replica.py
@@ -1,122 +1,150 @@
-"""One holder: what it grants, keeps and tells of the keys that it has copies of. A book of claims by name.
+"""A replica: grants keys to claims, and keeps what it is told of them in a key table, by claim names.
 
-What is known of a claim only grows: claimed, then that it may have run, then its answer. So copies that
-differ are merged by taking what is known most, whoever tells it and in whatever order; only who may claim a
-key at all needs a majority. A claim whose walltime is over with no word of its outcome may have run.
+What is known of a claim only grows: claimed, then that its job may have run, then its answer. So copies that
+differ are merged by taking what is known most, whoever tells it and in whatever order; only the right to
+claim a key needs a quorum. A claim whose walltime is over without an outcome may have run.
 """
 
 from heapq import heapify, heappop, heappush
 
-from mastledge.idempotency.key_table import KeyTableFullError, RecordState, Verdict
-from mastledge.replication import messages as m
-
-GRACE = 250_000  # after a claim's walltime, in which its outcome is on its way
+from mastledge.idempotency import key_table
+from mastledge.idempotency.key_table import KeyTable, KeyTableFullError, RecordState
+from mastledge.replication.messages import (
+    ClaimKey,
+    CompleteKey,
+    ReadKey,
+    Record,
+    ReleaseClaim,
+    ReplicaResponse,
+    ReplicaResult,
+)
+
+OUTCOME_GRACE_US = 250_000  # after a claim's walltime, in which its outcome may be on its way
+RESULT_OF_STATE = {
+    RecordState.CLAIMED: ReplicaResult.CLAIMED,
+    RecordState.ANSWERED: ReplicaResult.ANSWERED,
+    RecordState.UNSURE: ReplicaResult.UNSURE,
+}
+
+
+def _response_with(call_id: int, record: key_table.Record, now: int) -> ReplicaResponse:
+    """Tells the record that is there."""
+    is_answered = record.state == RecordState.ANSWERED
+    return ReplicaResponse(
+        call_id,
+        RESULT_OF_STATE[record.state],
+        record.claim_name,
+        max(0, record.expires_at - now),
+        record.status if is_answered else 0,
+        record.content if is_answered else b"",
+        record.fingerprint,
+    )
 
 
 class Replica:
-    def __init__(self, book, now):
-        self.book, self.ends, self.count = book, [], 0
-        for record in book.records.values():
+    """Keeps records of keys in a key table, which it alone changes. Times are microseconds."""
+
+    def __init__(self, table: KeyTable, now: int):
+        """`table` is as it was restored from the disk."""
+        self.table = table
+        self._claim_ends: list[tuple[int, int, key_table.Record]] = []  # a heap by time
+        self._claim_count = 0
+        for record in table.records.values():
             if record.state == RecordState.CLAIMED:
-                self.expect(record)
-        heapify(self.ends)
+                self._expect_outcome(record)
+        heapify(self._claim_ends)
         self.expire(now)
 
-    def expect(self, record):
-        self.count += 1
-        heappush(self.ends, (record.expires_at + GRACE, self.count, record))
-
-    def wake_at(self):
-        return self.ends[0][0] if self.ends else None
-
-    def expire(self, now):
-        """Whose walltime is over may have run: nobody says any more that it did not."""
-        while self.ends and self.ends[0][0] <= now:
-            record = heappop(self.ends)[2]
-            if record.state == RecordState.CLAIMED and self.book.records.get(record.scoped_key) is record:
-                self.book.mark_unsure(now, record)
-
-    def had(self, op, what, record, now):
-        if record is None or what in (m.GRANTED, m.DONE):
-            return m.ReplicaResponse(op, what)
-        told = record.state == RecordState.ANSWERED
-        return m.ReplicaResponse(
-            op,
-            what,
-            record.claim_name,
-            max(0, record.expires_at - now),
-            record.status if told else 0,
-            record.content if told else b"",
-            record.fingerprint,
-        )
-
-    def state(self, record):
-        return {RecordState.CLAIMED: m.HELD, RecordState.ANSWERED: m.ANSWERED, RecordState.UNSURE: m.MAYBE}[
-            record.state
-        ]
-
-    def claim(self, now, told):
-        """Grants a key to one claim; what it holds already is told instead."""
-        book, record = self.book, self.book.records.get((told.tenant, told.key))
-        if record is not None and record.claim_name in told.over and record.state == RecordState.CLAIMED:
-            # Its owner has given it back, and the word to this holder is late.
-            book.release(record)
+    def _expect_outcome(self, record: key_table.Record) -> None:
+        self._claim_count += 1
+        heappush(self._claim_ends, (record.expires_at + OUTCOME_GRACE_US, self._claim_count, record))
+
+    def next_expiry_at(self) -> int | None:
+        """When `expire` has something to do; None for never."""
+        return self._claim_ends[0][0] if self._claim_ends else None
+
+    def expire(self, now: int) -> None:
+        """Marks claims unsure whose walltime is over: nobody will tell that their jobs did not run."""
+        claim_ends = self._claim_ends
+        while claim_ends and claim_ends[0][0] <= now:
+            record = heappop(claim_ends)[2]
+            if record.state == RecordState.CLAIMED and self.table.records.get(record.scoped_key) is record:
+                self.table.mark_unsure(now, record)
+
+    def claim(self, now: int, request: ClaimKey) -> ReplicaResponse:
+        """Grants a key to one claim; where the key has a record, that one is told instead."""
+        table, record = self.table, self.table.records.get((request.tenant, request.key))
+        if (
+            record is not None
+            and record.claim_name in request.released_claims
+            and record.state == RecordState.CLAIMED
+        ):
+            # Its owner has given it back, and the release has not come here yet.
+            table.release(record)
             record = None
-        if record is not None and record.claim_name == told.claim and record.state == RecordState.CLAIMED:
-            return self.had(told.op, m.GRANTED, record, now)
-        what, record = book.try_claim(now, told.tenant, told.key, told.print, now + told.left, told.claim)
-        if what == Verdict.NEW:
-            self.expect(record)
-            return self.had(told.op, m.GRANTED, record, now)
+        if (
+            record is not None
+            and record.claim_name == request.claim_name
+            and record.state == RecordState.CLAIMED
+        ):
+            return ReplicaResponse(request.call_id, ReplicaResult.GRANTED)
+        verdict, record = self._try_claim(now, request)
+        if verdict is key_table.Verdict.NEW:
+            self._expect_outcome(record)
+            return ReplicaResponse(request.call_id, ReplicaResult.GRANTED)
         if record is not None:
-            return self.had(told.op, self.state(record), record, now)
-        return m.ReplicaResponse(told.op, m.OTHER if what == Verdict.OTHER_REQUEST else m.FULL)
-
-    def end(self, now, told):
-        """Takes up what a claim came to, also where its claim never came here."""
-        book, record = self.book, self.book.records.get((told.tenant, told.key))
-        if record is not None and told.known and not record.claim_name and record.state == RecordState.UNSURE:
-            book.release(record)  # one of two, and now it is known which
+            return _response_with(request.call_id, record, now)
+        is_other = verdict is key_table.Verdict.OTHER_REQUEST
+        return ReplicaResponse(
+            request.call_id, ReplicaResult.OTHER_REQUEST if is_other else ReplicaResult.FULL
+        )
+
+    def complete(self, now: int, request: CompleteKey) -> ReplicaResponse:
+        """Takes up the outcome of a claim, also where the claim never came here."""
+        table, record = self.table, self.table.records.get((request.tenant, request.key))
+        if (
+            record is not None
+            and request.answered
+            and not record.claim_name
+            and record.state == RecordState.UNSURE
+        ):
+            table.release(record)  # it was of one of two claims, and now it is known which
             record = None
-        if record is not None and record.claim_name != told.claim:
-            # Another's: it lost against this one and is about to be given back, or is what came next.
-            return self.had(told.op, self.state(record), record, now)
+        if record is not None and record.claim_name != request.claim_name:
+            # Another claim's, which lost against this one and is about to be released, or came after it.
+            return _response_with(request.call_id, record, now)
         if record is None:
-            what, record = book.try_claim(now, told.tenant, told.key, told.print, now + told.left, told.claim)
-            if what != Verdict.NEW:
-                return m.ReplicaResponse(told.op, m.FULL)
-        self.raise_to(now, record, told.known, told.status, told.content, told.left)
-        if told.known and record.state != RecordState.ANSWERED:
-            # No room for the answer: that it may have run is kept, and that is no copy of it.
-            return m.ReplicaResponse(told.op, m.FULL)
-        return self.had(told.op, m.DONE, record, now)
-
-    def raise_to(self, now, record, known, status, content, left):
-        if known and record.state != RecordState.ANSWERED:
-            self.book.complete(now, record, status, content)
-        elif not known and record.state == RecordState.CLAIMED:
-            self.book.mark_unsure(now, record)
-        else:
-            return
-        if left < self.book.retention_us:
-            # From another copy: its time does not begin anew.
-            self.book.shorten_retention(record, now + left)
-
-    def drop(self, now, told):
-        record = self.book.records.get((told.tenant, told.key))
-        if record is not None and record.claim_name == told.claim and record.state != RecordState.ANSWERED:
-            self.book.release(record)
-        return m.ReplicaResponse(told.op, m.DONE)
-
-    def look(self, now, told):
-        self.book.expire(now)
-        record = self.book.records.get((told.tenant, told.key))
-        return self.had(told.op, m.NONE if record is None else self.state(record), record, now)
-
-    # Copies for who becomes a holder
+            verdict, record = self._try_claim(now, request)
+            if verdict is not key_table.Verdict.NEW:
+                return ReplicaResponse(request.call_id, ReplicaResult.FULL)
+        self._raise_to(now, record, request, request.answered)
+        if request.answered and record.state != RecordState.ANSWERED:
+            # There was no room for the answer: the record that is kept in its place is no copy of it.
+            return ReplicaResponse(request.call_id, ReplicaResult.FULL)
+        return ReplicaResponse(request.call_id, ReplicaResult.DONE)
+
+    def release(self, request: ReleaseClaim) -> ReplicaResponse:
+        """Takes a claim back, unless it is answered."""
+        record = self.table.records.get((request.tenant, request.key))
+        if (
+            record is not None
+            and record.claim_name == request.claim_name
+            and record.state != RecordState.ANSWERED
+        ):
+            self.table.release(record)
+        return ReplicaResponse(request.call_id, ReplicaResult.DONE)
+
+    def read(self, now: int, request: ReadKey) -> ReplicaResponse:
+        """Tells the record of a key."""
+        self.table.expire(now)
+        record = self.table.records.get((request.tenant, request.key))
+        if record is None:
+            return ReplicaResponse(request.call_id, ReplicaResult.UNKNOWN_KEY)
+        return _response_with(request.call_id, record, now)
 
-    def copy(self, now, record):
-        return m.Record(
+    def copy_of(self, now: int, record: key_table.Record) -> Record:
+        """The record as it is sent to a new replica."""
+        return Record(
             *record.scoped_key,
             record.fingerprint,
             record.claim_name,
@@ -126,26 +154,51 @@
             record.content,
         )
 
-    def merge(self, now, told):
-        """Takes up a copy. Only an answer proves that its claim was the one: of any others either may be."""
-        book, record = self.book, self.book.records.get((told.tenant, told.key))
-        if record is not None and record.claim_name != told.claim:
+    def merge(self, now: int, copy: Record) -> None:
+        """Takes up another replica's record; KeyTableFullError where there is no room for it.
+
+        Where two claims differ only an answer proves which one counts: otherwise either may.
+        """
+        table, record = self.table, self.table.records.get((copy.tenant, copy.key))
+        if record is not None and record.claim_name != copy.claim_name:
             if record.state == RecordState.ANSWERED:
                 return
-            book.release(record)
-            if told.state != RecordState.ANSWERED:
-                # It is neither's from here on, so that neither can take it back.
-                told = m.Record(
-                    told.tenant, told.key, record.fingerprint, "", RecordState.UNSURE, book.retention_us
+            table.release(record)
+            if copy.state != RecordState.ANSWERED:
+                # The record is of neither claim from here on, so that neither owner can release it.
+                copy = Record(
+                    copy.tenant, copy.key, record.fingerprint, "", RecordState.UNSURE, table.retention_us
                 )
             record = None
         if record is None:
-            what, record = book.try_claim(now, told.tenant, told.key, told.print, now + told.left, told.claim)
-            if what != Verdict.NEW:
-                raise KeyTableFullError(f"no room for the key {told.key!r}")
-            if told.state == RecordState.CLAIMED:
-                self.expect(record)
-        if told.state != RecordState.CLAIMED:
-            self.raise_to(
-                now, record, told.state == RecordState.ANSWERED, told.status, told.content, told.left
-            )
+            verdict, record = self._try_claim(now, copy)
+            if verdict is not key_table.Verdict.NEW:
+                raise KeyTableFullError
+            if copy.state == RecordState.CLAIMED:
+                self._expect_outcome(record)
+        if copy.state != RecordState.CLAIMED:
+            self._raise_to(now, record, copy, copy.state == RecordState.ANSWERED)
+
+    def _try_claim(self, now: int, claim: ClaimKey | CompleteKey | Record):
+        return self.table.try_claim(
+            now,
+            claim.tenant,
+            claim.key,
+            claim.fingerprint,
+            now + claim.remaining_us,
+            claim.claim_name,
+        )
+
+    def _raise_to(
+        self, now: int, record: key_table.Record, known: CompleteKey | Record, answered: bool
+    ) -> None:
+        """Changes the record only where more is known now."""
+        if answered and record.state != RecordState.ANSWERED:
+            self.table.complete(now, record, known.status, known.content)
+        elif not answered and record.state == RecordState.CLAIMED:
+            self.table.mark_unsure(now, record)
+        else:
+            return
+        if known.remaining_us < self.table.retention_us:
+            # It comes from a copy, so its retention does not begin anew.
+            self.table.shorten_retention(record, now + known.remaining_us)
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -30,9 +30,11 @@
 from mastledge.recovery import fleet_snapshot as snapshot_format
 from mastledge.recovery import messages as recovery_messages
 from mastledge.recovery import restored_state
+from mastledge.replication import inputs as replication_inputs
 from mastledge.replication import messages as replication_messages
 from mastledge.replication import persisted_state as replica_persisted
-from mastledge.replication.node import Node
+from mastledge.replication.node import Node, NodeOptions
+from mastledge.replication.outputs import Persist
 from mastledge.storage import write_ahead_log
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.transport import passing
@@ -150,14 +152,17 @@
 
 def records_of_holder(copies, heard):
     """What a holder of copies has written that is told its placement and then hears (name, id, message)."""
-    node = Node("n0", "holder-0", "run-1", book_of_keys(), 0, 1, 1_000_000, 0)
-    steps = [("placed", copies)]
-    steps += [("heard", name, id_, replication_messages.decode(content)) for name, id_, content in heard]
-    records = replica_persisted.head("holder-0", 2, 1)
+    node = Node(NodeOptions("n0", "holder-0", "run-1", 0, 1, 1_000_000), book_of_keys(), 0)
+    steps = [replication_inputs.PlacementChanged(copies)]
+    steps += [
+        replication_inputs.MessageReceived(name, id_, replication_messages.decode(content))
+        for name, id_, content in heard
+    ]
+    records = replica_persisted.head_records("holder-0", 2, 1)
     for now, step in enumerate(steps, 10_000):
-        for what, *fields in node.step(now, *step):
-            if what == "save":
-                records += fields[1]
+        for output in node.step(now, step):
+            if isinstance(output, Persist):
+                records += output.records
     return records
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -167,6 +167,9 @@
 
 def test_keys_keep_their_promises_through_outages_and_a_claim_on_one_copy_alone_does_not(monkeypatch):
     assert not any(keyed(seed) for seed in (1, 2, 3))
-    monkeypatch.setattr("mastledge.replication.placement.Share.enough", lambda share, acks: bool(acks))
+    monkeypatch.setattr(
+        "mastledge.replication.placement.KeyReplicas.is_quorum",
+        lambda replicas, acknowledged: bool(acknowledged),
+    )
     found = {rule for seed in (1, 2, 3) for rule in keyed(seed)}
     assert found & {"one_effect_a_key", "no_promise_lost", "one_answer_a_key"}, found
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -81,7 +81,7 @@
 def test_keys_are_held_among_many_dispatchers():
     ids = {name: f"id of {name}" for name in NAMES}
     placement = Placement({"epoch": 1, "count": 3, "now": ids, "next": None, "caught": []})
-    held = [placement.share("t", b"k%d" % n).names for n in range(300)]
+    held = [placement.replicas_of("t", b"k%d" % n).names for n in range(300)]
     assert all(len(set(names)) == 3 for names in held) and len({n for names in held for n in names}) > 400
 
 
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -168,52 +168,58 @@
 
 def boastful():
     """Launches without a claim, and tells the holders of a key only what came of it."""
-    from mastledge.replication import coordinator as o
-    from mastledge.replication import messages as m
+    from mastledge.replication.claims import Claims
+    from mastledge.replication.jobs import JobPhase
 
-    def claim(self, now, job):
-        job.tries, job.phase, job.claim = 1, o.HELD, m.named(self.name, self.run, self.number())
-        self.claims[job.claim] = self.places[job.place] = job
-        self.tell(job, o.GO)
+    def make(self, now, job):
+        job.claim_count, job.phase, job.claim_name = 1, JobPhase.CLAIMED, self._names.next()
+        self._jobs.add_claim(job)
+        self._jobs.grant(job)
 
-    o.Coordinator.claim = claim
+    Claims.make = make
 
 
 def amnesic():
     """Says that an answer is kept, and keeps only that the job may have run."""
+    from mastledge.idempotency.key_table import RecordState
+    from mastledge.replication.messages import ReplicaResult
     from mastledge.replication.replica import Replica
 
-    raise_to = Replica.raise_to
+    raise_to = Replica._raise_to
 
-    def forgets(self, now, record, known, status, content, left):
-        raise_to(self, now, record, False, 0, b"", left)
-        record.state = "answered" if known else record.state
-        self.book.mark_unsure(now, record)
+    def forgets(self, now, record, known, answered):
+        raise_to(self, now, record, known, False)
+        record.state = RecordState.ANSWERED if answered else record.state
+        self.table.mark_unsure(now, record)
 
-    Replica.raise_to = forgets
-    end = Replica.end
+    Replica._raise_to = forgets
+    complete = Replica.complete
 
-    def says_so(self, now, told):
-        had = end(self, now, told)
-        had.what = "done"
-        return had
+    def acknowledges(self, now, request):
+        response = complete(self, now, request)
+        response.result = ReplicaResult.DONE
+        return response
 
-    Replica.end = says_so
+    Replica.complete = acknowledges
 
 
 def grudging():
     """Never gives a claim back: a job that was rejected may have run, for all that is known."""
-    from mastledge.replication import coordinator as o
+    from mastledge.replication.claims import Claims
+    from mastledge.replication.listeners import ClaimListeners
+    from mastledge.replication.messages import ClaimStatus, OwnerResponse
+    from mastledge.replication.quorum import ReleaseCall
 
-    def give_back(self, now, job, done=None):
-        op = o.QuorumCall(0, o.m.ReleaseClaim, job.place, (), now, done)
-        self.at(now, lambda now: done and done(now, op))
-        return op
+    def release(self, now, job, on_end=None):
+        call = ReleaseCall(job, now, on_end)
+        if on_end is not None:
+            self._timers.at(now, on_end, call)
+        return call
 
-    def on_ask(self, now, sender, ask):
-        self.host.say(sender, o.m.OwnerResponse(ask.op, ask.claim, o.m.UNKNOWN))
+    def on_query(self, now, sender, query):
+        self._send(sender, OwnerResponse(query.call_id, query.claim_name, ClaimStatus.UNKNOWN))
 
-    o.Coordinator.give_back, o.Coordinator.on_OwnerQuery = give_back, on_ask
+    Claims.release, ClaimListeners.on_query = release, on_query
 
 
 def reckless():
