--- a/mastledge/replication/catch_up.py
+++ b/mastledge/replication/catch_up.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from mastledge.idempotency.key_table import KeyTableFullError
+from mastledge.idempotency.errors import KeyTableFullError
 from mastledge.replication.messages import Record, ScanRequest, ScanResponse
 from mastledge.replication.outbox import Outbox
 from mastledge.replication.placement import Placement
--- a/mastledge/replication/coordinator.py
+++ b/mastledge/replication/coordinator.py
@@ -11,7 +11,8 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from mastledge.idempotency import key_table
+from mastledge.idempotency import verdicts
+from mastledge.idempotency.keyed_request import is_valid_key
 from mastledge.replication.claim_resolution import ClaimResolution
 from mastledge.replication.claims import Claims
 from mastledge.replication.existing_records import ExistingRecords
@@ -66,9 +67,9 @@
 
     def offer(self, now: int, offer: Offer) -> None:
         """A job with a key has arrived; a verdict on it follows."""
-        if not key_table.is_valid_key(offer.key):
-            invalid = key_table.Verdict.INVALID_KEY
-            status, content = key_table.HTTP_STATUS[invalid], key_table.EXPLANATION[invalid].encode()
+        if not is_valid_key(offer.key):
+            invalid = verdicts.Verdict.INVALID_KEY
+            status, content = verdicts.HTTP_STATUS[invalid], verdicts.EXPLANATION[invalid].encode()
             self._host.report(JobVerdict(offer.job_id, Verdict.REFUSED, status, content))
             return
         scoped_key = offer.tenant, offer.key
@@ -78,7 +79,7 @@
         if claimant is None:
             self._claims.make(now, job)
         elif claimant.fingerprint != job.fingerprint:
-            self._jobs.refuse(job, key_table.Verdict.OTHER_REQUEST)
+            self._jobs.refuse(job, verdicts.Verdict.OTHER_REQUEST)
         else:
             self.resolution.await_own_claim(now, job, claimant)
 
--- a/mastledge/replication/existing_records.py
+++ b/mastledge/replication/existing_records.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable, Mapping
 
-from mastledge.idempotency import key_table
+from mastledge.idempotency import verdicts
 from mastledge.replication.claims import QUORUM_TIMEOUT_US
 from mastledge.replication.jobs import JobPhase, KeyedJob
 from mastledge.replication.messages import ReplicaResponse, ReplicaResult
@@ -36,13 +36,13 @@
         for response in responses.values():
             by_result.setdefault(response.result, []).append(response)
         if self._is_other_request(job, by_result):
-            self._jobs.refuse(job, key_table.Verdict.OTHER_REQUEST)
+            self._jobs.refuse(job, verdicts.Verdict.OTHER_REQUEST)
         elif ReplicaResult.ANSWERED in by_result:
             self._write_back(now, job, responses)
         elif ReplicaResult.UNSURE in by_result:
             self._jobs.reply(job, Verdict.UNSURE)
         elif ReplicaResult.OTHER_REQUEST in by_result:
-            self._jobs.refuse(job, key_table.Verdict.OTHER_REQUEST)
+            self._jobs.refuse(job, verdicts.Verdict.OTHER_REQUEST)
         elif ReplicaResult.CLAIMED in by_result:
             self._await_claim(now, job, by_result[ReplicaResult.CLAIMED][0])
         elif ReplicaResult.FULL in by_result or ReplicaResult.DISK_FAILED in by_result:
--- a/mastledge/replication/jobs.py
+++ b/mastledge/replication/jobs.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from mastledge.idempotency import key_table
+from mastledge.idempotency import verdicts
 from mastledge.replication.messages import format_claim_name
 from mastledge.replication.outputs import JobVerdict, Verdict
 from mastledge.replication.quorum import CompleteCall, QuorumCall, QuorumCalls, Sequence
@@ -134,11 +134,9 @@
             self._report(JobVerdict(job.job_id, verdict, status, content))
         self.close(job)
 
-    def refuse(self, job: KeyedJob, reason: key_table.Verdict) -> None:
+    def refuse(self, job: KeyedJob, reason: verdicts.Verdict) -> None:
         """Tells the host that the request is wrong."""
-        self.reply(
-            job, Verdict.REFUSED, key_table.HTTP_STATUS[reason], key_table.EXPLANATION[reason].encode()
-        )
+        self.reply(job, Verdict.REFUSED, verdicts.HTTP_STATUS[reason], verdicts.EXPLANATION[reason].encode())
 
     def finish(self, job: KeyedJob, verdict: Verdict) -> None:
         """Tells the host once whether the outcome of a launched job is replicated."""
--- a/mastledge/replication/persisted_state.py
+++ b/mastledge/replication/persisted_state.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from mastledge.idempotency.key_table import PersistedKeys
+from mastledge.idempotency.persisted_keys import PersistedKeys
 
 
 class PersistedReplica(PersistedKeys):
--- a/mastledge/replication/replica.py
+++ b/mastledge/replication/replica.py
@@ -7,8 +7,12 @@
 
 from heapq import heapify, heappop, heappush
 
-from mastledge.idempotency import key_table
-from mastledge.idempotency.key_table import KeyTable, KeyTableFullError, RecordState
+from mastledge.idempotency import records
+from mastledge.idempotency.errors import KeyTableFullError
+from mastledge.idempotency.key_table import ClaimResult, KeyTable
+from mastledge.idempotency.keyed_request import KeyedRequest
+from mastledge.idempotency.records import RecordState
+from mastledge.idempotency.verdicts import Verdict
 from mastledge.replication.messages import (
     ClaimKey,
     CompleteKey,
@@ -27,7 +31,7 @@
 }
 
 
-def _response_with(call_id: int, record: key_table.Record, now: int) -> ReplicaResponse:
+def _response_with(call_id: int, record: records.Record, now: int) -> ReplicaResponse:
     """Tells the record that is there."""
     is_answered = record.state == RecordState.ANSWERED
     return ReplicaResponse(
@@ -47,7 +51,7 @@
     def __init__(self, table: KeyTable, now: int):
         """`table` is as it was restored from the disk."""
         self.table = table
-        self._claim_ends: list[tuple[int, int, key_table.Record]] = []  # a heap by time
+        self._claim_ends: list[tuple[int, int, records.Record]] = []  # a heap by time
         self._claim_count = 0
         for record in table.records.values():
             if record.state == RecordState.CLAIMED:
@@ -55,7 +59,7 @@
         heapify(self._claim_ends)
         self.expire(now)
 
-    def _expect_outcome(self, record: key_table.Record) -> None:
+    def _expect_outcome(self, record: records.Record) -> None:
         self._claim_count += 1
         heappush(self._claim_ends, (record.expires_at + OUTCOME_GRACE_US, self._claim_count, record))
 
@@ -88,13 +92,13 @@
             and record.state == RecordState.CLAIMED
         ):
             return ReplicaResponse(request.call_id, ReplicaResult.GRANTED)
-        verdict, record = self._try_claim(now, request)
-        if verdict is key_table.Verdict.NEW:
+        verdict, record = self._claim(now, request)
+        if verdict is Verdict.NEW:
             self._expect_outcome(record)
             return ReplicaResponse(request.call_id, ReplicaResult.GRANTED)
         if record is not None:
             return _response_with(request.call_id, record, now)
-        is_other = verdict is key_table.Verdict.OTHER_REQUEST
+        is_other = verdict is Verdict.OTHER_REQUEST
         return ReplicaResponse(
             request.call_id, ReplicaResult.OTHER_REQUEST if is_other else ReplicaResult.FULL
         )
@@ -114,8 +118,8 @@
             # Another claim's, which lost against this one and is about to be released, or came after it.
             return _response_with(request.call_id, record, now)
         if record is None:
-            verdict, record = self._try_claim(now, request)
-            if verdict is not key_table.Verdict.NEW:
+            verdict, record = self._claim(now, request)
+            if verdict is not Verdict.NEW:
                 return ReplicaResponse(request.call_id, ReplicaResult.FULL)
         self._raise_to(now, record, request, request.answered)
         if request.answered and record.state != RecordState.ANSWERED:
@@ -142,7 +146,7 @@
             return ReplicaResponse(request.call_id, ReplicaResult.UNKNOWN_KEY)
         return _response_with(request.call_id, record, now)
 
-    def copy_of(self, now: int, record: key_table.Record) -> Record:
+    def copy_of(self, now: int, record: records.Record) -> Record:
         """The record as it is sent to a new replica."""
         return Record(
             *record.scoped_key,
@@ -171,26 +175,22 @@
                 )
             record = None
         if record is None:
-            verdict, record = self._try_claim(now, copy)
-            if verdict is not key_table.Verdict.NEW:
-                raise KeyTableFullError
+            verdict, record = self._claim(now, copy)
+            if verdict is not Verdict.NEW:
+                raise KeyTableFullError(copy.key)
             if copy.state == RecordState.CLAIMED:
                 self._expect_outcome(record)
         if copy.state != RecordState.CLAIMED:
             self._raise_to(now, record, copy, copy.state == RecordState.ANSWERED)
 
-    def _try_claim(self, now: int, claim: ClaimKey | CompleteKey | Record):
-        return self.table.try_claim(
-            now,
-            claim.tenant,
-            claim.key,
-            claim.fingerprint,
-            now + claim.remaining_us,
-            claim.claim_name,
+    def _claim(self, now: int, claim: ClaimKey | CompleteKey | Record) -> ClaimResult:
+        expires_at = now + claim.remaining_us
+        return self.table.claim(
+            now, KeyedRequest(claim.tenant, claim.key, claim.fingerprint, expires_at, claim.claim_name)
         )
 
     def _raise_to(
-        self, now: int, record: key_table.Record, known: CompleteKey | Record, answered: bool
+        self, now: int, record: records.Record, known: CompleteKey | Record, answered: bool
     ) -> None:
         """Changes the record only where more is known now."""
         if answered and record.state != RecordState.ANSWERED:
