--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -195,7 +195,7 @@
                 last = max(launch.job.last for launch in known)
                 out[wkr.id] = b.Out(wkr.born, ["", 0], sum(launch.load for launch in known), last)
         learned = {id: [*told[:3], []] for id, told in self.balancer.learned().items()}
-        return b.Kept(
+        return b.RecoveryRecord(
             at=now,
             registry="lab",
             generation=self.generation or 0,
@@ -538,8 +538,8 @@
 class Member(schedule.Node):
     """A dispatcher's part in the agreement, on the schedule's simulated links and disks."""
 
-    def step(self, what, member, *fields):
-        super().step(what, member, *fields)
+    def step(self, member, input):
+        super().step(member, input)
         world = self.fleet
         dispatcher = world.dispatchers.get(self.name)
         if self.up and dispatcher is not None and dispatcher.balancer is not None:
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -98,7 +98,7 @@
         self.key_table.restore(now, kept.entries, False)
         self.lasts, self.last_token = False, self.last_token + 1
         self.starting = self.last_token
-        self.writer.save(self.last_token, head_records(self.id, self.starts, self.fence))
+        self.writer.append(self.last_token, head_records(self.id, self.starts, self.fence))
 
     def join(self):
         """Says that it is there, as soon as there is a fleet that agrees."""
@@ -157,7 +157,8 @@
     def written(self):
         while True:
             yield (self.writer.fd, READ, None)
-            for token, error in self.writer.done():
+            for result in self.writer.completed():
+                token, error = result.token, result.error
                 if error is not None:
                     if not self.disk_failing:
                         self.log("replication_disk_failed", why=str(error))
@@ -236,7 +237,7 @@
 
     def do_persist(self, persist):
         self.last_token = persist.token
-        self.writer.save(persist.token, persist.records)
+        self.writer.append(persist.token, persist.records)
 
     def do_verdict(self, told):
         self.counts[told.verdict] += 1
@@ -394,7 +395,7 @@
             "taken": node.catch_up.records_taken if node else 0,
             "given": node.scan_server.records_given if node else 0,
             "disk": "failing" if self.disk_failing else "good",
-            "longest_write_us": self.writer.longest,
+            "longest_write_us": self.writer.longest_write_us,
             "longest_step_us": self.longest,
             "oldest_left_ms": max(0, oldest - self.loop.now()) // 1000 if oldest else 0,
         }
--- a/mastledge/replication/persisted_state.py
+++ b/mastledge/replication/persisted_state.py
@@ -15,12 +15,12 @@
         super().__init__(unix_clock)
         self.directory_id, self.start_count, self.fence = "", 0, 0
 
-    def clear(self) -> None:
+    def reset(self) -> None:
         """Forgets all records."""
-        super().clear()
+        super().reset()
         self.directory_id, self.start_count, self.fence = "", 0, 0
 
-    def take(self, record: tuple) -> None:
+    def apply(self, record: tuple) -> None:
         """Applies the next record; ValueError where it is of no known kind."""
         kind, *fields = record
         if kind == "holder":
@@ -28,11 +28,11 @@
         elif kind == "fence":
             self.fence = max(self.fence, *fields)
         else:
-            super().take(record)
+            super().apply(record)
 
-    def records(self) -> list[tuple]:
+    def compacted_records(self) -> list[tuple]:
         """The fewest records that lead to the same."""
-        return head_records(self.directory_id, self.start_count, self.fence) + super().records()
+        return head_records(self.directory_id, self.start_count, self.fence) + super().compacted_records()
 
 
 def head_records(directory_id: str, start_count: int, fence: int) -> list[tuple]:
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -14,9 +14,9 @@
 
 from mastledge.adapter import __main__ as adapter_main
 from mastledge.adapter import frames as adapter_frames
+from mastledge.consensus import inputs, outputs, state_machine
 from mastledge.consensus import messages as consensus_messages
 from mastledge.consensus import persisted_state as consensus_persisted
-from mastledge.consensus import state_machine
 from mastledge.consensus.member import Member
 from mastledge.idempotency.key_table import KeyTable
 from mastledge.idempotency.keyed_request import KeyedRequest
@@ -37,7 +37,7 @@
 from mastledge.replication import persisted_state as replica_persisted
 from mastledge.replication.node import Node, NodeOptions
 from mastledge.replication.outputs import Persist
-from mastledge.storage import write_ahead_log
+from mastledge.storage import frames, write_ahead_log
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.transport import passing
 
@@ -90,11 +90,11 @@
 LONGEST_FRAME_BYTES = links.MOST
 
 frame_of_records, records_of_content, whole_frame = (
-    write_ahead_log.frame,
-    write_ahead_log.decode,
-    write_ahead_log.whole_frame,
+    frames.encode_frame,
+    frames.decode_content,
+    frames.whole_frame,
 )
-JOURNAL_MAGIC, JOURNAL_FRAME_HEAD = write_ahead_log.MAGIC, write_ahead_log.HEAD
+JOURNAL_MAGIC, JOURNAL_FRAME_HEAD = frames.FILE_MAGIC, frames.FRAME_HEADER
 JOURNAL_NOW = 1_700_000_000_000_000  # Unix microseconds at which samples of keys are written anew
 JOURNALS = {
     "agreement": consensus_persisted.PersistedState,
@@ -105,16 +105,20 @@
 
 
 def open_journal(directory, name, owner, kept):
-    return write_ahead_log.WriteAheadLog(DataDirectory(str(directory)).hold(), name, owner, kept).open()
+    return write_ahead_log.WriteAheadLog(DataDirectory(str(directory)).acquire(), name, owner, kept).open()
+
+
+def compacted_records(kept):
+    return kept.compacted_records()
 
 
 def close_journal(opened):
     opened.close()
-    opened.folder.release()
+    opened.directory.release()
 
 
 def journal_head(owner):
-    return write_ahead_log.head_of(owner)
+    return frames.encode_file_header(owner)
 
 
 def book_of_keys():
@@ -141,13 +145,15 @@
     """What a member has written that is restored with `state` and then hears messages from the member n1."""
     listed = {name: one["address"] for name, one in state["members"].items()}
     member = Member("n0", listed, False, {}, 1_000_000, None, ("life-0", "fleet-0"), 7, 1_000_000)
-    steps = [("restore", "fleet-1", "life-n0", state)]
-    steps += [("heard", "n1", "life-n1", consensus_messages.decode(content)) for content in contents]
+    steps = [inputs.Restore("fleet-1", "life-n0", state)]
+    steps += [
+        inputs.MessageReceived("n1", "life-n1", consensus_messages.decode(content)) for content in contents
+    ]
     records = []
     for step in steps:
-        for what, *fields in member.step(1_000_001, *step):
-            if what == "save":
-                records += fields[1]
+        for output in member.step(1_000_001, step):
+            if isinstance(output, outputs.Persist):
+                records += output.records
     return records
 
 
@@ -213,7 +219,7 @@
         discovery=discovery, router=router, told={"discovery": ("127.0.0.1", 9000), "peers": None}
     )
     made.belief = SimpleNamespace(generation=0, restricted={"s-9": 5})
-    made.writer = SimpleNamespace(save=lambda token, records: saved.extend(records))
+    made.writer = SimpleNamespace(append=lambda token, records: saved.extend(records))
     made.keep(True)
     return saved
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -122,10 +122,10 @@
     replica.complete(1, complete_request(A))
     replica.release(ReleaseClaim(1, "t", b"l", B))
     for record in head_records("i", 3, 7) + replica.table.take_changes():
-        kept.take(record)
+        kept.apply(record)
     other = PersistedReplica(lambda: 10)
-    for record in kept.records():
-        other.take(record)
+    for record in kept.compacted_records():
+        other.apply(record)
     assert (other.directory_id, other.start_count, other.fence) == ("i", 3, 7)
     after = new_replica(5, other)
     assert after.read(5, ReadKey(1, "t", b"k")).content == b"r"
