--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -247,7 +247,7 @@
             return
         if content[:1] == b"\xc1":
             if self.copies is not None:
-                self.copies.heard(name, content[1:])
+                self.copies.on_frame(name, content[1:])
             return
         message = messages.decode(content)
         self.input(inputs.MessageReceived(name, life, message))
@@ -407,7 +407,7 @@
             return
         self.program.agreed(settings, state)
         if self.copies is not None and self.member is not None:
-            self.copies.placed(state)
+            self.copies.on_committed_state(state)
 
     def tell_lease(self, now):
         held = self.holds(now)
--- a/mastledge/program/fleet_api.py
+++ b/mastledge/program/fleet_api.py
@@ -192,7 +192,7 @@
             raise No(400, f"its settings can't be read: {error}") from None
         life, holder = uuid.uuid4().hex[:16], ""
         if self.copies is not None and self.copies.node is not None:
-            holder = self.copies.id
+            holder = self.copies.directory_id
         what = why or f"restored from version {state['version']}"
         after = fleet_snapshot.succeeding(
             state, self.name, life, holder, what, self.name, time.time_ns() // 1000
--- /dev/null
+++ b/mastledge/program/replicated_jobs.py
@@ -0,0 +1,142 @@
+"""Jobs whose keys several dispatchers hold: from the client's request to its answer.
+
+A quorum of the key's replicas has the claim before the job is handed to the decisions, and the outcome
+before the client hears of it.
+"""
+
+from collections import Counter
+from collections.abc import Callable, Generator
+
+from mastledge.idempotency import verdicts
+from mastledge.idempotency.keyed_request import request_fingerprint
+from mastledge.program.keyed_job import KILLED_REPLY, REJECTED_REPLY, Reply, rejection, replay
+from mastledge.program.keyed_service import ANSWER_MARGIN_US, KeyedService, Steps
+from mastledge.protocol import http
+from mastledge.protocol.requests import COMPLETED, REJECTED, Exchange
+from mastledge.replication.inputs import ClientLeft, Input, JobEnded, JobOutcome, Offer
+from mastledge.replication.outputs import JobVerdict, Verdict
+from mastledge.transport.connection import Connection
+from mastledge.transport.loop import Task
+
+OUTCOME_OF_STATUS = {COMPLETED: JobOutcome.ANSWERED, REJECTED: JobOutcome.RELEASED}
+
+
+class _Job:
+    """One job, and its client while that one waits.
+
+    Its exchange refers to it and not the other way, so that no reference cycle is left of a job.
+    """
+
+    __slots__ = ("job_id", "conn", "task", "is_launched")
+
+    def __init__(self, job_id: int, conn: Connection):
+        self.job_id = job_id
+        self.conn: Connection | None = conn
+        self.task: Task | None = None  # the coroutine that sees the job through
+        self.is_launched = False  # the decisions have it, or had it
+
+    def client_left(self) -> bool:
+        return self.conn is None or http.left(self.conn)
+
+
+class ReplicatedJobs:
+    """The jobs of clients that are under way at this dispatcher."""
+
+    def __init__(
+        self,
+        service: KeyedService,
+        handle: Callable[[Input], None],
+        count_under_way: Callable[[int], None],
+    ):
+        """`handle` gives the node an input; `count_under_way(change)` counts jobs that are seen through."""
+        self._service, self._loop = service, service.loop
+        self._handle, self._count_under_way = handle, count_under_way
+        self._jobs: dict[int, _Job] = {}
+        self._last_id = 0
+        self.verdict_counts: Counter[Verdict] = Counter()
+
+    def on_verdict(self, told: JobVerdict) -> None:
+        """What the node says of a job."""
+        self.verdict_counts[told.verdict] += 1
+        job = self._jobs.get(told.job_id)
+        if job is not None:
+            self._loop.wake(job.task, told)
+
+    def run(
+        self, conn: Connection, exchange: Exchange, arrival: tuple
+    ) -> Generator[tuple, object, Reply | None]:
+        """The answer to a job, or None where its client has gone; `arrival` is for the decisions."""
+        self._last_id += 1
+        job = self._jobs[self._last_id] = _Job(self._last_id, conn)
+        job.task = self._loop.spawn(self._see_through(job, exchange, arrival))
+        exchange.gone = job.client_left
+        try:
+            reply = yield from self._service.program.listener.awaited(conn, exchange.until)
+        finally:
+            job.conn = None
+        if reply:
+            return reply
+        self._abandon(job, exchange)
+        return None if reply is None else KILLED_REPLY
+
+    def _abandon(self, job: _Job, exchange: Exchange) -> None:
+        """Nobody waits for the job any more."""
+        if job.is_launched:
+            # Who waits for its claim, here or elsewhere, claims the key anew where it comes to nothing.
+            self._service.inbox.put("left", exchange)
+        elif job.job_id in self._jobs:
+            # Nothing of it is under way yet.
+            self._handle(ClientLeft(job.job_id))
+            self._loop.cancel(job.task)
+
+    def _see_through(self, job: _Job, exchange: Exchange, arrival: tuple) -> Steps:
+        """Runs a job to its end, also where its client has left, and wakes that one with the answer."""
+        self._count_under_way(1)
+        try:
+            reply = yield from self._reply_of(job, exchange, arrival)
+            if job.conn is not None:
+                self._loop.wake(job.conn.owner, reply)
+        finally:
+            del self._jobs[job.job_id]
+            job.is_launched = False
+            self._count_under_way(-1)
+
+    def _reply_of(self, job: _Job, exchange: Exchange, arrival: tuple) -> Generator[tuple, object, Reply]:
+        remaining_us = exchange.until - self._loop.now()
+        fingerprint = request_fingerprint(exchange.target, exchange.body)
+        self._handle(Offer(job.job_id, exchange.tenant, exchange.key, fingerprint, remaining_us))
+        told = yield (-1, 0, exchange.until + ANSWER_MARGIN_US)
+        if not isinstance(told, JobVerdict):
+            self._handle(ClientLeft(job.job_id))
+            return KILLED_REPLY
+        if told.verdict is not Verdict.GRANTED:
+            return _reply_without_launch(told)
+        if self._loop.now() >= exchange.until or exchange.left():
+            self._handle(JobEnded(job.job_id, JobOutcome.RELEASED))
+            return REJECTED_REPLY
+        return (yield from self._launch(job, exchange, arrival))
+
+    def _launch(self, job: _Job, exchange: Exchange, arrival: tuple) -> Generator[tuple, object, Reply]:
+        """Hands the job to the decisions, and its outcome to the replicas."""
+        job.is_launched = True
+        reply = yield from self._service.decide(job.task, exchange, arrival)
+        outcome = OUTCOME_OF_STATUS.get(reply.status, JobOutcome.UNSURE)
+        is_answered = outcome is JobOutcome.ANSWERED
+        self._handle(JobEnded(job.job_id, outcome, reply.status, reply.content if is_answered else b""))
+        told = yield (-1, 0, max(exchange.until, self._loop.now()) + ANSWER_MARGIN_US)
+        is_replicated = isinstance(told, JobVerdict) and told.verdict is Verdict.REPLICATED
+        if is_answered and not is_replicated:
+            # No quorum has the answer, so a repeat could be told otherwise: the job may have run.
+            return KILLED_REPLY
+        return reply
+
+
+def _reply_without_launch(told: JobVerdict) -> Reply:
+    """What the client of a job hears that was not granted its key."""
+    if told.verdict is Verdict.ANSWERED:
+        return replay(told.status, told.content)
+    if told.verdict is Verdict.UNSURE:
+        return rejection(verdicts.Verdict.MAY_HAVE_RUN)
+    if told.verdict is Verdict.REFUSED:
+        return Reply(told.status, [], told.content)
+    return rejection(verdicts.Verdict.FULL)
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -22,7 +22,7 @@
 from mastledge.idempotency.keyed_request import KeyedRequest
 from mastledge.idempotency.persisted_keys import PersistedKeys
 from mastledge.peers import links
-from mastledge.program import connection_handoff, recovery_service, replication_service
+from mastledge.program import connection_handoff, recovery_service, replication_frames
 from mastledge.program.fleet import Fleet
 from mastledge.program.fleet_api import FleetApi
 from mastledge.program.shared_lease import SharedLease
@@ -78,9 +78,9 @@
 }
 COPIES_FRAME = MessageFamily(
     replication_messages.AnyMessage,
-    replication_service.decode,
-    replication_service.encode,
-    replication_service.MARK,
+    replication_frames.decode,
+    replication_frames.encode,
+    replication_frames.MARK,
 )
 COPIES_LIST = MessageFamily(
     replication_messages.AnyMessage, replication_messages.decode_all, replication_messages.encode_all
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -174,7 +174,8 @@
     modules, links, absent = json.loads(done.stdout)
     parts = "consensus|storage|peers|lab|idempotency|replication|recovery"
     parts += "|program\\.(fleet|fleet_api|shared_lease|fleet_command"
-    parts += "|idempotency_service|keyed_service|keyed_job|replication_service|recovery_service)"
+    parts += "|idempotency_service|keyed_service|keyed_job|replication_service|recovery_service"
+    parts += "|replica_node|replicated_jobs|replication_api|replication_frames)"
     new = re.compile(rf"mastledge\.({parts})|msgspec|numpy")
     assert absent and not [name for name in modules if new.match(name)]
     assert sum("socket" in link for link in links) == 2 + 1  # listen, control, the inlet for handed jobs
