--- a/mastledge/program/fleet_api.py
+++ b/mastledge/program/fleet_api.py
@@ -199,7 +199,7 @@
             raise No(400, f"its settings can't be read: {error}") from None
         life, holder = uuid.uuid4().hex[:16], ""
         if self.copies is not None and self.copies.node is not None:
-            holder = self.copies.id
+            holder = self.copies.directory_id
         what = why or f"restored from version {state['version']}"
         entry = fleet_snapshot.FormationEntry(what, self.name, time.time_ns() // 1000)
         after = fleet_snapshot.successor_state(state, self.name, life, holder, entry)
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -26,7 +26,7 @@
 from mastledge.peers import frames as link_frames
 from mastledge.peers import links
 from mastledge.peers.link_context import LinkIdentity
-from mastledge.program import connection_handoff, recovery_peer_poll, replication_service
+from mastledge.program import connection_handoff, recovery_peer_poll, replication_frames
 from mastledge.program.fleet import Fleet
 from mastledge.program.fleet_api import FleetApi
 from mastledge.program.recovery_clock import RecoveryClock
@@ -39,9 +39,11 @@
 from mastledge.recovery import fleet_snapshot as snapshot_format
 from mastledge.recovery import messages as recovery_messages
 from mastledge.recovery import recovery_record
+from mastledge.replication import inputs as replication_inputs
 from mastledge.replication import messages as replication_messages
 from mastledge.replication import persisted_state as replica_persisted
-from mastledge.replication.node import Node
+from mastledge.replication.node import Node, NodeOptions
+from mastledge.replication.outputs import Persist
 from mastledge.storage import frames, write_ahead_log
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.transport import descriptor_passing
@@ -83,9 +85,9 @@
 }
 COPIES_FRAME = MessageFamily(
     replication_messages.AnyMessage,
-    replication_service.decode,
-    replication_service.encode,
-    replication_service.MARK,
+    replication_frames.decode,
+    replication_frames.encode,
+    replication_frames.MARK,
 )
 COPIES_LIST = MessageFamily(
     replication_messages.AnyMessage, replication_messages.decode_all, replication_messages.encode_all
@@ -174,14 +176,17 @@
 
 def records_of_holder(copies, heard):
     """What a holder of copies has written that is told its placement and then hears (name, id, message)."""
-    node = Node("n0", "holder-0", "run-1", book_of_keys(), 0, 1, 1_000_000, 0)
-    steps = [("placed", copies)]
-    steps += [("heard", name, id_, replication_messages.decode(content)) for name, id_, content in heard]
-    records = replica_persisted.head("holder-0", 2, 1)
+    node = Node(NodeOptions("n0", "holder-0", "run-1", 0, 1, 1_000_000), book_of_keys(), 0)
+    steps = [replication_inputs.PlacementChanged(copies)]
+    steps += [
+        replication_inputs.MessageReceived(name, id_, replication_messages.decode(content))
+        for name, id_, content in heard
+    ]
+    records = replica_persisted.head_records("holder-0", 2, 1)
     for now, step in enumerate(steps, 10_000):
-        for what, *fields in node.step(now, *step):
-            if what == "save":
-                records += fields[1]
+        for output in node.step(now, step):
+            if isinstance(output, Persist):
+                records += output.records
     return records
 
 
