--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -13,16 +13,24 @@
 from copy import deepcopy
 from types import SimpleNamespace
 
-from mastledge.idempotency.records import RecordState
 from mastledge.lab import copying, faults, outages, policies, schedule
 from mastledge.lab.load import Clients
 from mastledge.lab.rig import document, limits
 from mastledge.lab.scenario import BadScenario
 from mastledge.program.settings import flatten_settings, parse_settings
-from mastledge.recovery import restored_state as b
-from mastledge.recovery.admission_ramp import DONE, ELSE, TURNED, AdmissionRamp
-from mastledge.replication import coordinator as o
-from mastledge.replication import messages as m
+from mastledge.recovery.admission_ramp import AdmissionRamp, AdmittedJobOutcome, PeerLoad
+from mastledge.recovery.newest_list import NewestList
+from mastledge.recovery.recovery_record import (
+    ClockReading,
+    LearnedWorker,
+    RecoveryRecord,
+    StoredWorker,
+    UnfinishedLoad,
+)
+from mastledge.recovery.restored_state import WorkerIdentity, inherited_workers, restore
+from mastledge.replication import inputs
+from mastledge.replication.inputs import JobOutcome
+from mastledge.replication.outputs import Verdict
 
 LINK = 100, 600  # microseconds on the way, least and most
 BOOT = 200_000, 320_000  # from the start of a process to its first step
@@ -39,6 +47,8 @@
 }  # fmt: skip
 CALLED = {"exclude", "include"}
 
+OUTCOME_BY_STATUS = {200: AdmittedJobOutcome.COMPLETED, 503: AdmittedJobOutcome.REJECTED}
+
 
 def entries_of(told):
     """(id, state, start) as the decisions take them: one zone, one kind, one size."""
@@ -123,7 +133,8 @@
         self.up = self.ready = False
         self.until, self.deferred = 0, []
         self.kept, self.late, self.silent = None, 0, False
-        self.jobs, self.balancer, self.opening, self.belief = {}, None, None, None
+        self.jobs, self.balancer, self.ramp, self.restored = {}, None, None, None
+        self.newest_list = NewestList()
         self.claims, self.numbers = {}, 0
 
     def boot(self):
@@ -146,14 +157,17 @@
         self.out, self.heard_restricted = frozenset(), {}
         self.balancer = world.decisions(settings, seed, now)
         recovery = world.scenario.recovery
-        self.opening, self.belief = None, None
+        self.ramp, self.restored = None, None
         if recovery:
             bound = int(recovery.get("open_ms", 5_000)) * 1000
-            self.opening = AdmissionRamp(seed, now, bound, settings["most_hold_off"])
+            self.ramp = AdmissionRamp(seed, now, bound, settings["most_hold_off"])
             kept, self.kept = self.kept, None
-            self.belief = b.believed(kept, now, now, "", "lab", int(recovery.get("list_ms", 60_000)) * 1000)
-            if self.belief.workers:
-                some = [(id, one.state, one.born) for id, one in self.belief.workers.items()]
+            validity_us = int(recovery.get("list_ms", 60_000)) * 1000
+            self.restored = restore(kept or RecoveryRecord(), ClockReading(now, now, ""), "lab", validity_us)
+            self.newest_list = NewestList()
+            self.newest_list.restore(self.restored.generation, self.restored.restricted())
+            if self.restored.workers:
+                some = [(id, one.state, one.started_at) for id, one in self.restored.workers.items()]
                 self.balancer.members(now, "cached", entries_of(some))
         if world.keys is not None:
             world.keys.hosts[self.name].start()
@@ -171,7 +185,7 @@
         self.life += 1
         if world.agreeing and world.nodes[self.name].up:
             world.nodes[self.name].crash()
-        self.balancer = self.opening = self.belief = None
+        self.balancer = self.ramp = self.restored = None
         if world.keys is not None:
             world.keys.hosts[self.name].crash()
         claims, self.claims = self.claims, {}
@@ -189,19 +203,19 @@
         """What its folder has of it, as `program.recovery` writes it down."""
         now, out, workers = self.world.now, {}, {}
         for wkr in self.balancer.workers.values():
-            workers[wkr.id] = b.Worker(wkr.state, wkr.born, ["", 0])
+            workers[wkr.id] = StoredWorker(wkr.state, wkr.born, ["", 0])
             known = [launch for launch in wkr.out.values() if launch.sent <= now - KEPT]
             if known:
                 last = max(launch.job.last for launch in known)
-                out[wkr.id] = b.Out(wkr.born, ["", 0], sum(launch.load for launch in known), last)
-        learned = {id: [*told[:3], []] for id, told in self.balancer.learned().items()}
-        return b.RecoveryRecord(
-            at=now,
+                out[wkr.id] = UnfinishedLoad(wkr.born, ["", 0], sum(launch.load for launch in known), last)
+        learned = {id: LearnedWorker(*told[:3], []) for id, told in self.balancer.learned().items()}
+        return RecoveryRecord(
+            unix_us=now,
             registry="lab",
             generation=self.generation or 0,
             listed_at=now,
             workers=workers,
-            out=out,
+            loads=out,
             learned_at=now,
             learned=learned,
         )
@@ -219,38 +233,39 @@
         if life != self.life or not self.up:
             return
         world, now = self.world, self.world.now
-        if self.opening is not None:
+        if self.ramp is not None:
             slots = sum(wkr.slots * self.balancer.warmth(wkr, now) for wkr in self.balancer.ready)
-            self.opening.sized(now, slots, world.settings["dispatchers"])
-            self.opening.look(now)
+            self.ramp.resize(slots, world.settings["dispatchers"])
+            self.ramp.update(now)
         if not self.ready and self.may_act() and self.balancer.ready:
             self.ready = True
-            if self.opening is not None:
+            if self.ramp is not None:
                 self.take_over(now)
-        if self.belief is not None and self.belief.restricted:
-            self.keep_off()
+        if self.restored is not None and self.newest_list.restricted:
+            self.exclude_by_newer_list()
         world.at(100_000 if self.ready else 10_000, self.look, life)
 
     def take_over(self, now):
-        workers = {wkr.id: (wkr.born, ["", 0]) for wkr in self.balancer.workers.values()}
-        told = b.taught(self.belief, now, workers)
-        self.balancer.inherited(now, {id: one for id, one in told.items()})
+        workers = {wkr.id: WorkerIdentity(wkr.born, ["", 0]) for wkr in self.balancer.workers.values()}
+        inherited = inherited_workers(self.restored, now, workers)
+        self.balancer.inherited(now, {id: one.fields() for id, one in inherited.items()})
         others = [one for one in self.world.dispatchers.values() if one is not self and one.up]
         some = [others[self.world.draw(len(others))] for _ in range(min(5, len(others)))]
-        self.opening.heard(now, [(one.opening.held, not one.opening.closed) for one in some if one.opening])
-        self.opening.begins(now)
+        loads = [PeerLoad(one.ramp.in_flight, not one.ramp.limited) for one in some if one.ramp]
+        self.ramp.use_peer_loads(loads)
+        self.ramp.start(now)
 
-    def keep_off(self):
+    def exclude_by_newer_list(self):
         known = {wkr.id: wkr.born for wkr in self.balancer.workers.values()}
-        off = b.kept_off(self.belief, self.generation, known) if self.generation is not None else frozenset()
-        if self.generation is not None and not off:
-            self.belief.restricted = {}
-        self.by_hand(off)
+        excluded = self.newest_list.excluded(self.generation, known)
+        if self.generation is not None and not excluded:
+            self.newest_list.restricted = {}
+        self.by_hand(excluded)
 
-    def by_hand(self, kept_off=None):
+    def by_hand(self, excluded_by_newer_list=None):
         world, now = self.world, self.world.now
-        if kept_off is not None:
-            self.kept_off = kept_off
+        if excluded_by_newer_list is not None:
+            self.excluded_by_newer_list = excluded_by_newer_list
         agreed, back = (), {}
         if (
             world.agreeing
@@ -259,7 +274,7 @@
         ):
             state = world.nodes[self.name].member.state_machine.state
             agreed = state["out"]
-        out = frozenset({*agreed, *self.kept_off})
+        out = frozenset({*agreed, *self.excluded_by_newer_list})
         if out != self.out:
             self.out = out
             self.balancer.by_hand(now, out, back)
@@ -268,7 +283,7 @@
                     if launch.wkr.name in out and not launch.sent and not launch.ended:
                         self.hear(launch, "unsent")
 
-    kept_off = frozenset()
+    excluded_by_newer_list = frozenset()
 
     # The list
 
@@ -329,8 +344,8 @@
         if not self.may_act():
             self.answer(job, 503, min(ROOM, world.settings["most_hold_off"]), door=True)
             return
-        if self.opening is not None:
-            hold_off = self.opening.admit(now, bool(job.attempt))
+        if self.ramp is not None:
+            hold_off = self.ramp.admit(now, bool(job.attempt))
             if hold_off is not None:
                 self.answer(job, 503, hold_off, door=True)
                 return
@@ -340,7 +355,7 @@
         self.numbers += 1
         job.claim = self.numbers
         self.claims[job.claim] = job
-        self.key_step("offer", job.claim, "", job.key.encode(), PRINT, job.until - now)
+        self.key_step(inputs.Offer(job.claim, "", job.key.encode(), PRINT, job.until - now))
         world.at(job.until - now, self.key_late, job, self.life)
 
     def take(self, job):
@@ -355,38 +370,38 @@
 
     # Keys
 
-    def key_step(self, what, *fields):
+    def key_step(self, input_):
         host = self.world.keys.hosts[self.name]
-        host.step(host.node, what, *fields)
+        host.step(host.node, input_)
 
-    def key_told(self, n, what, status, content):
+    def key_told(self, told):
         """What becomes of a keyed job, as its node says."""
-        job = self.claims.get(n)
+        job, verdict = self.claims.get(told.job_id), told.verdict
         if job is None:
-            if what == o.GO:
-                self.key_step("ended", n, m.DROPPED)
+            if verdict is Verdict.GRANTED:
+                self.key_step(inputs.JobEnded(told.job_id, JobOutcome.RELEASED))
             return
-        if what == o.GO:
+        if verdict is Verdict.GRANTED:
             self.take(job)
             return
-        del self.claims[n]
-        if what in (o.LASTING, o.SHORT):
+        del self.claims[told.job_id]
+        if verdict in (Verdict.REPLICATED, Verdict.NOT_REPLICATED):
             if job.reply is not None:
-                kept = what == o.LASTING or job.reply[0] != 200
+                kept = verdict is Verdict.REPLICATED or job.reply[0] != 200
                 self.say(job, *(job.reply if kept else (500, 0, "")))
-        elif what == o.ANSWER:
-            self.answer(job, status, 0, content.decode())
-        elif what == o.UNSURE:
+        elif verdict is Verdict.ANSWERED:
+            self.answer(job, told.status, 0, told.content.decode())
+        elif verdict is Verdict.UNSURE:
             self.answer(job, 409)
-        elif what == o.REFUSED:
-            self.answer(job, status)
+        elif verdict is Verdict.REFUSED:
+            self.answer(job, told.status)
         else:
             self.answer(job, 503, KEY_AGAIN)
 
     def key_late(self, job, life):
         if life == self.life and self.claims.get(job.claim) is job and job.n is None:
             del self.claims[job.claim]
-            self.key_step("left", job.claim)
+            self.key_step(inputs.ClientLeft(job.claim))
             self.answer(job, 500)
 
     def answer(self, job, status, hold_off=0, result="", door=False):
@@ -395,18 +410,18 @@
         job.open = False
         if job.n is not None and job.claim in self.claims:
             # What it came to has to be kept before it is told.
-            how = {200: RecordState.ANSWERED, 503: m.DROPPED}.get(status, RecordState.UNSURE)
+            how = {200: JobOutcome.ANSWERED, 503: JobOutcome.RELEASED}.get(status, JobOutcome.UNSURE)
             job.reply = status, hold_off, result
-            content = result.encode() if how == RecordState.ANSWERED else b""
-            self.key_step("ended", job.claim, how, status, content)
+            content = result.encode() if how is JobOutcome.ANSWERED else b""
+            self.key_step(inputs.JobEnded(job.claim, how, status, content))
             return
         self.say(job, status, hold_off, result, door)
 
     def say(self, job, status, hold_off=0, result="", door=False):
         world = self.world
-        if self.opening is not None and not door:
-            how = {200: DONE, 503: TURNED}.get(status, ELSE)
-            self.opening.ended(world.now, how, world.now - job.began)
+        if self.ramp is not None and not door:
+            outcome = OUTCOME_BY_STATUS.get(status, AdmittedJobOutcome.FAILED)
+            self.ramp.record_outcome(world.now, outcome, world.now - job.began)
         world.at(world.link(), world.replied, job, status, hold_off, result)
 
     def left(self, job):
@@ -414,15 +429,19 @@
         if job.claim and self.claims.get(job.claim) is job:
             if job.n is None:
                 del self.claims[job.claim]
-                self.key_step("left", job.claim)
+                self.key_step(inputs.ClientLeft(job.claim))
                 job.open = False
-                if self.opening is not None:
-                    self.opening.ended(self.world.now, ELSE, self.world.now - job.began)
+                if self.ramp is not None:
+                    self.ramp.record_outcome(
+                        self.world.now, AdmittedJobOutcome.FAILED, self.world.now - job.began
+                    )
             return
         if job.open and job.n is not None and self.jobs.get(job.n) is job:
             job.open = False
-            if self.opening is not None:
-                self.opening.ended(self.world.now, ELSE, self.world.now - job.began)
+            if self.ramp is not None:
+                self.ramp.record_outcome(
+                    self.world.now, AdmittedJobOutcome.FAILED, self.world.now - job.began
+                )
             self.balancer.abandoned(self.world.now, job.n)
             self.pull()
 
@@ -535,8 +554,8 @@
     def at(self, wait, call, *fields):
         self.world.at(wait, call, *fields)
 
-    def told(self, host, n, what, status, content):
-        self.world.dispatchers[host.name].key_told(n, what, status, content)
+    def told(self, host, told):
+        self.world.dispatchers[host.name].key_told(told)
 
 
 class Member(schedule.Node):
--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -14,10 +14,11 @@
 from mastledge.consensus.persisted_state import PersistedState
 from mastledge.consensus.roles import Role
 from mastledge.consensus.worker_restrictions import OwnRestrictions
+from mastledge.peers.link_context import LinkIdentity
 from mastledge.peers.links import Links
 from mastledge.program.fleet_api import LOOK, FleetApi
 from mastledge.program.settings import flatten_settings, parse_settings
-from mastledge.program.shared_lease import SharedLease
+from mastledge.program.shared_lease import LeaseNotice, SharedLease
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.storage.errors import DataDirectoryError
 from mastledge.storage.write_ahead_log import WriteAheadLog
@@ -108,14 +109,12 @@
             seed=self.seed,
         )
         self.member = Member(configuration, deepcopy(kept.value()), now)
-        self.links = Links(
-            self.loop, self.who, self.address, self.heard, len(self.told["members"]), self.seed, log
-        )
+        self.links = Links(self.loop, self, len(self.told["members"]), self.seed, log)
         if self.index:
             # The process before goes by its last lease for a while: until then nothing newer is said to hold
             # here.
             self.member.lease.standby_index = self.index
-        self.links.begin(self.told["listen"])
+        self.links.start(self.told["listen"])
         vital, spawn = self.program.supervised, self.loop.spawn
         self.timer = spawn(vital(self.timed()), first=True)
         self.tasks = [
@@ -172,20 +171,20 @@
     def listens(self):
         """Goes by what the speaking process tells, until that gives the folder free."""
         taken = -1
-        self.notes.take(0)
+        self.notes.report(0)
         while True:
-            told = self.notes.hear()
-            if told is not None and told["index"] >= self.index:
-                if told["index"] > self.index or taken < 0:
-                    self.index = told["index"]
-                    self.take_rules(told["state"])
-                self.heard_until = max(self.heard_until, told["lease_until"])
+            notice = self.notes.notice()
+            if notice is not None and notice.index >= self.index:
+                if notice.index > self.index or taken < 0:
+                    self.index = notice.index
+                    self.take_rules(notice.state)
+                self.heard_until = max(self.heard_until, notice.lease_until)
             self.tell_lease(self.loop.now())
             if taken != self.index:
                 # The decisions have had a turn since.
                 yield (-1, 0, self.loop.now() + LOOK)
                 taken = self.index
-                self.notes.take(taken)
+                self.notes.report(taken)
             yield (-1, 0, self.loop.now() + LOOK)
             try:
                 self.folder.acquire()
@@ -205,12 +204,12 @@
         while True:
             member, now = self.member, self.loop.now()
             if self.program.has_sibling_process and member.state_machine is not None:
-                pid, index = self.notes.listener()
-                if pid is not None and self.held and member.state_machine.applied_index >= self.index:
+                report = self.notes.standby_report()
+                pid, index = (report.process, report.index) if report is not None else (None, 0)
+                applied = member.state_machine.applied_index
+                if pid is not None and self.held and applied >= self.index:
                     if (
-                        self.notes.say(
-                            pid, member.state_machine.applied_index, member.lease.lease_until, self.brief()
-                        )
+                        self.notes.publish(LeaseNotice(pid, applied, member.lease.lease_until, self.brief()))
                         and pid != to
                     ):
                         to, member.lease.standby_index = pid, member.state_machine.applied_index
@@ -221,7 +220,7 @@
                     )
             elif not self.program.has_sibling_process:
                 to = None
-                self.notes.alone()
+                self.notes.withdraw()
             # One that has handed over acts by its last lease; a process that has gone acts by none.
             if (
                 member.lease.standby_index is not None
@@ -252,23 +251,23 @@
 
     # What the member's decisions need of the program
 
-    def who(self):
-        return self.member.fleet, self.name, self.member.incarnation
+    def link_identity(self):
+        return LinkIdentity(self.member.fleet, self.name, self.member.incarnation)
 
-    def address(self, name):
+    def member_address(self, name):
         text = self.member.address_of(name)
         if text is None:
             return None
         return address_of(text)
 
-    def heard(self, name, life, content):
+    def frame_received(self, name, life, content):
         if content[:2] == ASKED:
             if self.program.recovery is not None:
-                self.program.recovery.heard(name, content[2:])
+                self.program.recovery.receive(name, content[2:])
             return
         if content[:1] == b"\xc1":
             if self.copies is not None:
-                self.copies.heard(name, content[1:])
+                self.copies.on_frame(name, content[1:])
             return
         message = messages.decode(content)
         self.input(inputs.MessageReceived(name, life, message))
@@ -287,7 +286,7 @@
                 if result.error is None:
                     self.input(inputs.Persisted(result.token))
                 else:
-                    self.links.grumble("disk_failed", why=str(result.error))
+                    self.links.log.write("disk_failed", why=str(result.error))
                     self.input(inputs.DiskFailed())
 
     def input(self, input):
@@ -432,7 +431,7 @@
             return
         self.program.apply_committed(settings, state)
         if self.copies is not None and self.member is not None:
-            self.copies.placed(state)
+            self.copies.on_committed_state(state)
 
     def tell_lease(self, now):
         held = self.holds(now)
--- a/mastledge/program/lifecycle.py
+++ b/mastledge/program/lifecycle.py
@@ -126,7 +126,8 @@
         if configuration["recovery"]:
             from mastledge.program.recovery_service import RecoveryService
 
-            self.recovery = self.listener.gate = RecoveryService(self, configuration, log)
+            self.recovery = RecoveryService(self, configuration, log)
+            self.listener.gate = self.recovery.gate
             self.router.listed = self.on_endpoint_list
             self.reserved_descriptors += FILES
             self.divide_resources()
@@ -146,7 +147,7 @@
 
     def on_endpoint_list(self, kind, entries):
         """Who goes by what the list has told, beside the decisions."""
-        self.recovery.listed(kind, entries)
+        self.recovery.list_changed(kind, entries)
         if self.fleet is not None:
             self.fleet.listed(kind, entries)
 
@@ -435,7 +436,7 @@
     def run_phases(self):
         loop, door, router = self.loop, self.listener, self.router
         if self.recovery is not None:
-            yield from self.recovery.prepared()
+            yield from self.recovery.prepare()
         try:
             self.discovery.apply(self.configuration["known"], "cached")
         except BadList as error:
@@ -451,7 +452,7 @@
                 if self.has_sibling_process:
                     self.inbox.put("inherited", self.upgrade_state.taught())
                 elif self.recovery is not None:
-                    self.inbox.put("inherited", self.recovery.taught())
+                    self.inbox.put("inherited", self.recovery.inherited())
             if self.accept_task is None and (door.ready or not self.has_sibling_process):
                 self.accept_clients()
             if door.draining:
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -4,17 +4,17 @@
 import orjson
 from helpers import HERE, Rig, arrive, balancer, entry, pull
 from test_program import GOOD, file
-from test_startup_stages import believed, kept
+from test_restored_state import record, restored
 from test_terms import Agent
 
 from mastledge.consensus import messages as m
 from mastledge.consensus.state_machine import initial_state
 from mastledge.consensus.worker_restrictions import ListExchange, OwnRestrictions
-from mastledge.peers import links
+from mastledge.peers.frames import MAX_FRAME_BYTES
 from mastledge.program.configuration import load_configuration
 from mastledge.program.settings import flatten_settings, parse_settings
 from mastledge.recovery import fleet_snapshot
-from mastledge.recovery import restored_state as b
+from mastledge.recovery.recovery_record import RecoveryRecord, StoredWorker
 from mastledge.replication.placement import Placement
 
 MANY = 1024  # processes
@@ -75,23 +75,25 @@
 def test_what_a_large_fleet_agrees_on_fits_a_frame_and_a_snapshot():
     made = state()
     raw = m.encode(m.BootstrapCluster("f", made))
-    assert len(raw) < links.MOST // 4
-    told = fleet_snapshot.unpacked(msgspec.json.encode(fleet_snapshot.packed(made, "f", "x", 1)))
+    assert len(raw) < MAX_FRAME_BYTES // 4
+    told = fleet_snapshot.unpack_snapshot(
+        msgspec.json.encode(fleet_snapshot.pack_snapshot(made, "f", "x", 1))
+    )
     assert len(told["state"]["members"]) == MANY and len(told["state"]["out"]) == WORKERS
 
 
 def test_keys_are_held_among_many_dispatchers():
     ids = {name: f"id of {name}" for name in NAMES}
     placement = Placement({"epoch": 1, "count": 3, "now": ids, "next": None, "caught": []})
-    held = [placement.share("t", b"k%d" % n).names for n in range(300)]
+    held = [placement.replicas_of("t", b"k%d" % n).names for n in range(300)]
     assert all(len(set(names)) == 3 for names in held) and len({n for names in held for n in names}) > 400
 
 
-def test_what_is_kept_of_many_workers_is_believed():
-    workers = {f"w{n}": b.Worker("draining", 5_000, [HERE, 1]) for n in range(WORKERS)}
-    told = kept(workers=workers)
-    assert len(msgspec.json.decode(msgspec.json.encode(told), type=b.RecoveryRecord).workers) == WORKERS
-    assert len(believed(told).restricted) == WORKERS
+def test_what_is_stored_of_many_workers_is_restored():
+    workers = {f"w{n}": StoredWorker("draining", 5_000, [HERE, 1]) for n in range(WORKERS)}
+    told = record(workers=workers)
+    assert len(msgspec.json.decode(msgspec.json.encode(told), type=RecoveryRecord).workers) == WORKERS
+    assert len(restored(told).restricted()) == WORKERS
 
 
 def test_restrictions_of_many_workers_are_passed_on():
