--- a/mastledge/consensus/discovery.py
+++ b/mastledge/consensus/discovery.py
@@ -1,6 +1,7 @@
 """What a member asks the others at its start, and what they have told."""
 
 from dataclasses import dataclass
+from typing import NamedTuple
 from zlib import crc32
 
 from mastledge.consensus.configuration import MemberConfiguration
@@ -11,6 +12,13 @@
 CONTACT_VALIDITY_US = 1_000_000  # for which what a member has said of itself is relied on
 
 
+class Presence(NamedTuple):
+    """When a member has sent its latest message, and whether that says that its disk is empty."""
+
+    at: int
+    is_empty: bool
+
+
 @dataclass(frozen=True, slots=True)
 class Contact:
     """What another member has said of itself, its incarnation, and when that came here."""
@@ -30,9 +38,7 @@
         self.may_bootstrap = configuration.may_bootstrap
         self.responses: dict[str, DiscoverResponse] = {}
         self.contacts: dict[str, Contact] = {}
-        self.last_messages: dict[
-            str, tuple[int, bool]
-        ] = {}  # of any kind: when, and whether its disk is empty
+        self.presences: dict[str, Presence] = {}
         self.learner_rotation = 0
 
     def forget(self) -> None:
@@ -46,7 +52,7 @@
     def record_message(self, sender: str, message: object) -> None:
         """A message of any kind has come."""
         is_empty = isinstance(message, DiscoverRequest | DiscoverResponse) and message.empty
-        self.last_messages[sender] = self.core.clock.now, is_empty
+        self.presences[sender] = Presence(self.core.clock.now, is_empty)
 
     def record_contact(
         self, sender: str, incarnation: str, message: DiscoverRequest | DiscoverResponse
@@ -58,8 +64,8 @@
         """Return who has said something lately and has not lost its disk."""
         return {
             name
-            for name, (at, is_empty) in self.last_messages.items()
-            if now - at < CONTACT_VALIDITY_US and not is_empty
+            for name, presence in self.presences.items()
+            if now - presence.at < CONTACT_VALIDITY_US and not presence.is_empty
         }
 
     def ask_members(self) -> None:
--- a/mastledge/consensus/in_force.py
+++ b/mastledge/consensus/in_force.py
@@ -1,50 +1,61 @@
 """Up to which entry what is committed is in force: applied by each member that holds a lease."""
 
+from typing import NamedTuple
+
 from mastledge.consensus.core import Core
 from mastledge.consensus.leases import GrantedLeases, longest_lease_us
 from mastledge.consensus.relay_children import RelayChildren
 
 
+class InForce(NamedTuple):
+    """Up to which entry the state is in force, and when all that is committed is at the latest."""
+
+    index: int
+    all_by: int
+
+
 class InForceTracker:
-    """The leader's side of it, in its own time; both ways give (index, when the rest is at the latest)."""
+    """The leader's side of it, in its own time."""
 
     def __init__(self, core: Core, leases: GrantedLeases, children: RelayChildren):
         """Begin as a leader does."""
         self.core, self.leases, self.children = core, leases, children
         self.won_at = core.clock.now
 
-    def of_all_members(self) -> tuple[int, int]:
+    def of_all_members(self) -> InForce:
         """Without relays: each member, and each that left, is waited for by its name."""
         state, now = self.core.state, self.core.clock.now
-        reached, by = self._own()
+        reached = self._own()
         departed = {member["name"] for member in state.departed()}
         for name in {*state.state_machine.members, *state.members(), *departed} - {state.name}:
             covered = self.leases.covered_index(name, now)
             if covered is not None:
-                reached, by = self._with_holder(name, covered, reached, by)
-        return reached, by
+                reached = self._with_holder(name, covered, reached)
+        return reached
 
-    def of_holders(self, in_force_index: int) -> tuple[int, int]:
+    def of_holders(self, in_force_index: int) -> InForce:
         """With relays: those that the leader has granted to are waited for; they tell of their children."""
         state, now = self.core.state, self.core.clock.now
         former_leases_end = self.won_at + longest_lease_us(state.lease_us)
         if now < former_leases_end:
             # Whoever led before has granted, directly or by relays, to whom is not known here.
-            return in_force_index, former_leases_end
-        reached, by = self._own()
+            return InForce(in_force_index, former_leases_end)
+        reached = self._own()
         for name in list(self.leases.holders):
             covered = self.leases.covered_index(name, now)
             if covered is not None:
-                reached, by = self._with_holder(name, covered, reached, by)
+                reached = self._with_holder(name, covered, reached)
             elif name not in state.members():
                 del self.leases.holders[name]
-        return reached, by
+        return reached
 
-    def _own(self) -> tuple[int, int]:
-        return min(self.core.state.commit_index, self.children.covered_index()), self.core.clock.now
+    def _own(self) -> InForce:
+        index = min(self.core.state.commit_index, self.children.covered_index())
+        return InForce(index, self.core.clock.now)
 
-    def _with_holder(self, name: str, covered: int, reached: int, by: int) -> tuple[int, int]:
+    def _with_holder(self, name: str, covered: int, reached: InForce) -> InForce:
         commit_index = self.core.state.commit_index
+        all_by = reached.all_by
         if covered < commit_index:
-            by = max(by, self.leases.expires_at(name, commit_index))
-        return min(reached, covered), by
+            all_by = max(all_by, self.leases.expires_at(name, commit_index))
+        return InForce(min(reached.index, covered), all_by)
--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -19,7 +19,7 @@
 from mastledge.consensus.lease_holder import LeaseHolder
 from mastledge.consensus.leases import GrantedLeases
 from mastledge.consensus.membership import MAX_DEPARTED, wanted_voters
-from mastledge.consensus.messages import AppendResponse, Entry, WorkerRestrictions
+from mastledge.consensus.messages import AppendResponse, Entry, Propose, WorkerRestrictions
 from mastledge.consensus.observed_state import Observation, ObservedState
 from mastledge.consensus.relay_children import RelayChildren
 from mastledge.consensus.relay_choice import RelayChoice
@@ -63,7 +63,7 @@
         self.in_force = self.in_force_type(core, self.leases, parts.children)
         self.echoed_at: dict[str, int] = {}  # the latest own time that each member has sent back
         self.process_ids: dict[str, int] = {}  # of each member; 0 for a version that knows no relays
-        self.waiting_changes: list[tuple[str, dict]] = []  # of the members
+        self.waiting_changes: list[Propose] = []  # of the members
         self.last_fan_out = state.fan_out
         self.first_index = 0  # of this term
 
@@ -105,9 +105,9 @@
         return any(entry.id == id for entry in uncommitted) or id in state.state_machine.results
 
     def _wait(self, id: str, change: dict) -> None:
-        is_waiting = any(waiting_id == id for waiting_id, _ in self.waiting_changes)
+        is_waiting = any(waiting.id == id for waiting in self.waiting_changes)
         if len(self.waiting_changes) < MAX_WAITING_CHANGES and not is_waiting:
-            self.waiting_changes.append((id, change))
+            self.waiting_changes.append(Propose(id, change))
 
     def _append(self, entry: Entry) -> None:
         self.core.state.append(entry)
@@ -218,7 +218,8 @@
         self._hold_lease(majority_heard_at)
         self.update_in_force()
         if self.waiting_changes and self.is_settled():
-            self.take(*self.waiting_changes.pop(0))
+            next_change = self.waiting_changes.pop(0)
+            self.take(next_change.id, next_change.change)
         self.promote_learner()
         self._send_heartbeats(majority_heard_at)
 
@@ -256,12 +257,12 @@
         """Count up to which entry the state is in force."""
         lease, fan_out = self.parts.lease, self.core.state.fan_out
         if fan_out:
-            reached, by = self.in_force.of_holders(lease.in_force_index)
+            reached = self.in_force.of_holders(lease.in_force_index)
         else:
-            reached, by = self.in_force.of_all_members()
-        if reached > lease.in_force_index and not fan_out:
+            reached = self.in_force.of_all_members()
+        if reached.index > lease.in_force_index and not fan_out:
             self.progress.hurry()  # relays hear it with the next heartbeat: nobody acts on it
-        lease.record_in_force(reached, by)
+        lease.record_in_force(reached.index, reached.all_by)
 
     def promote_learner(self) -> None:
         """Return a vote to a member that has caught up, while voters are missing."""
--- a/mastledge/consensus/leases.py
+++ b/mastledge/consensus/leases.py
@@ -6,6 +6,7 @@
 """
 
 from collections import deque
+from typing import NamedTuple
 
 DRIFT_DIVISOR = 100  # a clock gains or loses one part in so many at the most
 MAX_CLOCK_REPORTS = 16  # of one holder that wait for a majority
@@ -21,6 +22,20 @@
     return lease_us + lease_us // DRIFT_DIVISOR
 
 
+class ClockReport(NamedTuple):
+    """A time that a holder has told of its own clock, and when it came here."""
+
+    clock: int
+    received_at: int
+
+
+class Grant(NamedTuple):
+    """A lease that was granted to who had applied the log up to an entry."""
+
+    index: int
+    expires_at: int
+
+
 class Holder:
     """What is known of one member that may hold a lease."""
 
@@ -28,8 +43,8 @@
 
     def __init__(self, expires_at: int):
         """Take it that somebody before has granted a lease until then."""
-        self.clock_reports: deque[tuple[int, int]] = deque((), MAX_CLOCK_REPORTS)  # (its clock, received at)
-        self.grants: deque[tuple[int, int]] = deque(((0, expires_at),))  # (index it had to know, expires at)
+        self.clock_reports: deque[ClockReport] = deque((), MAX_CLOCK_REPORTS)
+        self.grants: deque[Grant] = deque((Grant(0, expires_at),))
         self.applied_index = self.latest_grant = self.latest_clock = self.process_id = 0
 
     def forget_clock(self) -> None:
@@ -63,34 +78,34 @@
         if clock < holder.latest_clock:
             holder.forget_clock()  # a process of a version that tells no process id
         holder.latest_clock = clock
-        if not holder.clock_reports or clock > holder.clock_reports[-1][0]:
-            holder.clock_reports.append((clock, now))
+        if not holder.clock_reports or clock > holder.clock_reports[-1].clock:
+            holder.clock_reports.append(ClockReport(clock, now))
 
     def grant(self, name: str, majority_heard_at: int, commit_index: int) -> int:
         """Return the time of the holder's own clock from which its lease runs; 0 for none yet."""
         holder = self.holder(name)
-        while holder.clock_reports and holder.clock_reports[0][1] <= majority_heard_at:
+        while holder.clock_reports and holder.clock_reports[0].received_at <= majority_heard_at:
             holder.latest_grant, received_at = holder.clock_reports.popleft()
             expires_at = received_at + longest_lease_us(self.lease_us)
-            if holder.grants and holder.grants[-1][0] == commit_index:
-                holder.grants[-1] = (commit_index, max(expires_at, holder.grants[-1][1]))
+            if holder.grants and holder.grants[-1].index == commit_index:
+                holder.grants[-1] = Grant(commit_index, max(expires_at, holder.grants[-1].expires_at))
             else:
-                holder.grants.append((commit_index, expires_at))
+                holder.grants.append(Grant(commit_index, expires_at))
         return holder.latest_grant
 
     def covered_index(self, name: str, now: int) -> int | None:
         """Return up to which entry this holder cannot act on older state; None: it holds no lease at all."""
         holder = self.holder(name)
-        while holder.grants and holder.grants[0][1] <= now:
+        while holder.grants and holder.grants[0].expires_at <= now:
             holder.grants.popleft()
         if not holder.grants:
             return None
-        return max(holder.applied_index, holder.grants[0][0])
+        return max(holder.applied_index, holder.grants[0].index)
 
     def expires_at(self, name: str, commit_index: int) -> int:
         """Return when the last lease of this holder is over that was granted before `commit_index`."""
         grants = self.holder(name).grants
-        return max((expires_at for index, expires_at in grants if index < commit_index), default=0)
+        return max((grant.expires_at for grant in grants if grant.index < commit_index), default=0)
 
     def has_expired(self, name: str, now: int) -> bool:
         """Return whether this holder holds no lease."""
--- a/mastledge/consensus/member.py
+++ b/mastledge/consensus/member.py
@@ -155,8 +155,8 @@
         persistence, now = self.persistence, self.clock.now
         if persistence.is_retry_due(now) and self.state.state_machine:
             persistence.rewrite(self.state.all_records(), self.state.log.last_index)
-        for id, change in self.proposals.due(now):
-            self._hand_in(id, change)
+        for proposal in self.proposals.due(now):
+            self._hand_in(proposal)
         if self.phase != Phase.PARTICIPATING:
             self.bootstrap.run()
             return
@@ -234,14 +234,14 @@
 
     def _on_proposal(self, proposal: inputs.Propose) -> None:
         self.proposals.add(proposal.id, proposal.change)
-        self._hand_in(proposal.id, proposal.change)
+        self._hand_in(messages.Propose(proposal.id, proposal.change))
         self.proposals.await_result(self.clock.now)
 
-    def _hand_in(self, id: str, change: dict) -> None:
+    def _hand_in(self, proposal: messages.Propose) -> None:
         if self.roles.leadership is not None:
-            self.roles.leadership.take(id, change)
+            self.roles.leadership.take(proposal.id, proposal.change)
         elif self.roles.leader is not None:
-            self.outbox.send(self.roles.leader, messages.Propose(id, change))
+            self.outbox.send(self.roles.leader, proposal)
 
     def _on_forget_proposal(self, forget: inputs.ForgetProposal) -> None:
         self.proposals.forget(forget.id)
--- a/mastledge/consensus/outbox.py
+++ b/mastledge/consensus/outbox.py
@@ -1,5 +1,7 @@
 """The outputs of the running step, and what waits until records are on disk."""
 
+from typing import NamedTuple
+
 from mastledge.consensus import outputs
 from mastledge.consensus.messages import AnyMessage, WorkerRestrictions
 from mastledge.consensus.records import Record, encode_record
@@ -37,6 +39,13 @@
         return taken
 
 
+class WaitingMessage(NamedTuple):
+    """A message that is sent once the write of this token is on disk."""
+
+    token: int
+    message: outputs.Send
+
+
 class Persistence:
     """Records on their way to the disk, what the disk has, and whether it works.
 
@@ -47,8 +56,8 @@
         """Begin with a disk that works and a log that is persisted up to nowhere."""
         self.outbox = outbox
         self.records: list[Record] = []  # of the running step
-        self.unsent: list[tuple[str, AnyMessage]] = []  # messages of the step that need them on disk
-        self.waiting: list[tuple[int, str, AnyMessage]] = []  # messages by the token that they wait for
+        self.unsent: list[outputs.Send] = []  # messages of the step that need them on disk
+        self.waiting: list[WaitingMessage] = []  # in the order of their tokens
         self.token = self.persisted_token = 0
         self.last_indexes: dict[int, int] = {}  # of the log, by the token of a write that is under way
         self.persisted_index = 0  # up to which entry the disk has the log
@@ -70,7 +79,7 @@
 
     def send_when_persisted(self, to: str, message: AnyMessage) -> None:
         """Send a message once the records of this step, and all before, are on disk."""
-        self.unsent.append((to, message))
+        self.unsent.append(outputs.Send(to, message))
 
     def limit_persisted(self, last_index: int) -> None:
         """The log has lost its entries after this index."""
@@ -84,11 +93,10 @@
         self.is_behind = self.failed and (self.is_behind or bool(self.records))
         self.records = []
         if not self.failed:
-            self.waiting += [(self.token, to, message) for to, message in self.unsent]
+            self.waiting += [WaitingMessage(self.token, message) for message in self.unsent]
         self.unsent = []
-        while self.waiting and self.waiting[0][0] <= self.persisted_token:
-            _, to, message = self.waiting.pop(0)
-            self.outbox.send(to, message)
+        while self.waiting and self.waiting[0].token <= self.persisted_token:
+            self.outbox.outputs.append(self.waiting.pop(0).message)
 
     def _write(self, last_index: int) -> None:
         self.token += 1
--- a/mastledge/consensus/proposals.py
+++ b/mastledge/consensus/proposals.py
@@ -1,5 +1,7 @@
 """Changes that the host of this member wants committed, until it is known what became of them."""
 
+from mastledge.consensus.messages import Propose
+
 PROPOSAL_RETRY_US = 200_000  # after which a proposal without a result is handed to the leader once more
 
 
@@ -31,9 +33,9 @@
         """Somebody else leads, who may not have heard of them."""
         self.retry_at = now if self.pending else None
 
-    def due(self, now: int) -> list[tuple[str, dict]]:
-        """Return the (id, change) that are to be handed in again now."""
+    def due(self, now: int) -> list[Propose]:
+        """Return the proposals that are to be handed in again now."""
         if self.retry_at is None or now < self.retry_at:
             return []
         self.retry_at = now + PROPOSAL_RETRY_US if self.pending else None
-        return list(self.pending.items())
+        return [Propose(id, change) for id, change in self.pending.items()]
--- a/mastledge/consensus/relay_tree.py
+++ b/mastledge/consensus/relay_tree.py
@@ -4,9 +4,20 @@
 above; who stands in one level hears from one member of the level above.
 """
 
+from typing import NamedTuple
 from zlib import crc32
 
 
+class Place(NamedTuple):
+    """Where a member stands: its level, 0 for voters, and its position there."""
+
+    level: int
+    position: int
+
+
+FIRST_PLACE = Place(0, 0)  # also of who is no member
+
+
 class RelayTree:
     """By the members alone, so that it is the same at each member."""
 
@@ -20,16 +31,16 @@
             width = max(1, len(self.levels[-1])) * fan_out
             self.levels.append(followers[:width])
             followers = followers[width:]
-        self.places: dict[str, tuple[int, int]] = {
-            name: (level, place)
+        self.places: dict[str, Place] = {
+            name: Place(level, position)
             for level, names in enumerate(self.levels)
-            for place, name in enumerate(names)
+            for position, name in enumerate(names)
         }
         self._latest: dict[tuple[str, str | None], list[str]] = {}
 
     def level(self, name: str) -> int:
         """Return 0 for voters and for who is no member, 1 for those who hear from voters, and so on."""
-        return self.places.get(name, (0, 0))[0]
+        return self.places.get(name, FIRST_PLACE).level
 
     def relays(self, name: str, leader: str | None) -> list[str]:
         """Return those from whom a follower may hear, the first to be tried first."""
@@ -38,11 +49,11 @@
         return self._latest[name, leader]
 
     def _relays_of(self, name: str, leader: str | None) -> list[str]:
-        level, place = self.places.get(name, (0, 0))
+        level, position = self.places.get(name, FIRST_PLACE)
         above = self.levels[level - 1] if level else []
         if not above:
             return []
-        first = above[place % len(above)]
+        first = above[position % len(above)]
         others = sorted(
             (other for other in above if other != first),
             key=lambda other: (crc32(f"{other} {name}".encode()), other),
--- a/mastledge/consensus/worker_restrictions.py
+++ b/mastledge/consensus/worker_restrictions.py
@@ -6,6 +6,7 @@
 
 from collections.abc import Sequence
 from enum import StrEnum
+from typing import NamedTuple
 
 from mastledge.consensus.messages import WorkerRestrictions
 
@@ -70,6 +71,13 @@
         return frozenset(worker for worker, _ in restrictions.workers)
 
 
+class WorkerChange(NamedTuple):
+    """The state that a worker has come to, and the generation of the list that it came with."""
+
+    state: str
+    generation: int
+
+
 class ListKnowledge:
     """What is known of one registry's list, by the own watch or by others: who has changed since when."""
 
@@ -77,7 +85,7 @@
         """Begin without a list."""
         self.generation = 0
         self.oldest_generation = 0  # who has not heard this one gets all that are restricted
-        self.changes: dict[str, tuple[str, int]] = {}  # (state, generation), the latest change last
+        self.changes: dict[str, WorkerChange] = {}  # the latest one last
 
     def update_own(self, kind: str, entries: WorkerStates, generation: int) -> None:
         """Take over what the own registry has told, a list or a change of it."""
@@ -92,20 +100,20 @@
     def _replace(self, entries: WorkerStates, generation: int) -> None:
         named = {worker for worker, _ in entries}
         unnamed = {
-            worker: (state, generation)
+            worker: WorkerChange(state, generation)
             for worker, (state, _) in self.changes.items()
             if worker not in named and state != READY
         }
-        restricted = {worker: (state, generation) for worker, state in entries if state != READY}
+        restricted = {worker: WorkerChange(state, generation) for worker, state in entries if state != READY}
         self.changes, self.oldest_generation = {**unnamed, **restricted}, generation
 
     def _record(self, entries: WorkerStates, generation: int) -> None:
         for worker, state in entries:
             self.changes.pop(worker, None)
-            self.changes[worker] = state, generation
+            self.changes[worker] = WorkerChange(state, generation)
         while len(self.changes) > MAX_RESTRICTED:
             oldest = next(iter(self.changes))
-            self.oldest_generation = max(self.oldest_generation, self.changes.pop(oldest)[1])
+            self.oldest_generation = max(self.oldest_generation, self.changes.pop(oldest).generation)
 
     def receive(self, restrictions: WorkerRestrictions) -> bool:
         """Take over what another member tells; return whether that was new here."""
