--- a/mastledge/adapter/__main__.py
+++ b/mastledge/adapter/__main__.py
@@ -4,9 +4,9 @@
 import traceback
 
 from mastledge.adapter import frames as wire
-from mastledge.balance import Balancer
 from mastledge.program.settings import BadSetting, pairs_of, plain_map
 from mastledge.protocol import load_messages
+from mastledge.scheduling.scheduler import Scheduler
 
 STATE = {0: "gone", 1: "ready", 2: "draining"}
 LIST = {0: "changes", 1: "whole", 2: "cached", 3: "failed"}
@@ -55,18 +55,18 @@
         except UnicodeDecodeError as error:
             raise BadSetting(f"settings are not text: {error}") from None
         self.timers[instance] = None
-        self.instances[instance] = Balancer(settings, seed, now)
+        self.instances[instance] = Scheduler(settings, seed, now)
 
-    def members(self, now, at, balancer, fields):
+    def members(self, now, at, scheduler, fields):
         _, kind, _, pool = fields
         if kind not in LIST:
             raise wire.BadFrame(f"record {at}: unknown list kind {kind}")
         if LIST[kind] == "failed":
-            balancer.members(now, "failed", ())
+            scheduler.update_endpoints(now, "failed", ())
         elif pool not in self.pools:
             raise wire.BadFrame(f"record {at}: list {pool} was never given")
         else:
-            balancer.members(now, LIST[kind], self.pools[pool])
+            scheduler.update_endpoints(now, LIST[kind], self.pools[pool])
 
     def pool(self, at, body, count, fields):
         number, offset, size = fields
@@ -79,21 +79,23 @@
             rows.append((zone, wkr, STATE[state], span(at, "start time", born), kind, cell, units))
         self.pools[number] = rows
 
-    def event(self, now, at, code, fields, balancer):
+    def event(self, now, at, code, fields, scheduler):
         if code == wire.NOTE:
             _, job, launch, value, topic, _ = fields
             if topic == 1:
-                balancer.started(now, job, launch)
+                scheduler.launch_started(now, job, launch)
             elif topic == 2:
-                balancer.progress(now, job, launch, value)
+                scheduler.launch_progressed(now, job, launch, value)
         elif code == wire.END:
             (_, job, _, lag, launch, _, final, how, n, *report) = fields
-            balancer.ended(now, job, launch, ending(at, how), span(at, "lag", lag), final != 0, report[:n])
+            scheduler.launch_ended(
+                now, job, launch, ending(at, how), span(at, "lag", lag), final != 0, report[:n]
+            )
         elif code == wire.NEW:
             _, job, hint, key, qtype, bits, width, tenant, patience, memory = fields
-            if qtype >= len(balancer.queue_types):
+            if qtype >= len(scheduler.queue_types):
                 raise wire.BadFrame(f"record {at}: unknown queue type {qtype}")
-            balancer.arrived(
+            scheduler.job_arrived(
                 now,
                 job,
                 qtype,
@@ -108,13 +110,13 @@
             if self.timers.get(fields[0]) is not None and self.timers[fields[0]] <= now:
                 self.timers[fields[0]] = None
         elif code == wire.MEMBERSHIP:
-            self.members(now, at, balancer, fields)
+            self.members(now, at, scheduler, fields)
         elif code == wire.ABANDONED:
-            balancer.abandoned(now, fields[1])
+            scheduler.job_abandoned(now, fields[1])
 
-    def pull(self, now, instance, balancer):
+    def pull(self, now, instance, scheduler):
         """Every decision of one instance, then its next waking."""
-        add, decide = self.records.append, balancer.decide
+        add, decide = self.records.append, scheduler.decide
         while (decision := decide(now)) is not None:
             what = decision[0]
             if what == "launch":
@@ -134,7 +136,7 @@
                 self.tail += content
             else:
                 raise RuntimeError(f"no such decision: {what}")
-        wake, timer = balancer.wake_at(), self.timers[instance]
+        wake, timer = scheduler.wake_at(), self.timers[instance]
         if wake is not None and (timer is None or wake < timer):
             self.timers[instance] = wake = max(wake, now + 1)
             add(wire.NOTIFY_ME(5, instance, wake // 1000, wake / 1000))
@@ -160,7 +162,7 @@
                         content = bytes(wire.tail_part(body, count, at, fields[2], fields[3], "message"))
                         told = load_messages.decoded(content)
                         if told is not None:
-                            instances[instance].message(now, fields[1], *told)
+                            instances[instance].load_message_received(now, fields[1], *told)
                     else:
                         self.event(now, at, code, fields, instances[instance])
                     touched[instance] = True
--- a/mastledge/lab/crossing.py
+++ b/mastledge/lab/crossing.py
@@ -674,8 +674,8 @@
         program, out = self.program, []
         if program.router.jobs:
             out.append(f"nothing_left: {len(program.router.jobs)} jobs")
-        if program.router.balancer.jobs:
-            out.append(f"nothing_left: {len(program.router.balancer.jobs)} jobs of the decisions")
+        if program.router.scheduler.jobs:
+            out.append(f"nothing_left: {len(program.router.scheduler.jobs)} jobs of the decisions")
         if program.budget.used["clients"]:
             out.append(f"nothing_left: {program.budget.used['clients']} clients' descriptors")
         idle = sum(len(peer.idle) for peer in program.router.peers.values())
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -123,7 +123,7 @@
         self.up = self.ready = False
         self.until, self.deferred = 0, []
         self.kept, self.late, self.silent = None, 0, False
-        self.jobs, self.balancer, self.opening, self.belief = {}, None, None, None
+        self.jobs, self.scheduler, self.opening, self.belief = {}, None, None, None
         self.claims, self.numbers = {}, 0
 
     def boot(self):
@@ -144,7 +144,7 @@
         seed = (world.seed * 64 + self.n) * 1000 + self.life
         self.jobs, self.count, self.wake_at, self.generation, self.listed = {}, 0, None, None, {}
         self.out, self.heard_restricted = frozenset(), {}
-        self.balancer = world.decisions(settings, seed, now)
+        self.scheduler = world.decisions(settings, seed, now)
         recovery = world.scenario.recovery
         self.opening, self.belief = None, None
         if recovery:
@@ -154,7 +154,7 @@
             self.belief = b.believed(kept, now, now, "", "lab", int(recovery.get("list_ms", 60_000)) * 1000)
             if self.belief.workers:
                 some = [(id, one.state, one.born) for id, one in self.belief.workers.items()]
-                self.balancer.members(now, "cached", entries_of(some))
+                self.scheduler.update_endpoints(now, "cached", entries_of(some))
         if world.keys is not None:
             world.keys.hosts[self.name].start()
         if world.agreeing:
@@ -165,13 +165,13 @@
     def crash(self):
         """All that it held is gone; connections break."""
         world = self.world
-        if world.scenario.recovery and self.balancer is not None:
+        if world.scenario.recovery and self.scheduler is not None:
             self.kept = self.keep()
         self.up = self.ready = False
         self.life += 1
         if world.agreeing and world.nodes[self.name].up:
             world.nodes[self.name].crash()
-        self.balancer = self.opening = self.belief = None
+        self.scheduler = self.opening = self.belief = None
         if world.keys is not None:
             world.keys.hosts[self.name].crash()
         claims, self.claims = self.claims, {}
@@ -188,13 +188,13 @@
     def keep(self):
         """What its folder has of it, as `program.recovery` writes it down."""
         now, out, workers = self.world.now, {}, {}
-        for wkr in self.balancer.workers.values():
+        for wkr in self.scheduler.workers.values():
             workers[wkr.id] = b.Worker(wkr.state, wkr.born, ["", 0])
-            known = [launch for launch in wkr.out.values() if launch.sent <= now - KEPT]
+            known = [launch for launch in wkr.in_flight.values() if launch.sent_at <= now - KEPT]
             if known:
-                last = max(launch.job.last for launch in known)
+                last = max(launch.job.deadline for launch in known)
                 out[wkr.id] = b.Out(wkr.born, ["", 0], sum(launch.load for launch in known), last)
-        learned = {id: [*told[:3], []] for id, told in self.balancer.learned().items()}
+        learned = {id: [*told[:3], []] for id, told in self.scheduler.learned_state().items()}
         return b.Kept(
             at=now,
             registry="lab",
@@ -220,10 +220,10 @@
             return
         world, now = self.world, self.world.now
         if self.opening is not None:
-            slots = sum(wkr.slots * self.balancer.warmth(wkr, now) for wkr in self.balancer.ready)
+            slots = sum(wkr.slots * self.scheduler.least_warmth(wkr, now) for wkr in self.scheduler.ready)
             self.opening.sized(now, slots, world.settings["dispatchers"])
             self.opening.look(now)
-        if not self.ready and self.may_act() and self.balancer.ready:
+        if not self.ready and self.may_act() and self.scheduler.ready:
             self.ready = True
             if self.opening is not None:
                 self.take_over(now)
@@ -232,16 +232,16 @@
         world.at(100_000 if self.ready else 10_000, self.look, life)
 
     def take_over(self, now):
-        workers = {wkr.id: (wkr.born, ["", 0]) for wkr in self.balancer.workers.values()}
+        workers = {wkr.id: (wkr.born, ["", 0]) for wkr in self.scheduler.workers.values()}
         told = b.taught(self.belief, now, workers)
-        self.balancer.inherited(now, {id: one for id, one in told.items()})
+        self.scheduler.restore_learned(now, {id: one for id, one in told.items()})
         others = [one for one in self.world.dispatchers.values() if one is not self and one.up]
         some = [others[self.world.draw(len(others))] for _ in range(min(5, len(others)))]
         self.opening.heard(now, [(one.opening.held, not one.opening.closed) for one in some if one.opening])
         self.opening.begins(now)
 
     def keep_off(self):
-        known = {wkr.id: wkr.born for wkr in self.balancer.workers.values()}
+        known = {wkr.id: wkr.born for wkr in self.scheduler.workers.values()}
         off = b.kept_off(self.belief, self.generation, known) if self.generation is not None else frozenset()
         if self.generation is not None and not off:
             self.belief.restricted = {}
@@ -258,7 +258,7 @@
         out = frozenset({*agreed, *self.kept_off})
         if out != self.out:
             self.out = out
-            self.balancer.by_hand(now, out, back)
+            self.scheduler.set_excluded(now, out, back)
             for job in self.jobs.values():
                 for launch in job.launches:
                     if launch.wkr.name in out and not launch.sent and not launch.ended:
@@ -284,12 +284,12 @@
         world = self.world
         self.generation = generation
         world.note("told", who=self.name, generation=generation)
-        self.balancer.members(world.now, kind, entries_of(entries))
+        self.scheduler.update_endpoints(world.now, kind, entries_of(entries))
         self.pull()
 
     def changed(self, life):
         """All that has become visible since the last time: a watch is in order."""
-        if life != self.life or self.balancer is None or self.generation is None:
+        if life != self.life or self.scheduler is None or self.generation is None:
             return
         if self.silent or self.world.list_down:
             self.world.at(50_000, self.changed, life)
@@ -314,7 +314,7 @@
 
     def arrive(self, job, life):
         world = self.world
-        if life != self.life or self.balancer is None:
+        if life != self.life or self.scheduler is None:
             world.client_lost(job, "ConnectionError")
             return
         if self.frozen(self.arrive, job, life):
@@ -346,7 +346,7 @@
         job.n = self.count
         self.jobs[job.n] = job
         types = [one.name for one in world.scenario.clients.queue_types]
-        self.balancer.arrived(now, job.n, types.index(job.kind.name), 0, 0, 1.0, 0.0, 0, job.until - now)
+        self.scheduler.job_arrived(now, job.n, types.index(job.kind.name), 0, 0, 1.0, 0.0, 0, job.until - now)
         self.pull()
 
     # Keys
@@ -419,25 +419,25 @@
             job.open = False
             if self.opening is not None:
                 self.opening.ended(self.world.now, ELSE, self.world.now - job.began)
-            self.balancer.abandoned(self.world.now, job.n)
+            self.scheduler.job_abandoned(self.world.now, job.n)
             self.pull()
 
     def hear(self, launch, what):
         """News of a launch from its worker, or of its connection."""
         world, job = self.world, launch.job
-        if launch.life != self.life or launch.ended or self.balancer is None:
+        if launch.life != self.life or launch.ended or self.scheduler is None:
             return
         if self.frozen(self.hear, launch, what):
             return
         now = world.now
         if what == "started":
             launch.began = now
-            self.balancer.started(now, job.n, launch.n)
+            self.scheduler.launch_started(now, job.n, launch.n)
         else:
             launch.ended = True
             if what == "completed":
                 self.answer(job, 200, 0, f"{launch.wkr.name} {job.name}")
-            self.balancer.ended(now, job.n, launch.n, what, now - launch.at, not job.open, ())
+            self.scheduler.launch_ended(now, job.n, launch.n, what, now - launch.at, not job.open, ())
             if not job.open and all(one.ended for one in job.launches):
                 self.jobs.pop(job.n, None)
         self.pull()
@@ -445,10 +445,10 @@
     def pull(self):
         world = self.world
         now = world.now
-        while (decision := self.balancer.decide(now)) is not None:
+        while (decision := self.scheduler.decide(now)) is not None:
             what, *fields = decision
             getattr(self, "do_" + what)(now, *fields)
-        at = self.balancer.wake_at()
+        at = self.scheduler.wake_at()
         if at is not None:
             at = max(at, now + 1)
             if self.wake_at is None or at < self.wake_at or self.wake_at <= now:
@@ -542,7 +542,7 @@
         super().step(what, member, *fields)
         world = self.fleet
         dispatcher = world.dispatchers.get(self.name)
-        if self.up and dispatcher is not None and dispatcher.balancer is not None:
+        if self.up and dispatcher is not None and dispatcher.scheduler is not None:
             dispatcher.by_hand()
 
 
--- a/mastledge/lab/policies.py
+++ b/mastledge/lab/policies.py
@@ -1,14 +1,14 @@
 """Baselines: the program's decisions with another choice of the worker, and nothing else changed.
 
 Rules, retries, workers set aside, cold budgets, pressure and final answers are those of the program; only
-`pick` differs, and tells no wait, so that nothing is turned away for one.
+`pick_worker` differs, and tells no wait, so that nothing is turned away for one.
 """
 
-from mastledge.balance import Balancer
+from mastledge.scheduling.scheduler import Scheduler
 
 
-class Baseline(Balancer):
-    def pick(self, job, now, group):
+class Baseline(Scheduler):
+    def pick_worker(self, job, now, group):
         some = [wkr for wkr in self.ready if self.eligible(wkr, job, now, group)]
         return (self.chosen(some), 0.0) if some else (None, 0.0)
 
@@ -44,11 +44,15 @@
 
 
 def named(policy):
-    """The class of decisions of this name; Balancer for ""."""
-    return POLICIES[policy] if policy else Balancer
+    """The class of decisions of this name; Scheduler for ""."""
+    return POLICIES[policy] if policy else Scheduler
 
 
 def installed(policy):
     """Has this process decide by it."""
     made = POLICIES[policy]
-    Balancer.pick, Balancer.chosen, Balancer.any_of = Baseline.pick, made.chosen, Baseline.any_of
+    Scheduler.pick_worker, Scheduler.chosen, Scheduler.any_of = (
+        Baseline.pick_worker,
+        made.chosen,
+        Baseline.any_of,
+    )
--- a/mastledge/program/lifecycle.py
+++ b/mastledge/program/lifecycle.py
@@ -7,7 +7,6 @@
 import time
 from copy import deepcopy
 
-from mastledge.balance import Balancer
 from mastledge.program.connection_handoff import ConnectionHandoff
 from mastledge.program.operator_api import OperatorApi
 from mastledge.program.upgrade_state import UpgradeState
@@ -16,6 +15,7 @@
 from mastledge.protocol.discovery import BadList, Discovery
 from mastledge.protocol.worker_connections import WorkerConnections
 from mastledge.routing.router import Router
+from mastledge.scheduling.scheduler import Scheduler
 from mastledge.transport.budget import Budget
 from mastledge.transport.connection import BACKLOG, bound, steer
 from mastledge.transport.loop import READ, Loop, Queue
@@ -94,8 +94,8 @@
         self.discovery = Discovery(loop, self.budget, inbox, told["discovery"], words, log)
         self.workers = WorkerConnections(loop, self.budget, inbox, settings, log)
         self.listener = ClientListener(loop, self.budget, inbox, words, log)
-        balancer = Balancer(handed(settings), told["seed"], loop.now())
-        self.router = Router(loop, inbox, balancer, self.workers, self.discovery, log)
+        scheduler = Scheduler(handed(settings), told["seed"], loop.now())
+        self.router = Router(loop, inbox, scheduler, self.workers, self.discovery, log)
         self.handoff = ConnectionHandoff(loop, self.budget, self.listener, settings, log)
         self.following = settings["follow"] == "pushed"
         self.signalled, self.controlling, self.accepting, self.beside = False, None, None, False
@@ -341,7 +341,7 @@
             self.divide()
             if self.phase in (SERVING, DRAINING) and self.loop.now() >= teach_at:
                 teach_at = self.loop.now() + TEACH
-                handover.teach(self.router.balancer.learned())
+                handover.teach(self.router.scheduler.learned_state())
             yield (-1, 0, self.loop.now() + (BESIDE if shared else WATCH))
 
     def divide(self):
--- a/mastledge/program/operator_api.py
+++ b/mastledge/program/operator_api.py
@@ -48,7 +48,7 @@
             "upstream_tries": workers.tries,
             "in_progress": door.in_hand,
             "known_workers": len(router.peers),
-            "skipped_workers": router.balancer.skipped(self.program.loop.now()),
+            "skipped_workers": router.scheduler.count_skipped_workers(self.program.loop.now()),
         }
         return "".join(f"svc.{name}={n}\n" for name, n in figures.items())
 
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -11,13 +11,13 @@
 import msgspec
 import orjson
 
-from mastledge.balance import CUT_OFF
 from mastledge.protocol.control import Answer
 from mastledge.protocol.requests import COMPLETED, REJECTED
 from mastledge.recovery import messages as m
 from mastledge.recovery import restored_state as b
 from mastledge.recovery import startup_stages as s
 from mastledge.recovery.admission_ramp import DONE, ELSE, TURNED, AdmissionRamp
+from mastledge.scheduling.scheduler import CUT_OFF
 from mastledge.storage.data_directory import DataDirectory, DataDirectoryError
 from mastledge.storage.write_ahead_log import WriteAheadLog
 from mastledge.storage.writer import Writer
@@ -238,9 +238,9 @@
         return self.steps.waiting()
 
     def size(self, now):
-        balancer = self.program.router.balancer
+        scheduler = self.program.router.scheduler
         # Also those that are set aside here: that is this one's own view, and ends by jobs that are let in.
-        slots = sum(wkr.slots * balancer.warmth(wkr, now) for wkr in balancer.ready)
+        slots = sum(wkr.slots * scheduler.least_warmth(wkr, now) for wkr in scheduler.ready)
         self.opening.sized(now, slots, self.program.told["settings"]["dispatchers"])
 
     def listed(self, kind, entries):
@@ -412,13 +412,13 @@
 
     def list_now(self):
         """Registry, generation and workers, as this life has heard of them."""
-        discovery, balancer, belief = self.program.discovery, self.program.router.balancer, self.belief
+        discovery, scheduler, belief = self.program.discovery, self.program.router.scheduler, self.belief
         if not discovery.answered or discovery.generation is None or discovery.generation < belief.generation:
             return None  # what is kept is newer
         zones = {n: name for name, n in discovery.zones.items()}
         kinds = {n: name for name, n in discovery.kinds.items()}
         workers = {id: ["gone", born, ["", 0]] for id, born in belief.restricted.items()}
-        for wkr in list(balancer.workers.values())[: b.MOST]:
+        for wkr in list(scheduler.workers.values())[: b.MOST]:
             peer = wkr.id
             if peer.address is not None:
                 born = peer.born + discovery.since if peer.born else 0
@@ -437,10 +437,10 @@
         """What is out at each worker, and until when that may be so."""
         discovery, clock = self.program.discovery, self.loop.now()
         out = {}
-        for wkr in self.program.router.balancer.workers.values():
+        for wkr in self.program.router.scheduler.workers.values():
             if wkr.load > 0 and wkr.id.address is not None:
                 peer = wkr.id
-                last = max((launch.job.last for launch in wkr.out.values()), default=clock)
+                last = max((launch.job.deadline for launch in wkr.in_flight.values()), default=clock)
                 born = peer.born + discovery.since if peer.born else 0
                 # Whole tenths of a second, lest the same load be written again and again.
                 until = (now + max(0, last - clock)) // 100_000 * 100_000 + 100_000
@@ -449,7 +449,7 @@
 
     def learned(self):
         clock, told = self.loop.now(), {}
-        for id, (slots, peak, slow, asides) in self.program.router.balancer.learned().items():
+        for id, (slots, peak, slow, asides) in self.program.router.scheduler.learned_state().items():
             some = [
                 ["cut_off" if why == CUT_OFF else why, {**aside, "back_at": aside["back_at"] - clock}]
                 for why, aside in asides
--- a/mastledge/recovery/restored_state.py
+++ b/mastledge/recovery/restored_state.py
@@ -129,7 +129,7 @@
 
 
 def taught(belief, now, workers):
-    """What the decisions are told at the start: as `Balancer.learned()` has it, and the former load behind.
+    """What the decisions are told at the start: `Scheduler.learned_state()`, and the former load behind.
 
     {id: [slots, peak, slow, asides, load]}; times of asides were told as spans from when they were written.
     """
--- a/mastledge/routing/router.py
+++ b/mastledge/routing/router.py
@@ -40,8 +40,8 @@
 
 
 class Router:
-    def __init__(self, loop, inbox, balancer, workers, discovery, log):
-        self.loop, self.inbox, self.balancer = loop, inbox, balancer
+    def __init__(self, loop, inbox, scheduler, workers, discovery, log):
+        self.loop, self.inbox, self.scheduler = loop, inbox, scheduler
         self.workers, self.discovery, self.log = workers, discovery, log
         self.jobs, self.peers, self.count, self.faults = {}, {}, 0, 0
         self.out = frozenset()
@@ -56,7 +56,7 @@
                 what, *fields = inbox.items.popleft()
                 self.guarded(getattr(self, "on_" + what), now, *fields)
             self.guarded(self.pull, now)
-            wake = self.balancer.wake_at()
+            wake = self.scheduler.wake_at()
             yield from inbox.wait(None if wake is None else max(wake, now + 1))
 
     def guarded(self, call, *fields):
@@ -91,7 +91,7 @@
                 if peer.id not in named:
                     peer.state = "gone"
                     self.workers.hang_up(peer)
-        self.balancer.members(now, kind, told)
+        self.scheduler.update_endpoints(now, kind, told)
         # Launches under way hold what they need of it.
         self.peers = {peer.id: peer for peer in self.peers.values() if peer.state != "gone"}
         if entries:
@@ -105,13 +105,13 @@
         self.count += 1
         job = exchange.job = Job(self.count, exchange, now)
         self.jobs[job.id] = job
-        self.balancer.arrived(now, job.id, *fields)
+        self.scheduler.job_arrived(now, job.id, *fields)
 
     def on_abandoned(self, now, exchange):
         job = exchange.job
         if job is not None and job.id in self.jobs:
             self.closed(now, job, "abandoned")
-            self.balancer.abandoned(now, job.id)
+            self.scheduler.job_abandoned(now, job.id)
 
     def on_left(self, now, exchange):
         """Nobody waits for its answer, unless somebody has joined since: nothing new is sent for it.
@@ -131,13 +131,13 @@
 
     def on_started(self, now, launch):
         launch.began = now
-        self.balancer.started(now, launch.job.id, launch.n)
+        self.scheduler.launch_started(now, launch.job.id, launch.n)
 
     def on_silent(self, now, launch):
-        self.balancer.silent(now, launch.job.id, launch.n)
+        self.scheduler.launch_silent(now, launch.job.id, launch.n)
 
     def on_progress(self, now, launch, share):
-        self.balancer.progress(now, launch.job.id, launch.n, share)
+        self.scheduler.launch_progressed(now, launch.job.id, launch.n, share)
 
     def on_ended(self, now, launch, how, result, report):
         if launch.ended:
@@ -148,7 +148,9 @@
         first = how == "completed" and job.exchange.open
         if first:
             job.exchange.completed(result)
-        self.balancer.ended(now, job.id, launch.n, how, now - launch.at, not job.exchange.open, report)
+        self.scheduler.launch_ended(
+            now, job.id, launch.n, how, now - launch.at, not job.exchange.open, report
+        )
         if first:
             self.closed(now, job, "completed")
         elif how != "completed":
@@ -169,7 +171,7 @@
         if out != self.out:
             self.log("workers_excluded", out=sorted(out))
         self.out = out
-        self.balancer.by_hand(now, out, back)
+        self.scheduler.set_excluded(now, out, back)
         for peer in self.peers.values():
             was, peer.out = peer.out, peer.id in out
             if peer.out and not was:
@@ -187,27 +189,27 @@
                 self.given_up(now, job)
 
     def given_up(self, now, job):
-        what, *fields = self.balancer.give_up(self.balancer.jobs[job.id], AGAIN)
+        what, *fields = self.scheduler.reject_or_kill(self.scheduler.jobs[job.id], AGAIN)
         getattr(self, "do_" + what)(now, *fields)
 
     def on_inherited(self, now, told):
-        self.balancer.inherited(now, told)
+        self.scheduler.restore_learned(now, told)
 
     def on_sharing(self, now, share):
-        self.balancer.sharing(now, share)
+        self.scheduler.set_traffic_share(now, share)
 
     def on_configured(self, now, settings):
-        self.balancer.configured(now, settings)
+        self.scheduler.reconfigure(now, settings)
 
     def on_leaving(self, now, last):
-        self.balancer.leaving(now, last)
+        self.scheduler.shut_down_at(now, last)
 
     def on_over(self, now):
         """The program has to end: what is still open gets the answer that promises nothing."""
         for job in list(self.jobs.values()):
             if job.exchange.open:
                 job.exchange.killed()
-                self.balancer.abandoned(now, job.id)
+                self.scheduler.job_abandoned(now, job.id)
                 self.closed(now, job, "killed")
 
     def handed_on(self, now, job, launch):
@@ -215,13 +217,13 @@
         launch.ended, job.exchange.open = True, False
         job.out -= 1
         self.loop.cancel(launch.task)
-        self.balancer.abandoned(now, job.id)
+        self.scheduler.job_abandoned(now, job.id)
         self.closed(now, job, "handed_on")
 
     # Decisions
 
     def pull(self, now):
-        decide = self.balancer.decide
+        decide = self.scheduler.decide
         while (decision := decide(now)) is not None:
             what, *fields = decision
             getattr(self, "do_" + what)(now, *fields)
@@ -234,7 +236,7 @@
             launch = Launch(job, peer, job.exchange.name, now)
             launch.ended = True
             job.launches.append(launch)
-            self.balancer.ended(now, job_id, launch.n, "unsent", 0, False, ())
+            self.scheduler.launch_ended(now, job_id, launch.n, "unsent", 0, False, ())
             if not job.out:
                 self.given_up(now, job)
             return
--- a/tests/decision_players.py
+++ b/tests/decision_players.py
@@ -5,29 +5,29 @@
 
 from mastledge.adapter.__main__ import Host
 from mastledge.adapter.frames import frame_from
-from mastledge.balance import Balancer
 from mastledge.program.settings import pairs_of, plain_map
+from mastledge.scheduling.scheduler import Scheduler
 
 # The only names of the program that the scripts use: a rename in the program is a change here alone.
 
 PROGRAM = {
-    "new": Balancer,
+    "new": Scheduler,
     "read settings": lambda text: plain_map(pairs_of(text)),
-    "members": lambda made, *given: made.members(*given),
-    "arrived": lambda made, *given: made.arrived(*given),
-    "started": lambda made, *given: made.started(*given),
-    "silent": lambda made, *given: made.silent(*given),
-    "progress": lambda made, *given: made.progress(*given),
-    "ended": lambda made, *given: made.ended(*given),
-    "message": lambda made, *given: made.message(*given),
-    "configured": lambda made, *given: made.configured(*given),
-    "abandoned": lambda made, *given: made.abandoned(*given),
-    "by hand": lambda made, *given: made.by_hand(*given),
-    "sharing": lambda made, *given: made.sharing(*given),
-    "leaving": lambda made, *given: made.leaving(*given),
-    "inherited": lambda made, *given: made.inherited(*given),
-    "learned": lambda made: made.learned(),
-    "skipped": lambda made, now: made.skipped(now),
+    "members": lambda made, *given: made.update_endpoints(*given),
+    "arrived": lambda made, *given: made.job_arrived(*given),
+    "started": lambda made, *given: made.launch_started(*given),
+    "silent": lambda made, *given: made.launch_silent(*given),
+    "progress": lambda made, *given: made.launch_progressed(*given),
+    "ended": lambda made, *given: made.launch_ended(*given),
+    "message": lambda made, *given: made.load_message_received(*given),
+    "configured": lambda made, *given: made.reconfigure(*given),
+    "abandoned": lambda made, *given: made.job_abandoned(*given),
+    "by hand": lambda made, *given: made.set_excluded(*given),
+    "sharing": lambda made, *given: made.set_traffic_share(*given),
+    "leaving": lambda made, *given: made.shut_down_at(*given),
+    "inherited": lambda made, *given: made.restore_learned(*given),
+    "learned": lambda made: made.learned_state(),
+    "skipped": lambda made, now: made.count_skipped_workers(now),
     "wake at": lambda made: made.wake_at(),
     "decide": lambda made, now: made.decide(now),
     "new host": Host,
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -10,7 +10,7 @@
 from types import SimpleNamespace
 from typing import get_args
 
-from helpers import HERE, Rig, arrive, balancer, entry, pull
+from helpers import HERE, Rig, arrive, entry, pull, scheduler
 
 from mastledge.adapter import __main__ as adapter_main
 from mastledge.adapter import frames as adapter_frames
@@ -168,12 +168,12 @@
 
 def decisions_that_learned():
     """Decisions that have set each of three workers aside for another reason, and have a job out."""
-    made = balancer(workers=0)
-    made.members(0, "whole", three_workers())
+    made = scheduler(workers=0)
+    made.update_endpoints(0, "whole", three_workers())
     for job, how in enumerate(("unreachable", "lost", "error"), 1):
         arrive(made, 1_000 * job, job)
         (sent,) = [decision for decision in pull(made, 1_000 * job) if decision[0] == "launch"]
-        made.ended(1_000 * job + 500, job, 0, how, 500, True, [])
+        made.launch_ended(1_000 * job + 500, job, 0, how, 500, True, [])
     arrive(made, 900_000, 9)
     pull(made, 900_000)
     return made
@@ -181,15 +181,15 @@
 
 def learned_of_decisions():
     """What decisions hand to the process that takes over, as it stands in the file."""
-    return decisions_that_learned().learned()
+    return decisions_that_learned().learned_state()
 
 
 def learned_again(told):
     """The same by decisions that have been handed this."""
-    made = balancer(workers=0)
-    made.members(0, "whole", three_workers())
-    made.inherited(0, told)
-    return made.learned()
+    made = scheduler(workers=0)
+    made.update_endpoints(0, "whole", three_workers())
+    made.restore_learned(0, told)
+    return made.learned_state()
 
 
 def records_of_start():
@@ -198,7 +198,7 @@
     discovery = SimpleNamespace(
         answered=True, generation=42, zones={"a": 0}, kinds={"m": 0}, since=1_699_999_000_000_000
     )
-    router = SimpleNamespace(balancer=decisions_that_learned())
+    router = SimpleNamespace(scheduler=decisions_that_learned())
     saved = []
     made.loop, made.boot, made.last, made.failing, made.token = Rig().loop, "boot-1", {}, False, 0
     made.program = SimpleNamespace(
@@ -313,7 +313,7 @@
     router = SimpleNamespace(jobs={1: one}, handed_on=lambda now, job, launch: None)
     loop = SimpleNamespace(let_go=lambda fd: None, now=lambda: 0, cancel=lambda task: None)
     made = connection_handoff.ConnectionHandoff(
-        loop, None, None, balancer().settings, lambda event, **fields: None
+        loop, None, None, scheduler().settings, lambda event, **fields: None
     )
     try:
         assert made.hand_on(router, path) == 1
@@ -330,7 +330,7 @@
     """The job as the process that takes it up has it, in the form that `handed_on` takes."""
     rig, jobs = Rig(), []
     door = SimpleNamespace(resumed=lambda conn, exchange: iter(()))
-    made = connection_handoff.ConnectionHandoff(rig.loop, rig.budget, door, balancer().settings, rig.log)
+    made = connection_handoff.ConnectionHandoff(rig.loop, rig.budget, door, scheduler().settings, rig.log)
     made.carried = lambda launch, exchange: jobs.append((launch, exchange)) or iter(())
     here = socket.create_server((HERE, 0))
     ends = [socket.create_connection(here.getsockname()) for _ in range(2)]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,10 +5,10 @@
 
 import h11
 
-from mastledge.balance import Balancer
 from mastledge.protocol import http
 from mastledge.protocol.client_listener import ClientListener
 from mastledge.protocol.worker_connections import WorkerConnections, WorkerEndpoint
+from mastledge.scheduling.scheduler import Scheduler
 from mastledge.transport.budget import Budget
 from mastledge.transport.connection import Connection, listen
 from mastledge.transport.loop import Loop, Queue
@@ -34,7 +34,7 @@
     }
 
 
-def balancer(types=None, workers=4, seed=7, **other):
+def scheduler(types=None, workers=4, seed=7, **other):
     settings = {
         "dispatchers": 2,
         "me": 0,
@@ -77,8 +77,8 @@
     }
     for n, qt in enumerate(settings["queue_types"]):
         qt.setdefault("name", n)
-    made = Balancer(settings, seed, 0)
-    made.members(0, "whole", [entry(i) for i in range(workers)])
+    made = Scheduler(settings, seed, 0)
+    made.update_endpoints(0, "whole", [entry(i) for i in range(workers)])
     return made
 
 
@@ -87,7 +87,7 @@
 
 
 def arrive(made, now=0, job=1, qtype=0, hint=100_000, patience=5_000_000, width=1.0, tenant=0):
-    made.arrived(now, job, qtype, hint, 0, width, 0.0, tenant, patience)
+    made.job_arrived(now, job, qtype, hint, 0, width, 0.0, tenant, patience)
 
 
 def pull(made, now):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -7,7 +7,7 @@
 
 import helpers
 import pytest
-from helpers import HERE, Rig, balancer, entry, peer_at
+from helpers import HERE, Rig, entry, peer_at, scheduler
 from test_program import file
 
 from mastledge.program import lifecycle
@@ -209,7 +209,7 @@
     assert served.rig.reply(client).startswith(b"HTTP/1.1 400")
     served.made.listener.most_held = 100
     late = served.connect()
-    served.made.router.balancer.arrived = lambda *told: None
+    served.made.router.scheduler.job_arrived = lambda *told: None
     late.sendall(helpers.job(X_Txn="a4", X_Remaining_Ms=100))
     assert served.rig.reply(late).startswith(b"HTTP/1.1 500")
     figures = served.figures()
@@ -222,11 +222,11 @@
     [("ready", None, 0), ("ready", 99, 1), ("ready", -1, 0), ("draining", None, 1), ("gone", None, 0)],
 )
 def test_skipped_is_what_is_listed_and_gets_nothing_now(state, back_at, skipped):
-    made = balancer(workers=3)
-    made.members(0, "changes", [entry(0, state)])
+    made = scheduler(workers=3)
+    made.update_endpoints(0, "changes", [entry(0, state)])
     if back_at is not None:
-        made.workers[0].aside["render"] = SimpleNamespace(back_at=back_at)
-    assert made.skipped(0) == skipped
+        made.workers[0].ejections["render"] = SimpleNamespace(back_at=back_at)
+    assert made.count_skipped_workers(0) == skipped
 
 
 @pytest.mark.parametrize("how", ["call", "twice"])
--- a/tests/test_crossing_search.py
+++ b/tests/test_crossing_search.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from mastledge.balance import Balancer
 from mastledge.lab import crossing
 from mastledge.lab.command import cross
 from mastledge.protocol import client_listener, http
@@ -13,6 +12,7 @@
 from mastledge.protocol.requests import Exchange
 from mastledge.protocol.worker_connections import WorkerConnections, WorkerEndpoint
 from mastledge.routing.router import Router
+from mastledge.scheduling.scheduler import Scheduler
 from mastledge.transport.budget import Budget
 
 
@@ -104,17 +104,17 @@
 
 def what_may_have_run_is_rejected(patch):
     def give_up(self, job, hold_off):
-        self.close(job)
+        self.close_job(job)
         return ("reject", job.id, 0)
 
-    patch(Balancer, "give_up", give_up)
+    patch(Scheduler, "reject_or_kill", give_up)
 
 
 def what_may_have_run_goes_again(patch):
-    ended = Balancer.ended
+    ended = Scheduler.launch_ended
     patch(
-        Balancer,
-        "ended",
+        Scheduler,
+        "launch_ended",
         lambda self, now, job, n, how, *more: ended(
             self, now, job, n, "unsent" if how in ("lost", "dropped", "error") else how, *more
         ),
@@ -122,7 +122,7 @@
 
 
 def nobody_is_told_that_its_time_is_over(patch):
-    patch(Balancer, "give_up", lambda self, job, hold_off: None)
+    patch(Scheduler, "reject_or_kill", lambda self, job, hold_off: None)
     patch(ClientListener, "awaited", lambda self, conn, until: awaits_for_ever(conn))
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -854,10 +854,10 @@
     client = made.taken()
     theirs, _ = made.rig.called(made.sock)
     assert made.turn(lambda: made.job("a1").launches[0].sent)
-    balancer, now = made.made.router.balancer, made.rig.loop.now()
-    job = balancer.jobs[made.job("a1").id]
-    job.last = now  # its time is over from here on
-    balancer.remind(now, job)
+    scheduler, now = made.made.router.scheduler, made.rig.loop.now()
+    job = scheduler.jobs[made.job("a1").id]
+    job.deadline = now  # its time is over from here on
+    scheduler.set_timer(now, job)
     made.made.inbox.put("sharing", 1.0)
     reply = made.rig.reply(client)
     assert reply.startswith(b"HTTP/1.1 503" if effect == "restartable" else b"HTTP/1.1 500")
--- a/tests/test_load_messages.py
+++ b/tests/test_load_messages.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from helpers import arrive, balancer, entry, pull, queue_type
+from helpers import arrive, entry, pull, queue_type, scheduler
 
 from mastledge.protocol import load_messages
 
@@ -11,7 +11,7 @@
 
 
 def told_of_load(**other):
-    return balancer(report_how="piggyback", report_fields=FIELDS, **other)
+    return scheduler(report_how="piggyback", report_fields=FIELDS, **other)
 
 
 def job_of(made, job=1, now=0, key=0, **other):
@@ -24,8 +24,8 @@
     """One job, sent, started and answered with this report; gives its worker."""
     arrive(made, now - 200_000, job)
     ((_, _, wkr_id, _),) = pull(made, now - 200_000)
-    made.started(now - 199_000, job, 0)
-    made.ended(now, job, 0, "completed", 200_000, True, report)
+    made.launch_started(now - 199_000, job, 0)
+    made.launch_ended(now, job, 0, "completed", 200_000, True, report)
     return made.workers[wkr_id]
 
 
@@ -37,16 +37,16 @@
     made.ready[0].slots = 4.0
     # The answered job itself was there when the report was made.
     wkr = answered(made, report)
-    assert wkr.extra == extra and made.extra(wkr, wkr.extra_at) == extra
+    assert wkr.other_load == extra and made.other_load(wkr, wkr.other_load_at) == extra
 
 
 def test_ones_own_share_of_a_report_is_taken_off():
     made = told_of_load(workers=1)
     arrive(made, 0, 7, hint=9_000_000)
     pull(made, 0)
-    made.started(1_000, 7, 0)
+    made.launch_started(1_000, 7, 0)
     made.ready[0].slots = 4.0
-    assert answered(made, [1.0, 0.0, 0.0]).extra == 3.0
+    assert answered(made, [1.0, 0.0, 0.0]).other_load == 3.0
 
 
 @pytest.mark.parametrize(
@@ -63,86 +63,86 @@
 )
 def test_a_report_that_lacks_figures_or_is_absurd_is_no_load(report):
     wkr = answered(told_of_load(workers=1), report)
-    assert (wkr.extra, wkr.usual, wkr.told) == (0.0, 0.0, None)
+    assert (wkr.other_load, wkr.usual_other_load, wkr.last_report) == (0.0, 0.0, None)
 
 
 def test_reports_are_passed_over_where_they_do_not_come_with_answers():
-    made = balancer(workers=1, report_how="pull", report_fields=FIELDS)
-    assert answered(made, [9.0, 0.0, 0.0]).told is None
+    made = scheduler(workers=1, report_how="pull", report_fields=FIELDS)
+    assert answered(made, [9.0, 0.0, 0.0]).last_report is None
 
 
 def test_slots_are_the_most_that_reports_show_free_but_for_noise():
     made = told_of_load(workers=2)
     for n in range(120):
         answered(made, [0.0, 4.0 + n / 1000, 4.0], 1_000_000 + n * 1_000_000, n)
-    made.frees[0][9] = 1
-    made.survey()
+    made.free_slot_counts[0][9] = 1
+    made.survey_fleet()
     assert [wkr.slots for wkr in made.ready] == [4.0, 4.0]
 
 
 def test_of_two_workers_without_contention_the_one_with_more_room_is_picked():
     # By load alone a box of two slots with one job came before one of eight with two.
     made = told_of_load(workers=2)
-    made.frees[0] = {8: 1}
+    made.free_slot_counts[0] = {8: 1}
     for wkr, slots, load in zip(made.ready, (2.0, 8.0), (1.0, 2.0), strict=True):
-        wkr.slots, wkr.extra, wkr.usual, wkr.told = slots, load, load, [0.0]
-    picked = {made.pick(job_of(made, n), 0, None)[0].slots for n in range(20)}
+        wkr.slots, wkr.other_load, wkr.usual_other_load, wkr.last_report = slots, load, load, [0.0]
+    picked = {made.pick_worker(job_of(made, n), 0, None)[0].slots for n in range(20)}
     assert picked == {8.0}
 
 
 @pytest.mark.parametrize("tells_start", [True, False])
 def test_a_worker_that_tells_no_start_is_not_taken_for_a_full_one(tells_start):
-    made = balancer(workers=1, tells_start=tells_start)
+    made = scheduler(workers=1, tells_start=tells_start)
     arrive(made)
     pull(made, 0)
-    assert (made.extra(made.ready[0], 500_000) > 0) is tells_start
+    assert (made.other_load(made.ready[0], 500_000) > 0) is tells_start
 
 
 @pytest.mark.parametrize(("now", "aside"), [(600_000, False), (3_000_000, True)])
 def test_without_start_notes_silence_is_told_by_the_jobs_own_end(now, aside):
-    made = balancer([queue_type(target=4_000_000)], workers=4, tells_start=False)
-    made.run.mean = 50_000
+    made = scheduler([queue_type(target=4_000_000)], workers=4, tells_start=False)
+    made.running_time.mean = 50_000
     arrive(made, 1_000, hint=700_000)
     pull(made, 1_000)
     launch = made.jobs[1].launches[0]
-    launch.entry = (now, *launch.entry[1:])
-    made.check(launch, now)
-    assert bool(launch.wkr.aside) is aside
+    launch.curve_entry = (now, *launch.curve_entry[1:])
+    made.check_launch(launch, now)
+    assert bool(launch.worker.ejections) is aside
 
 
 def test_an_answer_taken_up_late_is_no_slow_worker():
-    made = balancer(workers=2)
+    made = scheduler(workers=2)
     arrive(made)
     ((_, _, wkr_id, _),) = pull(made, 0)
-    made.started(1_000, 1, 0)
-    made.ended(700_000, 1, 0, "completed", 101_000, True, [])
-    assert made.run.mean == 100_000 and made.workers[wkr_id].slow <= 1.0
+    made.launch_started(1_000, 1, 0)
+    made.launch_ended(700_000, 1, 0, "completed", 101_000, True, [])
+    assert made.running_time.mean == 100_000 and made.workers[wkr_id].slow <= 1.0
 
 
 @pytest.mark.parametrize("hint", [100_000, 0])
 def test_a_hint_stands_before_the_key(hint):
-    made = balancer()
+    made = scheduler()
     for job, took in enumerate((900_000, 900_000), 1):
-        made.arrived(0, job, 0, 0, 5, 1.0, 0.0, 0, 5_000_000)
+        made.job_arrived(0, job, 0, 0, 5, 1.0, 0.0, 0, 5_000_000)
         pull(made, 0)
-        made.jobs[job].launches[0].sure = True
-        made.started(1_000, job, 0)
-        made.ended(took + 1_000, job, 0, "completed", took, True, [])
-    made.arrived(2_000_000, 3, 0, hint, 5, 1.0, 0.0, 0, 5_000_000)
+        made.jobs[job].launches[0].fetch_certain = True
+        made.launch_started(1_000, job, 0)
+        made.launch_ended(took + 1_000, job, 0, "completed", took, True, [])
+    made.job_arrived(2_000_000, 3, 0, hint, 5, 1.0, 0.0, 0, 5_000_000)
     assert made.jobs[3].mean == (hint or 900_000)
 
 
 def test_dispatchers_agree_on_the_home_of_a_key():
-    one, other = balancer(workers=9, seed=1), balancer(workers=0, seed=2)
-    other.members(0, "whole", [entry(i) for i in reversed(range(9))])
+    one, other = scheduler(workers=9, seed=1), scheduler(workers=0, seed=2)
+    other.update_endpoints(0, "whole", [entry(i) for i in reversed(range(9))])
     homes = [[made.homes_of(key)[0].id for key in range(1, 200)] for made in (one, other)]
     assert homes[0] == homes[1] and max(map(homes[0].count, range(9))) < 2 * 199 / 9
 
 
 def test_a_key_has_as_many_homes_as_its_jobs_fill_and_none_is_crowded():
-    made = balancer(workers=10)
-    made.wanted.update({1: 5e9, **{key: 5e7 for key in range(2, 102)}})
-    made.settle_keys()
+    made = scheduler(workers=10)
+    made.key_work.update({1: 5e9, **{key: 5e7 for key in range(2, 102)}})
+    made.assign_homes()
     assert len(made.homes[1]) in (5, 6) and all(len(made.homes[key]) == 1 for key in range(2, 102))
     hot = sum(made.homes[key][0] in made.homes[1] for key in range(2, 102))
     assert hot < 40
@@ -150,24 +150,24 @@
 
 def test_keys_that_never_come_again_are_bounded():
     # Where each client is a key of its own, they and their orders would have filled the memory.
-    made = balancer(workers=2)
+    made = scheduler(workers=2)
     for key in range(1, 6_000):
-        made.arrived(0, key, 0, 100_000, key, 1.0, 0.0, 0, 5_000_000)
+        made.job_arrived(0, key, 0, 100_000, key, 1.0, 0.0, 0, 5_000_000)
         made.homes_of(key)
-    made.tidy(1_000_000)
-    held = (made.wanted, made.fresh_wants, made.orders, made.homes)
-    assert [len(kept) for kept in held] == 4 * [4_096] and made.wanted[1] > 0
+    made.fade_learned(1_000_000)
+    held = (made.key_work, made.untold_wants, made.key_orders, made.homes)
+    assert [len(kept) for kept in held] == 4 * [4_096] and made.key_work[1] > 0
 
 
 @pytest.mark.parametrize(("ahead", "home"), [(0, True), (1, True), (30, False)])
 def test_a_key_stays_at_home_until_the_queue_there_is_dearer_than_fetching(ahead, home):
-    made = balancer(workers=4)
+    made = scheduler(workers=4)
     job = job_of(made, key=5)
     kept = made.homes_of(5)[0]
     kept.slots = 1.0
-    kept.curve, kept.load = [(9_000_000, n, 1.0) for n in range(ahead)], float(ahead)
+    kept.load_curve, kept.load = [(9_000_000, n, 1.0) for n in range(ahead)], float(ahead)
     kept.running = kept.load
-    assert (made.pick(job, 0, None)[0] is kept) is home
+    assert (made.pick_worker(job, 0, None)[0] is kept) is home
 
 
 @pytest.mark.parametrize(
@@ -175,9 +175,9 @@
     [(16, 0.01, True, True), (130, 0.01, True, False), (16, 0.01, False, False), (1, 0.0, True, False)],
 )
 def test_messages_go_where_their_price_and_number_allow_it(dispatchers, price, may, sends):
-    made = balancer(dispatchers=dispatchers, price_peer=price, may_message=may)
+    made = scheduler(dispatchers=dispatchers, price_peer=price, may_message=may)
     made.rates, made.seconds = [40.0], 1.0
-    made.survey()
+    made.survey_fleet()
     arrive(made)
     assert any(d[0] == "message" for d in pull(made, 2_000_000)) is sends
 
@@ -187,14 +187,16 @@
 
 
 def test_a_message_tells_loads_and_wants():
-    one, other = (balancer(dispatchers=2, me=me, may_message=True) for me in (0, 1))
-    one.arrived(0, 1, 0, 100_000, 5, 1.0, 0.0, 0, 5_000_000)
+    one, other = (scheduler(dispatchers=2, me=me, may_message=True) for me in (0, 1))
+    one.job_arrived(0, 1, 0, 100_000, 5, 1.0, 0.0, 0, 5_000_000)
     pull(one, 0)
-    (sent,) = (d for d in pull(one, one.interval) if d[0] == "message")
-    other.message(0, 0, *message(sent[1:]))
-    wkr = one.jobs[1].launches[0].wkr
-    assert [w.id for w in other.ready if other.extra(w, 0) == 1.0] == [wkr.id] and other.wanted[5] == 100_000
-    assert sum(other.extra(w, 0) for w in other.ready) == 1.0
+    (sent,) = (d for d in pull(one, one.message_interval) if d[0] == "message")
+    other.load_message_received(0, 0, *message(sent[1:]))
+    wkr = one.jobs[1].launches[0].worker
+    assert [w.id for w in other.ready if other.other_load(w, 0) == 1.0] == [wkr.id] and other.key_work[
+        5
+    ] == 100_000
+    assert sum(other.other_load(w, 0) for w in other.ready) == 1.0
 
 
 @pytest.mark.parametrize(
@@ -210,18 +212,18 @@
 def test_a_later_message_replaces_the_one_before_and_stale_foreign_or_own_ones_add_nothing(
     sender, told_at, name, load
 ):
-    made = balancer(dispatchers=3, me=1, may_message=True)
+    made = scheduler(dispatchers=3, me=1, may_message=True)
     wkr = made.ready[0]
-    made.message(0, 2, 4, [(wkr.name, 3.0)], [])
-    made.message(0, sender, told_at, [(wkr.name if name == "known" else 12345, 6.0)], [])
-    assert wkr.shared == load
+    made.load_message_received(0, 2, 4, [(wkr.name_hash, 3.0)], [])
+    made.load_message_received(0, sender, told_at, [(wkr.name_hash if name == "known" else 12345, 6.0)], [])
+    assert wkr.gossiped_load == load
 
 
 def test_who_is_not_heard_any_more_has_nothing_out():
-    made = balancer(dispatchers=3, me=1, may_message=True)
-    made.message(0, 2, 4, [(made.ready[0].name, 3.0)], [])
-    made.tidy(10_000_000)
-    assert made.ready[0].shared == 0 and not made.others
+    made = scheduler(dispatchers=3, me=1, may_message=True)
+    made.load_message_received(0, 2, 4, [(made.ready[0].name_hash, 3.0)], [])
+    made.fade_learned(10_000_000)
+    assert made.ready[0].gossiped_load == 0 and not made.peers
 
 
 WHOLE = load_messages.encoded(7, [(1, 2.0)], [(9, 5_000)])
@@ -257,9 +259,9 @@
 
 
 def test_new_settings_keep_what_was_learned_by_name():
-    made = balancer([queue_type(name="a"), queue_type(name="b")])
+    made = scheduler([queue_type(name="a"), queue_type(name="b")])
     made.queue_types[0]["run"].mean, made.ready[0].slow = 77.0, 1.5
-    made.configured(0, settings_of(made, [queue_type(name="c"), queue_type(name="a", target=9)]))
+    made.reconfigure(0, settings_of(made, [queue_type(name="c"), queue_type(name="a", target=9)]))
     assert [(qt["name"], qt["run"].mean == 77.0) for qt in made.queue_types] == [("c", False), ("a", True)]
     assert made.ready[0].slow == 1.5 and made.queue_types[1]["target"] == 9
 
@@ -268,11 +270,11 @@
     "types", [[queue_type("restartable", group="all", name="a")], [queue_type("restartable", name="other")]]
 )
 def test_an_open_job_keeps_its_terms_though_its_type_changes_or_goes(types):
-    made = balancer([queue_type("run-once", name="a")])
+    made = scheduler([queue_type("run-once", name="a")])
     arrive(made)
     pull(made, 0)
-    made.configured(10_000, settings_of(made, types))
-    made.ended(50_000, 1, 0, "error", 50_000, False, [])
+    made.reconfigure(10_000, settings_of(made, types))
+    made.launch_ended(50_000, 1, 0, "error", 50_000, False, [])
     assert [d[0] for d in pull(made, 50_000)] == ["kill"]
 
 
@@ -281,18 +283,18 @@
     [("pushed", "asked", True), ("asked", "pushed", False), ("pushed", "pushed", False)],
 )
 def test_the_list_is_asked_for_once_the_settings_say_so(before, after, asked):
-    made = balancer(follow=before)
-    made.configured(10_000, settings_of(made, [queue_type()], follow=after))
+    made = scheduler(follow=before)
+    made.reconfigure(10_000, settings_of(made, [queue_type()], follow=after))
     assert (("follow", True) in pull(made, 1_000_000)) is asked
 
 
 def test_a_worker_stays_set_aside_for_a_type_that_moved():
-    made = balancer([queue_type(name="a"), queue_type(name="b")])
+    made = scheduler([queue_type(name="a"), queue_type(name="b")])
     arrive(made, 0, 1, 1)
     pull(made, 0)
-    made.ended(5_000, 1, 0, "error", 5_000, False, [])
-    made.configured(5_000, settings_of(made, [queue_type(name="b"), queue_type(name="a")]))
-    bad = next(wkr for wkr in made.ready if wkr.aside)
+    made.launch_ended(5_000, 1, 0, "error", 5_000, False, [])
+    made.reconfigure(5_000, settings_of(made, [queue_type(name="b"), queue_type(name="a")]))
+    bad = next(wkr for wkr in made.ready if wkr.ejections)
     arrive(made, 6_000, 2, 0)
     arrive(made, 6_000, 3, 1)
     assert [made.eligible(bad, made.jobs[job], 6_000, None) for job in (2, 3)] == [False, True]
@@ -300,7 +302,7 @@
 
 def test_tenants_keep_their_traffic_by_name():
     old = [{"name": "x", "portion": 0.5, "quota": 1.0}, {"name": "y", "portion": 0.5, "quota": 1.0}]
-    made = balancer(tenants=old)
+    made = scheduler(tenants=old)
     made.rates = [3.0, 8.0]
-    made.configured(0, settings_of(made, [queue_type()], tenants=old[1:]))
+    made.reconfigure(0, settings_of(made, [queue_type()], tenants=old[1:]))
     assert made.rates == [8.0]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -9,7 +9,7 @@
 import helpers
 import orjson
 import pytest
-from helpers import HERE, Rig, balancer, peer_at, queue_type, workers
+from helpers import HERE, Rig, peer_at, queue_type, scheduler, workers
 
 from mastledge.program import lifecycle
 from mastledge.program.command import main
@@ -23,7 +23,9 @@
 
 
 def router(rig, effect="restartable", listed=1):
-    made = Router(rig.loop, rig.inbox, balancer([queue_type(effect)], workers=0), workers(rig), None, rig.log)
+    made = Router(
+        rig.loop, rig.inbox, scheduler([queue_type(effect)], workers=0), workers(rig), None, rig.log
+    )
     made.discovery = type("Told", (), {"generation": 1})
     now, entries, socks = rig.loop.now(), [], []
     for n in range(listed):
@@ -104,7 +106,7 @@
     hung = []
     made.workers.hang_up = hung.append
     made.on_members(rig.loop.now(), "changes", [(peer.id, peer.address, 0, state, born, 0, 0, 1.0)])
-    known = made.balancer.workers.get(peer)
+    known = made.scheduler.workers.get(peer)
     assert hung == [peer] and (known.state if known else "gone") == state
 
 
@@ -126,11 +128,11 @@
         job, given = arrived(rig, made)
     gone = [(peer.id, peer.address, 0, "gone", 0, 0, 0, 1.0)]
     made.on_members(rig.loop.now(), "changes", gone)
-    assert not made.peers and (peer in made.balancer.workers) == out
+    assert not made.peers and (peer in made.scheduler.workers) == out
     if out:
         made.on_ended(rig.loop.now(), job.launches[0], "completed", b"r", ())
         made.on_members(rig.loop.now(), "changes", [])
-        assert given[0][0] == 200 and not made.balancer.workers and not made.faults
+        assert given[0][0] == 200 and not made.scheduler.workers and not made.faults
 
 
 def test_a_fault_over_one_job_is_logged_and_passed():
@@ -432,9 +434,9 @@
     file(tmp_path, listen=at, known=known, settings=OTHER)
     made.reconfigure()
     open_between, head = taken("/file-final", "aa02")
-    assert b"aa02" in head and made.router.balancer.settings["report_how"] == "piggyback"
-    assert made.router.balancer.settings["may_message"] is False
-    assert made.router.balancer.settings["zone"] == made.router.balancer.ready[0].zone
+    assert b"aa02" in head and made.router.scheduler.settings["report_how"] == "piggyback"
+    assert made.router.scheduler.settings["may_message"] is False
+    assert made.router.scheduler.settings["zone"] == made.router.scheduler.ready[0].zone
     answers(open_before, b"aa01")
     assert rig.reply(clients[0]).startswith(b"HTTP/1.1 200")
     file(tmp_path, listen=at, known=known)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,7 +1,7 @@
 """The four rules: each test builds a state and makes one call."""
 
 import pytest
-from helpers import STEP, arrive, balancer, entry, pull, queue_type
+from helpers import STEP, arrive, entry, pull, queue_type, scheduler
 
 MAY_HAVE_RUN = ["error", "timeout", "lost", "dropped", "doubted", "revoked"]
 NEVER_RAN = ["full", "unreachable", "unsent"]
@@ -11,7 +11,7 @@
 @pytest.mark.parametrize("effect", ["restartable", "deduplicated", "run-once"])
 @pytest.mark.parametrize("patience", [40_000, 5_000_000])
 def test_final_answer_comes_before_the_try_ends(workers, effect, patience):
-    made = balancer([queue_type(effect)], workers)
+    made = scheduler([queue_type(effect)], workers)
     arrive(made, patience=patience)
     pull(made, 0)
     answers = [d[0] for d in pull(made, patience - 4_000) if d[0] in ("reject", "kill")]
@@ -20,20 +20,20 @@
 
 @pytest.mark.parametrize("how", MAY_HAVE_RUN + NEVER_RAN)
 def test_run_once_goes_again_only_when_it_never_ran(how):
-    made = balancer([queue_type("run-once")])
+    made = scheduler([queue_type("run-once")])
     arrive(made)
     pull(made, 0)
-    made.ended(50_000, 1, 0, how, 50_000, False, [])
+    made.launch_ended(50_000, 1, 0, how, 50_000, False, [])
     assert [d[0] for d in pull(made, 50_000)] == (["kill"] if how in MAY_HAVE_RUN else ["launch"])
 
 
 @pytest.mark.parametrize("how", MAY_HAVE_RUN)
 @pytest.mark.parametrize("now", [100_000, 7_600_000])
 def test_deduplicated_repeat_stays_in_its_group_and_window(how, now):
-    made = balancer([queue_type("deduplicated", walltime=20_000_000)])
+    made = scheduler([queue_type("deduplicated", walltime=20_000_000)])
     arrive(made, patience=20_000_000)
     (first,) = pull(made, 0)
-    made.ended(now, 1, 0, how, now, False, [])
+    made.launch_ended(now, 1, 0, how, now, False, [])
     (again,) = (d for d in pull(made, now) if d[0] in ("launch", "kill", "reject"))
     assert again[0] == ("launch" if now < 7_500_000 else "kill")
     if again[0] == "launch":
@@ -42,14 +42,14 @@
 
 def test_a_deduplicated_job_that_may_have_run_waits_for_its_group():
     # Killed at its target because all its group was set aside for a moment, it left its client in doubt.
-    made = balancer([queue_type("deduplicated")])
+    made = scheduler([queue_type("deduplicated")])
     arrive(made)
     ((_, _, first, _),) = pull(made, 0)
     launch = made.jobs[1].launches[0]
-    made.ended(500_000, 1, 0, "lost", 500_000, False, ())
+    made.launch_ended(500_000, 1, 0, "lost", 500_000, False, ())
     for wkr in made.ready:
-        if wkr.zone == launch.wkr.zone:
-            made.set_aside(wkr, None, launch, 500_000)
+        if wkr.zone == launch.worker.zone:
+            made.eject(wkr, None, launch, 500_000)
     assert pull(made, 500_000) == []
     ((what, _, other, _),) = [d for now in range(520_000, 900_000, 20_000) for d in pull(made, now)]
     assert what == "launch" and other != first and other % 2 == first % 2
@@ -58,10 +58,10 @@
 @pytest.mark.parametrize(("effect", "answer"), [("restartable", "reject"), ("run-once", "kill")])
 def test_a_host_that_ends_gets_its_answers_in_time(effect, answer):
     # Killed at the end, jobs that could be sent again safely were lost to their clients.
-    made = balancer([queue_type(effect)])
+    made = scheduler([queue_type(effect)])
     arrive(made)
     pull(made, 0)
-    made.leaving(10_000, 500_000)
+    made.shut_down_at(10_000, 500_000)
     arrive(made, 20_000, job=2)
     pull(made, 20_000)
     assert [d[:2] for d in pull(made, 500_000 - 2 * STEP) if d[0] != "revoke"] == [(answer, 1), (answer, 2)]
@@ -69,8 +69,8 @@
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
 def test_nothing_new_goes_to_a_leaving_worker(state):
-    made = balancer(workers=1)
-    made.members(0, "changes", [entry(0, state)])
+    made = scheduler(workers=1)
+    made.update_endpoints(0, "changes", [entry(0, state)])
     arrive(made)
     assert pull(made, 0) == []
 
@@ -79,8 +79,8 @@
 def test_a_cold_worker_stays_under_its_budget_whatever_the_number_of_dispatchers(dispatchers):
     cold, sent = entry(0, born=1), []
     for me in range(dispatchers):
-        made = balancer(workers=0, dispatchers=dispatchers, seed=me)
-        made.members(0, "whole", [cold])
+        made = scheduler(workers=0, dispatchers=dispatchers, seed=me)
+        made.update_endpoints(0, "whole", [cold])
         for now in range(100_000, 4_000_000, 100_000):
             arrive(made, now, now, hint=40_000)
             sent += [now for d in pull(made, now) if d[0] == "launch"]
@@ -91,11 +91,11 @@
 @pytest.mark.parametrize(("hint", "counts"), [(10_000, 255_000), (500_000, 500_000), (900_000, 900_000)])
 def test_small_hints_count_halfway_to_a_mean_job_against_a_cold_budget(hint, counts):
     # Jobs of small hints alone fitted the budget, and hints that small were too low by far.
-    made = balancer(workers=1)
-    made.size = 500_000
+    made = scheduler(workers=1)
+    made.mean_work = 500_000
     arrive(made, hint=hint)
     assert made.jobs[1].work == counts
-    made.members(0, "changes", [entry(0, born=1)])
+    made.update_endpoints(0, "changes", [entry(0, born=1)])
     wkr = made.ready[0]
     wkr.credit = 0.0
     made.launch(made.jobs[1], wkr, 1_000)
@@ -103,19 +103,19 @@
 
 
 def test_late_news_is_passed_over():
-    made = balancer()
-    made.ended(0, 9, 0, "completed", 0, True, [])
-    made.started(0, 9, 0)
-    made.progress(0, 9, 0, 0.5)
-    made.abandoned(0, 9)
+    made = scheduler()
+    made.launch_ended(0, 9, 0, "completed", 0, True, [])
+    made.launch_started(0, 9, 0)
+    made.launch_progressed(0, 9, 0, 0.5)
+    made.job_abandoned(0, 9)
     assert pull(made, 0) == []
 
 
 def test_what_was_out_on_a_former_life_ends_quietly():
-    made = balancer(workers=1)
+    made = scheduler(workers=1)
     arrive(made)
     pull(made, 0)
-    made.members(1_000, "changes", [entry(0, born=900)])
-    made.started(2_000, 1, 0)
-    made.ended(3_000, 1, 0, "lost", 3_000, False, [])
-    assert made.workers[0].curve == [] and made.workers[0].load == 0
+    made.update_endpoints(1_000, "changes", [entry(0, born=900)])
+    made.launch_started(2_000, 1, 0)
+    made.launch_ended(3_000, 1, 0, "lost", 3_000, False, [])
+    assert made.workers[0].load_curve == [] and made.workers[0].load == 0
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -2,7 +2,7 @@
 
 import msgspec
 import orjson
-from helpers import HERE, Rig, arrive, balancer, entry, pull
+from helpers import HERE, Rig, arrive, entry, pull, scheduler
 from test_program import GOOD, file
 from test_startup_stages import believed, kept
 from test_terms import Agent
@@ -40,16 +40,16 @@
 
 
 def test_the_decisions_know_many_workers_and_many_dispatchers():
-    made = balancer(workers=WORKERS, dispatchers=MANY)
+    made = scheduler(workers=WORKERS, dispatchers=MANY)
     arrive(made)
     ((what, _, wkr, _),) = pull(made, 0)
     assert what == "launch" and len(made.ready) == WORKERS
-    made.members(10, "changes", [entry(i, "draining") for i in range(WORKERS - 1)])
+    made.update_endpoints(10, "changes", [entry(i, "draining") for i in range(WORKERS - 1)])
     arrive(made, 20, 2)
     ((what, _, wkr, _),) = pull(made, 20)
     assert wkr == WORKERS - 1
-    made.members(30, "whole", [entry(i, born=25) for i in range(WORKERS)])
-    room = sum(made.cold_room(one, made.jobs[2], 2_000_000) for one in made.ready)
+    made.update_endpoints(30, "whole", [entry(i, born=25) for i in range(WORKERS)])
+    room = sum(made.within_slow_start_budget(one, made.jobs[2], 2_000_000) for one in made.ready)
     assert 0 < room < WORKERS // 10  # credit for less than a job is a matter of chance
     settings = plain_map(flat({**GOOD["settings"], "balancers": MANY}))
     assert settings["dispatchers"] == MANY
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -9,9 +9,9 @@
 from random import Random
 
 import pytest
-from helpers import balancer, entry, queue_type
+from helpers import entry, queue_type, scheduler
 
-from mastledge.balance import Balancer
+from mastledge.scheduling.scheduler import Scheduler
 
 MEAN, SLOTS = 300_000, 4
 SPREAD, ERROR = 1.4, 0.7  # of the work and of the hints, as the logarithm's deviation
@@ -56,8 +56,10 @@
         heappush(self.events, (when, self.count, call, fields))
 
     def knowing(self, n, dispatchers):
-        made = balancer([queue_type(target=2 * MEAN)], 0, n + 1, me=n, dispatchers=dispatchers, **SETTINGS)
-        made.members(self.now, "whole", [entry(w, born=born, zone=0) for w, born in self.born.items()])
+        made = scheduler([queue_type(target=2 * MEAN)], 0, n + 1, me=n, dispatchers=dispatchers, **SETTINGS)
+        made.update_endpoints(
+            self.now, "whole", [entry(w, born=born, zone=0) for w, born in self.born.items()]
+        )
         return made
 
     def come(self, n, rate, there=True):
@@ -67,7 +69,7 @@
             self.count += 1
             job = Job(self.count, n, self.told[n], work)
             hint = int(work * self.random.lognormvariate(0, ERROR))
-            job.made.arrived(self.now, job, 0, hint, 0, 1.0, 0.0, 0, 5_000_000)
+            job.made.job_arrived(self.now, job, 0, hint, 0, 1.0, 0.0, 0, 5_000_000)
             self.pull(n)
 
     def fall(self, many):
@@ -81,7 +83,7 @@
         self.born |= self.cold
         self.running |= dict.fromkeys(new, 0)
         for made in self.told:
-            made.members(
+            made.update_endpoints(
                 self.now,
                 "changes",
                 [entry(w, "gone", zone=0) for w in gone if self.joining]
@@ -99,7 +101,7 @@
             if what == "launch":
                 if which in self.cold:
                     self.sent[which].append((self.now, job.work))
-                n = made.jobs[job].launches[-1].n
+                n = made.jobs[job].launches[-1].number
                 self.at(self.now + 300, self.land, job, n, which, self.born.get(which), self.now)
             elif what == "revoke":
                 self.at(self.now, self.ended, job, which, "unsent", 0)
@@ -113,7 +115,7 @@
         self.pull(n)
 
     def ended(self, job, n, how, lag):
-        job.made.ended(self.now, job, n, how, lag, how == "completed", ())
+        job.made.launch_ended(self.now, job, n, how, lag, how == "completed", ())
         if self.told[job.who] is job.made:
             self.pull(job.who)
 
@@ -132,7 +134,7 @@
         while self.queue[w] and self.running[w] < SLOTS:
             job, n, born, sent = self.queue[w].popleft()
             self.running[w] += 1
-            job.made.started(self.now, job, n)
+            job.made.launch_started(self.now, job, n)
             self.at(self.now + int(job.work / self.warmth(w, self.now)), self.end, job, n, w, born, sent)
 
     def end(self, job, n, w, born, sent):
@@ -188,5 +190,5 @@
 
 
 def test_a_build_without_the_budget_is_caught(monkeypatch):
-    monkeypatch.setattr(Balancer, "cold_room", lambda self, wkr, job, now: True)
+    monkeypatch.setattr(Scheduler, "within_slow_start_budget", lambda self, wkr, job, now: True)
     assert World(30, 40, True, 0.9).worst() > 1.0
--- a/tests/test_startup_stages.py
+++ b/tests/test_startup_stages.py
@@ -2,7 +2,7 @@
 
 import msgspec
 import pytest
-from helpers import arrive, balancer, pull
+from helpers import arrive, pull, scheduler
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -126,23 +126,23 @@
 
 
 def test_a_former_load_is_in_the_way_of_what_comes_and_fades():
-    made = balancer(workers=2)
-    made.inherited(0, {"0": [4.0, 4.0, 1.0, [], 4.0], "1": [4.0, 4.0, 1.0, []]})
+    made = scheduler(workers=2)
+    made.restore_learned(0, {"0": [4.0, 4.0, 1.0, [], 4.0], "1": [4.0, 4.0, 1.0, []]})
     arrive(made)
     assert [decision[:3] for decision in pull(made, 0)] == [("launch", 1, 1)]
-    before = made.extra(made.workers[0], 0)
-    assert before == 4.0 and made.extra(made.workers[0], 10_000_000) < 0.2
-    assert made.workers[1].extra == 0.0
+    before = made.other_load(made.workers[0], 0)
+    assert before == 4.0 and made.other_load(made.workers[0], 10_000_000) < 0.2
+    assert made.workers[1].other_load == 0.0
 
 
 def test_a_part_of_which_all_are_set_aside_does_not_stop_the_decisions():
     """More ready workers than the part holds, all set aside when it was filled: before, IndexError."""
-    made = balancer(workers=40, dispatchers=40)
+    made = scheduler(workers=40, dispatchers=40)
     pull(made, 0)
-    assert made.beyond
-    made.part = []
+    assert made.looks_past_subset
+    made.subset = []
     arrive(made)
-    assert pull(made, 0)[0][0] == "launch" and len(made.part) == 1
+    assert pull(made, 0)[0][0] == "launch" and len(made.subset) == 1
 
 
 @given(st.integers(0, 3), st.booleans())
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,7 +13,7 @@
 
 import orjson
 import pytest
-from helpers import HERE, Rig, arrive, balancer, entry, pull
+from helpers import HERE, Rig, arrive, entry, pull, scheduler
 from test_control import Served, free
 from test_program import arrived, file, router
 
@@ -135,55 +135,55 @@
     ],
 )
 def test_nothing_new_goes_to_who_is_out_whatever_the_list_says(news):
-    made = balancer(workers=2)
-    made.by_hand(0, {"0"}, {})
+    made = scheduler(workers=2)
+    made.set_excluded(0, {"0"}, {})
     if news:
-        made.members(1, *news)
-        made.members(2, "changes", [entry(0)])
+        made.update_endpoints(1, *news)
+        made.update_endpoints(2, "changes", [entry(0)])
     for n in range(5):
         arrive(made, 10, job=n)
     assert {decision[:3:2] for decision in pull(made, 10)} == {("launch", 1)}
-    assert made.skipped(10) == 1
+    assert made.count_skipped_workers(10) == 1
 
 
 @pytest.mark.parametrize("aside", [False, True])
 def test_who_is_called_back_is_fed_as_a_cold_worker(aside):
-    made = balancer(workers=2)
+    made = scheduler(workers=2)
     if aside:
         arrive(made, 0)
         ((_, job_id, wkr_id, _),) = pull(made, 0)
-        made.ended(1_000, job_id, 0, "error", 1_000, False, ())
-    made.by_hand(2_000, {"0", "1"}, {})
+        made.launch_ended(1_000, job_id, 0, "error", 1_000, False, ())
+    made.set_excluded(2_000, {"0", "1"}, {})
     assert made.ready == []
-    made.by_hand(9_000_000, set(), {"0": 8_900_000, "1": 8_900_000})
+    made.set_excluded(9_000_000, set(), {"0": 8_900_000, "1": 8_900_000})
     worker = made.workers[0]
-    assert (worker.born, worker.credit, worker.aside) == (8_900_000, 0.0, {}) and len(made.ready) == 2
-    assert made.warmth(worker, 9_000_000) < 0.3
+    assert (worker.born, worker.credit, worker.ejections) == (8_900_000, 0.0, {}) and len(made.ready) == 2
+    assert made.least_warmth(worker, 9_000_000) < 0.3
     # A list that is behind still names its former start; one that is not, a later one.
-    made.members(9_100_000, "whole", [entry(0), entry(1, born=9_050_000)])
+    made.update_endpoints(9_100_000, "whole", [entry(0), entry(1, born=9_050_000)])
     assert (made.workers[0].born, made.workers[1].born) == (8_900_000, 9_050_000)
 
 
 def test_who_comes_back_to_the_list_after_the_call_is_cold_as_well():
-    made = balancer(workers=2)
-    made.by_hand(0, {"0"}, {})
-    made.members(1, "whole", [entry(1)])
-    made.by_hand(5_000_000, set(), {"0": 5_000_000})
-    made.members(6_000_000, "changes", [entry(0)])
+    made = scheduler(workers=2)
+    made.set_excluded(0, {"0"}, {})
+    made.update_endpoints(1, "whole", [entry(1)])
+    made.set_excluded(5_000_000, set(), {"0": 5_000_000})
+    made.update_endpoints(6_000_000, "changes", [entry(0)])
     assert made.workers[0].born == 5_000_000
 
 
 @pytest.mark.parametrize("share", [1.0, 0.5, 0.125])
 def test_two_processes_share_what_a_cold_worker_may_get(share):
-    made = balancer(workers=2)
-    made.by_hand(0, (), {"0": 1})
-    made.sharing(0, share)
+    made = scheduler(workers=2)
+    made.set_excluded(0, (), {"0": 1})
+    made.set_traffic_share(0, share)
     arrive(made, 0, hint=1_000)
-    made.cold_room(made.workers[0], made.jobs[1], 100_000)
-    alone = balancer(workers=2)
-    alone.by_hand(0, (), {"0": 1})
+    made.within_slow_start_budget(made.workers[0], made.jobs[1], 100_000)
+    alone = scheduler(workers=2)
+    alone.set_excluded(0, (), {"0": 1})
     arrive(alone, 0, hint=1_000)
-    alone.cold_room(alone.workers[0], alone.jobs[1], 100_000)
+    alone.within_slow_start_budget(alone.workers[0], alone.jobs[1], 100_000)
     assert made.workers[0].credit / share == pytest.approx(alone.workers[0].credit)
 
 
@@ -234,11 +234,11 @@
     served = begun(tmp_path, folder).serving()
     assert calls(served, *steps) == answers and served.made.upgrade_state.told["out"] == out
     assert served.made.router.out == frozenset(out)
-    assert [wkr.id.id for wkr in served.made.router.balancer.ready] == ([] if out else ["s-1"])
+    assert [wkr.id.id for wkr in served.made.router.scheduler.ready] == ([] if out else ["s-1"])
     figures = served.figures()
     assert (figures["svc.known_workers"], figures["svc.skipped_workers"]) == (1, len(out))
     # Back without having been out is no restart; after it the worker is cold, also with the list behind.
-    (worker,) = served.made.router.balancer.workers.values()
+    (worker,) = served.made.router.scheduler.workers.values()
     assert (worker.born > 0) == (steps[-1] == "/api/include/s-1" and len(steps) > 1)
     served.close()
 
@@ -277,21 +277,21 @@
 
 def test_two_share_descriptors_bodies_and_cold_budget_until_one_is_gone(pair):
     whole = 128 - 32
-    assert pair.turn(lambda: all(served.made.router.balancer.share == 0.5 for served in pair.both))
+    assert pair.turn(lambda: all(served.made.router.scheduler.traffic_share == 0.5 for served in pair.both))
     for served in pair.both:
         assert served.made.budget.most["clients"] < whole * 12 // 25 // 2
         assert served.made.budget.most_bytes == (256 << 20) // 16
     pair.old.made.upgrade_state.leave()
-    assert pair.turn(lambda: pair.new.made.router.balancer.share == 1)
+    assert pair.turn(lambda: pair.new.made.router.scheduler.traffic_share == 1)
     assert pair.new.made.budget.most["clients"] == whole * 12 // 25
 
 
 @pytest.mark.parametrize("at", [0, 1])
 def test_who_is_out_is_out_in_both_before_the_yes(pair, at):
     assert pair.both[at].call("/api/exclude/s-1", "POST")[0] == 200
-    assert [served.made.router.balancer.ready for served in pair.both] == [[], []]
+    assert [served.made.router.scheduler.ready for served in pair.both] == [[], []]
     assert pair.both[1 - at].call("/api/include/s-1", "POST")[0] == 200
-    assert [len(served.made.router.balancer.ready) for served in pair.both] == [1, 1]
+    assert [len(served.made.router.scheduler.ready) for served in pair.both] == [1, 1]
 
 
 @pytest.mark.parametrize("at", [0, 1])
@@ -462,13 +462,15 @@
     old.loop.wake(old.life)
 
     def divided():
-        most.append(old.router.balancer.share + new.router.balancer.share)
-        return new.router.balancer.share > 0.5
+        most.append(old.router.scheduler.traffic_share + new.router.scheduler.traffic_share)
+        return new.router.scheduler.traffic_share > 0.5
 
     assert pair.turn(divided) and max(most) <= 1
-    assert (old.router.balancer.share, new.router.balancer.share) == (0.125, 0.875)
+    assert (old.router.scheduler.traffic_share, new.router.scheduler.traffic_share) == (0.125, 0.875)
     old.upgrade_state.leave()
-    assert pair.turn(lambda: new.router.balancer.share == 1) and new.upgrade_state.told["leaving"] == []
+    assert (
+        pair.turn(lambda: new.router.scheduler.traffic_share == 1) and new.upgrade_state.told["leaving"] == []
+    )
 
 
 def test_flags_of_who_died_in_a_seat_are_not_those_of_the_next(tmp_path, folder):
@@ -491,19 +493,24 @@
 
 
 def test_a_new_process_starts_from_what_the_old_one_learned():
-    old, new = balancer(workers=3), balancer(workers=3)
+    old, new = scheduler(workers=3), scheduler(workers=3)
     arrive(old, 0)
     ((_, job_id, wkr_id, _),) = pull(old, 0)
-    old.ended(1_000, job_id, 0, "error", 1_000, False, ())
+    old.launch_ended(1_000, job_id, 0, "error", 1_000, False, ())
     old.workers[wkr_id].slots, old.workers[wkr_id].peak, old.workers[wkr_id].slow = 3.5, 3.0, 2.0
-    new.inherited(2_000, {**orjson.loads(orjson.dumps(old.learned())), "nobody": [1.0, 1.0, 1.0, []]})
+    new.restore_learned(
+        2_000, {**orjson.loads(orjson.dumps(old.learned_state())), "nobody": [1.0, 1.0, 1.0, []]}
+    )
     worker = new.workers[wkr_id]
-    assert (worker.slots, worker.peak, worker.slow, list(worker.aside)) == (3.5, 3.0, 2.0, [0])
+    assert (worker.slots, worker.peak, worker.slow, list(worker.ejections)) == (3.5, 3.0, 2.0, [0])
     # Without the room that was seen each worker counted as one of a single slot, and cold ones got little.
-    old.survey()
-    assert new.capacity == old.capacity > balancer(workers=3).capacity
-    assert vars(worker.aside[0]) == vars(old.workers[wkr_id].aside[0]) and new.asides == old.asides
-    assert new.skipped(2_000) == 1
+    old.survey_fleet()
+    assert new.capacity == old.capacity > scheduler(workers=3).capacity
+    assert (
+        vars(worker.ejections[0]) == vars(old.workers[wkr_id].ejections[0])
+        and new.ejection_counts == old.ejection_counts
+    )
+    assert new.count_skipped_workers(2_000) == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/test_worker_selection.py
+++ b/tests/test_worker_selection.py
@@ -1,7 +1,7 @@
 """What the design and its departures pick."""
 
 import pytest
-from helpers import STEP, arrive, balancer, entry, pull, queue_type
+from helpers import STEP, arrive, entry, pull, queue_type, scheduler
 
 
 def run(made, job, now, took, how="completed", start=None):
@@ -9,15 +9,15 @@
     arrive(made, now, job)
     (sent,) = (d for d in pull(made, now) if d[0] == "launch")
     if how == "completed":
-        made.started(now + (start or 1_000), job, 0)
-    made.ended(now + (start or 1_000) + took, job, 0, how, took, how == "completed", [])
+        made.launch_started(now + (start or 1_000), job, 0)
+    made.launch_ended(now + (start or 1_000) + took, job, 0, how, took, how == "completed", [])
     return made.workers[sent[2]]
 
 
 def test_least_contention_then_worst_fit():
-    made = balancer(workers=3)
+    made = scheduler(workers=3)
     for wkr, ends in zip(made.ready, ([50_000] * 9, [], [900_000]), strict=True):
-        wkr.curve = [(end, n, 1.0) for n, end in enumerate(ends)]
+        wkr.load_curve = [(end, n, 1.0) for n, end in enumerate(ends)]
         wkr.load = wkr.running = float(len(ends))
     arrive(made, hint=1_000_000)
     assert pull(made, 0)[0][2] == made.ready[1].id
@@ -25,21 +25,21 @@
 
 @pytest.mark.parametrize(("units", "least", "most"), [(1.0, 0.4, 0.6), (3.0, 0.65, 0.85)])
 def test_ties_fall_by_declared_size_in_all_zones(units, least, most):
-    made = balancer(workers=4)
+    made = scheduler(workers=4)
     for wkr in made.ready[:2]:
         wkr.units = units
-    picked = [made.one_of(made.ready) for _ in range(400)]
+    picked = [made.draw_by_size(made.ready) for _ in range(400)]
     assert least < sum(wkr.units == units and wkr in made.ready[:2] for wkr in picked) / 400 < most
 
 
 @pytest.mark.parametrize("how", ["error", "full"])
 def test_errors_set_aside_a_worker_for_that_queue_type_only(how):
     # One that turned away a single queue type, and late, was tried again as soon as its seen load had faded.
-    made = balancer([queue_type(), queue_type()], workers=4)
+    made = scheduler([queue_type(), queue_type()], workers=4)
     bad = run(made, 1, 0, 5_000, how)
-    bad.extra = 0.0
-    assert list(bad.aside) == [0]
-    made.asides = {0: 1}
+    bad.other_load = 0.0
+    assert list(bad.ejections) == [0]
+    made.ejection_counts = {0: 1}
     kinds = []
     for job, qtype in ((2, 0), (3, 1)):
         arrive(made, 6_000, job, qtype)
@@ -60,46 +60,49 @@
 def test_a_run_once_job_is_the_trial_late_but_not_never(effect, why, back):
     # Each trial of a worker that fails a queue type cost such a job; and where only such jobs come, a
     # worker that was silent once would have stayed out for good. Of another type somebody else is the trial.
-    made = balancer([queue_type(effect)])
+    made = scheduler([queue_type(effect)])
     arrive(made)
     pull(made, 0)
     launch = made.jobs[1].launches[0]
     launch.may_have_run = True
-    made.set_aside(launch.wkr, why, launch, 0)
+    made.eject(launch.worker, why, launch, 0)
     other = made.jobs[1].launches.pop()
-    launch.wkr.out.clear()
+    launch.worker.in_flight.clear()
     assert other is launch
-    assert [made.eligible(launch.wkr, made.jobs[1], now, None) for now in (back - 1, back)] == [False, True]
+    assert [made.eligible(launch.worker, made.jobs[1], now, None) for now in (back - 1, back)] == [
+        False,
+        True,
+    ]
 
 
 def test_trickle_doubles_while_it_goes_well():
-    made = balancer(workers=4)
+    made = scheduler(workers=4)
     bad = run(made, 1, 0, 5_000, "error")
-    aside, seen = bad.aside[0], []
+    aside, seen = bad.ejections[0], []
     made.jobs.clear()
     for job in range(2, 40):
         arrive(made, aside.back_at + job, job)
         launch_at = made.jobs[job]
         made.launch(launch_at, bad, aside.back_at + job)
-        made.ended(aside.back_at + job, job, 0, "completed", 1, True, [])
-        seen.append(bad.aside[0].trickle if 0 in bad.aside else None)
+        made.launch_ended(aside.back_at + job, job, 0, "completed", 1, True, [])
+        seen.append(bad.ejections[0].trickle if 0 in bad.ejections else None)
         if seen[-1] is None:
             break
     assert seen[0] == 2 and seen[1:3] == [2, 4] and seen[-1] is None
 
 
 def test_start_under_full_queues_is_not_taken_for_the_usual():
-    made = balancer(workers=1)
+    made = scheduler(workers=1)
     arrive(made)
     pull(made, 0)
-    made.started(600_000, 1, 0)
-    assert made.waits[-1][0] > 500_000
+    made.launch_started(600_000, 1, 0)
+    assert made.start_waits[-1][0] > 500_000
 
 
 @pytest.mark.parametrize(("pressure", "turned"), [(0.0, 0), (0.9, 30)])
 def test_pressure_turns_jobs_away(pressure, turned):
-    made = balancer(workers=40)
-    made.built, made.pressed_at = pressure, 0
+    made = scheduler(workers=40)
+    made.sustained_pressure, made.pressure_at = pressure, 0
     sent = []
     for job in range(40):
         arrive(made, 0, job)
@@ -110,7 +113,7 @@
 
 @pytest.mark.parametrize(("parallel", "what"), [(False, "revoke"), (True, "launch")])
 def test_launch_that_does_not_start_goes_elsewhere(parallel, what):
-    made = balancer(workers=4, parallel=parallel)
+    made = scheduler(workers=4, parallel=parallel)
     arrive(made)
     pull(made, 0)
     assert [d[0] for d in pull(made, 200_000 + STEP)] == [what]
@@ -127,16 +130,16 @@
 )
 def test_a_running_launch_whose_notes_stop_is_moved(effect, noted, again):
     # Its connection may be dead while its worker goes on: it was waited for until the walltime was over.
-    made = balancer([queue_type(effect)])
+    made = scheduler([queue_type(effect)])
     arrive(made)
     ((_, _, first, _),) = pull(made, 0)
-    made.started(10_000, 1, 0)
+    made.launch_started(10_000, 1, 0)
     if noted:
-        made.progress(noted, 1, 0, 0.5)
+        made.launch_progressed(noted, 1, 0, 0.5)
     seen = [d for now in range(100_000, 3_000_000, 100_000) for d in pull(made, now)]
     assert seen == ([("revoke", 1, 0)] if again else [])
     if again:
-        made.ended(3_000_000, 1, 0, "revoked", 3_000_000, False, ())
+        made.launch_ended(3_000_000, 1, 0, "revoked", 3_000_000, False, ())
         ((what, _, other, _),) = pull(made, 3_000_000)
         assert what == "launch" and other != first
 
@@ -145,40 +148,40 @@
 @pytest.mark.parametrize("heard", [True, False])
 def test_a_dead_connection_is_no_load_while_its_worker_is_heard(began, heard):
     # A run-once job on one weighed on its worker until its walltime, as one that runs or as a queue.
-    made = balancer([queue_type("run-once")])
+    made = scheduler([queue_type("run-once")])
     arrive(made, patience=15_000_000)
     pull(made, 0)
-    wkr = made.jobs[1].launches[0].wkr
+    wkr = made.jobs[1].launches[0].worker
     if began:
-        made.started(began, 1, 0)
+        made.launch_started(began, 1, 0)
     if heard:
-        wkr.heard = 2_900_000
+        wkr.heard_at = 2_900_000
     if began:
         pull(made, 3_000_000)
     else:
-        made.silent(3_000_000, 1, 0)
-    assert (wkr.load, len(wkr.curve), made.extra(wkr, 3_000_000)) == (0, 0, 0.0) or not heard
-    assert len(wkr.curve) == (not heard) and made.jobs[1].out == 1
-    waits = len(made.waits)
-    made.ended(15_000_000, 1, 0, "revoked", 15_000_000, False, ())
-    assert len(made.waits) == waits + (not heard and not began)
+        made.launch_silent(3_000_000, 1, 0)
+    assert (wkr.load, len(wkr.load_curve), made.other_load(wkr, 3_000_000)) == (0, 0, 0.0) or not heard
+    assert len(wkr.load_curve) == (not heard) and made.jobs[1].in_flight == 1
+    waits = len(made.start_waits)
+    made.launch_ended(15_000_000, 1, 0, "revoked", 15_000_000, False, ())
+    assert len(made.start_waits) == waits + (not heard and not began)
 
 
 @pytest.mark.parametrize(("why", "kept_out"), [(-1, True), (None, False)])
 def test_a_cut_off_zone_stays_set_aside_though_it_is_most_of_the_fleet(why, kept_out):
-    made = balancer(workers=4)
+    made = scheduler(workers=4)
     arrive(made)
     pull(made, 0)
     launch = made.jobs[1].launches[0]
     for wkr in made.ready[:3]:
-        made.set_aside(wkr, why, launch, 0)
+        made.eject(wkr, why, launch, 0)
     arrive(made, 1_000, 2)
     assert made.eligible(made.ready[0], made.jobs[2], 1_000, None) is not kept_out
 
 
 @pytest.mark.parametrize(("pressure", "then"), [(0.0, []), (0.8, ["reject", "revoke"])])
 def test_under_pressure_what_can_no_longer_start_in_time_is_turned_away(pressure, then):
-    made = balancer(workers=1)
+    made = scheduler(workers=1)
     arrive(made)
     pull(made, 0)
     made.pressure = pressure
@@ -187,107 +190,107 @@
 
 @pytest.mark.parametrize(("late", "presses"), [(1, False), (6, True)])
 def test_starts_that_are_far_too_late_press_though_others_start_at_once(late, presses):
-    made = balancer()
-    made.waits.extend([(0, 1_000_000)] * (9 - late) + [(9_000_000, 1_000_000)] * late)
-    made.pressed_at = 0
-    made.press(1_000_000)
+    made = scheduler()
+    made.start_waits.extend([(0, 1_000_000)] * (9 - late) + [(9_000_000, 1_000_000)] * late)
+    made.pressure_at = 0
+    made.update_pressure(1_000_000)
     assert (made.pressure > 0) is presses
 
 
 @pytest.mark.parametrize(("workers", "used"), [(4, 4), (60, 6)])
 def test_a_dispatcher_of_little_traffic_keeps_to_a_part_of_the_fleet(workers, used):
-    made = balancer(workers=workers)
+    made = scheduler(workers=workers)
     seen = {run(made, job, job * 1_000_000, 100_000).id for job in range(40)}
     assert len(seen) == used
 
 
 def test_past_its_part_it_looks_while_no_worker_there_is_free():
-    made = balancer(workers=60)
-    for wkr in made.part:
-        wkr.extra, wkr.extra_at = 40.0, 0
-    before = list(made.part)
+    made = scheduler(workers=60)
+    for wkr in made.subset:
+        wkr.other_load, wkr.other_load_at = 40.0, 0
+    before = list(made.subset)
     assert run(made, 1, 0, 100_000) not in before
-    assert made.part != before
+    assert made.subset != before
 
 
 @pytest.mark.parametrize(("parallel", "most"), [(True, 1.5), (False, 3.5)])
 def test_moves_and_copies_are_saved_for_a_second_only(parallel, most):
-    made = balancer(parallel=parallel)
-    made.rate = 2.0
+    made = scheduler(parallel=parallel)
+    made.arrival_rate = 2.0
     for job in range(100):
         arrive(made, 0, job)
-    assert made.spare <= most
+    assert made.hedge_budget <= most
 
 
 def test_a_worker_avoided_for_its_slowness_comes_back():
-    made = balancer(workers=8)
+    made = scheduler(workers=8)
     arrive(made)
     for _ in range(50):
-        made.learn_slow(made.ready[0], 3.0, 0)
-    made.tidy(1_000_000)
+        made.learn_slowness(made.ready[0], 3.0, 0)
+    made.fade_learned(1_000_000)
     was = made.ready[0].slow
     for second in range(2, 30):
-        made.tidy(second * 1_000_000)
+        made.fade_learned(second * 1_000_000)
     assert was > 1.5 > 1.1 > made.ready[0].slow
 
 
 def test_a_cold_workers_lack_is_not_learned_as_slowness_as_well():
-    made = balancer(workers=1)
-    made.members(0, "changes", [entry(0, born=1)])
+    made = scheduler(workers=1)
+    made.update_endpoints(0, "changes", [entry(0, born=1)])
     for _ in range(50):
-        made.learn_slow(made.ready[0], 5.0, 1)
+        made.learn_slowness(made.ready[0], 5.0, 1)
     assert made.slowness(made.ready[0], 1) == pytest.approx(5.0, rel=0.05)
 
 
 @pytest.mark.parametrize("how", ["full", "revoked", "completed"])
 def test_what_never_started_counts_as_a_wait(how):
-    made = balancer(workers=1)
+    made = scheduler(workers=1)
     arrive(made)
     pull(made, 0)
-    made.ended(900_000, 1, 0, how, 900_000, how == "completed", [])
-    assert (made.waits[-1][0] > 0) is (how != "completed")
+    made.launch_ended(900_000, 1, 0, how, 900_000, how == "completed", [])
+    assert (made.start_waits[-1][0] > 0) is (how != "completed")
 
 
 def test_old_waits_press_less():
-    made = balancer()
-    made.waits.extend([(400_000, 0)] * 9)
-    made.slack, made.pressed_at = 400_000.0, 0
-    made.press(1)
+    made = scheduler()
+    made.start_waits.extend([(400_000, 0)] * 9)
+    made.mean_slack, made.pressure_at = 400_000.0, 0
+    made.update_pressure(1)
     now = made.pressure
-    made.built, made.pressed_at = 0.0, 60_000_000 - 1
-    made.press(60_000_000)
+    made.sustained_pressure, made.pressure_at = 0.0, 60_000_000 - 1
+    made.update_pressure(60_000_000)
     assert now > 0 == made.pressure
 
 
 def test_a_part_is_no_larger_than_the_cpu_allows():
-    made = balancer(workers=60, cpu_a_job=10.0)
+    made = scheduler(workers=60, cpu_a_job=10.0)
     for job in range(400):
         arrive(made, 0, job)
-    made.survey()
-    assert len(made.part) == made.look < 60
+    made.survey_fleet()
+    assert len(made.subset) == made.most_looked_at < 60
 
 
 def test_what_waits_is_looked_at_ever_more_rarely():
-    made = balancer(workers=1)
+    made = scheduler(workers=1)
     arrive(made)
     pull(made, 0)
-    made.due.clear()
+    made.timers.clear()
     for now in range(0, 4_000_000, STEP):
         pull(made, now)
         if now == 0:
-            made.check(made.jobs[1].launches[0], now)
-    assert made.dues < 20
+            made.check_launch(made.jobs[1].launches[0], now)
+    assert made.sequence < 20
 
 
 def test_a_worker_is_asked_whether_it_is_cold_until_it_is_warm():
     # Asked for each job of all that ever started, it took a tenth of the CPU of a job on a large fleet.
-    made, asked = balancer(workers=1), []
-    made.members(0, "changes", [entry(0, born=1_000)])
+    made, asked = scheduler(workers=1), []
+    made.update_endpoints(0, "changes", [entry(0, born=1_000)])
     worker = made.workers[0]
-    made.cold_room = lambda wkr, job, now: asked.append(now) or True
+    made.within_slow_start_budget = lambda wkr, job, now: asked.append(now) or True
     for job, now in enumerate((2_000_000, 9_000_000, 12_000_000, 14_000_000), 1):
         arrive(made, now, job)
         pull(made, now)
-    assert asked == [2_000_000, 9_000_000] and not worker.cold and len(worker.out) == 4
-    made.members(15_000_000, "changes", [entry(0, born=14_500_000)])
-    assert worker.cold
+    assert asked == [2_000_000, 9_000_000] and not worker.warming_up and len(worker.in_flight) == 4
+    made.update_endpoints(15_000_000, "changes", [entry(0, born=14_500_000)])
+    assert worker.warming_up
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -17,12 +17,12 @@
 
 def deaf():
     """Agrees on who is out by hand and launches there all the same."""
-    from mastledge.balance import Balancer
+    from mastledge.scheduling.scheduler import Scheduler
 
     def by_hand(self, now, out, back):
-        self.sort_out()
+        self.refresh_ready()
 
-    Balancer.by_hand = by_hand
+    Scheduler.set_excluded = by_hand
     from mastledge.protocol.worker_connections import WorkerConnections
 
     sent = WorkerConnections.sent_lawfully
@@ -36,40 +36,40 @@
 
 def twice():
     """Launches run-once jobs again that may have run."""
-    from mastledge.balance import Balancer
+    from mastledge.scheduling.scheduler import Scheduler
 
-    settle = Balancer.settle
+    settle = Scheduler.decide_job
 
     def again(self, job, now):
-        if job.launches and not job.out and not job.ended:
+        if job.launches and not job.in_flight and not job.ended:
             for launch in job.launches:
                 launch.may_have_run = False
-        elif len(job.launches) == 1 and job.qt["effect"] == "run-once" and not job.launches[0].ended:
-            job.launches[0].ended, job.out = True, 0
+        elif len(job.launches) == 1 and job.queue_type["effect"] == "run-once" and not job.launches[0].ended:
+            job.launches[0].ended, job.in_flight = True, 0
             job.launches[0].may_have_run = False
             decision = settle(self, job, now)
-            job.launches[0].ended, job.out = False, 1 + (len(job.launches) > 1)
+            job.launches[0].ended, job.in_flight = False, 1 + (len(job.launches) > 1)
             return decision
         decision = settle(self, job, now)
-        if decision and decision[0] == "launch" and job.qt["effect"] == "run-once":
-            self.remind(now + 1000, job)
+        if decision and decision[0] == "launch" and job.queue_type["effect"] == "run-once":
+            self.set_timer(now + 1000, job)
         return decision
 
-    Balancer.settle = again
+    Scheduler.decide_job = again
 
 
 def late():
     """Forgets to give jobs up: they are answered when it is too late, or by the last resort."""
-    from mastledge.balance import Balancer
+    from mastledge.scheduling.scheduler import Scheduler
 
-    arrived = Balancer.arrived
+    arrived = Scheduler.job_arrived
 
     def kept(self, now, job_id, *fields):
         arrived(self, now, job_id, *fields)
         if job_id % 10 == 0:
             self.jobs[job_id].ended = True
 
-    Balancer.arrived = kept
+    Scheduler.job_arrived = kept
     from mastledge.protocol import client_listener
 
     outcome = client_listener.ClientListener.outcome
@@ -102,46 +102,46 @@
 
 def cold():
     """Takes cold workers for warm ones."""
-    from mastledge.balance import Balancer
+    from mastledge.scheduling.scheduler import Scheduler
 
-    pick = Balancer.pick
+    pick = Scheduler.pick_worker
 
     def coldest(self, job, now, group):
         for wkr in self.ready:
-            if wkr.cold and self.settings["cold_for"] > now - wkr.born and not job.launches:
+            if wkr.warming_up and self.settings["cold_for"] > now - wkr.born and not job.launches:
                 return wkr, 0.0
         return pick(self, job, now, group)
 
-    Balancer.pick = coldest
+    Scheduler.pick_worker = coldest
 
 
 def refusing():
     """Rejects what has been launched and may have run."""
-    from mastledge.balance import Balancer
+    from mastledge.scheduling.scheduler import Scheduler
 
-    launch = Balancer.launch
+    launch = Scheduler.launch
 
     def doubting(self, job, wkr, now, until=None):
         decision = launch(self, job, wkr, now, until)
-        if job.id % 7 == 0 and job.qt["effect"] == "run-once":
-            job.last = now + 5_000
-            self.remind(job.last, job)
+        if job.id % 7 == 0 and job.queue_type["effect"] == "run-once":
+            job.deadline = now + 5_000
+            self.set_timer(job.deadline, job)
         return decision
 
     def give_up(self, job, hold_off):
-        self.close(job)
+        self.close_job(job)
         return ("reject", job.id, 0)
 
-    Balancer.launch = doubting
-    Balancer.give_up = give_up
-    settle = Balancer.settle
+    Scheduler.launch = doubting
+    Scheduler.reject_or_kill = give_up
+    settle = Scheduler.decide_job
 
     def early(self, job, now):
-        if job.launches and now >= job.last:
-            return self.give_up(job, 0)
+        if job.launches and now >= job.deadline:
+            return self.reject_or_kill(job, 0)
         return settle(self, job, now)
 
-    Balancer.settle = early
+    Scheduler.decide_job = early
 
 
 def claimless():
