--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -220,7 +220,7 @@
             return
         world, now = self.world, self.world.now
         if self.opening is not None:
-            slots = sum(wkr.slots * self.scheduler.least_warmth(wkr, now) for wkr in self.scheduler.ready)
+            slots = self.scheduler.usable_slots(now)
             self.opening.sized(now, slots, world.settings["dispatchers"])
             self.opening.look(now)
         if not self.ready and self.may_act() and self.scheduler.ready:
--- a/mastledge/lab/policies.py
+++ b/mastledge/lab/policies.py
@@ -1,42 +1,57 @@
 """Baselines: the program's decisions with another choice of the worker, and nothing else changed.
 
-Rules, retries, workers set aside, cold budgets, pressure and final answers are those of the program; only
-`pick_worker` differs, and tells no wait, so that nothing is turned away for one.
+Rules, retries, ejections, slow-start budgets, pressure and final answers are those of the program; only the
+pick differs, and tells no wait, so that nothing is rejected for one.
 """
 
+from functools import partial
+
 from mastledge.scheduling.scheduler import Scheduler
+from mastledge.scheduling.selection import WorkerSelector
+
 
+class Baseline(WorkerSelector):
+    """Picks one of the eligible workers by what `chosen` says."""
 
-class Baseline(Scheduler):
-    def pick_worker(self, job, now, group):
-        some = [wkr for wkr in self.ready if self.eligible(wkr, job, now, group)]
-        return (self.chosen(some), 0.0) if some else (None, 0.0)
+    def pick(self, job, now, group_of):
+        """The worker for the job, without a predicted wait."""
+        workers = [
+            worker for worker in self._fleet.ready if self._eligibility.allows(worker, job, now, group_of)
+        ]
+        return (self.chosen(workers), 0.0) if workers else (None, 0.0)
 
-    def chosen(self, some):
+    def chosen(self, workers):
+        """One of these workers."""
         raise NotImplementedError
 
-    def any_of(self, some):
-        return some[int(self.chance() * len(some))]
+    def any_of(self, workers):
+        """One of them by chance."""
+        return workers[int(self._random.chance() * len(workers))]
 
 
 class Random(Baseline):
-    def chosen(self, some):
-        return self.any_of(some)
+    """Any worker."""
+
+    def chosen(self, workers):
+        """By chance."""
+        return self.any_of(workers)
 
 
 class Least(Baseline):
     """Least own outstanding load, ties by chance."""
 
-    def chosen(self, some):
-        least = min(wkr.load for wkr in some)
-        return self.any_of([wkr for wkr in some if wkr.load == least])
+    def chosen(self, workers):
+        """Of those with the least load, by chance."""
+        least = min(worker.load for worker in workers)
+        return self.any_of([worker for worker in workers if worker.load == least])
 
 
 class Two(Baseline):
     """The less loaded of two by chance (Mitzenmacher 2001)."""
 
-    def chosen(self, some):
-        one, other = self.any_of(some), self.any_of(some)
+    def chosen(self, workers):
+        """Two draws."""
+        one, other = self.any_of(workers), self.any_of(workers)
         return one if one.load <= other.load else other
 
 
@@ -44,15 +59,12 @@
 
 
 def named(policy):
-    """The class of decisions of this name; Scheduler for ""."""
-    return POLICIES[policy] if policy else Scheduler
+    """What makes decisions of this name; Scheduler for ""."""
+    return partial(Scheduler, selector_type=POLICIES[policy]) if policy else Scheduler
 
 
 def installed(policy):
     """Has this process decide by it."""
     made = POLICIES[policy]
-    Scheduler.pick_worker, Scheduler.chosen, Scheduler.any_of = (
-        Baseline.pick_worker,
-        made.chosen,
-        Baseline.any_of,
-    )
+    WorkerSelector.pick, WorkerSelector.chosen = Baseline.pick, made.chosen
+    WorkerSelector.any_of = Baseline.any_of
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -17,7 +17,7 @@
 from mastledge.recovery import restored_state as b
 from mastledge.recovery import startup_stages as s
 from mastledge.recovery.admission_ramp import DONE, ELSE, TURNED, AdmissionRamp
-from mastledge.scheduling.scheduler import CUT_OFF
+from mastledge.scheduling.outliers import CONNECTION_REFUSED
 from mastledge.storage.data_directory import DataDirectory, DataDirectoryError
 from mastledge.storage.write_ahead_log import WriteAheadLog
 from mastledge.storage.writer import Writer
@@ -240,8 +240,7 @@
     def size(self, now):
         scheduler = self.program.router.scheduler
         # Also those that are set aside here: that is this one's own view, and ends by jobs that are let in.
-        slots = sum(wkr.slots * scheduler.least_warmth(wkr, now) for wkr in scheduler.ready)
-        self.opening.sized(now, slots, self.program.told["settings"]["dispatchers"])
+        self.opening.sized(now, scheduler.usable_slots(now), self.program.told["settings"]["dispatchers"])
 
     def listed(self, kind, entries):
         """What discovery has told, as the decisions are told of it.
@@ -301,7 +300,10 @@
         for id, (slots, peak, slow, asides, load) in told.items():
             # When a trial is due was told as a span, as clocks end with the machine.
             some = [
-                [why if why != "cut_off" else CUT_OFF, {**aside, "back_at": clock + aside["back_at"]}]
+                [
+                    why if why != "cut_off" else CONNECTION_REFUSED,
+                    {**aside, "back_at": clock + aside["back_at"]},
+                ]
                 for why, aside in asides
             ]
             out[id] = [slots, peak, slow, some, load]
@@ -451,7 +453,10 @@
         clock, told = self.loop.now(), {}
         for id, (slots, peak, slow, asides) in self.program.router.scheduler.learned_state().items():
             some = [
-                ["cut_off" if why == CUT_OFF else why, {**aside, "back_at": aside["back_at"] - clock}]
+                [
+                    "cut_off" if why == CONNECTION_REFUSED else why,
+                    {**aside, "back_at": aside["back_at"] - clock},
+                ]
                 for why, aside in asides
             ]
             told[id] = [slots, peak, slow, some]
--- /dev/null
+++ b/mastledge/scheduling/eligibility.py
@@ -0,0 +1,29 @@
+"""Which workers a job may go to at all: machine kind, group, ejections, former launches, slow start."""
+
+
+class Eligibility:
+    """Asked for workers of which it is not plain."""
+
+    def __init__(self, fleet, outliers, slow_start):
+        """Asks these parts, and keeps nothing itself."""
+        self._fleet, self._outliers, self._slow_start = fleet, outliers, slow_start
+
+    def allows(self, worker, job, now: int, group_of) -> bool:
+        """Whether the job may go to that worker now."""
+        queue_type = job.queue_type
+        if queue_type.kind >= 0 and worker.kind != queue_type.kind:
+            return False
+        group = queue_type.group
+        if group_of and group != "all" and getattr(worker, group) != getattr(group_of, group):
+            return False
+        if worker.ejections and self._outliers.keeps_out(worker, job, now):
+            return False
+        if job.launches and self._was_tried(worker, job):
+            return False
+        slow_start = self._slow_start
+        return not slow_start.is_warming_up(worker, now) or slow_start.within_budget(worker, job, now)
+
+    def _was_tried(self, worker, job) -> bool:
+        """Whether a launch of the job went there; once all workers have been tried, only if it still runs."""
+        all_tried = len(job.launches) >= len(self._fleet.ready)
+        return any(launch.worker is worker and not (launch.ended and all_tried) for launch in job.launches)
--- /dev/null
+++ b/mastledge/scheduling/learning.py
@@ -0,0 +1,72 @@
+"""What the end of a launch teaches: running times, the worker's speed, and whether it is an outlier."""
+
+from mastledge.scheduling.estimation import GAIN
+from mastledge.scheduling.outcomes import COMPLETED, NOT_THE_WORKERS_DOING, REJECTED, Outcome
+from mastledge.scheduling.outliers import CONNECTION_REFUSED, LOST_OR_SILENT
+from mastledge.scheduling.prediction import learn_slowness, slowness
+
+LATE_NEWS_STEPS = 2  # steps of the clock after which news counts as taken up late
+MEAN_WORK_GAIN = GAIN / 8
+MOST_FETCHES = 4  # a fetch counts as so many mean ones at the most
+MOST_RUNS = 8  # a run counts as so many estimated ones at the most, where it was hinted
+REASONS = {Outcome.UNREACHABLE: CONNECTION_REFUSED, Outcome.LOST: LOST_OR_SILENT}
+
+
+class OutcomeLearner:
+    """Takes each end of a launch that says something of its worker."""
+
+    def __init__(self, settings: dict, estimates, traffic, affinity, outliers, other_load):  # noqa: PLR0913 - each of them learns from it
+        """Learns into these parts, and keeps nothing itself."""
+        self._settings, self._estimates, self._traffic = settings, estimates, traffic
+        self._affinity, self._outliers, self._other_load = affinity, outliers, other_load
+
+    def learn(self, launch, outcome: Outcome, lag: int, now: int) -> None:
+        """The launch ended like this, `lag` after its sending."""
+        if outcome in NOT_THE_WORKERS_DOING:
+            return
+        worker = launch.worker
+        if outcome == COMPLETED:
+            worker.heard_at = now
+            self._learn_completed(launch, lag, now)
+            if worker.ejections:
+                self._outliers.trial_completed(worker, launch)
+            return
+        if outcome == Outcome.ERROR or outcome in REJECTED:
+            worker.heard_at = now
+        if outcome in REJECTED:
+            self._other_load.observe_refusal(worker, now)
+        # A release may fail one queue type alone, and quickly, which makes its load curve look empty.
+        reason = REASONS.get(outcome, launch.job.queue_type.name)
+        self._outliers.eject(worker, reason, launch, now)
+
+    def _learn_completed(self, launch, lag: int, now: int) -> None:
+        job, worker, estimates = launch.job, launch.worker, self._estimates
+        # News that the host itself took up late, after a stall of its own, says nothing of the worker.
+        took_up_late = now - launch.sent_at - lag > LATE_NEWS_STEPS * self._settings["step"]
+        end = launch.sent_at + lag if took_up_late else now
+        run = max(1, end - (launch.started_at or launch.sent_at))
+        slow = slowness(worker, now, self._settings)
+        if launch.uncontended:
+            learn_slowness(worker, run / launch.mean, now, self._settings)
+        estimates.running_time.learn(run)
+        if not self._settings["tells_start"]:
+            estimates.start_lag.learn(max(0, run - launch.mean * slow))
+        self._traffic.completed_work += job.expected_work() * job.load
+        estimates.mean_work += MEAN_WORK_GAIN * (job.expected_work() - estimates.mean_work)
+        job.queue_type.running_time.learn(run)
+        if launch.uncontended and launch.fetch_time:
+            fetch = self._affinity.fetch
+            fetch.learn(min(max(0.0, run / slow - job.mean), MOST_FETCHES * fetch.mean))
+        elif launch.uncontended and launch.fetch_certain:
+            self._learn_running_time(launch, run, slow)
+
+    def _learn_running_time(self, launch, run: int, slow: float) -> None:
+        """Of a job that neither met known load nor had to fetch: by its hint and by its key."""
+        job, queue_type = launch.job, launch.job.queue_type
+        if job.hint:
+            sample, usual = min(run / slow, MOST_RUNS * launch.mean) / job.hint, queue_type.hint_ratio.mean
+            # A short wait is many times a small hint.
+            weight = min(1.0, job.hint / queue_type.running_time.mean) if job.key else 1.0
+            queue_type.hint_ratio.learn(usual + (sample - usual) * weight)
+        if job.key in self._estimates.by_key:
+            self._estimates.by_key[job.key].learn(run)
--- /dev/null
+++ b/mastledge/scheduling/outliers.py
@@ -0,0 +1,113 @@
+"""Outlier ejection: a worker that fails or is silent gets nothing for a while, then a trickle of trials.
+
+A quick failure empties a load curve and would draw work. The pause doubles with each further failure; what is
+let through doubles while trials go well. Times are whole microseconds.
+"""
+
+from collections import Counter
+from dataclasses import dataclass
+from itertools import chain
+
+from mastledge.scheduling.outcomes import RUN_ONCE
+
+# Reasons for an ejection; any other is the name of a queue type that fails there.
+LOST_OR_SILENT = None
+CONNECTION_REFUSED = -1
+FIRST_PAUSE_US, LONGEST_PAUSE_US = 125_000, 4_000_000  # between an ejection and its first trial
+RUN_ONCE_FACTOR = 4  # times as long, where a trial may cost a run-once job
+RUN_ONCE_EXTRA_PAUSES = 2  # longest pauses more, where a job of another effect could be the trial
+
+
+@dataclass(slots=True)
+class Ejection:
+    """Why and how long a worker gets nothing."""
+
+    pause_us: int  # the last pause
+    trial_limit: int = 1  # how many jobs may be in flight there as trials
+    completed_trials: int = 0  # since the limit was last doubled
+    ends_at: int = 0  # from when on trials are sent
+
+    def stored(self) -> dict:
+        """The form on disk, whose field names stay."""
+        return {
+            "pause": self.pause_us,
+            "trickle": self.trial_limit,
+            "good": self.completed_trials,
+            "back_at": self.ends_at,
+        }
+
+    @classmethod
+    def from_stored(cls, stored: dict) -> "Ejection":
+        """An ejection from its form on disk; KeyError for a field that is missing."""
+        return cls(stored["pause"], stored["trickle"], stored["good"], stored["back_at"])
+
+
+class OutlierDetector:
+    """Ejects workers and lets them back. `counts`: how many ready workers are ejected, by reason."""
+
+    def __init__(self, fleet):
+        """No worker is ejected."""
+        self._fleet = fleet
+        self.counts: Counter = Counter()
+
+    def eject(self, worker, reason, launch, now: int) -> None:
+        """The launch failed there; one sent before the last pause was over tells nothing new."""
+        factor = RUN_ONCE_FACTOR if launch.may_have_run and launch.job.queue_type.effect == RUN_ONCE else 1
+        ejection = worker.ejections.get(reason)
+        if ejection is None:
+            ejection = worker.ejections[reason] = Ejection(factor * FIRST_PAUSE_US)
+        elif launch.sent_at < ejection.ends_at - ejection.pause_us:
+            return
+        ejection.trial_limit, ejection.completed_trials = 1, 0
+        ejection.pause_us = min(2 * ejection.pause_us, factor * LONGEST_PAUSE_US)
+        ejection.ends_at = now + ejection.pause_us
+        self.count()
+
+    def trial_completed(self, worker, launch) -> None:
+        """What was sent before the worker was ejected proves nothing of how it does now."""
+        for reason in (LOST_OR_SILENT, CONNECTION_REFUSED, launch.job.queue_type.name):
+            ejection = worker.ejections.get(reason)
+            if ejection is None or launch.sent_at < ejection.ends_at:
+                continue
+            ejection.completed_trials += 1
+            if ejection.completed_trials >= ejection.trial_limit:
+                ejection.trial_limit, ejection.completed_trials = 2 * ejection.trial_limit, 0
+            if ejection.trial_limit > worker.slots:
+                del worker.ejections[reason]
+                self.count()
+
+    def count(self) -> None:
+        """Brings the counts up to date."""
+        ejections = [worker.ejections for worker in self._fleet.ready if worker.ejections]
+        self.counts = Counter(chain.from_iterable(ejections))
+
+    def keeps_out(self, worker, job, now: int) -> bool:
+        """Whether the job must not go there now."""
+        own = (LOST_OR_SILENT, CONNECTION_REFUSED, job.queue_type.name)
+        # Where one queue type fails the others may, and jobs that may run again find that out at less cost.
+        reasons = worker.ejections if job.queue_type.effect == RUN_ONCE else own
+        return any(
+            self._keeps_out_for(reason, reason in own, worker, job, now)
+            for reason in reasons
+            if reason in worker.ejections and self._counts_for_itself(reason)
+        )
+
+    def _counts_for_itself(self, reason) -> bool:
+        """A trouble that most of the fleet shares is no reason to eject workers.
+
+        But no connection is no slowness: with a zone cut off, those that are left carry the jobs.
+        """
+        ready = len(self._fleet.ready)
+        return self.counts[reason] <= (ready - 1 if reason == CONNECTION_REFUSED else ready / 2)
+
+    def _keeps_out_for(self, reason, is_own: bool, worker, job, now: int) -> bool:
+        ejection = worker.ejections[reason]
+        longer = 0
+        if job.queue_type.effect == RUN_ONCE:
+            if reason in (LOST_OR_SILENT, CONNECTION_REFUSED):
+                longer = RUN_ONCE_EXTRA_PAUSES * LONGEST_PAUSE_US
+            elif not is_own:
+                longer = ejection.pause_us
+        if now < ejection.ends_at + longer:
+            return True
+        return is_own and len(worker.in_flight) >= ejection.trial_limit
--- /dev/null
+++ b/mastledge/scheduling/selection.py
@@ -0,0 +1,92 @@
+"""Worker selection (Fang et al., section 4.4): least contention, then Worst-Fit, then chance."""
+
+from itertools import chain
+
+from mastledge.scheduling.prediction import contention, slowness
+
+FETCH_CONTENTION_WEIGHT = 8  # fetches, as which one counts: each puts out a key that has to be fetched again
+FEWEST_LOOKED_AT = 4
+
+
+class WorkerSelector:
+    """Picks the worker for a launch."""
+
+    def __init__(  # noqa: PLR0913 - the parts that a choice is made of
+        self, settings: dict, random, fleet, subset, affinity, eligibility, other_load
+    ):
+        """Asks these parts, and keeps nothing itself."""
+        self._settings, self._random = settings, random
+        self._fleet, self._subset, self._affinity = fleet, subset, affinity
+        self._eligibility, self._other_load = eligibility, other_load
+
+    def pick(self, job, now: int, group_of):
+        """The worker for the job, and how long it is predicted to wait there in microseconds.
+
+        `group_of`: a worker in whose group it has to be; None: anywhere. (None, 0.0) where no worker is
+        eligible. A plain tuple, as this is the step that costs most.
+        """
+        special = bool(job.launches) or job.queue_type.kind >= 0
+        ranked, least = self._ranked(job, now, group_of, special)
+        if not ranked:
+            return None, 0.0
+        best = self._draw_of_best(job, ranked, least)
+        subset = self._subset
+        if subset.looks_past and not special and best not in subset.members:
+            subset.replace_one(best)
+        return best, self._other_load.predicted_wait(best, job, now)
+
+    def _ranked(self, job, now, group_of, special):  # noqa: C901 - one loop for each worker and job: see below
+        """Eligible workers with their ranks, and the least rank: (contention, integrated load).
+
+        CPU is scarce and this runs for each worker and job. So it is one loop over locals, and calls nothing
+        whose answer is plain.
+        """
+        settings, subset, ready = self._settings, self._subset, self._fleet.ready
+        is_eligible, other_load_at = self._eligibility.allows, self._other_load.at
+        fetch_time = self._affinity.fetch_time
+        load, upper_bound, key = job.load, job.mean + job.variation, job.key
+        is_told = self._other_load.is_told()
+        first = int(self._random.chance() * len(ready))
+        homes = self._affinity.homes_of(key)
+        members = () if special else subset.members
+        rest = chain(ready[first:], ready[:first]) if special or subset.looks_past else ()
+        fewest, most = max(FEWEST_LOOKED_AT, len(subset.members)), subset.most_looked_at
+        ranked, least = [], None
+        for seen, worker in enumerate(chain(members, rest)):
+            # Past the own subset only while no worker is free, and no further than the CPU allows.
+            if seen >= fewest and ranked and (least[0] <= 0 or seen >= most):
+                break
+            if (worker.ejections or worker.warming_up or special) and not is_eligible(
+                worker, job, now, group_of
+            ):
+                continue
+            slow = slowness(worker, now, settings) if worker.warming_up else worker.slow
+            has_others = (
+                worker.running < worker.load
+                or worker.other_load
+                or (is_told and (worker.usual_other_load or worker.gossiped_load))
+            )
+            other_load = other_load_at(worker, now) if has_others else 0.0
+            fetch = fetch_time(key, worker, homes) if homes else 0.0
+            span = int(upper_bound * slow + fetch)
+            if worker.load_curve or other_load:
+                rank = contention(worker, now, span, job, other_load)
+            else:
+                rank = 0.0, load * span
+            if fetch or (is_told and worker.last_report):
+                # Room is what is left of the slots, as kinds differ; one held for a fetch does nobody's work.
+                room = worker.slots * int(upper_bound) if worker.last_report else 0.0
+                rank = rank[0] + FETCH_CONTENTION_WEIGHT * load * fetch, rank[1] - room
+            ranked.append((rank, worker))
+            if least is None or rank < least:
+                least = rank
+        return ranked, least
+
+    def _draw_of_best(self, job, ranked, least):
+        """Areas closer than the estimator's variation are a tie, which need not cross zones for nothing."""
+        contention_there, most_area = least[0], least[1] + job.load * job.variation
+        near = [worker for rank, worker in ranked if rank[0] == contention_there and rank[1] <= most_area]
+        if self._settings["price_crossing"]:
+            zone = self._settings["zone"]
+            near = [worker for worker in near if worker.zone == zone] or near
+        return self._random.draw_by_size(near)
--- a/mastledge/scheduling/state.py
+++ b/mastledge/scheduling/state.py
@@ -1,10 +1,12 @@
-"""What the decisions know of each worker, job and launch.
+"""What the decisions know of each worker, queue type, job and launch.
 
-Plain records: the modules that name a field in their description change it. Times are whole microseconds.
+Plain records: the module that has the job of a field changes it. Times are whole microseconds.
 """
 
 from zlib import crc32
 
+from mastledge.scheduling.estimation import Estimate
+
 
 class Worker:
     """One worker endpoint as this dispatcher sees it, with what is in flight there."""
@@ -22,6 +24,7 @@
         # Launches in flight.
         "in_flight",  # (job id, launch number) -> Launch
         "load_curve",  # sorted entries (estimated end, sequence number, load)
+        "curve_sequence",  # sequence number of the last entry
         "load",  # sum of the loads of the curve
         "running",  # the part of the load that is known to have started
         # What was learned.
@@ -49,7 +52,7 @@
     def __init__(self, worker_id, slots: float, born: int, now: int):
         """A worker that was just listed."""
         self.id, self.slots, self.in_flight, self.state = worker_id, slots, {}, "ready"
-        self.name_hash = crc32(str(worker_id).encode())
+        self.name_hash, self.curve_sequence = crc32(str(worker_id).encode()), 0
         self.begin_incarnation(born, now)
 
     def begin_incarnation(self, born: int, now: int) -> None:
@@ -67,6 +70,40 @@
         self.credit_threshold, self.threshold_drawn_at = 1.0, now
 
 
+class QueueType:
+    """The terms of one class of jobs, as the settings have them, and what was learned of its jobs."""
+
+    __slots__ = (
+        "name",
+        "effect",  # Effect
+        "group",  # the workers that a repeat has to stay in: a field of Worker, or "all"
+        "window",  # in which a repeat is recognised
+        "walltime",
+        "target",  # latency objective
+        "stretch",  # by which a hint, times this, moves the latency objective
+        "utility",  # what an answer in time is worth
+        "late_utility",  # what a late answer is worth
+        "kind",  # the only machine kind that may run it; -1: any
+        "hint_ratio",  # Estimate of running time over hint
+        "running_time",  # Estimate
+        "most_patience",  # the longest that a client was seen to wait
+    )
+
+    def __init__(self, terms: dict, before: "QueueType | None"):
+        """Takes terms from the settings, and keeps what was learned by the type of this name before."""
+        self.name, self.effect, self.group = terms["name"], terms["effect"], terms["group"]
+        self.window, self.walltime, self.target = terms["window"], terms["walltime"], terms["target"]
+        self.stretch, self.kind = terms["stretch"], terms["kind"]
+        self.utility, self.late_utility = terms["utility"], terms["late_utility"]
+        if before is not None:
+            self.hint_ratio, self.running_time = before.hint_ratio, before.running_time
+            self.most_patience = before.most_patience
+        else:
+            self.hint_ratio = Estimate(1.0, 0.5)
+            self.running_time = Estimate(float(self.target), self.target / 2)
+            self.most_patience = 0
+
+
 class Job:
     """One job from its arrival to its final answer."""
 
@@ -89,6 +126,15 @@
         "wants_hedge",  # another launch is wanted while one is in flight
     )
 
+    def __init__(self, job_id, queue_type: QueueType, now: int):
+        """A job that has just arrived; who takes it sets the other fields."""
+        self.id, self.queue_type, self.arrived_at = job_id, queue_type, now
+        self.launches, self.in_flight, self.ended, self.wants_hedge = [], 0, False, False
+
+    def expected_work(self) -> float:
+        """The running time by the hint, or by the estimate where there is none."""
+        return self.hint or self.mean
+
 
 class Launch:
     """One sending of a job to one worker."""
@@ -103,10 +149,18 @@
         "load",
         "mean",  # estimated running time on the mean worker, with the fetch
         "fetch_time",  # of the key's data; 0.0: none expected
+        "fetch_certain",  # whether the key's data had to be fetched is known
         "uncontended",  # running time and speed may be learned from it
-        "fetch_certain",  # whether the key's data was there is known
         "curve_entry",  # in the worker's load curve; None: it no longer weighs there
         "ended",
         "may_have_run",
         "revoked",
     )
+
+    def __init__(self, job: Job, worker: Worker, now: int):
+        """A launch that is sent now and weighs on no load curve yet."""
+        self.job, self.worker, self.number, self.sent_at = job, worker, len(job.launches), now
+        self.load, self.mean, self.started_at, self.heard_at = job.load, job.mean, 0, now
+        self.fetch_time, self.fetch_certain, self.uncontended = 0.0, True, True
+        self.curve_entry = None
+        self.ended = self.may_have_run = self.revoked = False
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -225,7 +225,7 @@
     made = scheduler(workers=3)
     made.update_endpoints(0, "changes", [entry(0, state)])
     if back_at is not None:
-        made.workers[0].ejections["render"] = SimpleNamespace(back_at=back_at)
+        made.workers[0].ejections["render"] = SimpleNamespace(ends_at=back_at)
     assert made.count_skipped_workers(0) == skipped
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -857,7 +857,7 @@
     scheduler, now = made.made.router.scheduler, made.rig.loop.now()
     job = scheduler.jobs[made.job("a1").id]
     job.deadline = now  # its time is over from here on
-    scheduler.set_timer(now, job)
+    scheduler.timers.set(now, job)
     made.made.inbox.put("sharing", 1.0)
     reply = made.rig.reply(client)
     assert reply.startswith(b"HTTP/1.1 503" if effect == "restartable" else b"HTTP/1.1 500")
--- a/tests/test_load_messages.py
+++ b/tests/test_load_messages.py
@@ -37,7 +37,7 @@
     made.ready[0].slots = 4.0
     # The answered job itself was there when the report was made.
     wkr = answered(made, report)
-    assert wkr.other_load == extra and made.other_load(wkr, wkr.other_load_at) == extra
+    assert wkr.other_load == extra and made.other_load.at(wkr, wkr.other_load_at) == extra
 
 
 def test_ones_own_share_of_a_report_is_taken_off():
@@ -75,18 +75,18 @@
     made = told_of_load(workers=2)
     for n in range(120):
         answered(made, [0.0, 4.0 + n / 1000, 4.0], 1_000_000 + n * 1_000_000, n)
-    made.free_slot_counts[0][9] = 1
-    made.survey_fleet()
+    made.reports.free_slot_counts[0][9] = 1
+    made.survey()
     assert [wkr.slots for wkr in made.ready] == [4.0, 4.0]
 
 
 def test_of_two_workers_without_contention_the_one_with_more_room_is_picked():
     # By load alone a box of two slots with one job came before one of eight with two.
     made = told_of_load(workers=2)
-    made.free_slot_counts[0] = {8: 1}
+    made.reports.free_slot_counts[0] = {8: 1}
     for wkr, slots, load in zip(made.ready, (2.0, 8.0), (1.0, 2.0), strict=True):
         wkr.slots, wkr.other_load, wkr.usual_other_load, wkr.last_report = slots, load, load, [0.0]
-    picked = {made.pick_worker(job_of(made, n), 0, None)[0].slots for n in range(20)}
+    picked = {made.selector.pick(job_of(made, n), 0, None)[0].slots for n in range(20)}
     assert picked == {8.0}
 
 
@@ -95,13 +95,13 @@
     made = scheduler(workers=1, tells_start=tells_start)
     arrive(made)
     pull(made, 0)
-    assert (made.other_load(made.ready[0], 500_000) > 0) is tells_start
+    assert (made.other_load.at(made.ready[0], 500_000) > 0) is tells_start
 
 
 @pytest.mark.parametrize(("now", "aside"), [(600_000, False), (3_000_000, True)])
 def test_without_start_notes_silence_is_told_by_the_jobs_own_end(now, aside):
     made = scheduler([queue_type(target=4_000_000)], workers=4, tells_start=False)
-    made.running_time.mean = 50_000
+    made.estimates.running_time.mean = 50_000
     arrive(made, 1_000, hint=700_000)
     pull(made, 1_000)
     launch = made.jobs[1].launches[0]
@@ -116,7 +116,7 @@
     ((_, _, wkr_id, _),) = pull(made, 0)
     made.launch_started(1_000, 1, 0)
     made.launch_ended(700_000, 1, 0, "completed", 101_000, True, [])
-    assert made.running_time.mean == 100_000 and made.workers[wkr_id].slow <= 1.0
+    assert made.estimates.running_time.mean == 100_000 and made.workers[wkr_id].slow <= 1.0
 
 
 @pytest.mark.parametrize("hint", [100_000, 0])
@@ -135,16 +135,18 @@
 def test_dispatchers_agree_on_the_home_of_a_key():
     one, other = scheduler(workers=9, seed=1), scheduler(workers=0, seed=2)
     other.update_endpoints(0, "whole", [entry(i) for i in reversed(range(9))])
-    homes = [[made.homes_of(key)[0].id for key in range(1, 200)] for made in (one, other)]
+    homes = [[made.affinity.homes_of(key)[0].id for key in range(1, 200)] for made in (one, other)]
     assert homes[0] == homes[1] and max(map(homes[0].count, range(9))) < 2 * 199 / 9
 
 
 def test_a_key_has_as_many_homes_as_its_jobs_fill_and_none_is_crowded():
     made = scheduler(workers=10)
-    made.key_work.update({1: 5e9, **{key: 5e7 for key in range(2, 102)}})
-    made.assign_homes()
-    assert len(made.homes[1]) in (5, 6) and all(len(made.homes[key]) == 1 for key in range(2, 102))
-    hot = sum(made.homes[key][0] in made.homes[1] for key in range(2, 102))
+    made.affinity.key_work.update({1: 5e9, **{key: 5e7 for key in range(2, 102)}})
+    made.affinity.assign_homes()
+    assert len(made.affinity.homes[1]) in (5, 6) and all(
+        len(made.affinity.homes[key]) == 1 for key in range(2, 102)
+    )
+    hot = sum(made.affinity.homes[key][0] in made.affinity.homes[1] for key in range(2, 102))
     assert hot < 40
 
 
@@ -153,21 +155,21 @@
     made = scheduler(workers=2)
     for key in range(1, 6_000):
         made.job_arrived(0, key, 0, 100_000, key, 1.0, 0.0, 0, 5_000_000)
-        made.homes_of(key)
-    made.fade_learned(1_000_000)
-    held = (made.key_work, made.untold_wants, made.key_orders, made.homes)
-    assert [len(kept) for kept in held] == 4 * [4_096] and made.key_work[1] > 0
+        made.affinity.homes_of(key)
+    made.fade(1_000_000)
+    held = (made.affinity.key_work, made.gossip.untold_wants, made.affinity.orders, made.affinity.homes)
+    assert [len(kept) for kept in held] == 4 * [4_096] and made.affinity.key_work[1] > 0
 
 
 @pytest.mark.parametrize(("ahead", "home"), [(0, True), (1, True), (30, False)])
 def test_a_key_stays_at_home_until_the_queue_there_is_dearer_than_fetching(ahead, home):
     made = scheduler(workers=4)
     job = job_of(made, key=5)
-    kept = made.homes_of(5)[0]
+    kept = made.affinity.homes_of(5)[0]
     kept.slots = 1.0
     kept.load_curve, kept.load = [(9_000_000, n, 1.0) for n in range(ahead)], float(ahead)
     kept.running = kept.load
-    assert (made.pick_worker(job, 0, None)[0] is kept) is home
+    assert (made.selector.pick(job, 0, None)[0] is kept) is home
 
 
 @pytest.mark.parametrize(
@@ -176,8 +178,8 @@
 )
 def test_messages_go_where_their_price_and_number_allow_it(dispatchers, price, may, sends):
     made = scheduler(dispatchers=dispatchers, price_peer=price, may_message=may)
-    made.rates, made.seconds = [40.0], 1.0
-    made.survey_fleet()
+    made.traffic.arrivals, made.traffic.seconds = [40.0], 1.0
+    made.survey()
     arrive(made)
     assert any(d[0] == "message" for d in pull(made, 2_000_000)) is sends
 
@@ -190,13 +192,13 @@
     one, other = (scheduler(dispatchers=2, me=me, may_message=True) for me in (0, 1))
     one.job_arrived(0, 1, 0, 100_000, 5, 1.0, 0.0, 0, 5_000_000)
     pull(one, 0)
-    (sent,) = (d for d in pull(one, one.message_interval) if d[0] == "message")
+    (sent,) = (d for d in pull(one, one.gossip.interval) if d[0] == "message")
     other.load_message_received(0, 0, *message(sent[1:]))
     wkr = one.jobs[1].launches[0].worker
-    assert [w.id for w in other.ready if other.other_load(w, 0) == 1.0] == [wkr.id] and other.key_work[
-        5
-    ] == 100_000
-    assert sum(other.other_load(w, 0) for w in other.ready) == 1.0
+    assert [w.id for w in other.ready if other.other_load.at(w, 0) == 1.0] == [
+        wkr.id
+    ] and other.affinity.key_work[5] == 100_000
+    assert sum(other.other_load.at(w, 0) for w in other.ready) == 1.0
 
 
 @pytest.mark.parametrize(
@@ -222,8 +224,8 @@
 def test_who_is_not_heard_any_more_has_nothing_out():
     made = scheduler(dispatchers=3, me=1, may_message=True)
     made.load_message_received(0, 2, 4, [(made.ready[0].name_hash, 3.0)], [])
-    made.fade_learned(10_000_000)
-    assert made.ready[0].gossiped_load == 0 and not made.peers
+    made.fade(10_000_000)
+    assert made.ready[0].gossiped_load == 0 and not made.gossip.peers
 
 
 WHOLE = load_messages.encoded(7, [(1, 2.0)], [(9, 5_000)])
@@ -260,10 +262,10 @@
 
 def test_new_settings_keep_what_was_learned_by_name():
     made = scheduler([queue_type(name="a"), queue_type(name="b")])
-    made.queue_types[0]["run"].mean, made.ready[0].slow = 77.0, 1.5
+    made.queue_types[0].running_time.mean, made.ready[0].slow = 77.0, 1.5
     made.reconfigure(0, settings_of(made, [queue_type(name="c"), queue_type(name="a", target=9)]))
-    assert [(qt["name"], qt["run"].mean == 77.0) for qt in made.queue_types] == [("c", False), ("a", True)]
-    assert made.ready[0].slow == 1.5 and made.queue_types[1]["target"] == 9
+    assert [(qt.name, qt.running_time.mean == 77.0) for qt in made.queue_types] == [("c", False), ("a", True)]
+    assert made.ready[0].slow == 1.5 and made.queue_types[1].target == 9
 
 
 @pytest.mark.parametrize(
@@ -297,12 +299,12 @@
     bad = next(wkr for wkr in made.ready if wkr.ejections)
     arrive(made, 6_000, 2, 0)
     arrive(made, 6_000, 3, 1)
-    assert [made.eligible(bad, made.jobs[job], 6_000, None) for job in (2, 3)] == [False, True]
+    assert [made.eligibility.allows(bad, made.jobs[job], 6_000, None) for job in (2, 3)] == [False, True]
 
 
 def test_tenants_keep_their_traffic_by_name():
     old = [{"name": "x", "portion": 0.5, "quota": 1.0}, {"name": "y", "portion": 0.5, "quota": 1.0}]
     made = scheduler(tenants=old)
-    made.rates = [3.0, 8.0]
+    made.traffic.arrivals = [3.0, 8.0]
     made.reconfigure(0, settings_of(made, [queue_type()], tenants=old[1:]))
-    assert made.rates == [8.0]
+    assert made.traffic.arrivals == [8.0]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -49,7 +49,7 @@
     made.launch_ended(500_000, 1, 0, "lost", 500_000, False, ())
     for wkr in made.ready:
         if wkr.zone == launch.worker.zone:
-            made.eject(wkr, None, launch, 500_000)
+            made.outliers.eject(wkr, None, launch, 500_000)
     assert pull(made, 500_000) == []
     ((what, _, other, _),) = [d for now in range(520_000, 900_000, 20_000) for d in pull(made, now)]
     assert what == "launch" and other != first and other % 2 == first % 2
@@ -92,7 +92,7 @@
 def test_small_hints_count_halfway_to_a_mean_job_against_a_cold_budget(hint, counts):
     # Jobs of small hints alone fitted the budget, and hints that small were too low by far.
     made = scheduler(workers=1)
-    made.mean_work = 500_000
+    made.estimates.mean_work = 500_000
     arrive(made, hint=hint)
     assert made.jobs[1].work == counts
     made.update_endpoints(0, "changes", [entry(0, born=1)])
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -49,7 +49,7 @@
     ((what, _, wkr, _),) = pull(made, 20)
     assert wkr == WORKERS - 1
     made.update_endpoints(30, "whole", [entry(i, born=25) for i in range(WORKERS)])
-    room = sum(made.within_slow_start_budget(one, made.jobs[2], 2_000_000) for one in made.ready)
+    room = sum(made.slow_start.within_budget(one, made.jobs[2], 2_000_000) for one in made.ready)
     assert 0 < room < WORKERS // 10  # credit for less than a job is a matter of chance
     settings = plain_map(flat({**GOOD["settings"], "balancers": MANY}))
     assert settings["dispatchers"] == MANY
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -11,7 +11,7 @@
 import pytest
 from helpers import entry, queue_type, scheduler
 
-from mastledge.scheduling.scheduler import Scheduler
+from mastledge.scheduling.slow_start import SlowStart
 
 MEAN, SLOTS = 300_000, 4
 SPREAD, ERROR = 1.4, 0.7  # of the work and of the hints, as the logarithm's deviation
@@ -190,5 +190,5 @@
 
 
 def test_a_build_without_the_budget_is_caught(monkeypatch):
-    monkeypatch.setattr(Scheduler, "within_slow_start_budget", lambda self, wkr, job, now: True)
+    monkeypatch.setattr(SlowStart, "within_budget", lambda self, worker, job, now: True)
     assert World(30, 40, True, 0.9).worst() > 1.0
--- a/tests/test_startup_stages.py
+++ b/tests/test_startup_stages.py
@@ -130,8 +130,8 @@
     made.restore_learned(0, {"0": [4.0, 4.0, 1.0, [], 4.0], "1": [4.0, 4.0, 1.0, []]})
     arrive(made)
     assert [decision[:3] for decision in pull(made, 0)] == [("launch", 1, 1)]
-    before = made.other_load(made.workers[0], 0)
-    assert before == 4.0 and made.other_load(made.workers[0], 10_000_000) < 0.2
+    before = made.other_load.at(made.workers[0], 0)
+    assert before == 4.0 and made.other_load.at(made.workers[0], 10_000_000) < 0.2
     assert made.workers[1].other_load == 0.0
 
 
@@ -139,10 +139,10 @@
     """More ready workers than the part holds, all set aside when it was filled: before, IndexError."""
     made = scheduler(workers=40, dispatchers=40)
     pull(made, 0)
-    assert made.looks_past_subset
-    made.subset = []
+    assert made.subset.looks_past
+    made.subset.members = []
     arrive(made)
-    assert pull(made, 0)[0][0] == "launch" and len(made.subset) == 1
+    assert pull(made, 0)[0][0] == "launch" and len(made.subset.members) == 1
 
 
 @given(st.integers(0, 3), st.booleans())
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,6 +20,7 @@
 from mastledge.program import lifecycle, operator_api, upgrade_state
 from mastledge.program.lifecycle import SERVING
 from mastledge.program.upgrade_state import UpgradeState, nothing
+from mastledge.scheduling.slow_start import least_warmth
 from mastledge.transport.connection import bound, steer
 
 LISTEN = ("127.0.0.1", 7070)
@@ -158,7 +159,7 @@
     made.set_excluded(9_000_000, set(), {"0": 8_900_000, "1": 8_900_000})
     worker = made.workers[0]
     assert (worker.born, worker.credit, worker.ejections) == (8_900_000, 0.0, {}) and len(made.ready) == 2
-    assert made.least_warmth(worker, 9_000_000) < 0.3
+    assert least_warmth(worker, 9_000_000, made.settings) < 0.3
     # A list that is behind still names its former start; one that is not, a later one.
     made.update_endpoints(9_100_000, "whole", [entry(0), entry(1, born=9_050_000)])
     assert (made.workers[0].born, made.workers[1].born) == (8_900_000, 9_050_000)
@@ -179,11 +180,11 @@
     made.set_excluded(0, (), {"0": 1})
     made.set_traffic_share(0, share)
     arrive(made, 0, hint=1_000)
-    made.within_slow_start_budget(made.workers[0], made.jobs[1], 100_000)
+    made.slow_start.within_budget(made.workers[0], made.jobs[1], 100_000)
     alone = scheduler(workers=2)
     alone.set_excluded(0, (), {"0": 1})
     arrive(alone, 0, hint=1_000)
-    alone.within_slow_start_budget(alone.workers[0], alone.jobs[1], 100_000)
+    alone.slow_start.within_budget(alone.workers[0], alone.jobs[1], 100_000)
     assert made.workers[0].credit / share == pytest.approx(alone.workers[0].credit)
 
 
@@ -277,12 +278,12 @@
 
 def test_two_share_descriptors_bodies_and_cold_budget_until_one_is_gone(pair):
     whole = 128 - 32
-    assert pair.turn(lambda: all(served.made.router.scheduler.traffic_share == 0.5 for served in pair.both))
+    assert pair.turn(lambda: all(served.made.router.scheduler.traffic.share == 0.5 for served in pair.both))
     for served in pair.both:
         assert served.made.budget.most["clients"] < whole * 12 // 25 // 2
         assert served.made.budget.most_bytes == (256 << 20) // 16
     pair.old.made.upgrade_state.leave()
-    assert pair.turn(lambda: pair.new.made.router.scheduler.traffic_share == 1)
+    assert pair.turn(lambda: pair.new.made.router.scheduler.traffic.share == 1)
     assert pair.new.made.budget.most["clients"] == whole * 12 // 25
 
 
@@ -462,14 +463,14 @@
     old.loop.wake(old.life)
 
     def divided():
-        most.append(old.router.scheduler.traffic_share + new.router.scheduler.traffic_share)
-        return new.router.scheduler.traffic_share > 0.5
+        most.append(old.router.scheduler.traffic.share + new.router.scheduler.traffic.share)
+        return new.router.scheduler.traffic.share > 0.5
 
     assert pair.turn(divided) and max(most) <= 1
-    assert (old.router.scheduler.traffic_share, new.router.scheduler.traffic_share) == (0.125, 0.875)
+    assert (old.router.scheduler.traffic.share, new.router.scheduler.traffic.share) == (0.125, 0.875)
     old.upgrade_state.leave()
     assert (
-        pair.turn(lambda: new.router.scheduler.traffic_share == 1) and new.upgrade_state.told["leaving"] == []
+        pair.turn(lambda: new.router.scheduler.traffic.share == 1) and new.upgrade_state.told["leaving"] == []
     )
 
 
@@ -504,11 +505,10 @@
     worker = new.workers[wkr_id]
     assert (worker.slots, worker.peak, worker.slow, list(worker.ejections)) == (3.5, 3.0, 2.0, [0])
     # Without the room that was seen each worker counted as one of a single slot, and cold ones got little.
-    old.survey_fleet()
-    assert new.capacity == old.capacity > scheduler(workers=3).capacity
+    old.survey()
+    assert new.slow_start.capacity == old.slow_start.capacity > scheduler(workers=3).slow_start.capacity
     assert (
-        vars(worker.ejections[0]) == vars(old.workers[wkr_id].ejections[0])
-        and new.ejection_counts == old.ejection_counts
+        worker.ejections[0] == old.workers[wkr_id].ejections[0] and new.outliers.counts == old.outliers.counts
     )
     assert new.count_skipped_workers(2_000) == 1
 
--- a/tests/test_worker_selection.py
+++ b/tests/test_worker_selection.py
@@ -3,6 +3,8 @@
 import pytest
 from helpers import STEP, arrive, entry, pull, queue_type, scheduler
 
+from mastledge.scheduling.prediction import learn_slowness, slowness
+
 
 def run(made, job, now, took, how="completed", start=None):
     """Sends one job, lets it start and end; gives the worker's record."""
@@ -28,7 +30,7 @@
     made = scheduler(workers=4)
     for wkr in made.ready[:2]:
         wkr.units = units
-    picked = [made.draw_by_size(made.ready) for _ in range(400)]
+    picked = [made.random.draw_by_size(made.ready) for _ in range(400)]
     assert least < sum(wkr.units == units and wkr in made.ready[:2] for wkr in picked) / 400 < most
 
 
@@ -39,11 +41,11 @@
     bad = run(made, 1, 0, 5_000, how)
     bad.other_load = 0.0
     assert list(bad.ejections) == [0]
-    made.ejection_counts = {0: 1}
+    made.outliers.counts = {0: 1}
     kinds = []
     for job, qtype in ((2, 0), (3, 1)):
         arrive(made, 6_000, job, qtype)
-        kinds.append(made.eligible(bad, made.jobs[job], 6_000, None))
+        kinds.append(made.eligibility.allows(bad, made.jobs[job], 6_000, None))
     assert kinds == [False, True]
 
 
@@ -65,11 +67,11 @@
     pull(made, 0)
     launch = made.jobs[1].launches[0]
     launch.may_have_run = True
-    made.eject(launch.worker, why, launch, 0)
+    made.outliers.eject(launch.worker, why, launch, 0)
     other = made.jobs[1].launches.pop()
     launch.worker.in_flight.clear()
     assert other is launch
-    assert [made.eligible(launch.worker, made.jobs[1], now, None) for now in (back - 1, back)] == [
+    assert [made.eligibility.allows(launch.worker, made.jobs[1], now, None) for now in (back - 1, back)] == [
         False,
         True,
     ]
@@ -81,11 +83,11 @@
     aside, seen = bad.ejections[0], []
     made.jobs.clear()
     for job in range(2, 40):
-        arrive(made, aside.back_at + job, job)
+        arrive(made, aside.ends_at + job, job)
         launch_at = made.jobs[job]
-        made.launch(launch_at, bad, aside.back_at + job)
-        made.launch_ended(aside.back_at + job, job, 0, "completed", 1, True, [])
-        seen.append(bad.ejections[0].trickle if 0 in bad.ejections else None)
+        made.launch(launch_at, bad, aside.ends_at + job)
+        made.launch_ended(aside.ends_at + job, job, 0, "completed", 1, True, [])
+        seen.append(bad.ejections[0].trial_limit if 0 in bad.ejections else None)
         if seen[-1] is None:
             break
     assert seen[0] == 2 and seen[1:3] == [2, 4] and seen[-1] is None
@@ -96,13 +98,13 @@
     arrive(made)
     pull(made, 0)
     made.launch_started(600_000, 1, 0)
-    assert made.start_waits[-1][0] > 500_000
+    assert made.admission.start_waits[-1][0] > 500_000
 
 
 @pytest.mark.parametrize(("pressure", "turned"), [(0.0, 0), (0.9, 30)])
 def test_pressure_turns_jobs_away(pressure, turned):
     made = scheduler(workers=40)
-    made.sustained_pressure, made.pressure_at = pressure, 0
+    made.admission.sustained_pressure, made.admission.pressure_at = pressure, 0
     sent = []
     for job in range(40):
         arrive(made, 0, job)
@@ -160,11 +162,11 @@
         pull(made, 3_000_000)
     else:
         made.launch_silent(3_000_000, 1, 0)
-    assert (wkr.load, len(wkr.load_curve), made.other_load(wkr, 3_000_000)) == (0, 0, 0.0) or not heard
+    assert (wkr.load, len(wkr.load_curve), made.other_load.at(wkr, 3_000_000)) == (0, 0, 0.0) or not heard
     assert len(wkr.load_curve) == (not heard) and made.jobs[1].in_flight == 1
-    waits = len(made.start_waits)
+    waits = len(made.admission.start_waits)
     made.launch_ended(15_000_000, 1, 0, "revoked", 15_000_000, False, ())
-    assert len(made.start_waits) == waits + (not heard and not began)
+    assert len(made.admission.start_waits) == waits + (not heard and not began)
 
 
 @pytest.mark.parametrize(("why", "kept_out"), [(-1, True), (None, False)])
@@ -174,9 +176,9 @@
     pull(made, 0)
     launch = made.jobs[1].launches[0]
     for wkr in made.ready[:3]:
-        made.eject(wkr, why, launch, 0)
+        made.outliers.eject(wkr, why, launch, 0)
     arrive(made, 1_000, 2)
-    assert made.eligible(made.ready[0], made.jobs[2], 1_000, None) is not kept_out
+    assert made.eligibility.allows(made.ready[0], made.jobs[2], 1_000, None) is not kept_out
 
 
 @pytest.mark.parametrize(("pressure", "then"), [(0.0, []), (0.8, ["reject", "revoke"])])
@@ -184,17 +186,17 @@
     made = scheduler(workers=1)
     arrive(made)
     pull(made, 0)
-    made.pressure = pressure
+    made.admission.pressure = pressure
     assert sorted(d[0] for d in pull(made, 800_000)) == then
 
 
 @pytest.mark.parametrize(("late", "presses"), [(1, False), (6, True)])
 def test_starts_that_are_far_too_late_press_though_others_start_at_once(late, presses):
     made = scheduler()
-    made.start_waits.extend([(0, 1_000_000)] * (9 - late) + [(9_000_000, 1_000_000)] * late)
-    made.pressure_at = 0
-    made.update_pressure(1_000_000)
-    assert (made.pressure > 0) is presses
+    made.admission.start_waits.extend([(0, 1_000_000)] * (9 - late) + [(9_000_000, 1_000_000)] * late)
+    made.admission.pressure_at = 0
+    made.admission.update_pressure(1_000_000)
+    assert (made.admission.pressure > 0) is presses
 
 
 @pytest.mark.parametrize(("workers", "used"), [(4, 4), (60, 6)])
@@ -206,31 +208,31 @@
 
 def test_past_its_part_it_looks_while_no_worker_there_is_free():
     made = scheduler(workers=60)
-    for wkr in made.subset:
+    for wkr in made.subset.members:
         wkr.other_load, wkr.other_load_at = 40.0, 0
-    before = list(made.subset)
+    before = list(made.subset.members)
     assert run(made, 1, 0, 100_000) not in before
-    assert made.subset != before
+    assert made.subset.members != before
 
 
 @pytest.mark.parametrize(("parallel", "most"), [(True, 1.5), (False, 3.5)])
 def test_moves_and_copies_are_saved_for_a_second_only(parallel, most):
     made = scheduler(parallel=parallel)
-    made.arrival_rate = 2.0
+    made.traffic.arrival_rate = 2.0
     for job in range(100):
         arrive(made, 0, job)
-    assert made.hedge_budget <= most
+    assert made.monitor.budget <= most
 
 
 def test_a_worker_avoided_for_its_slowness_comes_back():
     made = scheduler(workers=8)
     arrive(made)
     for _ in range(50):
-        made.learn_slowness(made.ready[0], 3.0, 0)
-    made.fade_learned(1_000_000)
+        learn_slowness(made.ready[0], 3.0, 0, made.settings)
+    made.fade(1_000_000)
     was = made.ready[0].slow
     for second in range(2, 30):
-        made.fade_learned(second * 1_000_000)
+        made.fade(second * 1_000_000)
     assert was > 1.5 > 1.1 > made.ready[0].slow
 
 
@@ -238,8 +240,8 @@
     made = scheduler(workers=1)
     made.update_endpoints(0, "changes", [entry(0, born=1)])
     for _ in range(50):
-        made.learn_slowness(made.ready[0], 5.0, 1)
-    assert made.slowness(made.ready[0], 1) == pytest.approx(5.0, rel=0.05)
+        learn_slowness(made.ready[0], 5.0, 1, made.settings)
+    assert slowness(made.ready[0], 1, made.settings) == pytest.approx(5.0, rel=0.05)
 
 
 @pytest.mark.parametrize("how", ["full", "revoked", "completed"])
@@ -248,26 +250,26 @@
     arrive(made)
     pull(made, 0)
     made.launch_ended(900_000, 1, 0, how, 900_000, how == "completed", [])
-    assert (made.start_waits[-1][0] > 0) is (how != "completed")
+    assert (made.admission.start_waits[-1][0] > 0) is (how != "completed")
 
 
 def test_old_waits_press_less():
     made = scheduler()
-    made.start_waits.extend([(400_000, 0)] * 9)
-    made.mean_slack, made.pressure_at = 400_000.0, 0
-    made.update_pressure(1)
-    now = made.pressure
-    made.sustained_pressure, made.pressure_at = 0.0, 60_000_000 - 1
-    made.update_pressure(60_000_000)
-    assert now > 0 == made.pressure
+    made.admission.start_waits.extend([(400_000, 0)] * 9)
+    made.admission.mean_slack, made.admission.pressure_at = 400_000.0, 0
+    made.admission.update_pressure(1)
+    now = made.admission.pressure
+    made.admission.sustained_pressure, made.admission.pressure_at = 0.0, 60_000_000 - 1
+    made.admission.update_pressure(60_000_000)
+    assert now > 0 == made.admission.pressure
 
 
 def test_a_part_is_no_larger_than_the_cpu_allows():
     made = scheduler(workers=60, cpu_a_job=10.0)
     for job in range(400):
         arrive(made, 0, job)
-    made.survey_fleet()
-    assert len(made.subset) == made.most_looked_at < 60
+    made.survey()
+    assert len(made.subset.members) == made.subset.most_looked_at < 60
 
 
 def test_what_waits_is_looked_at_ever_more_rarely():
@@ -279,7 +281,7 @@
         pull(made, now)
         if now == 0:
             made.check_launch(made.jobs[1].launches[0], now)
-    assert made.sequence < 20
+    assert made.timers.count < 19
 
 
 def test_a_worker_is_asked_whether_it_is_cold_until_it_is_warm():
@@ -287,7 +289,7 @@
     made, asked = scheduler(workers=1), []
     made.update_endpoints(0, "changes", [entry(0, born=1_000)])
     worker = made.workers[0]
-    made.within_slow_start_budget = lambda wkr, job, now: asked.append(now) or True
+    made.slow_start.within_budget = lambda wkr, job, now: asked.append(now) or True
     for job, now in enumerate((2_000_000, 9_000_000, 12_000_000, 14_000_000), 1):
         arrive(made, now, job)
         pull(made, now)
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -20,7 +20,7 @@
     from mastledge.scheduling.scheduler import Scheduler
 
     def by_hand(self, now, out, back):
-        self.refresh_ready()
+        self.fleet_changed()
 
     Scheduler.set_excluded = by_hand
     from mastledge.protocol.worker_connections import WorkerConnections
@@ -44,15 +44,15 @@
         if job.launches and not job.in_flight and not job.ended:
             for launch in job.launches:
                 launch.may_have_run = False
-        elif len(job.launches) == 1 and job.queue_type["effect"] == "run-once" and not job.launches[0].ended:
+        elif len(job.launches) == 1 and job.queue_type.effect == "run-once" and not job.launches[0].ended:
             job.launches[0].ended, job.in_flight = True, 0
             job.launches[0].may_have_run = False
             decision = settle(self, job, now)
             job.launches[0].ended, job.in_flight = False, 1 + (len(job.launches) > 1)
             return decision
         decision = settle(self, job, now)
-        if decision and decision[0] == "launch" and job.queue_type["effect"] == "run-once":
-            self.set_timer(now + 1000, job)
+        if decision and decision[0] == "launch" and job.queue_type.effect == "run-once":
+            self.timers.set(now + 1000, job)
         return decision
 
     Scheduler.decide_job = again
@@ -102,17 +102,17 @@
 
 def cold():
     """Takes cold workers for warm ones."""
-    from mastledge.scheduling.scheduler import Scheduler
+    from mastledge.scheduling.selection import WorkerSelector
 
-    pick = Scheduler.pick_worker
+    pick = WorkerSelector.pick
 
-    def coldest(self, job, now, group):
-        for wkr in self.ready:
-            if wkr.warming_up and self.settings["cold_for"] > now - wkr.born and not job.launches:
-                return wkr, 0.0
-        return pick(self, job, now, group)
+    def coldest(self, job, now, group_of):
+        for worker in self._fleet.ready:
+            if worker.warming_up and self._settings["cold_for"] > now - worker.born and not job.launches:
+                return worker, 0.0
+        return pick(self, job, now, group_of)
 
-    Scheduler.pick_worker = coldest
+    WorkerSelector.pick = coldest
 
 
 def refusing():
@@ -123,9 +123,9 @@
 
     def doubting(self, job, wkr, now, until=None):
         decision = launch(self, job, wkr, now, until)
-        if job.id % 7 == 0 and job.queue_type["effect"] == "run-once":
+        if job.id % 7 == 0 and job.queue_type.effect == "run-once":
             job.deadline = now + 5_000
-            self.set_timer(job.deadline, job)
+            self.timers.set(job.deadline, job)
         return decision
 
     def give_up(self, job, hold_off):
