--- a/mastledge/scheduling/eligibility.py
+++ b/mastledge/scheduling/eligibility.py
@@ -20,6 +20,8 @@
             return False
         if job.launches and self._was_tried(worker, job):
             return False
+        if not worker.born:
+            return True
         slow_start = self._slow_start
         return not slow_start.is_warming_up(worker, now) or slow_start.within_budget(worker, job, now)
 
--- a/mastledge/scheduling/fleet_view.py
+++ b/mastledge/scheduling/fleet_view.py
@@ -97,8 +97,11 @@
         self.ask_at, self._failures = None, 0
 
     def is_due(self, now: int) -> bool:
-        """Whether to ask now. Asking counts even when the answer is lost, so the next time is set."""
-        if self.ask_at is None or self.ask_at > now:
+        """Whether to ask now, where `ask_at` is set.
+
+        Asking counts even when the answer is lost, so the next time is set.
+        """
+        if self.ask_at > now:
             return False
         self.ask_at = now + (self._settings["ask_within"] // 2 or POLL_WITHOUT_LIMIT_US)
         return True
--- a/mastledge/scheduling/gossip.py
+++ b/mastledge/scheduling/gossip.py
@@ -65,8 +65,11 @@
             self._forget(sender)
 
     def is_due(self, now: int, any_open: bool) -> bool:
-        """Whether to send a message now; the next one is due only while jobs are open."""
-        if self.message_at is None or self.message_at > now:
+        """Whether to send a message now, where `message_at` is set.
+
+        The next one is due only while jobs are open.
+        """
+        if self.message_at > now:
             return False
         self.message_at = now + self.interval if self.interval and any_open else None
         return True
--- a/mastledge/scheduling/outliers.py
+++ b/mastledge/scheduling/outliers.py
@@ -83,31 +83,33 @@
 
     def keeps_out(self, worker, job, now: int) -> bool:
         """Whether the job must not go there now."""
-        own = (LOST_OR_SILENT, CONNECTION_REFUSED, job.queue_type.name)
+        ejections, queue_type = worker.ejections, job.queue_type
+        own = (LOST_OR_SILENT, CONNECTION_REFUSED, queue_type.name)
+        is_run_once = queue_type.effect == RUN_ONCE
         # Where one queue type fails the others may, and jobs that may run again find that out at less cost.
-        reasons = worker.ejections if job.queue_type.effect == RUN_ONCE else own
-        return any(
-            self._keeps_out_for(reason, reason in own, worker, job, now)
-            for reason in reasons
-            if reason in worker.ejections and self._counts_for_itself(reason)
-        )
-
-    def _counts_for_itself(self, reason) -> bool:
+        for reason in ejections if is_run_once else own:
+            ejection = ejections.get(reason)
+            if ejection is None or self._is_shared_by_most(reason):
+                continue
+            is_own = reason in own
+            pause = _extra_pause_us(reason, is_own, ejection) if is_run_once else 0
+            if now < ejection.ends_at + pause:
+                return True
+            if is_own and len(worker.in_flight) >= ejection.trial_limit:
+                return True
+        return False
+
+    def _is_shared_by_most(self, reason) -> bool:
         """A trouble that most of the fleet shares is no reason to eject workers.
 
         But no connection is no slowness: with a zone cut off, those that are left carry the jobs.
         """
         ready = len(self._fleet.ready)
-        return self.counts[reason] <= (ready - 1 if reason == CONNECTION_REFUSED else ready / 2)
-
-    def _keeps_out_for(self, reason, is_own: bool, worker, job, now: int) -> bool:
-        ejection = worker.ejections[reason]
-        longer = 0
-        if job.queue_type.effect == RUN_ONCE:
-            if reason in (LOST_OR_SILENT, CONNECTION_REFUSED):
-                longer = RUN_ONCE_EXTRA_PAUSES * LONGEST_PAUSE_US
-            elif not is_own:
-                longer = ejection.pause_us
-        if now < ejection.ends_at + longer:
-            return True
-        return is_own and len(worker.in_flight) >= ejection.trial_limit
+        return self.counts[reason] > (ready - 1 if reason == CONNECTION_REFUSED else ready / 2)
+
+
+def _extra_pause_us(reason, is_own: bool, ejection: Ejection) -> int:
+    """How much longer a run-once job waits for its trial."""
+    if reason in (LOST_OR_SILENT, CONNECTION_REFUSED):
+        return RUN_ONCE_EXTRA_PAUSES * LONGEST_PAUSE_US
+    return 0 if is_own else ejection.pause_us
--- a/mastledge/scheduling/scheduler.py
+++ b/mastledge/scheduling/scheduler.py
@@ -258,10 +258,12 @@
         """The next decision, as docs/interface.md lists them; None: there is none now."""
         if self._survey_at <= now:
             self.fade(now)
-        if self.poll.is_due(now):
+        # Calls whose answer is plain are left out: most decisions are none of these.
+        poll, gossip = self.poll, self.gossip
+        if poll.ask_at is not None and poll.is_due(now):
             return ("follow", True)
-        if self.gossip.is_due(now, bool(self.jobs)):
-            return ("message", now, *self.gossip.message())
+        if gossip.message_at is not None and gossip.is_due(now, bool(self.jobs)):
+            return ("message", now, *gossip.message())
         while (subject := self.timers.pop_due(now)) is not None:
             if subject.__class__ is Launch:
                 self.check_launch(subject, now)
