--- a/mastledge/adapter/__main__.py
+++ b/mastledge/adapter/__main__.py
@@ -6,6 +6,14 @@
 from mastledge.adapter import frames as wire
 from mastledge.program.settings import BadSetting, pairs_of, plain_map
 from mastledge.protocol import load_messages
+from mastledge.scheduling.decisions import (
+    FollowEndpoints,
+    KillJob,
+    LaunchJob,
+    RejectJob,
+    RevokeLaunch,
+    SendLoadMessage,
+)
 from mastledge.scheduling.scheduler import Scheduler
 
 STATE = {0: "gone", 1: "ready", 2: "draining"}
@@ -116,30 +124,34 @@
 
     def pull(self, now, instance, scheduler):
         """Every decision of one instance, then its next waking."""
-        add, decide = self.records.append, scheduler.decide
+        decide = scheduler.decide
         while (decision := decide(now)) is not None:
-            what = decision[0]
-            if what == "launch":
-                # Sent at once there, so in the time by which it has to be; 0: no time-out of its own.
-                add(wire.PASS_ON(1, instance, decision[1], decision[2], 0))
-            elif what == "reject":
-                add(wire.BOUNCE(2, instance, decision[1], decision[2] / 1000))
-            elif what == "kill":
-                add(wire.GIVE_UP(3, instance, decision[1]))
-            elif what == "revoke":
-                add(wire.REVOKE(4, instance, decision[1], decision[2]))
-            elif what == "follow":
-                add(wire.TRACK(11, instance, 1))
-            elif what == "message":
-                content = load_messages.encoded(*decision[1:])
-                add(wire.MEMO_TO(8, instance, wire.ALL, len(self.tail), len(content)))
-                self.tail += content
-            else:
-                raise RuntimeError(f"no such decision: {what}")
+            self.records.append(self.record_of(instance, decision))
         wake, timer = scheduler.wake_at(), self.timers[instance]
         if wake is not None and (timer is None or wake < timer):
             self.timers[instance] = wake = max(wake, now + 1)
-            add(wire.NOTIFY_ME(5, instance, wake // 1000, wake / 1000))
+            self.records.append(wire.NOTIFY_ME(5, instance, wake // 1000, wake / 1000))
+
+    def record_of(self, instance, decision):
+        """The decision as a record of the reply."""
+        match decision:
+            case LaunchJob(job, worker, _):
+                # Sent at once there, so in the time by which it has to be; 0: no time-out of its own.
+                return wire.PASS_ON(1, instance, job, worker, 0)
+            case RejectJob(job, retry_after):
+                return wire.BOUNCE(2, instance, job, retry_after / 1000)
+            case KillJob(job):
+                return wire.GIVE_UP(3, instance, job)
+            case RevokeLaunch(job, number):
+                return wire.REVOKE(4, instance, job, number)
+            case FollowEndpoints():
+                return wire.TRACK(11, instance, 1)
+            case SendLoadMessage(told_at, loads, wants):
+                content = load_messages.encoded(told_at, loads, wants)
+                record = wire.MEMO_TO(8, instance, wire.ALL, len(self.tail), len(content))
+                self.tail += content
+                return record
+        raise TypeError(f"no such decision: {decision}")
 
     def turn(self, now, body, count):
         self.records, self.tail = [], bytearray()
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -23,6 +23,7 @@
 from mastledge.recovery.admission_ramp import DONE, ELSE, TURNED, AdmissionRamp
 from mastledge.replication import coordinator as o
 from mastledge.replication import messages as m
+from mastledge.scheduling.decisions import FollowEndpoints, KillJob, LaunchJob, RejectJob, RevokeLaunch
 
 LINK = 100, 600  # microseconds on the way, least and most
 BOOT = 200_000, 320_000  # from the start of a process to its first step
@@ -446,8 +447,7 @@
         world = self.world
         now = world.now
         while (decision := self.scheduler.decide(now)) is not None:
-            what, *fields = decision
-            getattr(self, "do_" + what)(now, *fields)
+            self.carry_out(now, decision)
         at = self.scheduler.wake_at()
         if at is not None:
             at = max(at, now + 1)
@@ -455,6 +455,21 @@
                 self.wake_at = at
                 world.at(at - now, self.wake, self.life, at)
 
+    def carry_out(self, now, decision):
+        match decision:
+            case LaunchJob(job, worker, within):
+                self.do_launch(now, job, worker, within)
+            case RejectJob(job, retry_after):
+                self.do_reject(now, job, retry_after)
+            case KillJob(job):
+                self.do_kill(now, job)
+            case RevokeLaunch(job, number):
+                self.do_revoke(now, job, number)
+            case FollowEndpoints():
+                pass  # every change of the list reaches the dispatchers of the emulation
+            case _:
+                raise TypeError(f"no such decision: {decision}")
+
     def wake(self, life, at):
         if life != self.life or not self.up or self.wake_at != at:
             return
@@ -506,9 +521,6 @@
         if launch is not None and not launch.ended:
             self.world.at(0, self.hear, launch, "revoked" if launch.sent else "unsent")
 
-    def do_follow(self, now, on):
-        pass
-
 
 class Keys(copying.Fleet):
     """Copies of keys on the emulation's clock: their links, disks, and when each hears who holds them."""
--- a/mastledge/routing/router.py
+++ b/mastledge/routing/router.py
@@ -3,6 +3,7 @@
 import traceback
 
 from mastledge.protocol.worker_connections import WorkerEndpoint
+from mastledge.scheduling.decisions import FollowEndpoints, KillJob, LaunchJob, RejectJob, RevokeLaunch
 
 AGAIN = 250_000  # after which who was turned away for want of rules may come again: elsewhere there are some
 
@@ -189,8 +190,7 @@
                 self.given_up(now, job)
 
     def given_up(self, now, job):
-        what, *fields = self.scheduler.reject_or_kill(self.scheduler.jobs[job.id], AGAIN)
-        getattr(self, "do_" + what)(now, *fields)
+        self.carry_out(now, self.scheduler.reject_or_kill(self.scheduler.jobs[job.id], AGAIN))
 
     def on_inherited(self, now, told):
         self.scheduler.restore_learned(now, told)
@@ -225,8 +225,23 @@
     def pull(self, now):
         decide = self.scheduler.decide
         while (decision := decide(now)) is not None:
-            what, *fields = decision
-            getattr(self, "do_" + what)(now, *fields)
+            self.carry_out(now, decision)
+
+    def carry_out(self, now, decision):
+        """Does what was decided; TypeError for what is no decision of a dispatcher without load messages."""
+        kind = decision.__class__
+        if kind is LaunchJob:
+            self.do_launch(now, decision.job, decision.worker, decision.within)
+        elif kind is RejectJob:
+            self.do_reject(now, decision.job, decision.retry_after)
+        elif kind is KillJob:
+            self.do_kill(now, decision.job)
+        elif kind is RevokeLaunch:
+            self.do_revoke(now, decision.job, decision.number)
+        elif kind is FollowEndpoints:
+            self.do_follow(now, True)
+        else:
+            raise TypeError(f"no such decision: {decision}")
 
     def do_launch(self, now, job_id, peer, within):
         job = self.jobs[job_id]
--- a/mastledge/scheduling/scheduler.py
+++ b/mastledge/scheduling/scheduler.py
@@ -8,6 +8,15 @@
 
 from mastledge.scheduling.admission import AdmissionControl
 from mastledge.scheduling.affinity import KeyAffinity
+from mastledge.scheduling.decisions import (
+    Decision,
+    FollowEndpoints,
+    KillJob,
+    LaunchJob,
+    RejectJob,
+    RevokeLaunch,
+    SendLoadMessage,
+)
 from mastledge.scheduling.eligibility import Eligibility
 from mastledge.scheduling.estimation import FleetEstimates
 from mastledge.scheduling.fleet_view import EndpointPoll, FleetView
@@ -245,7 +254,7 @@
         else:
             self._pending.append(job)
 
-    # Decisions. They are plain tuples with the kind in front: each job has two or more.
+    # Decisions.
 
     def wake_at(self) -> int | None:
         """The latest time of the next call of `decide`; None: nothing is due."""
@@ -254,16 +263,16 @@
             return soon
         return min(at for at in (soon, ask_at, message_at) if at is not None)
 
-    def decide(self, now: int) -> tuple | None:
-        """The next decision, as docs/interface.md lists them; None: there is none now."""
+    def decide(self, now: int) -> Decision | None:
+        """The next decision; None: there is none now."""
         if self._survey_at <= now:
             self.fade(now)
         # Calls whose answer is plain are left out: most decisions are none of these.
         poll, gossip = self.poll, self.gossip
         if poll.ask_at is not None and poll.is_due(now):
-            return ("follow", True)
+            return FollowEndpoints()
         if gossip.message_at is not None and gossip.is_due(now, bool(self.jobs)):
-            return ("message", now, *gossip.message())
+            return SendLoadMessage(now, *gossip.message())
         while (subject := self.timers.pop_due(now)) is not None:
             if subject.__class__ is Launch:
                 self.check_launch(subject, now)
@@ -273,14 +282,14 @@
             launch = self._revocations.popleft()
             if not launch.ended and not launch.revoked:
                 launch.revoked = True
-                return ("revoke", launch.job.id, launch.number)
+                return RevokeLaunch(launch.job.id, launch.number)
         while self._pending:
             job = self._pending.popleft()
             if not job.ended and (decision := self.decide_job(job, now)) is not None:
                 return decision
         return None
 
-    def decide_job(self, job: Job, now: int) -> tuple | None:
+    def decide_job(self, job: Job, now: int) -> Decision | None:
         """What to do with a job now; None: nothing."""
         if now >= job.deadline:
             return self.reject_or_kill(job, 0)
@@ -300,13 +309,15 @@
             self.monitor.budget -= 1
         return self.launch(job, best, now, limits.until)
 
-    def reject_or_kill(self, job: Job, wait: float) -> tuple:
+    def reject_or_kill(self, job: Job, wait: float) -> RejectJob | KillJob:
         """A rejection says that trying again is harmless; where that is not known the job is killed."""
         is_harmless = repeat_is_harmless(job)
         self.close_job(job)
-        return ("reject", job.id, self.admission.retry_after(wait)) if is_harmless else ("kill", job.id)
+        if is_harmless:
+            return RejectJob(job.id, self.admission.retry_after(wait))
+        return KillJob(job.id)
 
-    def launch(self, job: Job, worker, now: int, until: int | None = None) -> tuple:
+    def launch(self, job: Job, worker, now: int, until: int | None = None) -> LaunchJob:
         """Sends the job to the worker, before that time if there is one."""
         settings, launch = self.settings, Launch(job, worker, now)
         if not settings["tells_start"]:
@@ -329,7 +340,7 @@
         if settings["tells_start"]:
             end = self.monitor.first_look(launch, now)
         self.timers.set(end, launch)
-        return ("launch", job.id, worker.id, 0 if until is None else until - now)
+        return LaunchJob(job.id, worker.id, 0 if until is None else until - now)
 
     def check_launch(self, launch: Launch, now: int) -> None:
         """Looks at a launch whose time has come, and does what follows."""
--- a/tests/decision_players.py
+++ b/tests/decision_players.py
@@ -6,6 +6,14 @@
 from mastledge.adapter.__main__ import Host
 from mastledge.adapter.frames import frame_from
 from mastledge.program.settings import pairs_of, plain_map
+from mastledge.scheduling.decisions import (
+    FollowEndpoints,
+    KillJob,
+    LaunchJob,
+    RejectJob,
+    RevokeLaunch,
+    SendLoadMessage,
+)
 from mastledge.scheduling.scheduler import Scheduler
 
 # The only names of the program that the scripts use: a rename in the program is a change here alone.
@@ -34,12 +42,23 @@
     "host's instance": lambda host, number: host.instances.get(number),
     "host's turn": lambda host, raw: host.turn(*frame_from(io.BytesIO(raw))),
 }
+KINDS = {
+    LaunchJob: "launch",
+    RejectJob: "reject",
+    KillJob: "kill",
+    RevokeLaunch: "revoke",
+    FollowEndpoints: "follow",
+    SendLoadMessage: "message",
+}
 ASIDE_FIELDS = ("pause", "trickle", "good", "back_at")
 
 
 def plain_decision(decision):
     """A decision as plain values that JSON holds: its kind, then what it says."""
-    return [part.decode() if isinstance(part, bytes) else part for part in decision]
+    values = [getattr(decision, field) for field in decision.__slots__]
+    if isinstance(decision, FollowEndpoints):
+        values = [True]
+    return [KINDS[decision.__class__], *(v.decode() if isinstance(v, bytes) else v for v in values)]
 
 
 def plain_learned(learned):
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -33,6 +33,7 @@
 from mastledge.replication import messages as replication_messages
 from mastledge.replication import persisted_state as replica_persisted
 from mastledge.replication.node import Node
+from mastledge.scheduling.decisions import LaunchJob
 from mastledge.storage import write_ahead_log
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.transport import passing
@@ -172,7 +173,7 @@
     made.update_endpoints(0, "whole", three_workers())
     for job, how in enumerate(("unreachable", "lost", "error"), 1):
         arrive(made, 1_000 * job, job)
-        (sent,) = [decision for decision in pull(made, 1_000 * job) if decision[0] == "launch"]
+        (sent,) = [decision for decision in pull(made, 1_000 * job) if isinstance(decision, LaunchJob)]
         made.launch_ended(1_000 * job + 500, job, 0, how, 500, True, [])
     arrive(made, 900_000, 9)
     pull(made, 900_000)
--- a/tests/test_crossing_search.py
+++ b/tests/test_crossing_search.py
@@ -12,6 +12,7 @@
 from mastledge.protocol.requests import Exchange
 from mastledge.protocol.worker_connections import WorkerConnections, WorkerEndpoint
 from mastledge.routing.router import Router
+from mastledge.scheduling.decisions import RejectJob
 from mastledge.scheduling.scheduler import Scheduler
 from mastledge.transport.budget import Budget
 
@@ -105,7 +106,7 @@
 def what_may_have_run_is_rejected(patch):
     def give_up(self, job, hold_off):
         self.close_job(job)
-        return ("reject", job.id, 0)
+        return RejectJob(job.id, 0)
 
     patch(Scheduler, "reject_or_kill", give_up)
 
--- a/tests/test_load_messages.py
+++ b/tests/test_load_messages.py
@@ -6,6 +6,7 @@
 from helpers import arrive, entry, pull, queue_type, scheduler
 
 from mastledge.protocol import load_messages
+from mastledge.scheduling.decisions import FollowEndpoints, KillJob, SendLoadMessage
 
 FIELDS = ["backlog", "free_slots", "free_memory"]
 
@@ -23,7 +24,8 @@
 def answered(made, report, now=1_000_000, job=1):
     """One job, sent, started and answered with this report; gives its worker."""
     arrive(made, now - 200_000, job)
-    ((_, _, wkr_id, _),) = pull(made, now - 200_000)
+    (launch,) = pull(made, now - 200_000)
+    wkr_id = launch.worker
     made.launch_started(now - 199_000, job, 0)
     made.launch_ended(now, job, 0, "completed", 200_000, True, report)
     return made.workers[wkr_id]
@@ -113,7 +115,8 @@
 def test_an_answer_taken_up_late_is_no_slow_worker():
     made = scheduler(workers=2)
     arrive(made)
-    ((_, _, wkr_id, _),) = pull(made, 0)
+    (launch,) = pull(made, 0)
+    wkr_id = launch.worker
     made.launch_started(1_000, 1, 0)
     made.launch_ended(700_000, 1, 0, "completed", 101_000, True, [])
     assert made.estimates.running_time.mean == 100_000 and made.workers[wkr_id].slow <= 1.0
@@ -181,7 +184,7 @@
     made.traffic.arrivals, made.traffic.seconds = [40.0], 1.0
     made.survey()
     arrive(made)
-    assert any(d[0] == "message" for d in pull(made, 2_000_000)) is sends
+    assert any(isinstance(d, SendLoadMessage) for d in pull(made, 2_000_000)) is sends
 
 
 def message(sent):
@@ -192,8 +195,8 @@
     one, other = (scheduler(dispatchers=2, me=me, may_message=True) for me in (0, 1))
     one.job_arrived(0, 1, 0, 100_000, 5, 1.0, 0.0, 0, 5_000_000)
     pull(one, 0)
-    (sent,) = (d for d in pull(one, one.gossip.interval) if d[0] == "message")
-    other.load_message_received(0, 0, *message(sent[1:]))
+    (sent,) = (d for d in pull(one, one.gossip.interval) if isinstance(d, SendLoadMessage))
+    other.load_message_received(0, 0, *message((sent.told_at, sent.loads, sent.wants)))
     wkr = one.jobs[1].launches[0].worker
     assert [w.id for w in other.ready if other.other_load.at(w, 0) == 1.0] == [
         wkr.id
@@ -277,7 +280,7 @@
     pull(made, 0)
     made.reconfigure(10_000, settings_of(made, types))
     made.launch_ended(50_000, 1, 0, "error", 50_000, False, [])
-    assert [d[0] for d in pull(made, 50_000)] == ["kill"]
+    assert pull(made, 50_000) == [KillJob(1)]
 
 
 @pytest.mark.parametrize(
@@ -287,7 +290,7 @@
 def test_the_list_is_asked_for_once_the_settings_say_so(before, after, asked):
     made = scheduler(follow=before)
     made.reconfigure(10_000, settings_of(made, [queue_type()], follow=after))
-    assert (("follow", True) in pull(made, 1_000_000)) is asked
+    assert (FollowEndpoints() in pull(made, 1_000_000)) is asked
 
 
 def test_a_worker_stays_set_aside_for_a_type_that_moved():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,6 +3,8 @@
 import pytest
 from helpers import STEP, arrive, entry, pull, queue_type, scheduler
 
+from mastledge.scheduling.decisions import KillJob, LaunchJob, RejectJob, RevokeLaunch
+
 MAY_HAVE_RUN = ["error", "timeout", "lost", "dropped", "doubted", "revoked"]
 NEVER_RAN = ["full", "unreachable", "unsent"]
 
@@ -14,8 +16,8 @@
     made = scheduler([queue_type(effect)], workers)
     arrive(made, patience=patience)
     pull(made, 0)
-    answers = [d[0] for d in pull(made, patience - 4_000) if d[0] in ("reject", "kill")]
-    assert answers == (["kill"] if workers and effect != "restartable" else ["reject"])
+    answers = [d.__class__ for d in pull(made, patience - 4_000) if isinstance(d, RejectJob | KillJob)]
+    assert answers == ([KillJob] if workers and effect != "restartable" else [RejectJob])
 
 
 @pytest.mark.parametrize("how", MAY_HAVE_RUN + NEVER_RAN)
@@ -24,7 +26,8 @@
     arrive(made)
     pull(made, 0)
     made.launch_ended(50_000, 1, 0, how, 50_000, False, [])
-    assert [d[0] for d in pull(made, 50_000)] == (["kill"] if how in MAY_HAVE_RUN else ["launch"])
+    decisions = [d.__class__ for d in pull(made, 50_000)]
+    assert decisions == ([KillJob] if how in MAY_HAVE_RUN else [LaunchJob])
 
 
 @pytest.mark.parametrize("how", MAY_HAVE_RUN)
@@ -34,28 +37,29 @@
     arrive(made, patience=20_000_000)
     (first,) = pull(made, 0)
     made.launch_ended(now, 1, 0, how, now, False, [])
-    (again,) = (d for d in pull(made, now) if d[0] in ("launch", "kill", "reject"))
-    assert again[0] == ("launch" if now < 7_500_000 else "kill")
-    if again[0] == "launch":
-        assert made.workers[again[2]].zone == made.workers[first[2]].zone
+    (again,) = (d for d in pull(made, now) if isinstance(d, LaunchJob | KillJob | RejectJob))
+    assert isinstance(again, LaunchJob if now < 7_500_000 else KillJob)
+    if isinstance(again, LaunchJob):
+        assert made.workers[again.worker].zone == made.workers[first.worker].zone
 
 
 def test_a_deduplicated_job_that_may_have_run_waits_for_its_group():
     # Killed at its target because all its group was set aside for a moment, it left its client in doubt.
     made = scheduler([queue_type("deduplicated")])
     arrive(made)
-    ((_, _, first, _),) = pull(made, 0)
+    (first,) = pull(made, 0)
     launch = made.jobs[1].launches[0]
     made.launch_ended(500_000, 1, 0, "lost", 500_000, False, ())
     for wkr in made.ready:
         if wkr.zone == launch.worker.zone:
             made.outliers.eject(wkr, None, launch, 500_000)
     assert pull(made, 500_000) == []
-    ((what, _, other, _),) = [d for now in range(520_000, 900_000, 20_000) for d in pull(made, now)]
-    assert what == "launch" and other != first and other % 2 == first % 2
+    (again,) = [d for now in range(520_000, 900_000, 20_000) for d in pull(made, now)]
+    assert isinstance(again, LaunchJob)
+    assert again.worker != first.worker and again.worker % 2 == first.worker % 2
 
 
-@pytest.mark.parametrize(("effect", "answer"), [("restartable", "reject"), ("run-once", "kill")])
+@pytest.mark.parametrize(("effect", "answer"), [("restartable", RejectJob), ("run-once", KillJob)])
 def test_a_host_that_ends_gets_its_answers_in_time(effect, answer):
     # Killed at the end, jobs that could be sent again safely were lost to their clients.
     made = scheduler([queue_type(effect)])
@@ -64,7 +68,8 @@
     made.shut_down_at(10_000, 500_000)
     arrive(made, 20_000, job=2)
     pull(made, 20_000)
-    assert [d[:2] for d in pull(made, 500_000 - 2 * STEP) if d[0] != "revoke"] == [(answer, 1), (answer, 2)]
+    answers = [d for d in pull(made, 500_000 - 2 * STEP) if not isinstance(d, RevokeLaunch)]
+    assert [(d.__class__, d.job) for d in answers] == [(answer, 1), (answer, 2)]
 
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
@@ -83,7 +88,7 @@
         made.update_endpoints(0, "whole", [cold])
         for now in range(100_000, 4_000_000, 100_000):
             arrive(made, now, now, hint=40_000)
-            sent += [now for d in pull(made, now) if d[0] == "launch"]
+            sent += [now for d in pull(made, now) if isinstance(d, LaunchJob)]
     worst = max(sum(40_000 for at in sent if now <= at < now + 2_000_000) for now in sent)
     assert 0 < worst <= 2.5 * (0.2 + 0.8 * 0.4) * 2_000_000
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -16,6 +16,7 @@
 from mastledge.recovery import fleet_snapshot
 from mastledge.recovery import restored_state as b
 from mastledge.replication.placement import Placement
+from mastledge.scheduling.decisions import LaunchJob
 
 MANY = 1024  # processes
 WORKERS = 4096
@@ -42,12 +43,12 @@
 def test_the_decisions_know_many_workers_and_many_dispatchers():
     made = scheduler(workers=WORKERS, dispatchers=MANY)
     arrive(made)
-    ((what, _, wkr, _),) = pull(made, 0)
-    assert what == "launch" and len(made.ready) == WORKERS
+    (decision,) = pull(made, 0)
+    assert isinstance(decision, LaunchJob) and len(made.ready) == WORKERS
     made.update_endpoints(10, "changes", [entry(i, "draining") for i in range(WORKERS - 1)])
     arrive(made, 20, 2)
-    ((what, _, wkr, _),) = pull(made, 20)
-    assert wkr == WORKERS - 1
+    (decision,) = pull(made, 20)
+    assert decision.worker == WORKERS - 1
     made.update_endpoints(30, "whole", [entry(i, born=25) for i in range(WORKERS)])
     room = sum(made.slow_start.within_budget(one, made.jobs[2], 2_000_000) for one in made.ready)
     assert 0 < room < WORKERS // 10  # credit for less than a job is a matter of chance
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -11,6 +11,7 @@
 import pytest
 from helpers import entry, queue_type, scheduler
 
+from mastledge.scheduling.decisions import LaunchJob, RevokeLaunch
 from mastledge.scheduling.slow_start import SlowStart
 
 MEAN, SLOTS = 300_000, 4
@@ -97,14 +98,15 @@
     def pull(self, n):
         made = self.told[n]
         while (decision := made.decide(self.now)) is not None:
-            what, job, which, *_ = (*decision, None)
-            if what == "launch":
+            job = decision.job
+            if isinstance(decision, LaunchJob):
+                which = decision.worker
                 if which in self.cold:
                     self.sent[which].append((self.now, job.work))
                 n = made.jobs[job].launches[-1].number
                 self.at(self.now + 300, self.land, job, n, which, self.born.get(which), self.now)
-            elif what == "revoke":
-                self.at(self.now, self.ended, job, which, "unsent", 0)
+            elif isinstance(decision, RevokeLaunch):
+                self.at(self.now, self.ended, job, decision.number, "unsent", 0)
         wake = made.wake_at()
         if wake is not None and wake < self.wakes.get(n, END):
             self.wakes[n] = max(wake, self.now + 1)
--- a/tests/test_startup_stages.py
+++ b/tests/test_startup_stages.py
@@ -9,6 +9,7 @@
 from mastledge.recovery import restored_state as b
 from mastledge.recovery import startup_stages as s
 from mastledge.recovery.admission_ramp import DONE, ELSE, TURNED, AdmissionRamp
+from mastledge.scheduling.decisions import LaunchJob
 
 HERE = ["127.0.0.1", 7070]
 
@@ -129,7 +130,7 @@
     made = scheduler(workers=2)
     made.restore_learned(0, {"0": [4.0, 4.0, 1.0, [], 4.0], "1": [4.0, 4.0, 1.0, []]})
     arrive(made)
-    assert [decision[:3] for decision in pull(made, 0)] == [("launch", 1, 1)]
+    assert [(d.__class__, d.job, d.worker) for d in pull(made, 0)] == [(LaunchJob, 1, 1)]
     before = made.other_load.at(made.workers[0], 0)
     assert before == 4.0 and made.other_load.at(made.workers[0], 10_000_000) < 0.2
     assert made.workers[1].other_load == 0.0
@@ -142,7 +143,7 @@
     assert made.subset.looks_past
     made.subset.members = []
     arrive(made)
-    assert pull(made, 0)[0][0] == "launch" and len(made.subset.members) == 1
+    assert isinstance(pull(made, 0)[0], LaunchJob) and len(made.subset.members) == 1
 
 
 @given(st.integers(0, 3), st.booleans())
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,6 +20,7 @@
 from mastledge.program import lifecycle, operator_api, upgrade_state
 from mastledge.program.lifecycle import SERVING
 from mastledge.program.upgrade_state import UpgradeState, nothing
+from mastledge.scheduling.decisions import LaunchJob
 from mastledge.scheduling.slow_start import least_warmth
 from mastledge.transport.connection import bound, steer
 
@@ -143,7 +144,7 @@
         made.update_endpoints(2, "changes", [entry(0)])
     for n in range(5):
         arrive(made, 10, job=n)
-    assert {decision[:3:2] for decision in pull(made, 10)} == {("launch", 1)}
+    assert {(d.__class__, d.worker) for d in pull(made, 10)} == {(LaunchJob, 1)}
     assert made.count_skipped_workers(10) == 1
 
 
@@ -152,8 +153,8 @@
     made = scheduler(workers=2)
     if aside:
         arrive(made, 0)
-        ((_, job_id, wkr_id, _),) = pull(made, 0)
-        made.launch_ended(1_000, job_id, 0, "error", 1_000, False, ())
+        (sent,) = pull(made, 0)
+        made.launch_ended(1_000, sent.job, 0, "error", 1_000, False, ())
     made.set_excluded(2_000, {"0", "1"}, {})
     assert made.ready == []
     made.set_excluded(9_000_000, set(), {"0": 8_900_000, "1": 8_900_000})
@@ -496,8 +497,9 @@
 def test_a_new_process_starts_from_what_the_old_one_learned():
     old, new = scheduler(workers=3), scheduler(workers=3)
     arrive(old, 0)
-    ((_, job_id, wkr_id, _),) = pull(old, 0)
-    old.launch_ended(1_000, job_id, 0, "error", 1_000, False, ())
+    (sent,) = pull(old, 0)
+    wkr_id = sent.worker
+    old.launch_ended(1_000, sent.job, 0, "error", 1_000, False, ())
     old.workers[wkr_id].slots, old.workers[wkr_id].peak, old.workers[wkr_id].slow = 3.5, 3.0, 2.0
     new.restore_learned(
         2_000, {**orjson.loads(orjson.dumps(old.learned_state())), "nobody": [1.0, 1.0, 1.0, []]}
--- a/tests/test_worker_selection.py
+++ b/tests/test_worker_selection.py
@@ -3,17 +3,18 @@
 import pytest
 from helpers import STEP, arrive, entry, pull, queue_type, scheduler
 
+from mastledge.scheduling.decisions import LaunchJob, RejectJob, RevokeLaunch
 from mastledge.scheduling.prediction import learn_slowness, slowness
 
 
 def run(made, job, now, took, how="completed", start=None):
     """Sends one job, lets it start and end; gives the worker's record."""
     arrive(made, now, job)
-    (sent,) = (d for d in pull(made, now) if d[0] == "launch")
+    (sent,) = (d for d in pull(made, now) if isinstance(d, LaunchJob))
     if how == "completed":
         made.launch_started(now + (start or 1_000), job, 0)
     made.launch_ended(now + (start or 1_000) + took, job, 0, how, took, how == "completed", [])
-    return made.workers[sent[2]]
+    return made.workers[sent.worker]
 
 
 def test_least_contention_then_worst_fit():
@@ -22,7 +23,7 @@
         wkr.load_curve = [(end, n, 1.0) for n, end in enumerate(ends)]
         wkr.load = wkr.running = float(len(ends))
     arrive(made, hint=1_000_000)
-    assert pull(made, 0)[0][2] == made.ready[1].id
+    assert pull(made, 0)[0].worker == made.ready[1].id
 
 
 @pytest.mark.parametrize(("units", "least", "most"), [(1.0, 0.4, 0.6), (3.0, 0.65, 0.85)])
@@ -109,16 +110,16 @@
     for job in range(40):
         arrive(made, 0, job)
         sent += pull(made, 0)
-    assert sum(d[0] == "reject" for d in sent) >= turned
-    assert pressure or all(d[0] == "launch" for d in sent)
+    assert sum(isinstance(d, RejectJob) for d in sent) >= turned
+    assert pressure or all(isinstance(d, LaunchJob) for d in sent)
 
 
-@pytest.mark.parametrize(("parallel", "what"), [(False, "revoke"), (True, "launch")])
+@pytest.mark.parametrize(("parallel", "what"), [(False, RevokeLaunch), (True, LaunchJob)])
 def test_launch_that_does_not_start_goes_elsewhere(parallel, what):
     made = scheduler(workers=4, parallel=parallel)
     arrive(made)
     pull(made, 0)
-    assert [d[0] for d in pull(made, 200_000 + STEP)] == [what]
+    assert [d.__class__ for d in pull(made, 200_000 + STEP)] == [what]
 
 
 @pytest.mark.parametrize(
@@ -134,16 +135,17 @@
     # Its connection may be dead while its worker goes on: it was waited for until the walltime was over.
     made = scheduler([queue_type(effect)])
     arrive(made)
-    ((_, _, first, _),) = pull(made, 0)
+    (launch,) = pull(made, 0)
+    first = launch.worker
     made.launch_started(10_000, 1, 0)
     if noted:
         made.launch_progressed(noted, 1, 0, 0.5)
     seen = [d for now in range(100_000, 3_000_000, 100_000) for d in pull(made, now)]
-    assert seen == ([("revoke", 1, 0)] if again else [])
+    assert seen == ([RevokeLaunch(1, 0)] if again else [])
     if again:
         made.launch_ended(3_000_000, 1, 0, "revoked", 3_000_000, False, ())
-        ((what, _, other, _),) = pull(made, 3_000_000)
-        assert what == "launch" and other != first
+        (launch,) = pull(made, 3_000_000)
+        assert isinstance(launch, LaunchJob) and launch.worker != first
 
 
 @pytest.mark.parametrize("began", [0, 10_000])
@@ -181,13 +183,13 @@
     assert made.eligibility.allows(made.ready[0], made.jobs[2], 1_000, None) is not kept_out
 
 
-@pytest.mark.parametrize(("pressure", "then"), [(0.0, []), (0.8, ["reject", "revoke"])])
+@pytest.mark.parametrize(("pressure", "then"), [(0.0, []), (0.8, ["RejectJob", "RevokeLaunch"])])
 def test_under_pressure_what_can_no_longer_start_in_time_is_turned_away(pressure, then):
     made = scheduler(workers=1)
     arrive(made)
     pull(made, 0)
     made.admission.pressure = pressure
-    assert sorted(d[0] for d in pull(made, 800_000)) == then
+    assert sorted(d.__class__.__name__ for d in pull(made, 800_000)) == then
 
 
 @pytest.mark.parametrize(("late", "presses"), [(1, False), (6, True)])
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -36,6 +36,7 @@
 
 def twice():
     """Launches run-once jobs again that may have run."""
+    from mastledge.scheduling.decisions import LaunchJob
     from mastledge.scheduling.scheduler import Scheduler
 
     settle = Scheduler.decide_job
@@ -51,7 +52,7 @@
             job.launches[0].ended, job.in_flight = False, 1 + (len(job.launches) > 1)
             return decision
         decision = settle(self, job, now)
-        if decision and decision[0] == "launch" and job.queue_type.effect == "run-once":
+        if isinstance(decision, LaunchJob) and job.queue_type.effect == "run-once":
             self.timers.set(now + 1000, job)
         return decision
 
@@ -117,6 +118,7 @@
 
 def refusing():
     """Rejects what has been launched and may have run."""
+    from mastledge.scheduling.decisions import RejectJob
     from mastledge.scheduling.scheduler import Scheduler
 
     launch = Scheduler.launch
@@ -130,7 +132,7 @@
 
     def give_up(self, job, hold_off):
         self.close_job(job)
-        return ("reject", job.id, 0)
+        return RejectJob(job.id, 0)
 
     Scheduler.launch = doubting
     Scheduler.reject_or_kill = give_up
