--- a/mastledge/adapter/__main__.py
+++ b/mastledge/adapter/__main__.py
@@ -14,29 +14,33 @@
     RevokeLaunch,
     SendLoadMessage,
 )
+from mastledge.scheduling.fleet_view import ListKind
+from mastledge.scheduling.outcomes import Outcome
 from mastledge.scheduling.scheduler import Scheduler
 
-STATE = {0: "gone", 1: "ready", 2: "draining"}
-LIST = {0: "changes", 1: "whole", 2: "cached", 3: "failed"}
-ENDING = {
-    200: "completed",
-    500: "error",
-    503: "full",
-    504: "timeout",
-    502: "unreachable",
-    598: "lost",
-    499: "revoked",
-    410: "unsent",
+WORKER_STATES = {0: "gone", 1: "ready", 2: "draining"}
+LIST_KINDS = {0: ListKind.CHANGES, 1: ListKind.WHOLE, 2: ListKind.CACHED, 3: ListKind.FAILED}
+OUTCOMES = {
+    200: Outcome.COMPLETED,
+    500: Outcome.ERROR,
+    503: Outcome.FULL,
+    504: Outcome.TIMEOUT,
+    502: Outcome.UNREACHABLE,
+    598: Outcome.LOST,
+    499: Outcome.REVOKED,
+    410: Outcome.UNSENT,
 }
 
 
-def ending(at, code):
-    if code not in ENDING:
+def outcome_of(at: int, code: int) -> Outcome:
+    """The outcome with this status code; BadFrame for an unknown one."""
+    if code not in OUTCOMES:
         raise wire.BadFrame(f"record {at}: unknown ending {code}")
-    return ENDING[code]
+    return OUTCOMES[code]
 
 
-def span(at, what, ms):
+def microseconds(at: int, what: str, ms: float) -> int:
+    """A span of milliseconds in whole microseconds; BadFrame for what is none."""
     if not -1e12 < ms < 1e12:
         raise wire.BadFrame(f"record {at}: {what} {ms} is no time")
     return round(ms * 1000)
@@ -67,14 +71,14 @@
 
     def members(self, now, at, scheduler, fields):
         _, kind, _, pool = fields
-        if kind not in LIST:
+        if kind not in LIST_KINDS:
             raise wire.BadFrame(f"record {at}: unknown list kind {kind}")
-        if LIST[kind] == "failed":
-            scheduler.update_endpoints(now, "failed", ())
+        if LIST_KINDS[kind] == ListKind.FAILED:
+            scheduler.update_endpoints(now, ListKind.FAILED, ())
         elif pool not in self.pools:
             raise wire.BadFrame(f"record {at}: list {pool} was never given")
         else:
-            scheduler.update_endpoints(now, LIST[kind], self.pools[pool])
+            scheduler.update_endpoints(now, LIST_KINDS[kind], self.pools[pool])
 
     def pool(self, at, body, count, fields):
         number, offset, size = fields
@@ -82,9 +86,11 @@
         for zone, wkr, state, born, kind, cell, units in wire.entries(
             wire.tail_part(body, count, at, offset, size * wire.ENTRY.size, "list entries")
         ):
-            if state not in STATE:
+            if state not in WORKER_STATES:
                 raise wire.BadFrame(f"record {at}: unknown worker state {state}")
-            rows.append((zone, wkr, STATE[state], span(at, "start time", born), kind, cell, units))
+            rows.append(
+                (zone, wkr, WORKER_STATES[state], microseconds(at, "start time", born), kind, cell, units)
+            )
         self.pools[number] = rows
 
     def event(self, now, at, code, fields, scheduler):
@@ -95,9 +101,9 @@
             elif topic == 2:
                 scheduler.launch_progressed(now, job, launch, value)
         elif code == wire.END:
-            (_, job, _, lag, launch, _, final, how, n, *report) = fields
+            (_, job, _, lag, launch, _, final, status, n, *report) = fields
             scheduler.launch_ended(
-                now, job, launch, ending(at, how), span(at, "lag", lag), final != 0, report[:n]
+                now, job, launch, outcome_of(at, status), microseconds(at, "lag", lag), final != 0, report[:n]
             )
         elif code == wire.NEW:
             _, job, hint, key, qtype, bits, width, tenant, patience, memory = fields
@@ -107,12 +113,12 @@
                 now,
                 job,
                 qtype,
-                span(at, "hint", hint) if bits & 1 else 0,
+                microseconds(at, "hint", hint) if bits & 1 else 0,
                 key,
                 width or 1.0,
                 memory,
                 tenant,
-                span(at, "patience", patience),
+                microseconds(at, "patience", patience),
             )
         elif code == wire.DUE:
             if self.timers.get(fields[0]) is not None and self.timers[fields[0]] <= now:
--- a/mastledge/scheduling/admission.py
+++ b/mastledge/scheduling/admission.py
@@ -6,8 +6,11 @@
 
 from collections import deque
 
-from mastledge.scheduling.estimation import GAIN
+from mastledge.scheduling.estimation import GAIN, FleetEstimates
 from mastledge.scheduling.prediction import slack, slowness
+from mastledge.scheduling.random_source import RandomSource
+from mastledge.scheduling.state import Job, Worker
+from mastledge.scheduling.traffic import Traffic
 
 RECENT_WAITS = 9  # last starts whose waits tell overload
 PRESSURE_RISE_US = 4_000_000  # over this time a full queue becomes rejections
@@ -19,7 +22,9 @@
 class AdmissionControl:
     """Which jobs are accepted. `pressure`: 0 to 0.9, how far queues outlast the slack of jobs."""
 
-    def __init__(self, settings: dict, random, traffic, estimates, now: int):
+    def __init__(
+        self, settings: dict, random: RandomSource, traffic: Traffic, estimates: FleetEstimates, now: int
+    ):
         """No pressure."""
         self._settings, self._random = settings, random
         self._traffic, self._estimates = traffic, estimates
@@ -47,7 +52,7 @@
         self.sustained_pressure = min(sustained, MOST_PRESSURE)
         self.pressure = min(self.sustained_pressure + max(above, 0.0) / 2, MOST_PRESSURE)
 
-    def sheds(self, job, wait: float, worker, now: int) -> bool:
+    def sheds(self, job: Job, wait: float, worker: Worker, now: int) -> bool:
         """Whether to reject a job that would wait this long on the worker that was picked for it."""
         time_left = slack(job, now, slowness(worker, now, self._settings))
         value = job.queue_type.utility / self.best_utility
--- a/mastledge/scheduling/affinity.py
+++ b/mastledge/scheduling/affinity.py
@@ -6,7 +6,9 @@
 from collections import Counter
 from zlib import crc32
 
-from mastledge.scheduling.estimation import MOST_KEYS, Estimate
+from mastledge.scheduling.estimation import MOST_KEYS, Estimate, FleetEstimates
+from mastledge.scheduling.fleet_view import FleetView
+from mastledge.scheduling.state import Launch, Worker
 
 MOST_SHARE_OF_KEYS = 1.1  # times its part of the work, above which a worker is home to no more keys
 HASH_MULTIPLIER, HASH_VALUES = 0x9E3779B1, 1 << 32
@@ -17,7 +19,7 @@
 class KeyAffinity:
     """Homes of keys. `key_work`: smoothed work that each key wanted. `fetch`: the time that a fetch takes."""
 
-    def __init__(self, fleet, estimates):
+    def __init__(self, fleet: FleetView, estimates: FleetEstimates):
         """A fetch takes a mean job's time, until more is learned."""
         self._fleet, self._estimates = fleet, estimates
         self.fetch = Estimate(estimates.running_time.mean, 0.0, 1)
@@ -53,11 +55,11 @@
         """The home workers of a key; none for 0."""
         return self.homes.get(key) or self.order(key)[:1] if key else ()
 
-    def fetch_time(self, key: int, worker, homes) -> float:
+    def fetch_time(self, key: int, worker: Worker, homes) -> float:
         """The time that a job of this key would spend there on fetching its data, in microseconds."""
         return 0.0 if worker in homes or worker.last_key[0] == key else self.fetch.mean
 
-    def launched(self, launch, now: int) -> None:
+    def launched(self, launch: Launch, now: int) -> None:
         """Sets what the launch has to fetch, and that its key is now the last one there."""
         key, worker = launch.job.key, launch.worker
         last_key, last_at = worker.last_key
--- a/mastledge/scheduling/eligibility.py
+++ b/mastledge/scheduling/eligibility.py
@@ -1,14 +1,19 @@
 """Which workers a job may go to at all: machine kind, group, ejections, former launches, slow start."""
 
+from mastledge.scheduling.fleet_view import FleetView
+from mastledge.scheduling.outliers import OutlierDetector
+from mastledge.scheduling.slow_start import SlowStart
+from mastledge.scheduling.state import Job, Worker
+
 
 class Eligibility:
     """Asked for workers of which it is not plain."""
 
-    def __init__(self, fleet, outliers, slow_start):
+    def __init__(self, fleet: FleetView, outliers: OutlierDetector, slow_start: SlowStart):
         """Asks these parts, and keeps nothing itself."""
         self._fleet, self._outliers, self._slow_start = fleet, outliers, slow_start
 
-    def allows(self, worker, job, now: int, group_of) -> bool:
+    def allows(self, worker: Worker, job: Job, now: int, group_of: Worker | None) -> bool:
         """Whether the job may go to that worker now."""
         queue_type = job.queue_type
         if queue_type.kind >= 0 and worker.kind != queue_type.kind:
--- a/mastledge/scheduling/estimation.py
+++ b/mastledge/scheduling/estimation.py
@@ -1,5 +1,10 @@
 """The upper bound estimator (Fang et al., section 5.1): a smoothed mean and a smoothed variation."""
 
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from mastledge.scheduling.state import Job
+
 GAIN = 0.125  # weight of the newest sample: the paper's alpha and beta
 VARIATION_MULTIPLIER = 1.0  # variations that an upper bound lies above the mean: the paper's kappa
 MOST_KEYS = 4096  # keys of which something is kept; the oldest goes for a new one
@@ -40,7 +45,7 @@
         self.mean_work = self.running_time.mean
         self.by_key: dict[int, Estimate] = {}
 
-    def estimate(self, job) -> None:
+    def estimate(self, job: "Job") -> None:
         """Sets the job's running time: by the hint of this very job, else the key's, else the type's."""
         queue_type = job.queue_type
         if job.hint:
--- a/mastledge/scheduling/fleet_view.py
+++ b/mastledge/scheduling/fleet_view.py
@@ -1,5 +1,7 @@
 """The workers that this dispatcher knows: the endpoint list, who is excluded, when to ask for the list."""
 
+from enum import StrEnum
+
 from mastledge.scheduling.random_source import RandomSource
 from mastledge.scheduling.state import Worker
 
@@ -9,6 +11,15 @@
 RETRY_WITHOUT_LIMIT_US, POLL_WITHOUT_LIMIT_US = 1_000_000, 5_000_000
 
 
+class ListKind(StrEnum):
+    """What a host has heard of the endpoint list; members equal the plain strings."""
+
+    CACHED = "cached"  # from a former incarnation of the dispatcher
+    WHOLE = "whole"
+    CHANGES = "changes"
+    FAILED = "failed"
+
+
 class FleetView:
     """Workers by id, and those of them that may get jobs, in the list's order."""
 
--- a/mastledge/scheduling/gossip.py
+++ b/mastledge/scheduling/gossip.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass
 
 from mastledge.scheduling.estimation import MOST_KEYS
+from mastledge.scheduling.fleet_view import FleetView
 
 PRICE_SHARE = 0.005  # of all utility, what messages may cost
 SHORTEST_INTERVAL_US = 100_000
@@ -30,7 +31,7 @@
     `message_at`: when the next message is due; None: none is. `interval`: 0: no messages.
     """
 
-    def __init__(self, settings: dict, fleet):
+    def __init__(self, settings: dict, fleet: FleetView):
         """Nothing was told."""
         self._settings, self._fleet = settings, fleet
         self.peers: dict[int, PeerLoad] = {}
--- a/mastledge/scheduling/hedging.py
+++ b/mastledge/scheduling/hedging.py
@@ -6,8 +6,10 @@
 
 from enum import Enum, auto
 
+from mastledge.scheduling.admission import AdmissionControl
+from mastledge.scheduling.estimation import FleetEstimates
 from mastledge.scheduling.outcomes import DEDUPLICATED, RESTARTABLE, RUN_ONCE
-from mastledge.scheduling.outliers import LOST_OR_SILENT
+from mastledge.scheduling.outliers import LOST_OR_SILENT, OutlierDetector
 from mastledge.scheduling.prediction import (
     expected_end,
     free_start_lag,
@@ -16,6 +18,10 @@
     slack,
     slowness,
 )
+from mastledge.scheduling.selection import WorkerSelector
+from mastledge.scheduling.state import Launch
+from mastledge.scheduling.timers import Timers
+from mastledge.scheduling.traffic import Traffic
 
 HEDGE_SHARE = 0.2  # share of jobs hedged, or under pressure moved
 FIRST_BUDGET = 2.0  # launches
@@ -37,7 +43,16 @@
 class LaunchMonitor:
     """Looks at launches whose time has come. `budget`: how many may be moved or hedged now."""
 
-    def __init__(self, settings: dict, timers, selector, outliers, admission, estimates, traffic):  # noqa: PLR0913 - what a verdict depends on
+    def __init__(  # noqa: PLR0913 - the parts that a verdict depends on
+        self,
+        settings: dict,
+        timers: Timers,
+        selector: WorkerSelector,
+        outliers: OutlierDetector,
+        admission: AdmissionControl,
+        estimates: FleetEstimates,
+        traffic: Traffic,
+    ):
         """Sets timers for its next looks."""
         self._settings, self._timers, self._selector = settings, timers, selector
         self._outliers, self._admission = outliers, admission
@@ -54,7 +69,7 @@
         share = pressed if self._admission.pressure else normal
         self.budget = min(1 + share * self._traffic.arrival_rate, self.budget + share)
 
-    def first_look(self, launch, now: int) -> int:
+    def first_look(self, launch: Launch, now: int) -> int:
         """When a launch that was just sent is to be looked at, where starts are told."""
         # Not started in the time that a free worker takes: load that is not seen is in its way.
         worker, settings = launch.worker, self._settings
@@ -62,7 +77,7 @@
         parts = SLACK_PARTS_HEDGED if settings["parallel"] else SLACK_PARTS_MOVED
         return now + int(max(free_start_lag(worker, settings), left / parts))
 
-    def check(self, launch, now: int) -> Verdict:
+    def check(self, launch: Launch, now: int) -> Verdict:
         """A launch past its estimated end: is its worker silent or slow, and may the job go elsewhere?"""
         entry, settings = launch.curve_entry, self._settings
         if launch.started_at and entry is not None and now < entry[0]:
--- a/mastledge/scheduling/learning.py
+++ b/mastledge/scheduling/learning.py
@@ -1,9 +1,13 @@
 """What the end of a launch teaches: running times, the worker's speed, and whether it is an outlier."""
 
-from mastledge.scheduling.estimation import GAIN
+from mastledge.scheduling.affinity import KeyAffinity
+from mastledge.scheduling.estimation import GAIN, FleetEstimates
+from mastledge.scheduling.other_load import OtherLoad
 from mastledge.scheduling.outcomes import COMPLETED, NOT_THE_WORKERS_DOING, REJECTED, Outcome
-from mastledge.scheduling.outliers import CONNECTION_REFUSED, LOST_OR_SILENT
+from mastledge.scheduling.outliers import CONNECTION_REFUSED, LOST_OR_SILENT, OutlierDetector
 from mastledge.scheduling.prediction import learn_slowness, slowness
+from mastledge.scheduling.state import Launch
+from mastledge.scheduling.traffic import Traffic
 
 LATE_NEWS_STEPS = 2  # steps of the clock after which news counts as taken up late
 MEAN_WORK_GAIN = GAIN / 8
@@ -15,12 +19,20 @@
 class OutcomeLearner:
     """Takes each end of a launch that says something of its worker."""
 
-    def __init__(self, settings: dict, estimates, traffic, affinity, outliers, other_load):  # noqa: PLR0913 - each of them learns from it
+    def __init__(  # noqa: PLR0913 - each of them learns from it
+        self,
+        settings: dict,
+        estimates: FleetEstimates,
+        traffic: Traffic,
+        affinity: KeyAffinity,
+        outliers: OutlierDetector,
+        other_load: OtherLoad,
+    ):
         """Learns into these parts, and keeps nothing itself."""
         self._settings, self._estimates, self._traffic = settings, estimates, traffic
         self._affinity, self._outliers, self._other_load = affinity, outliers, other_load
 
-    def learn(self, launch, outcome: Outcome, lag: int, now: int) -> None:
+    def learn(self, launch: Launch, outcome: Outcome, lag: int, now: int) -> None:
         """The launch ended like this, `lag` after its sending."""
         if outcome in NOT_THE_WORKERS_DOING:
             return
--- a/mastledge/scheduling/load_reports.py
+++ b/mastledge/scheduling/load_reports.py
@@ -2,7 +2,10 @@
 
 from collections import Counter
 
-from mastledge.scheduling.estimation import GAIN
+from mastledge.scheduling.admission import AdmissionControl
+from mastledge.scheduling.estimation import GAIN, FleetEstimates
+from mastledge.scheduling.fleet_view import FleetView
+from mastledge.scheduling.state import Launch
 
 MOST_FREE_SLOTS, MOST_BACKLOG = 1e4, 1e6  # what is above is absurd, and must not reach a load curve
 NOISY_REPORTS = 50  # a figure that comes in fewer than one of so many reports is noise
@@ -11,13 +14,15 @@
 class LoadReports:
     """Learns from reports. `free_slot_counts`: how often each number of free slots came, by machine kind."""
 
-    def __init__(self, settings: dict, fleet, estimates, admission):
+    def __init__(
+        self, settings: dict, fleet: FleetView, estimates: FleetEstimates, admission: AdmissionControl
+    ):
         """No report has come."""
         self._settings, self._fleet = settings, fleet
         self._estimates, self._admission = estimates, admission
         self.free_slot_counts: dict[int, Counter] = {}
 
-    def learn(self, launch, report: list, now: int) -> None:
+    def learn(self, launch: Launch, report: list, now: int) -> None:
         """What a worker reports with its answer, less what was one's own when the report was made."""
         if not report or self._settings["report_how"] != "piggyback":
             return
--- a/mastledge/scheduling/other_load.py
+++ b/mastledge/scheduling/other_load.py
@@ -1,7 +1,10 @@
 """The load that others have at a worker: seen in late starts and rejections, reported, or gossiped."""
 
-from mastledge.scheduling.estimation import GAIN
+from mastledge.scheduling.estimation import GAIN, FleetEstimates
+from mastledge.scheduling.gossip import LoadGossip
+from mastledge.scheduling.load_reports import LoadReports
 from mastledge.scheduling.prediction import free_start_lag, slowness
+from mastledge.scheduling.state import Job, Launch, Worker
 
 REFUSED_SLOTS = 2  # slots of load that a worker has which rejects for want of room
 FIRST_LAG_STEPS = 2  # steps of the clock that a first start is taken to need at the most
@@ -11,12 +14,12 @@
 class OtherLoad:
     """Estimates the load of others at a worker."""
 
-    def __init__(self, settings: dict, estimates, reports, gossip):
+    def __init__(self, settings: dict, estimates: FleetEstimates, reports: LoadReports, gossip: LoadGossip):
         """Nothing was seen yet; what is, stands in the workers' records."""
         self._settings, self._estimates = settings, estimates
         self._reports, self._gossip = reports, gossip
 
-    def at(self, worker, now: int) -> float:
+    def at(self, worker: Worker, now: int) -> float:
         """The load of others there: gossiped where most gossip, else as last seen, fading to the usual.
 
         Never less than what keeps own jobs waiting.
@@ -34,7 +37,7 @@
         """Whether any worker reported its load, or any dispatcher gossiped."""
         return bool(self._reports.free_slot_counts or self._gossip.peers)
 
-    def predicted_wait(self, worker, job, now: int) -> float:
+    def predicted_wait(self, worker: Worker, job: Job, now: int) -> float:
         """How long the job would wait for room there, in microseconds: by the load above the slots."""
         slots = worker.slots
         above = worker.load + job.load + self.at(worker, now) - max(slots, job.load)
@@ -42,7 +45,7 @@
             return 0.0
         return above * self._estimates.running_time.mean * slowness(worker, now, self._settings) / slots
 
-    def observe_start(self, launch, now: int) -> int:
+    def observe_start(self, launch: Launch, now: int) -> int:
         """Learns from a start that was told; gives how long the launch waited, 0 or less: not at all."""
         worker, lag = launch.worker, now - launch.sent_at
         worker.running += launch.load
@@ -59,7 +62,7 @@
         self._observe_wait(worker, wait, now)
         return wait
 
-    def observe_refusal(self, worker, now: int) -> None:
+    def observe_refusal(self, worker: Worker, now: int) -> None:
         """The worker rejected a job for want of room."""
         worker.other_load, worker.other_load_at = REFUSED_SLOTS * worker.slots, now
 
--- a/mastledge/scheduling/outcomes.py
+++ b/mastledge/scheduling/outcomes.py
@@ -2,6 +2,8 @@
 
 from enum import StrEnum
 
+from mastledge.scheduling.state import Job, Launch
+
 
 class Effect(StrEnum):
     """Whether the jobs of a queue type may run twice; the values are those of the settings."""
@@ -41,12 +43,12 @@
     return outcome not in NEVER_RAN
 
 
-def launch_may_have_run(launch) -> bool:
+def launch_may_have_run(launch: Launch) -> bool:
     """Whether this launch may have had its effect, or may still come to have it."""
     return launch.may_have_run or not launch.ended
 
 
-def repeat_is_harmless(job) -> bool:
+def repeat_is_harmless(job: Job) -> bool:
     """Whether a client may send the job again without a risk that it runs twice."""
     effect = job.queue_type.effect
     if effect == RESTARTABLE or not any(launch_may_have_run(launch) for launch in job.launches):
--- a/mastledge/scheduling/outliers.py
+++ b/mastledge/scheduling/outliers.py
@@ -8,7 +8,9 @@
 from dataclasses import dataclass
 from itertools import chain
 
+from mastledge.scheduling.fleet_view import FleetView
 from mastledge.scheduling.outcomes import RUN_ONCE
+from mastledge.scheduling.state import Job, Launch, Worker
 
 # Reasons for an ejection; any other is the name of a queue type that fails there.
 LOST_OR_SILENT = None
@@ -45,12 +47,12 @@
 class OutlierDetector:
     """Ejects workers and lets them back. `counts`: how many ready workers are ejected, by reason."""
 
-    def __init__(self, fleet):
+    def __init__(self, fleet: FleetView):
         """No worker is ejected."""
         self._fleet = fleet
         self.counts: Counter = Counter()
 
-    def eject(self, worker, reason, launch, now: int) -> None:
+    def eject(self, worker: Worker, reason, launch: Launch, now: int) -> None:
         """The launch failed there; one sent before the last pause was over tells nothing new."""
         factor = RUN_ONCE_FACTOR if launch.may_have_run and launch.job.queue_type.effect == RUN_ONCE else 1
         ejection = worker.ejections.get(reason)
@@ -63,7 +65,7 @@
         ejection.ends_at = now + ejection.pause_us
         self.count()
 
-    def trial_completed(self, worker, launch) -> None:
+    def trial_completed(self, worker: Worker, launch: Launch) -> None:
         """What was sent before the worker was ejected proves nothing of how it does now."""
         for reason in (LOST_OR_SILENT, CONNECTION_REFUSED, launch.job.queue_type.name):
             ejection = worker.ejections.get(reason)
@@ -81,7 +83,7 @@
         ejections = [worker.ejections for worker in self._fleet.ready if worker.ejections]
         self.counts = Counter(chain.from_iterable(ejections))
 
-    def keeps_out(self, worker, job, now: int) -> bool:
+    def keeps_out(self, worker: Worker, job: Job, now: int) -> bool:
         """Whether the job must not go there now."""
         ejections, queue_type = worker.ejections, job.queue_type
         own = (LOST_OR_SILENT, CONNECTION_REFUSED, queue_type.name)
--- a/mastledge/scheduling/prediction.py
+++ b/mastledge/scheduling/prediction.py
@@ -8,6 +8,7 @@
 
 from mastledge.scheduling.estimation import GAIN
 from mastledge.scheduling.slow_start import least_warmth
+from mastledge.scheduling.state import Job, Launch, Worker
 
 SECOND_US = 1_000_000
 MOST_RATIO = 8.0  # times the slowness so far that one sample counts as
@@ -15,17 +16,17 @@
 FREE_START_LAGS, FREE_START_STEPS = 3, 4  # a start later than so many lags and steps has waited
 
 
-def slowness(worker, now: int, settings: dict) -> float:
+def slowness(worker: Worker, now: int, settings: dict) -> float:
     """How many times as long a job takes there as on the mean worker, at the most while it warms up."""
     return worker.slow / least_warmth(worker, now, settings) if worker.born else worker.slow
 
 
-def free_start_lag(worker, settings: dict) -> int:
+def free_start_lag(worker: Worker, settings: dict) -> int:
     """The time within which a free worker has started what it was sent."""
     return FREE_START_LAGS * (worker.start_lag or 0) + FREE_START_STEPS * settings["step"]
 
 
-def learn_slowness(worker, ratio: float, now: int, settings: dict) -> None:
+def learn_slowness(worker: Worker, ratio: float, now: int, settings: dict) -> None:
     """Takes a running time there over that on the mean worker."""
     # What a worker that warms up is assumed to lack must not be learned as its slowness as well.
     ratio *= least_warmth(worker, now, settings)
@@ -43,17 +44,17 @@
         worker.slow = worker.slow / mean + fade * (1.0 - worker.slow / mean)
 
 
-def slack(job, now: int, slow: float) -> float:
+def slack(job: Job, now: int, slow: float) -> float:
     """The time left until the latency objective, less the running time on a worker of that slowness."""
     return job.target_at - now - job.mean * slow
 
 
-def expected_end(job, now: int, slow: float) -> float:
+def expected_end(job: Job, now: int, slow: float) -> float:
     """When the job would end if it started now on a worker of that slowness."""
     return now + job.mean * slow
 
 
-def add_to_curve(launch, end: int) -> None:
+def add_to_curve(launch: Launch, end: int) -> None:
     """The launch weighs on its worker until that estimated end."""
     worker = launch.worker
     worker.curve_sequence += 1
@@ -62,7 +63,7 @@
     worker.load += launch.load
 
 
-def move_in_curve(launch, end: int) -> None:
+def move_in_curve(launch: Launch, end: int) -> None:
     """The estimated end is another one."""
     curve = launch.worker.load_curve
     del curve[bisect_left(curve, launch.curve_entry)]
@@ -70,7 +71,7 @@
     insort(curve, launch.curve_entry)
 
 
-def remove_from_curve(launch) -> None:
+def remove_from_curve(launch: Launch) -> None:
     """The launch no longer weighs on its worker."""
     worker, curve = launch.worker, launch.worker.load_curve
     del curve[bisect_left(curve, launch.curve_entry)]
@@ -81,13 +82,13 @@
         worker.running = max(0.0, worker.running - launch.load)
 
 
-def remove_if_connection_is_dead(launch) -> None:
+def remove_if_connection_is_dead(launch: Launch) -> None:
     """A silent launch on a worker that is heard: it must not be taken for load until its walltime."""
     if launch.curve_entry is not None and launch.worker.heard_at > launch.heard_at:
         remove_from_curve(launch)
 
 
-def contention(worker, now: int, span: int, job, other_load: float) -> tuple[float, float]:
+def contention(worker: Worker, now: int, span: int, job: Job, other_load: float) -> tuple[float, float]:
     """Load above the slots and load as such, both integrated from now over the span (load x microseconds).
 
     A launch past its estimated end counts until now plus the job's variation. The results are a plain tuple
--- a/mastledge/scheduling/retry.py
+++ b/mastledge/scheduling/retry.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from mastledge.scheduling.outcomes import DEDUPLICATED, RUN_ONCE, launch_may_have_run
-from mastledge.scheduling.state import Worker
+from mastledge.scheduling.state import Job, Worker
 
 
 class RelaunchLimits(NamedTuple):
@@ -16,7 +16,7 @@
 NO_LIMITS = RelaunchLimits(None, None)
 
 
-def relaunch_limits(job, most_launches: int, now: int) -> RelaunchLimits | None:
+def relaunch_limits(job: Job, most_launches: int, now: int) -> RelaunchLimits | None:
     """What limits the next launch of the job; None: there must not be one."""
     limits = NO_LIMITS
     queue_type = job.queue_type
--- a/mastledge/scheduling/scheduler.py
+++ b/mastledge/scheduling/scheduler.py
@@ -19,9 +19,10 @@
 )
 from mastledge.scheduling.eligibility import Eligibility
 from mastledge.scheduling.estimation import FleetEstimates
-from mastledge.scheduling.fleet_view import EndpointPoll, FleetView
+from mastledge.scheduling.fleet_view import EndpointPoll, FleetView, ListKind
 from mastledge.scheduling.gossip import LoadGossip
 from mastledge.scheduling.hedging import LaunchMonitor, Verdict
+from mastledge.scheduling.launching import Launcher
 from mastledge.scheduling.learned_state import learned_state, restore_learned
 from mastledge.scheduling.learning import OutcomeLearner
 from mastledge.scheduling.load_reports import LoadReports
@@ -29,7 +30,6 @@
 from mastledge.scheduling.outcomes import GIVEN_UP, REJECTED, Outcome, may_have_run, repeat_is_harmless
 from mastledge.scheduling.outliers import OutlierDetector
 from mastledge.scheduling.prediction import (
-    add_to_curve,
     fade_slowness,
     move_in_curve,
     remove_from_curve,
@@ -40,7 +40,7 @@
 from mastledge.scheduling.retry import relaunch_limits
 from mastledge.scheduling.selection import WorkerSelector
 from mastledge.scheduling.slow_start import SlowStart, least_warmth
-from mastledge.scheduling.state import Job, Launch, QueueType
+from mastledge.scheduling.state import Job, Launch, QueueType, Worker
 from mastledge.scheduling.subset import CandidateSubset
 from mastledge.scheduling.timers import Timers
 from mastledge.scheduling.traffic import Traffic
@@ -77,19 +77,15 @@
             settings, self.random, self.fleet, self.subset, self.affinity, self.eligibility, self.other_load
         )
         self.monitor = LaunchMonitor(
-            settings,
-            self.timers,
-            self.selector,
-            self.outliers,
-            self.admission,
-            self.estimates,
-            self.traffic,
+            settings, self.timers, self.selector, self.outliers, self.admission, self.estimates, self.traffic
+        )
+        self.launcher = Launcher(
+            settings, self.timers, self.affinity, self.other_load, self.slow_start, self.monitor
         )
         self.learner = OutcomeLearner(
             settings, self.estimates, self.traffic, self.affinity, self.outliers, self.other_load
         )
-        # Jobs to decide on, and launches to revoke.
-        self._pending, self._revocations = deque(), deque()
+        self._pending, self._revocations = deque(), deque()  # jobs to decide on, launches to revoke
         self._survey_at, self._shutdown_at = now, None
         self.poll = EndpointPoll(settings, self.random)
         self.poll.begin(now)
@@ -121,14 +117,14 @@
 
     # Inputs about the dispatcher and its workers.
 
-    def update_endpoints(self, now: int, kind: str, entries) -> None:
-        """The endpoint list: `cached`, `whole`, `changes` or `failed`, as docs/interface.md has it."""
-        if kind == "failed":
+    def update_endpoints(self, now: int, kind: ListKind, entries) -> None:
+        """News of the endpoint list; docs/interface.md says what an entry is."""
+        if kind == ListKind.FAILED:
             self.poll.failed(now)
             return
-        if kind != "cached":
+        if kind != ListKind.CACHED:
             self.poll.answered()
-        self.fleet.update(now, kind != "changes", entries)
+        self.fleet.update(now, kind != ListKind.CHANGES, entries)
         self.fleet_changed()
 
     def set_excluded(self, now: int, excluded, called_back: dict) -> None:
@@ -317,30 +313,9 @@
             return RejectJob(job.id, self.admission.retry_after(wait))
         return KillJob(job.id)
 
-    def launch(self, job: Job, worker, now: int, until: int | None = None) -> LaunchJob:
+    def launch(self, job: Job, worker: Worker, now: int, until: int | None = None) -> LaunchJob:
         """Sends the job to the worker, before that time if there is one."""
-        settings, launch = self.settings, Launch(job, worker, now)
-        if not settings["tells_start"]:
-            # No note ever comes: it must not be taken for one that waits, nor its worker for a full one.
-            launch.started_at, worker.running = now, worker.running + job.load
-        if job.key:
-            self.affinity.launched(launch, now)
-        if launch.started_at:
-            # Where no start is told, waits must not be learned as running times or as a worker's speed.
-            load = worker.load + job.load + self.other_load.at(worker, now)
-            launch.uncontended = load <= worker.slots
-        slow = slowness(worker, now, settings)
-        end = now + int((job.mean + job.variation) * slow + launch.fetch_time)
-        launch.mean += launch.fetch_time
-        add_to_curve(launch, end)
-        worker.in_flight[(job.id, launch.number)] = launch
-        job.launches.append(launch)
-        job.in_flight += 1
-        self.slow_start.charge(worker, job, now)
-        if settings["tells_start"]:
-            end = self.monitor.first_look(launch, now)
-        self.timers.set(end, launch)
-        return LaunchJob(job.id, worker.id, 0 if until is None else until - now)
+        return self.launcher.launch(job, worker, now, until)
 
     def check_launch(self, launch: Launch, now: int) -> None:
         """Looks at a launch whose time has come, and does what follows."""
--- a/mastledge/scheduling/selection.py
+++ b/mastledge/scheduling/selection.py
@@ -2,7 +2,13 @@
 
 from itertools import chain
 
+from mastledge.scheduling.affinity import KeyAffinity
+from mastledge.scheduling.eligibility import Eligibility
+from mastledge.scheduling.fleet_view import FleetView
 from mastledge.scheduling.prediction import contention, slowness
+from mastledge.scheduling.random_source import RandomSource
+from mastledge.scheduling.state import Job, Worker
+from mastledge.scheduling.subset import CandidateSubset
 
 FETCH_CONTENTION_WEIGHT = 8  # fetches, as which one counts: each puts out a key that has to be fetched again
 FEWEST_LOOKED_AT = 4
@@ -12,14 +18,21 @@
     """Picks the worker for a launch."""
 
     def __init__(  # noqa: PLR0913 - the parts that a choice is made of
-        self, settings: dict, random, fleet, subset, affinity, eligibility, other_load
+        self,
+        settings: dict,
+        random: RandomSource,
+        fleet: FleetView,
+        subset: CandidateSubset,
+        affinity: KeyAffinity,
+        eligibility: Eligibility,
+        other_load,
     ):
         """Asks these parts, and keeps nothing itself."""
         self._settings, self._random = settings, random
         self._fleet, self._subset, self._affinity = fleet, subset, affinity
         self._eligibility, self._other_load = eligibility, other_load
 
-    def pick(self, job, now: int, group_of):
+    def pick(self, job: Job, now: int, group_of: Worker | None):
         """The worker for the job, and how long it is predicted to wait there in microseconds.
 
         `group_of`: a worker in whose group it has to be; None: anywhere. (None, 0.0) where no worker is
@@ -35,24 +48,27 @@
             subset.replace_one(best)
         return best, self._other_load.predicted_wait(best, job, now)
 
+    def _candidates(self, special):
+        """The subset, then all workers from a random one on; for special jobs the subset does not count."""
+        subset, ready = self._subset, self._fleet.ready
+        first = int(self._random.chance() * len(ready))
+        members = () if special else subset.members
+        return chain(members, ready[first:], ready[:first]) if special or subset.looks_past else members
+
     def _ranked(self, job, now, group_of, special):  # noqa: C901 - one loop for each worker and job: see below
         """Eligible workers with their ranks, and the least rank: (contention, integrated load).
 
-        CPU is scarce and this runs for each worker and job. So it is one loop over locals, and calls nothing
-        whose answer is plain.
+        CPU is scarce: this is one loop over locals, which calls nothing whose answer is plain.
         """
-        settings, subset, ready = self._settings, self._subset, self._fleet.ready
+        settings, subset = self._settings, self._subset
         is_eligible, other_load_at = self._eligibility.allows, self._other_load.at
         fetch_time = self._affinity.fetch_time
         load, upper_bound, key = job.load, job.mean + job.variation, job.key
         is_told = self._other_load.is_told()
-        first = int(self._random.chance() * len(ready))
-        homes = self._affinity.homes_of(key)
-        members = () if special else subset.members
-        rest = chain(ready[first:], ready[:first]) if special or subset.looks_past else ()
+        candidates, homes = self._candidates(special), self._affinity.homes_of(key)
         fewest, most = max(FEWEST_LOOKED_AT, len(subset.members)), subset.most_looked_at
         ranked, least = [], None
-        for seen, worker in enumerate(chain(members, rest)):
+        for seen, worker in enumerate(candidates):
             # Past the own subset only while no worker is free, and no further than the CPU allows.
             if seen >= fewest and ranked and (least[0] <= 0 or seen >= most):
                 break
@@ -61,11 +77,8 @@
             ):
                 continue
             slow = slowness(worker, now, settings) if worker.warming_up else worker.slow
-            has_others = (
-                worker.running < worker.load
-                or worker.other_load
-                or (is_told and (worker.usual_other_load or worker.gossiped_load))
-            )
+            has_others = worker.running < worker.load or worker.other_load
+            has_others = has_others or (is_told and (worker.usual_other_load or worker.gossiped_load))
             other_load = other_load_at(worker, now) if has_others else 0.0
             fetch = fetch_time(key, worker, homes) if homes else 0.0
             span = int(upper_bound * slow + fetch)
--- a/mastledge/scheduling/slow_start.py
+++ b/mastledge/scheduling/slow_start.py
@@ -4,11 +4,17 @@
 sets its own part against the work that it has completed: docs/design.md says why that is enough.
 """
 
+from mastledge.scheduling.fleet_view import FleetView
+from mastledge.scheduling.random_source import RandomSource
+from mastledge.scheduling.state import Job, Worker
+from mastledge.scheduling.subset import CandidateSubset
+from mastledge.scheduling.traffic import Traffic
+
 PART_OF_CAPACITY = 0.7  # of one part in the number of dispatchers, which each may use at the least
 REPORTED_SLOTS_PART = 0.75  # of reported slots count as capacity, as slots may share cores
 
 
-def least_warmth(worker, now: int, settings: dict) -> float:
+def least_warmth(worker: Worker, now: int, settings: dict) -> float:
     """The least share of its capacity that a worker can have by now."""
     age, warming_time = now - worker.born, settings["cold_for"]
     if not worker.born or age >= warming_time:
@@ -20,7 +26,14 @@
 class SlowStart:
     """Budgets of workers that warm up. `capacity`: what a mean worker can do, in work per time."""
 
-    def __init__(self, settings: dict, random, fleet, subset, traffic):
+    def __init__(
+        self,
+        settings: dict,
+        random: RandomSource,
+        fleet: FleetView,
+        subset: CandidateSubset,
+        traffic: Traffic,
+    ):
         """`survey` has to come before the first question."""
         self._settings, self._random, self._fleet = settings, random, fleet
         self._subset, self._traffic = subset, traffic
@@ -33,7 +46,7 @@
         most_ratio = max(queue_type.hint_ratio.mean for queue_type in queue_types)
         self.capacity = (REPORTED_SLOTS_PART if slots_are_reported else 1.0) * slots / most_ratio
 
-    def is_warming_up(self, worker, now: int) -> bool:
+    def is_warming_up(self, worker: Worker, now: int) -> bool:
         """Whether the worker may still be slower than it will be."""
         return bool(worker.born) and now - worker.born < self._settings["cold_for"]
 
@@ -43,7 +56,7 @@
         for worker in self._fleet.ready:
             worker.warming_up = worker.warming_up and now - worker.born < warming_time
 
-    def within_budget(self, worker, job, now: int) -> bool:
+    def within_budget(self, worker: Worker, job: Job, now: int) -> bool:
         """Whether this dispatcher may send the job to a worker that warms up."""
         half_window, warmth = self._settings["fall_for"] // 2, least_warmth(worker, now, self._settings)
         limit = self._settings["fall_multiple"] * warmth
@@ -56,7 +69,7 @@
         fits = job.work <= limit * self.capacity * half_window / 2
         return fits and worker.credit > worker.credit_threshold * job.work
 
-    def charge(self, worker, job, now: int) -> None:
+    def charge(self, worker: Worker, job: Job, now: int) -> None:
         """The job was sent there."""
         if self.is_warming_up(worker, now):
             worker.credit -= job.work
--- a/mastledge/scheduling/subset.py
+++ b/mastledge/scheduling/subset.py
@@ -4,6 +4,10 @@
 again, and each job costs a connection. Subsets differ, so every worker is in some.
 """
 
+from mastledge.scheduling.fleet_view import FleetView
+from mastledge.scheduling.random_source import RandomSource
+from mastledge.scheduling.state import Worker
+
 SMALLEST_SUBSET = 6
 SMALLEST_LOOK = 4
 LOOK_AT_WORKER_CPU_US = 0.2  # in the settings' measure, what looking at one worker takes
@@ -16,7 +20,7 @@
     `most_looked_at`: how many workers the CPU allows to look at for one job.
     """
 
-    def __init__(self, settings: dict, random, fleet):
+    def __init__(self, settings: dict, random: RandomSource, fleet: FleetView):
         """No members until the first `survey`."""
         self._settings, self._random, self._fleet = settings, random, fleet
         self.members, self.looks_past, self.most_looked_at = [], False, SMALLEST_LOOK
@@ -33,7 +37,7 @@
         self.members = kept[:size] if self.looks_past else ready
         self._fill(size)
 
-    def replace_one(self, worker) -> None:
+    def replace_one(self, worker: Worker) -> None:
         """No member was free, so any of them may go for the worker that was."""
         at = int(self._random.chance() * len(self.members))
         self.members[at : at + 1] = [worker]
