--- a/tests/decision_players.py
+++ b/tests/decision_players.py
@@ -3,8 +3,8 @@
 import io
 from struct import Struct
 
-from mastledge.adapter.__main__ import Host
 from mastledge.adapter.frames import frame_from
+from mastledge.adapter.host import Host
 from mastledge.program.settings import pairs_of, plain_map
 from mastledge.scheduling.decisions import (
     FollowEndpoints,
@@ -40,7 +40,7 @@
     "decide": lambda made, now: made.decide(now),
     "new host": Host,
     "host's instance": lambda host, number: host.instances.get(number),
-    "host's turn": lambda host, raw: host.turn(*frame_from(io.BytesIO(raw))),
+    "host's turn": lambda host, raw: host.turn(frame_from(io.BytesIO(raw))),
 }
 KINDS = {
     LaunchJob: "launch",
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -12,8 +12,8 @@
 
 from helpers import HERE, Rig, arrive, entry, pull, scheduler
 
-from mastledge.adapter import __main__ as adapter_main
 from mastledge.adapter import frames as adapter_frames
+from mastledge.adapter import host as adapter_host
 from mastledge.consensus import inputs, outputs, state_machine
 from mastledge.consensus import messages as consensus_messages
 from mastledge.consensus import persisted_state as consensus_persisted
@@ -41,7 +41,7 @@
 from mastledge.transport import passing
 
 ADAPTER_MODULE = "mastledge.adapter"
-ENDINGS = adapter_main.ENDING
+ENDINGS = adapter_host.OUTCOMES
 RECOVERY_MESSAGE = recovery_messages.Ask | recovery_messages.Load
 
 
@@ -387,18 +387,18 @@
     return load_messages.encoded(*load_messages.decoded(raw))
 
 
-EVENT_LAYOUTS, EVENT_RECORD_BYTES = adapter_frames.EVENTS, adapter_frames.RECORD
-ANSWER_HEAD, ACTION_BYTES = adapter_frames.REPLY, adapter_frames.ACTION
-EVENT_HEAD = adapter_frames.HEADER
+EVENT_LAYOUTS, EVENT_RECORD_BYTES = adapter_frames.EVENT_LAYOUTS, adapter_frames.EVENT_BYTES
+ANSWER_HEAD, ACTION_BYTES = adapter_frames.REPLY_HEADER, adapter_frames.ACTION_BYTES
+EVENT_HEAD = adapter_frames.EVENT_HEADER
 ACTION_LAYOUTS = {
-    1: adapter_frames.PASS_ON,
-    2: adapter_frames.BOUNCE,
-    3: adapter_frames.GIVE_UP,
-    4: adapter_frames.REVOKE,
-    5: adapter_frames.NOTIFY_ME,
-    8: adapter_frames.MEMO_TO,
-    10: adapter_frames.TEXT,
-    11: adapter_frames.TRACK,
+    1: adapter_frames.pack_launch,
+    2: adapter_frames.pack_reject,
+    3: adapter_frames.pack_kill,
+    4: adapter_frames.pack_revoke,
+    5: adapter_frames.pack_wake,
+    8: adapter_frames.pack_message,
+    10: adapter_frames.pack_text,
+    11: adapter_frames.pack_follow,
 }
 answer_of = adapter_frames.reply
 
@@ -407,7 +407,6 @@
     """(clock in milliseconds, records as (code, fields...), tail) of each frame of the input."""
     stream, out = io.BytesIO(raw), []
     while (frame := adapter_frames.frame_from(stream)) is not None:
-        clock, body, count = frame
-        records = [(code, *fields) for _, code, fields in adapter_frames.events(body, count)]
-        out.append((clock / 1000, records, bytes(body[count * EVENT_RECORD_BYTES :])))
+        records = [(code, *fields) for _, code, fields in frame.events()]
+        out.append((frame.now / 1000, records, bytes(frame.body[frame.count * EVENT_RECORD_BYTES :])))
     return out
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -4,22 +4,33 @@
 
 import pytest
 
-from mastledge.adapter import frames as wire
-from mastledge.adapter.__main__ import Host
+from mastledge.adapter.frames import (
+    EVENT_BYTES,
+    EVENT_HEADER,
+    EVENT_LAYOUTS,
+    BadFrameError,
+    EventCode,
+    frame_from,
+)
+from mastledge.adapter.host import Host
 from mastledge.program.settings import BadSetting, pairs_of, plain_map
 
 
 def frame(records=b"", tail=b"", count=None, length=None):
-    n = len(records) // 56 if count is None else count
-    return wire.HEADER.pack(n, length or 16 + len(records) + len(tail), 12_500.0) + records + tail
+    n = len(records) // EVENT_BYTES if count is None else count
+    return EVENT_HEADER.pack(n, length or 16 + len(records) + len(tail), 12_500.0) + records + tail
 
 
 def record(code, *fields):
-    return (code.to_bytes(2, "big") + wire.EVENTS[code].pack(*fields)).ljust(56, b"\0")
+    return (code.to_bytes(2, "big") + EVENT_LAYOUTS[code].pack(*fields)).ljust(EVENT_BYTES, b"\0")
+
+
+def answer(raw):
+    return Host().turn(frame_from(io.BytesIO(raw)))
 
 
 def test_an_empty_batch_gets_an_empty_reply():
-    assert Host().turn(*wire.frame_from(io.BytesIO(frame()))) == bytes.fromhex("0000000000000008")
+    assert answer(frame()) == bytes.fromhex("0000000000000008")
 
 
 @pytest.mark.parametrize(
@@ -29,13 +40,13 @@
         (frame(bytes(56))[:-3], "frame body"),
         (frame(bytes(56), count=2), "too short for 2"),
         (frame(bytes(56)), "record 0: unknown code 0"),
-        (frame(record(wire.POOL, 0, 0, 1)), "record 0: list entries"),
-        (frame(record(wire.POWER_ON, 1, 1, 4, 9)), "record 0: settings"),
+        (frame(record(EventCode.POOL, 0, 0, 1)), "record 0: list entries"),
+        (frame(record(EventCode.POWER_ON, 1, 1, 4, 9)), "record 0: settings"),
     ],
 )
 def test_a_bad_frame_is_named(raw, says):
-    with pytest.raises(wire.BadFrame, match=says):
-        Host().turn(*wire.frame_from(io.BytesIO(raw)))
+    with pytest.raises(BadFrameError, match=says):
+        answer(raw)
 
 
 @pytest.mark.parametrize(("text", "key"), [("balancers=2", "me"), ("balancers=x", "balancers")])
