--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -75,8 +75,8 @@
         "queue_types": types or [queue_type()],
         **other,
     }
-    for n, qt in enumerate(settings["queue_types"]):
-        qt.setdefault("name", n)
+    for n, terms in enumerate(settings["queue_types"]):
+        terms.setdefault("name", n)
     made = Scheduler(settings, seed, 0)
     made.update_endpoints(0, "whole", [entry(i) for i in range(workers)])
     return made
@@ -86,8 +86,8 @@
     return (i % 2 if zone is None else zone, i, state, born, 0, 0, 1.0)
 
 
-def arrive(made, now=0, job=1, qtype=0, hint=100_000, patience=5_000_000, width=1.0, tenant=0):
-    made.job_arrived(now, job, qtype, hint, 0, width, 0.0, tenant, patience)
+def arrive(made, now=0, job=1, queue_number=0, hint=100_000, patience=5_000_000, width=1.0, tenant=0):
+    made.job_arrived(now, job, queue_number, hint, 0, width, 0.0, tenant, patience)
 
 
 def pull(made, now):
@@ -196,10 +196,10 @@
     return WorkerConnections(rig.loop, rig.budget, rig.inbox, settings, rig.log)
 
 
-def peer_at(wkr_id="s-1"):
+def peer_at(worker_id="s-1"):
     """A worker and the socket on which it listens."""
     sock = listen((HERE, 0))
-    peer = WorkerEndpoint(wkr_id)
+    peer = WorkerEndpoint(worker_id)
     peer.address = sock.getsockname()
     sock.settimeout(2)
     return peer, sock
--- a/tests/test_load_messages.py
+++ b/tests/test_load_messages.py
@@ -25,10 +25,10 @@
     """One job, sent, started and answered with this report; gives its worker."""
     arrive(made, now - 200_000, job)
     (launch,) = pull(made, now - 200_000)
-    wkr_id = launch.worker
+    worker_id = launch.worker
     made.launch_started(now - 199_000, job, 0)
     made.launch_ended(now, job, 0, "completed", 200_000, True, report)
-    return made.workers[wkr_id]
+    return made.workers[worker_id]
 
 
 @pytest.mark.parametrize(
@@ -38,8 +38,8 @@
     made = told_of_load(workers=1)
     made.ready[0].slots = 4.0
     # The answered job itself was there when the report was made.
-    wkr = answered(made, report)
-    assert wkr.other_load == extra and made.other_load.at(wkr, wkr.other_load_at) == extra
+    worker = answered(made, report)
+    assert worker.other_load == extra and made.other_load.at(worker, worker.other_load_at) == extra
 
 
 def test_ones_own_share_of_a_report_is_taken_off():
@@ -64,8 +64,8 @@
     ],
 )
 def test_a_report_that_lacks_figures_or_is_absurd_is_no_load(report):
-    wkr = answered(told_of_load(workers=1), report)
-    assert (wkr.other_load, wkr.usual_other_load, wkr.last_report) == (0.0, 0.0, None)
+    worker = answered(told_of_load(workers=1), report)
+    assert (worker.other_load, worker.usual_other_load, worker.last_report) == (0.0, 0.0, None)
 
 
 def test_reports_are_passed_over_where_they_do_not_come_with_answers():
@@ -79,15 +79,20 @@
         answered(made, [0.0, 4.0 + n / 1000, 4.0], 1_000_000 + n * 1_000_000, n)
     made.reports.free_slot_counts[0][9] = 1
     made.survey()
-    assert [wkr.slots for wkr in made.ready] == [4.0, 4.0]
+    assert [worker.slots for worker in made.ready] == [4.0, 4.0]
 
 
 def test_of_two_workers_without_contention_the_one_with_more_room_is_picked():
     # By load alone a box of two slots with one job came before one of eight with two.
     made = told_of_load(workers=2)
     made.reports.free_slot_counts[0] = {8: 1}
-    for wkr, slots, load in zip(made.ready, (2.0, 8.0), (1.0, 2.0), strict=True):
-        wkr.slots, wkr.other_load, wkr.usual_other_load, wkr.last_report = slots, load, load, [0.0]
+    for worker, slots, load in zip(made.ready, (2.0, 8.0), (1.0, 2.0), strict=True):
+        worker.slots, worker.other_load, worker.usual_other_load, worker.last_report = (
+            slots,
+            load,
+            load,
+            [0.0],
+        )
     picked = {made.selector.pick(job_of(made, n), 0, None)[0].slots for n in range(20)}
     assert picked == {8.0}
 
@@ -100,8 +105,8 @@
     assert (made.other_load.at(made.ready[0], 500_000) > 0) is tells_start
 
 
-@pytest.mark.parametrize(("now", "aside"), [(600_000, False), (3_000_000, True)])
-def test_without_start_notes_silence_is_told_by_the_jobs_own_end(now, aside):
+@pytest.mark.parametrize(("now", "ejected"), [(600_000, False), (3_000_000, True)])
+def test_without_start_notes_silence_is_told_by_the_jobs_own_end(now, ejected):
     made = scheduler([queue_type(target=4_000_000)], workers=4, tells_start=False)
     made.estimates.running_time.mean = 50_000
     arrive(made, 1_000, hint=700_000)
@@ -109,17 +114,17 @@
     launch = made.jobs[1].launches[0]
     launch.curve_entry = (now, *launch.curve_entry[1:])
     made.check_launch(launch, now)
-    assert bool(launch.worker.ejections) is aside
+    assert bool(launch.worker.ejections) is ejected
 
 
 def test_an_answer_taken_up_late_is_no_slow_worker():
     made = scheduler(workers=2)
     arrive(made)
     (launch,) = pull(made, 0)
-    wkr_id = launch.worker
+    worker_id = launch.worker
     made.launch_started(1_000, 1, 0)
     made.launch_ended(700_000, 1, 0, "completed", 101_000, True, [])
-    assert made.estimates.running_time.mean == 100_000 and made.workers[wkr_id].slow <= 1.0
+    assert made.estimates.running_time.mean == 100_000 and made.workers[worker_id].slow <= 1.0
 
 
 @pytest.mark.parametrize("hint", [100_000, 0])
@@ -165,7 +170,7 @@
 
 
 @pytest.mark.parametrize(("ahead", "home"), [(0, True), (1, True), (30, False)])
-def test_a_key_stays_at_home_until_the_queue_there_is_dearer_than_fetching(ahead, home):
+def test_a_key_stays_at_home_until_the_queue_there_costs_more_than_fetching(ahead, home):
     made = scheduler(workers=4)
     job = job_of(made, key=5)
     kept = made.affinity.homes_of(5)[0]
@@ -197,9 +202,9 @@
     pull(one, 0)
     (sent,) = (d for d in pull(one, one.gossip.interval) if isinstance(d, SendLoadMessage))
     other.load_message_received(0, 0, *message((sent.told_at, sent.loads, sent.wants)))
-    wkr = one.jobs[1].launches[0].worker
+    worker = one.jobs[1].launches[0].worker
     assert [w.id for w in other.ready if other.other_load.at(w, 0) == 1.0] == [
-        wkr.id
+        worker.id
     ] and other.affinity.key_work[5] == 100_000
     assert sum(other.other_load.at(w, 0) for w in other.ready) == 1.0
 
@@ -218,10 +223,12 @@
     sender, told_at, name, load
 ):
     made = scheduler(dispatchers=3, me=1, may_message=True)
-    wkr = made.ready[0]
-    made.load_message_received(0, 2, 4, [(wkr.name_hash, 3.0)], [])
-    made.load_message_received(0, sender, told_at, [(wkr.name_hash if name == "known" else 12345, 6.0)], [])
-    assert wkr.gossiped_load == load
+    worker = made.ready[0]
+    made.load_message_received(0, 2, 4, [(worker.name_hash, 3.0)], [])
+    made.load_message_received(
+        0, sender, told_at, [(worker.name_hash if name == "known" else 12345, 6.0)], []
+    )
+    assert worker.gossiped_load == load
 
 
 def test_who_is_not_heard_any_more_has_nothing_out():
@@ -258,8 +265,8 @@
 
 
 def settings_of(made, types, **other):
-    for n, qt in enumerate(types):
-        qt.setdefault("name", n)
+    for n, queue in enumerate(types):
+        queue.setdefault("name", n)
     return {**made.settings, "queue_types": types, **other}
 
 
@@ -267,7 +274,10 @@
     made = scheduler([queue_type(name="a"), queue_type(name="b")])
     made.queue_types[0].running_time.mean, made.ready[0].slow = 77.0, 1.5
     made.reconfigure(0, settings_of(made, [queue_type(name="c"), queue_type(name="a", target=9)]))
-    assert [(qt.name, qt.running_time.mean == 77.0) for qt in made.queue_types] == [("c", False), ("a", True)]
+    assert [(queue.name, queue.running_time.mean == 77.0) for queue in made.queue_types] == [
+        ("c", False),
+        ("a", True),
+    ]
     assert made.ready[0].slow == 1.5 and made.queue_types[1].target == 9
 
 
@@ -293,13 +303,13 @@
     assert (FollowEndpoints() in pull(made, 1_000_000)) is asked
 
 
-def test_a_worker_stays_set_aside_for_a_type_that_moved():
+def test_a_worker_stays_ejected_for_a_type_that_moved():
     made = scheduler([queue_type(name="a"), queue_type(name="b")])
     arrive(made, 0, 1, 1)
     pull(made, 0)
     made.launch_ended(5_000, 1, 0, "error", 5_000, False, [])
     made.reconfigure(5_000, settings_of(made, [queue_type(name="b"), queue_type(name="a")]))
-    bad = next(wkr for wkr in made.ready if wkr.ejections)
+    bad = next(worker for worker in made.ready if worker.ejections)
     arrive(made, 6_000, 2, 0)
     arrive(made, 6_000, 3, 1)
     assert [made.eligibility.allows(bad, made.jobs[job], 6_000, None) for job in (2, 3)] == [False, True]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -50,9 +50,9 @@
     (first,) = pull(made, 0)
     launch = made.jobs[1].launches[0]
     made.launch_ended(500_000, 1, 0, "lost", 500_000, False, ())
-    for wkr in made.ready:
-        if wkr.zone == launch.worker.zone:
-            made.outliers.eject(wkr, None, launch, 500_000)
+    for worker in made.ready:
+        if worker.zone == launch.worker.zone:
+            made.outliers.eject(worker, None, launch, 500_000)
     assert pull(made, 500_000) == []
     (again,) = [d for now in range(520_000, 900_000, 20_000) for d in pull(made, now)]
     assert isinstance(again, LaunchJob)
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("dispatchers", [1, 8, 60])
-def test_a_cold_worker_stays_under_its_budget_whatever_the_number_of_dispatchers(dispatchers):
+def test_a_warming_worker_stays_under_its_budget_whatever_the_number_of_dispatchers(dispatchers):
     cold, sent = entry(0, born=1), []
     for me in range(dispatchers):
         made = scheduler(workers=0, dispatchers=dispatchers, seed=me)
@@ -94,17 +94,17 @@
 
 
 @pytest.mark.parametrize(("hint", "counts"), [(10_000, 255_000), (500_000, 500_000), (900_000, 900_000)])
-def test_small_hints_count_halfway_to_a_mean_job_against_a_cold_budget(hint, counts):
+def test_small_hints_count_halfway_to_a_mean_job_against_a_slow_start_budget(hint, counts):
     # Jobs of small hints alone fitted the budget, and hints that small were too low by far.
     made = scheduler(workers=1)
     made.estimates.mean_work = 500_000
     arrive(made, hint=hint)
     assert made.jobs[1].work == counts
     made.update_endpoints(0, "changes", [entry(0, born=1)])
-    wkr = made.ready[0]
-    wkr.credit = 0.0
-    made.launch(made.jobs[1], wkr, 1_000)
-    assert wkr.credit == -counts
+    worker = made.ready[0]
+    worker.credit = 0.0
+    made.launch(made.jobs[1], worker, 1_000)
+    assert worker.credit == -counts
 
 
 def test_late_news_is_passed_over():
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -185,7 +185,7 @@
         (230, 40, False, 0.8, 7, False),
     ],
 )
-def test_all_together_keep_cold_workers_under_their_limit(dispatchers, workers, even, load, anew, joining):
+def test_all_together_keep_warming_workers_under_their_limit(dispatchers, workers, even, load, anew, joining):
     world = World(dispatchers, workers, even, load, anew, joining)
     assert world.worst() <= 1.0
     assert world.used() > 0.01  # they are not kept whole by being left out
--- a/tests/test_worker_selection.py
+++ b/tests/test_worker_selection.py
@@ -19,9 +19,9 @@
 
 def test_least_contention_then_worst_fit():
     made = scheduler(workers=3)
-    for wkr, ends in zip(made.ready, ([50_000] * 9, [], [900_000]), strict=True):
-        wkr.load_curve = [(end, n, 1.0) for n, end in enumerate(ends)]
-        wkr.load = wkr.running = float(len(ends))
+    for worker, ends in zip(made.ready, ([50_000] * 9, [], [900_000]), strict=True):
+        worker.load_curve = [(end, n, 1.0) for n, end in enumerate(ends)]
+        worker.load = worker.running = float(len(ends))
     arrive(made, hint=1_000_000)
     assert pull(made, 0)[0].worker == made.ready[1].id
 
@@ -29,14 +29,14 @@
 @pytest.mark.parametrize(("units", "least", "most"), [(1.0, 0.4, 0.6), (3.0, 0.65, 0.85)])
 def test_ties_fall_by_declared_size_in_all_zones(units, least, most):
     made = scheduler(workers=4)
-    for wkr in made.ready[:2]:
-        wkr.units = units
+    for worker in made.ready[:2]:
+        worker.units = units
     picked = [made.random.draw_by_size(made.ready) for _ in range(400)]
-    assert least < sum(wkr.units == units and wkr in made.ready[:2] for wkr in picked) / 400 < most
+    assert least < sum(worker.units == units and worker in made.ready[:2] for worker in picked) / 400 < most
 
 
 @pytest.mark.parametrize("how", ["error", "full"])
-def test_errors_set_aside_a_worker_for_that_queue_type_only(how):
+def test_errors_eject_a_worker_for_that_queue_type_only(how):
     # One that turned away a single queue type, and late, was tried again as soon as its seen load had faded.
     made = scheduler([queue_type(), queue_type()], workers=4)
     bad = run(made, 1, 0, 5_000, how)
@@ -44,8 +44,8 @@
     assert list(bad.ejections) == [0]
     made.outliers.counts = {0: 1}
     kinds = []
-    for job, qtype in ((2, 0), (3, 1)):
-        arrive(made, 6_000, job, qtype)
+    for job, queue_number in ((2, 0), (3, 1)):
+        arrive(made, 6_000, job, queue_number)
         kinds.append(made.eligibility.allows(bad, made.jobs[job], 6_000, None))
     assert kinds == [False, True]
 
@@ -81,13 +81,13 @@
 def test_trickle_doubles_while_it_goes_well():
     made = scheduler(workers=4)
     bad = run(made, 1, 0, 5_000, "error")
-    aside, seen = bad.ejections[0], []
+    ejection, seen = bad.ejections[0], []
     made.jobs.clear()
     for job in range(2, 40):
-        arrive(made, aside.ends_at + job, job)
+        arrive(made, ejection.ends_at + job, job)
         launch_at = made.jobs[job]
-        made.launch(launch_at, bad, aside.ends_at + job)
-        made.launch_ended(aside.ends_at + job, job, 0, "completed", 1, True, [])
+        made.launch(launch_at, bad, ejection.ends_at + job)
+        made.launch_ended(ejection.ends_at + job, job, 0, "completed", 1, True, [])
         seen.append(bad.ejections[0].trial_limit if 0 in bad.ejections else None)
         if seen[-1] is None:
             break
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize(("pressure", "turned"), [(0.0, 0), (0.9, 30)])
-def test_pressure_turns_jobs_away(pressure, turned):
+def test_pressure_rejects_jobs(pressure, turned):
     made = scheduler(workers=40)
     made.admission.sustained_pressure, made.admission.pressure_at = pressure, 0
     sent = []
@@ -155,36 +155,40 @@
     made = scheduler([queue_type("run-once")])
     arrive(made, patience=15_000_000)
     pull(made, 0)
-    wkr = made.jobs[1].launches[0].worker
+    worker = made.jobs[1].launches[0].worker
     if began:
         made.launch_started(began, 1, 0)
     if heard:
-        wkr.heard_at = 2_900_000
+        worker.heard_at = 2_900_000
     if began:
         pull(made, 3_000_000)
     else:
         made.launch_silent(3_000_000, 1, 0)
-    assert (wkr.load, len(wkr.load_curve), made.other_load.at(wkr, 3_000_000)) == (0, 0, 0.0) or not heard
-    assert len(wkr.load_curve) == (not heard) and made.jobs[1].in_flight == 1
+    assert (worker.load, len(worker.load_curve), made.other_load.at(worker, 3_000_000)) == (
+        0,
+        0,
+        0.0,
+    ) or not heard
+    assert len(worker.load_curve) == (not heard) and made.jobs[1].in_flight == 1
     waits = len(made.admission.start_waits)
     made.launch_ended(15_000_000, 1, 0, "revoked", 15_000_000, False, ())
     assert len(made.admission.start_waits) == waits + (not heard and not began)
 
 
 @pytest.mark.parametrize(("why", "kept_out"), [(-1, True), (None, False)])
-def test_a_cut_off_zone_stays_set_aside_though_it_is_most_of_the_fleet(why, kept_out):
+def test_a_cut_off_zone_stays_ejected_though_it_is_most_of_the_fleet(why, kept_out):
     made = scheduler(workers=4)
     arrive(made)
     pull(made, 0)
     launch = made.jobs[1].launches[0]
-    for wkr in made.ready[:3]:
-        made.outliers.eject(wkr, why, launch, 0)
+    for worker in made.ready[:3]:
+        made.outliers.eject(worker, why, launch, 0)
     arrive(made, 1_000, 2)
     assert made.eligibility.allows(made.ready[0], made.jobs[2], 1_000, None) is not kept_out
 
 
 @pytest.mark.parametrize(("pressure", "then"), [(0.0, []), (0.8, ["RejectJob", "RevokeLaunch"])])
-def test_under_pressure_what_can_no_longer_start_in_time_is_turned_away(pressure, then):
+def test_under_pressure_what_can_no_longer_start_in_time_is_rejected(pressure, then):
     made = scheduler(workers=1)
     arrive(made)
     pull(made, 0)
@@ -202,23 +206,23 @@
 
 
 @pytest.mark.parametrize(("workers", "used"), [(4, 4), (60, 6)])
-def test_a_dispatcher_of_little_traffic_keeps_to_a_part_of_the_fleet(workers, used):
+def test_a_dispatcher_of_little_traffic_keeps_to_a_subset_of_the_fleet(workers, used):
     made = scheduler(workers=workers)
     seen = {run(made, job, job * 1_000_000, 100_000).id for job in range(40)}
     assert len(seen) == used
 
 
-def test_past_its_part_it_looks_while_no_worker_there_is_free():
+def test_past_its_subset_it_looks_while_no_worker_there_is_free():
     made = scheduler(workers=60)
-    for wkr in made.subset.members:
-        wkr.other_load, wkr.other_load_at = 40.0, 0
+    for worker in made.subset.members:
+        worker.other_load, worker.other_load_at = 40.0, 0
     before = list(made.subset.members)
     assert run(made, 1, 0, 100_000) not in before
     assert made.subset.members != before
 
 
 @pytest.mark.parametrize(("parallel", "most"), [(True, 1.5), (False, 3.5)])
-def test_moves_and_copies_are_saved_for_a_second_only(parallel, most):
+def test_moves_and_hedges_are_saved_for_a_second_only(parallel, most):
     made = scheduler(parallel=parallel)
     made.traffic.arrival_rate = 2.0
     for job in range(100):
@@ -238,7 +242,7 @@
     assert was > 1.5 > 1.1 > made.ready[0].slow
 
 
-def test_a_cold_workers_lack_is_not_learned_as_slowness_as_well():
+def test_what_a_warming_worker_lacks_is_not_learned_as_slowness_as_well():
     made = scheduler(workers=1)
     made.update_endpoints(0, "changes", [entry(0, born=1)])
     for _ in range(50):
@@ -266,7 +270,7 @@
     assert now > 0 == made.admission.pressure
 
 
-def test_a_part_is_no_larger_than_the_cpu_allows():
+def test_a_subset_is_no_larger_than_the_cpu_allows():
     made = scheduler(workers=60, cpu_a_job=10.0)
     for job in range(400):
         arrive(made, 0, job)
@@ -286,12 +290,12 @@
     assert made.timers.count < 19
 
 
-def test_a_worker_is_asked_whether_it_is_cold_until_it_is_warm():
+def test_a_worker_is_asked_for_its_budget_until_it_is_warm():
     # Asked for each job of all that ever started, it took a tenth of the CPU of a job on a large fleet.
     made, asked = scheduler(workers=1), []
     made.update_endpoints(0, "changes", [entry(0, born=1_000)])
     worker = made.workers[0]
-    made.slow_start.within_budget = lambda wkr, job, now: asked.append(now) or True
+    made.slow_start.within_budget = lambda worker, job, now: asked.append(now) or True
     for job, now in enumerate((2_000_000, 9_000_000, 12_000_000, 14_000_000), 1):
         arrive(made, now, job)
         pull(made, now)
