--- a/mastledge/adapter/__main__.py
+++ b/mastledge/adapter/__main__.py
@@ -4,7 +4,7 @@
 
 from mastledge.adapter.frames import BadFrameError, frame_from
 from mastledge.adapter.host import Host
-from mastledge.program.settings import BadSetting
+from mastledge.program.settings import SettingError
 
 
 def main() -> int:
@@ -14,7 +14,7 @@
         while (frame := frame_from(stdin)) is not None:
             stdout.write(host.turn(frame))
             stdout.flush()
-    except (BadFrameError, BadSetting) as error:
+    except (BadFrameError, SettingError) as error:
         print(f"mastledge.adapter: {error}", file=sys.stderr)
         return 1
     return 0
--- a/mastledge/adapter/host.py
+++ b/mastledge/adapter/host.py
@@ -5,7 +5,7 @@
 
 from mastledge.adapter import frames
 from mastledge.adapter.frames import BadFrameError, EventCode, Frame
-from mastledge.program.settings import BadSetting, pairs_of, plain_map
+from mastledge.program.settings import SettingError, parse_pairs, parse_settings
 from mastledge.protocol import load_messages
 from mastledge.scheduling.decisions import (
     Decision,
@@ -58,7 +58,7 @@
         }
 
     def turn(self, frame: Frame) -> bytes:
-        """The reply to one frame; BadFrameError and BadSetting for what cannot be read.
+        """The reply to one frame; BadFrameError and SettingError for what cannot be read.
 
         A fault inside one instance is an action of the reply, and the others go on.
         """
@@ -67,7 +67,7 @@
         for position, code, fields in frame.events():
             try:
                 self._take(frame, position, code, fields, touched)
-            except (BadFrameError, BadSetting):
+            except (BadFrameError, SettingError):
                 raise
             except Exception as error:
                 self._fault(fields[0], error)
@@ -101,9 +101,9 @@
         instance, seed, offset, size = fields
         raw = bytes(frame.tail_part(position, offset, size, "settings"))
         try:
-            settings = plain_map(pairs_of(raw.decode()))
+            settings = parse_settings(parse_pairs(raw.decode()))
         except UnicodeDecodeError as error:
-            raise BadSetting(f"settings are not text: {error}") from None
+            raise SettingError(f"settings are not text: {error}") from None
         self._timers[instance] = None
         self.instances[instance] = Scheduler(settings, seed, frame.now)
 
--- a/mastledge/lab/bench.py
+++ b/mastledge/lab/bench.py
@@ -20,8 +20,8 @@
 from mastledge.lab.sized import grown
 from mastledge.lab.sized import measured as measured_size
 from mastledge.lab.wire import call
-from mastledge.replication.persisted_state import PersistedReplica, head
-from mastledge.replication.placement import ranked
+from mastledge.replication.persisted_state import PersistedReplica, head_records
+from mastledge.replication.placement import heaviest
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.storage.write_ahead_log import WriteAheadLog
 
@@ -244,10 +244,10 @@
     async def build(self):
         await super().build()
         names, until = list(self.nodes), time.time_ns() // 1000 + 600_000_000
-        records = {name: head(f"id-{name}", 1, 0) for name in names}
+        records = {name: head_records(f"id-{name}", 1, 0) for name in names}
         for n in range(self.keys):
             key = b"key-%032d" % n
-            for name in ranked(names, "", key, 3):
+            for name in heaviest(names, "", key, 3):
                 records[name].append(("claim", "", key, b"p" * 16, until, f"{n}.0123456789ab.{name}"))
                 records[name].append(("end", "", key, True, 200, self.answer, until))
         self.written = {}
@@ -372,8 +372,8 @@
     fleet.run(began + 10_000_000)
     count = len(fleet.nodes)
     out = {
-        "voters": len(leader.member.voters()),
-        "followers": count - len(leader.member.voters()),
+        "voters": len(leader.member.state.voters()),
+        "followers": count - len(leader.member.state.voters()),
         "messages_a_second": round((fleet.sent - sent) / 10 / count, 1),
         "bytes_a_second": round((fleet.bytes - bytes_) / 10 / count),
         "leader_messages_a_second": round((leader.sent - by_leader) / 10, 1),
@@ -381,11 +381,13 @@
     times, elections = [], []
     for n in range(tries):
         leader, began = fleet.leader(), fleet.now
-        last = leader.member.log.last
+        last = leader.member.log.last_index
         fleet.propose(
             leader.name, f"c{n}", {"kind": ("out", "back")[n % 2], "worker": "w", "at": 1, "cold_for": 1}
         )
-        fleet.run(began + 5_000_000, lambda leader=leader, last=last: leader.member.in_force > last)
+        fleet.run(
+            began + 5_000_000, lambda leader=leader, last=last: leader.member.lease.in_force_index > last
+        )
         times.append((fleet.now - began) / 1000)
         fleet.run(fleet.now + 1_000_000)
     for _ in range(tries):
@@ -394,7 +396,7 @@
         fleet.run(
             began + 20_000_000,
             lambda: fleet.leader() is not None
-            and fleet.leader().member.commit >= fleet.leader().member.began,
+            and fleet.leader().member.commit_index >= fleet.leader().member.leadership.first_index,
         )
         elections.append((fleet.now - began) / 1000)
         leader.start()
--- a/mastledge/lab/scale/meter.py
+++ b/mastledge/lab/scale/meter.py
@@ -27,7 +27,8 @@
 AGREEMENT, LIST, CALLS, JOBS, UPKEEP, METER = "agreement", "list", "calls", "jobs", "upkeep", "meter"
 CONTROL = (AGREEMENT, LIST, CALLS, UPKEEP)
 PURPOSES = {
-    "Links": AGREEMENT,
+    "OutgoingLink": AGREEMENT,
+    "LinkListener": AGREEMENT,
     "DelayedLinks": AGREEMENT,
     "Fleet": AGREEMENT,
     "Discovery": LIST,
@@ -104,7 +105,7 @@
 
 def purpose_of(generator):
     """What a coroutine is for, by the class of its function; what is wrapped counts as what it wraps."""
-    if generator.__qualname__ == "Program.vital" and generator.gi_frame is not None:
+    if generator.__qualname__ == "Program.supervised" and generator.gi_frame is not None:
         inner = generator.gi_frame.f_locals.get("steps")
         generator = inner if inner is not None else generator
     return PURPOSES.get(generator.__qualname__.partition(".")[0], JOBS)
@@ -163,10 +164,10 @@
 def meter_messages(meter):
     from mastledge.program.fleet import Fleet
 
-    heard = Fleet.heard
+    frame_received = Fleet.frame_received
 
     def count(table, content, message):
-        some = table[type(message).__name__ if message is not None else "other"]
+        some = table[type(message).__struct_config__.tag if message is not None else "other"]
         some[0] += 1
         some[1] += FRAME_HEAD + len(content)
 
@@ -184,9 +185,10 @@
         count(meter.received, content, message)
         meter.sent["read"][0] += 1
         meter.sent["read"][1] += READ_BYTE
-        heard(self, name, life, content)
+        frame_received(self, name, life, content)
 
-    Fleet.do_send, Fleet.heard = metered_send, within(meter, AGREEMENT, metered_heard)
+    Fleet.do_send = metered_send
+    Fleet.frame_received = within(meter, AGREEMENT, metered_heard)
 
 
 def hold_voters():
--- a/tests/decision_players.py
+++ b/tests/decision_players.py
@@ -5,7 +5,7 @@
 
 from mastledge.adapter.frames import frame_from
 from mastledge.adapter.host import Host
-from mastledge.program.settings import pairs_of, plain_map
+from mastledge.program.settings import parse_pairs, parse_settings
 from mastledge.scheduling.decisions import (
     FollowEndpoints,
     KillJob,
@@ -20,7 +20,7 @@
 
 PROGRAM = {
     "new": Scheduler,
-    "read settings": lambda text: plain_map(pairs_of(text)),
+    "read settings": lambda text: parse_settings(parse_pairs(text)),
     "members": lambda made, *given: made.update_endpoints(*given),
     "arrived": lambda made, *given: made.job_arrived(*given),
     "started": lambda made, *given: made.launch_started(*given),
