--- a/mastledge/adapter/frames.py
+++ b/mastledge/adapter/frames.py
@@ -8,6 +8,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 from enum import IntEnum
+from typing import BinaryIO
 
 EVENT_HEADER = struct.Struct(">IId")  # records, bytes in all, clock
 REPLY_HEADER = struct.Struct(">II")  # records, bytes in all
@@ -92,7 +93,7 @@
         return self.body[start : start + size]
 
 
-def frame_from(stream) -> Frame | None:
+def frame_from(stream: BinaryIO) -> Frame | None:
     """The next frame of a stream; None at the end of input, BadFrameError for what is none."""
     head = stream.read(EVENT_HEADER.size)
     if not head:
--- a/mastledge/scheduling/affinity.py
+++ b/mastledge/scheduling/affinity.py
@@ -4,6 +4,7 @@
 """
 
 from collections import Counter
+from collections.abc import Iterable
 from zlib import crc32
 
 from mastledge.scheduling.estimation import MOST_KEYS, Estimate, FleetEstimates
@@ -31,7 +32,7 @@
         """A job wants the data of this key."""
         self.key_work[key] += work
 
-    def add_wants(self, wants) -> None:
+    def add_wants(self, wants: Iterable[tuple[int, float]]) -> None:
         """Another dispatcher's jobs wanted these keys, as (key, work)."""
         self.key_work.update(dict(wants))
 
@@ -55,7 +56,7 @@
         """The home workers of a key; none for 0."""
         return self.homes.get(key) or self.order(key)[:1] if key else ()
 
-    def fetch_time(self, key: int, worker: Worker, homes) -> float:
+    def fetch_time(self, key: int, worker: Worker, homes: Iterable[Worker]) -> float:
         """The time that a job of this key would spend there on fetching its data, in microseconds."""
         return 0.0 if worker in homes or worker.last_key[0] == key else self.fetch.mean
 
--- a/mastledge/scheduling/decisions.py
+++ b/mastledge/scheduling/decisions.py
@@ -1,5 +1,6 @@
 """What a host has to carry out. Ids are those that the host gave; times are whole microseconds."""
 
+from collections.abc import Hashable
 from dataclasses import dataclass
 
 
@@ -10,8 +11,8 @@
     The launches of a job count from 0.
     """
 
-    job: object
-    worker: object
+    job: Hashable
+    worker: Hashable
     within: int
 
 
@@ -19,7 +20,7 @@
 class RejectJob:
     """Final: trying again is harmless, best after this time."""
 
-    job: object
+    job: Hashable
     retry_after: int
 
 
@@ -27,14 +28,14 @@
 class KillJob:
     """Final: nothing is promised."""
 
-    job: object
+    job: Hashable
 
 
 @dataclass(frozen=True, slots=True)
 class RevokeLaunch:
     """Stop waiting for that launch; its end still has to be told."""
 
-    job: object
+    job: Hashable
     number: int
 
 
--- a/mastledge/scheduling/fleet_view.py
+++ b/mastledge/scheduling/fleet_view.py
@@ -1,5 +1,6 @@
 """The workers that this dispatcher knows: the endpoint list, who is excluded, when to ask for the list."""
 
+from collections.abc import Collection, Iterable
 from enum import StrEnum
 
 from mastledge.scheduling.random_source import RandomSource
@@ -31,7 +32,7 @@
         # By the text of ids: excluded by an operator, and when exclusion was last taken back.
         self.excluded, self.called_back = (), {}
 
-    def update(self, now: int, whole: bool, entries) -> None:
+    def update(self, now: int, whole: bool, entries: Iterable[tuple]) -> None:
         """Takes over entries of the endpoint list; of a whole one, who is not named is gone."""
         named = {entry[1] for entry in entries}
         for entry in entries:
@@ -46,7 +47,7 @@
         }
         self._refresh_ready()
 
-    def set_excluded(self, now: int, excluded, called_back: dict) -> None:
+    def set_excluded(self, now: int, excluded: Collection[str], called_back: dict[str, int]) -> None:
         """Excluded workers get nothing whatever the list says; who is called back begins an incarnation.
 
         It may have been restarted unseen.
--- a/mastledge/scheduling/gossip.py
+++ b/mastledge/scheduling/gossip.py
@@ -4,6 +4,7 @@
 """
 
 from collections import Counter
+from collections.abc import Iterable
 from dataclasses import dataclass
 
 from mastledge.scheduling.estimation import MOST_KEYS
@@ -45,7 +46,7 @@
         if self.message_at is None and self.interval:
             self.message_at = now + self.interval
 
-    def receive(self, now: int, sender: int, told_at: int, loads) -> bool:
+    def receive(self, now: int, sender: int, told_at: int, loads: Iterable[tuple[int, float]]) -> bool:
         """Takes over loads by name hash; False for one's own message, and for an older one."""
         before = self.peers.get(sender)
         if sender == self._settings["me"] or before and before.told_at >= told_at:
--- a/mastledge/scheduling/load_reports.py
+++ b/mastledge/scheduling/load_reports.py
@@ -1,6 +1,7 @@
 """Load reports: free slots and queue length that come with a worker's answer."""
 
 from collections import Counter
+from collections.abc import Sequence
 
 from mastledge.scheduling.admission import AdmissionControl
 from mastledge.scheduling.estimation import GAIN, FleetEstimates
@@ -22,7 +23,7 @@
         self._estimates, self._admission = estimates, admission
         self.free_slot_counts: dict[int, Counter] = {}
 
-    def learn(self, launch: Launch, report: list, now: int) -> None:
+    def learn(self, launch: Launch, report: Sequence[float], now: int) -> None:
         """What a worker reports with its answer, less what was one's own when the report was made."""
         if not report or self._settings["report_how"] != "piggyback":
             return
--- a/mastledge/scheduling/outliers.py
+++ b/mastledge/scheduling/outliers.py
@@ -52,7 +52,7 @@
         self._fleet = fleet
         self.counts: Counter = Counter()
 
-    def eject(self, worker: Worker, reason, launch: Launch, now: int) -> None:
+    def eject(self, worker: Worker, reason: str | int | None, launch: Launch, now: int) -> None:
         """The launch failed there; one sent before the last pause was over tells nothing new."""
         factor = RUN_ONCE_FACTOR if launch.may_have_run and launch.job.queue_type.effect == RUN_ONCE else 1
         ejection = worker.ejections.get(reason)
--- a/mastledge/scheduling/random_source.py
+++ b/mastledge/scheduling/random_source.py
@@ -2,8 +2,12 @@
 
 from bisect import bisect_left
 from itertools import accumulate
+from typing import TYPE_CHECKING
 from zlib import crc32
 
+if TYPE_CHECKING:
+    from mastledge.scheduling.state import Worker
+
 _CRC_VALUES = 4294967296.0  # how many values a CRC-32 can have
 
 
@@ -21,7 +25,7 @@
         self._draws += 1
         return crc32(b"%d %d" % (self._seed, self._draws)) / _CRC_VALUES
 
-    def draw_by_size(self, workers: list):
+    def draw_by_size(self, workers: list["Worker"]) -> "Worker":
         """One of these workers, each as likely as its declared size says.
 
         Most ranks tie where each dispatcher has few jobs in flight, so this spreads the load over the fleet.
--- a/mastledge/scheduling/scheduler.py
+++ b/mastledge/scheduling/scheduler.py
@@ -5,6 +5,7 @@
 """
 
 from collections import deque
+from collections.abc import Collection, Hashable, Iterable, Sequence
 
 from mastledge.scheduling.admission import AdmissionControl
 from mastledge.scheduling.affinity import KeyAffinity
@@ -22,6 +23,7 @@
 from mastledge.scheduling.fleet_view import EndpointPoll, FleetView, ListKind
 from mastledge.scheduling.gossip import LoadGossip
 from mastledge.scheduling.hedging import LaunchMonitor, Verdict
+from mastledge.scheduling.intake import ANSWER_STEPS, JobIntake
 from mastledge.scheduling.launching import Launcher
 from mastledge.scheduling.learned_state import learned_state, restore_learned
 from mastledge.scheduling.learning import OutcomeLearner
@@ -46,14 +48,15 @@
 from mastledge.scheduling.traffic import Traffic
 
 SURVEY_INTERVAL_US = 1_000_000
-ANSWER_STEPS = 2  # steps of the clock by which a final answer comes before the end of the attempt
 HELD_STEPS = 5  # steps of the clock after which a job that no worker may get is looked at again
 
 
 class Scheduler:
     """One dispatcher's decisions. Its parts are public for tests and for the laboratory's policies."""
 
-    def __init__(self, settings: dict, seed: int, now: int, selector_type=WorkerSelector):
+    def __init__(
+        self, settings: dict, seed: int, now: int, selector_type: type[WorkerSelector] = WorkerSelector
+    ):
         """The settings map is copied; all chance comes from the seed."""
         # One map that all parts share; `reconfigure` replaces what is in it.
         self.settings = settings = dict(settings)
@@ -69,6 +72,7 @@
         self.gossip = LoadGossip(settings, self.fleet)
         self.other_load = OtherLoad(settings, self.estimates, self.reports, self.gossip)
         self.affinity = KeyAffinity(self.fleet, self.estimates)
+        self.intake = JobIntake(settings, self.estimates, self.affinity, self.gossip, self.traffic)
         self.outliers = OutlierDetector(self.fleet)
         self.subset = CandidateSubset(settings, self.random, self.fleet)
         self.slow_start = SlowStart(settings, self.random, self.fleet, self.subset, self.traffic)
@@ -117,7 +121,7 @@
 
     # Inputs about the dispatcher and its workers.
 
-    def update_endpoints(self, now: int, kind: ListKind, entries) -> None:
+    def update_endpoints(self, now: int, kind: ListKind, entries: Iterable[tuple]) -> None:
         """News of the endpoint list; docs/interface.md says what an entry is."""
         if kind == ListKind.FAILED:
             self.poll.failed(now)
@@ -127,12 +131,19 @@
         self.fleet.update(now, kind != ListKind.CHANGES, entries)
         self.fleet_changed()
 
-    def set_excluded(self, now: int, excluded, called_back: dict) -> None:
+    def set_excluded(self, now: int, excluded: Collection[str], called_back: dict[str, int]) -> None:
         """Workers excluded by an operator, by the text of ids, and when others were called back."""
         self.fleet.set_excluded(now, excluded, called_back)
         self.fleet_changed()
 
-    def load_message_received(self, now: int, sender: int, told_at: int, loads, wants) -> None:  # noqa: PLR0913 - the fields of a load message
+    def load_message_received(  # noqa: PLR0913 - the fields of a load message
+        self,
+        now: int,
+        sender: int,
+        told_at: int,
+        loads: Iterable[tuple[int, float]],
+        wants: Iterable[tuple[int, float]],
+    ) -> None:
         """What another dispatcher has in flight at each worker, and the keys that its jobs wanted lately."""
         if self.gossip.receive(now, sender, told_at, loads):
             self.affinity.add_wants(wants)
@@ -166,38 +177,34 @@
 
     # Inputs about jobs and launches; of those that are no longer known they are passed over.
 
-    def job_arrived(self, now, job_id, queue_type, hint, key, width, memory, tenant, patience):  # noqa: PLR0913 - a call for each job: an object for its terms would cost CPU
+    def job_arrived(  # noqa: PLR0913 - a call for each job: an object for its terms would cost CPU
+        self,
+        now: int,
+        job_id: Hashable,
+        queue_type: int,
+        hint: int,
+        key: int,
+        width: float,
+        memory: float,
+        tenant: int,
+        patience: int,
+    ) -> None:
         """A job was taken; hint 0 and key 0 mean none, patience is what is left of this attempt."""
-        terms = self.queue_types[queue_type]
-        job = Job(job_id, terms, now)
+        job = Job(job_id, self.queue_types[queue_type], now)
         job.key, job.hint, job.load, job.tenant = key, hint, max(width, memory), tenant
-        # Early: a timer is rung at a step's end, and the answer takes effect there.
-        answer_by = now + max(0, patience - ANSWER_STEPS * self.settings["step"])
-        job.deadline = min(answer_by, self._shutdown_at or now + patience)
-        terms.most_patience = max(terms.most_patience, patience)
-        self.estimates.estimate(job)
-        work = job.expected_work()
-        # A small rough hint is mostly error, so it counts halfway to a mean job where a worker warms up.
-        job.work = max(work, (work + self.estimates.mean_work) / 2) * job.load
-        if key:
-            self.affinity.job_arrived(key, work)
-        self.gossip.job_arrived(key, work, now)
-        objective = min(terms.target + int(terms.stretch * work), terms.walltime)
-        # A later attempt's time is counted from the client's first one.
-        job.target_at = now + objective - max(0, terms.most_patience - patience)
-        self.traffic.job_arrived(tenant)
+        self.intake.take(job, patience, now, self._shutdown_at)
         self.monitor.job_arrived()
         self.jobs[job_id] = job
         self._pending.append(job)
         self.timers.set(job.deadline, job)
 
-    def job_abandoned(self, now: int, job_id) -> None:
+    def job_abandoned(self, now: int, job_id: Hashable) -> None:
         """The client left."""
         job = self.jobs.get(job_id)
         if job is not None and not job.ended:
             self.close_job(job)
 
-    def launch_started(self, now: int, job_id, number: int) -> None:
+    def launch_started(self, now: int, job_id: Hashable, number: int) -> None:
         """The worker tells that the launch began."""
         launch = self._find_launch(job_id, number)
         if launch is None or launch.started_at or launch.ended:
@@ -216,19 +223,28 @@
         move_in_curve(launch, end)
         self.timers.set(end, launch)
 
-    def launch_progressed(self, now: int, job_id, number: int, share: float) -> None:
+    def launch_progressed(self, now: int, job_id: Hashable, number: int, share: float) -> None:
         """The worker tells the share that is done."""
         launch = self._find_launch(job_id, number)
         if launch is not None and not launch.ended:
             launch.heard_at = launch.worker.heard_at = now
 
-    def launch_silent(self, now: int, job_id, number: int) -> None:
+    def launch_silent(self, now: int, job_id: Hashable, number: int) -> None:
         """The worker has not even told that it has the launch, in a time in which others have."""
         launch = self._find_launch(job_id, number)
         if launch is not None:
             remove_if_connection_is_dead(launch)
 
-    def launch_ended(self, now, job_id, number, outcome: Outcome, lag, final, report):  # noqa: PLR0913 - a call for each launch: an object for its end would cost CPU
+    def launch_ended(  # noqa: PLR0913 - a call for each launch: an object for its end would cost CPU
+        self,
+        now: int,
+        job_id: Hashable,
+        number: int,
+        outcome: Outcome,
+        lag: int,
+        final: bool,
+        report: Sequence[float],
+    ) -> None:
         """The launch ended, `lag` after its sending; `final`: so did its job; `report`: load, or nothing."""
         launch = self._find_launch(job_id, number)
         if launch is None or launch.ended:
@@ -250,8 +266,6 @@
         else:
             self._pending.append(job)
 
-    # Decisions.
-
     def wake_at(self) -> int | None:
         """The latest time of the next call of `decide`; None: nothing is due."""
         soon, ask_at, message_at = self.timers.next_due(), self.poll.ask_at, self.gossip.message_at
@@ -352,8 +366,6 @@
         elif self.settings["may_revoke"]:
             self._revocations.extend(launch for launch in job.launches if not launch.ended)
 
-    # What is brought up to date as a whole.
-
     def _adopt_terms(self):
         """Queue types and tenants are told from those before by name, and keep what was learned of them."""
         before = {queue_type.name: queue_type for queue_type in self.queue_types}
--- a/mastledge/scheduling/selection.py
+++ b/mastledge/scheduling/selection.py
@@ -5,6 +5,7 @@
 from mastledge.scheduling.affinity import KeyAffinity
 from mastledge.scheduling.eligibility import Eligibility
 from mastledge.scheduling.fleet_view import FleetView
+from mastledge.scheduling.other_load import OtherLoad
 from mastledge.scheduling.prediction import contention, slowness
 from mastledge.scheduling.random_source import RandomSource
 from mastledge.scheduling.state import Job, Worker
@@ -25,14 +26,14 @@
         subset: CandidateSubset,
         affinity: KeyAffinity,
         eligibility: Eligibility,
-        other_load,
+        other_load: OtherLoad,
     ):
         """Asks these parts, and keeps nothing itself."""
         self._settings, self._random = settings, random
         self._fleet, self._subset, self._affinity = fleet, subset, affinity
         self._eligibility, self._other_load = eligibility, other_load
 
-    def pick(self, job: Job, now: int, group_of: Worker | None):
+    def pick(self, job: Job, now: int, group_of: Worker | None) -> tuple[Worker | None, float]:
         """The worker for the job, and how long it is predicted to wait there in microseconds.
 
         `group_of`: a worker in whose group it has to be; None: anywhere. (None, 0.0) where no worker is
--- a/mastledge/scheduling/state.py
+++ b/mastledge/scheduling/state.py
@@ -3,6 +3,7 @@
 Plain records: the module that has the job of a field changes it. Times are whole microseconds.
 """
 
+from collections.abc import Hashable
 from zlib import crc32
 
 from mastledge.scheduling.estimation import Estimate
@@ -49,7 +50,7 @@
         "threshold_drawn_at",
     )
 
-    def __init__(self, worker_id, slots: float, born: int, now: int):
+    def __init__(self, worker_id: Hashable, slots: float, born: int, now: int):
         """A worker that was just listed."""
         self.id, self.slots, self.in_flight, self.state = worker_id, slots, {}, "ready"
         self.name_hash, self.curve_sequence = crc32(str(worker_id).encode()), 0
@@ -126,7 +127,7 @@
         "wants_hedge",  # another launch is wanted while one is in flight
     )
 
-    def __init__(self, job_id, queue_type: QueueType, now: int):
+    def __init__(self, job_id: Hashable, queue_type: QueueType, now: int):
         """A job that has just arrived; who takes it sets the other fields."""
         self.id, self.queue_type, self.arrived_at = job_id, queue_type, now
         self.launches, self.in_flight, self.ended, self.wants_hedge = [], 0, False, False
--- a/mastledge/scheduling/timers.py
+++ b/mastledge/scheduling/timers.py
@@ -1,6 +1,10 @@
 """When a job or a launch has to be looked at again. Times are whole microseconds."""
 
 from heapq import heappop, heappush
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from mastledge.scheduling.state import Job, Launch
 
 
 class Timers:
@@ -12,7 +16,7 @@
         """No timer is set."""
         self._heap, self.count = [], 0
 
-    def set(self, when: int, subject) -> None:
+    def set(self, when: int, subject: "Job | Launch") -> None:
         """Has `pop_due` give this job or launch once that time has come."""
         self.count += 1
         # The number keeps timers of one moment in the order in which they were set.
@@ -29,7 +33,7 @@
             heappop(heap)
         return heap[0][0] if heap else None
 
-    def pop_due(self, now: int):
+    def pop_due(self, now: int) -> "Job | Launch | None":
         """The next job or launch whose time has come; None: there is no further one."""
         heap = self._heap
         while heap and heap[0][0] <= now:
