--- a/mastledge/program/recovery_records.py
+++ b/mastledge/program/recovery_records.py
@@ -3,7 +3,6 @@
 from dataclasses import astuple
 from typing import TYPE_CHECKING
 
-from mastledge.balance import CUT_OFF
 from mastledge.protocol.discovery import Discovery
 from mastledge.protocol.worker_connections import WorkerEndpoint
 from mastledge.recovery.newest_list import MAX_WORKERS, NewestList
@@ -17,12 +16,13 @@
     StoredWorker,
     UnfinishedLoad,
 )
+from mastledge.scheduling.outliers import CONNECTION_REFUSED
 
 if TYPE_CHECKING:
     from mastledge.program.lifecycle import Program
 
-STORED_CUT_OFF = "cut_off"
-"""How the reason `CUT_OFF` of the decisions, which is no text, is stored."""
+STORED_CONNECTION_REFUSED = "cut_off"
+"""How the reason `CONNECTION_REFUSED` of the decisions, which is no text, is stored."""
 LOAD_END_STEP_US = 100_000
 """Ends of loads are rounded up to it, lest the same load be written again and again."""
 
@@ -53,7 +53,10 @@
     Monotonic clocks end with the machine, so no time of them is stored.
     """
     return [
-        [STORED_CUT_OFF if reason == CUT_OFF else reason, {**fields, "back_at": fields["back_at"] - now}]
+        [
+            STORED_CONNECTION_REFUSED if reason == CONNECTION_REFUSED else reason,
+            {**fields, "back_at": fields["back_at"] - now},
+        ]
         for reason, fields in asides
     ]
 
@@ -61,7 +64,10 @@
 def asides_from_stored(asides: list, now: int) -> list:
     """The inverse of `stored_asides`; a start counts the spans from itself."""
     return [
-        [CUT_OFF if reason == STORED_CUT_OFF else reason, {**fields, "back_at": now + fields["back_at"]}]
+        [
+            CONNECTION_REFUSED if reason == STORED_CONNECTION_REFUSED else reason,
+            {**fields, "back_at": now + fields["back_at"]},
+        ]
         for reason, fields in asides
     ]
 
@@ -91,7 +97,7 @@
         zones = {number: name for name, number in discovery.zones.items()}
         machine_types = {number: name for name, number in discovery.kinds.items()}
         workers = {}
-        for worker in list(self._program.router.balancer.workers.values())[:MAX_WORKERS]:
+        for worker in list(self._program.router.scheduler.workers.values())[:MAX_WORKERS]:
             endpoint = worker.id
             if endpoint.address is not None:
                 workers[endpoint.id] = StoredWorker(
@@ -110,10 +116,10 @@
         discovery = self._program.discovery
         unix_us, now = written_at.unix_us, written_at.monotonic_us
         loads = {}
-        for worker in self._program.router.balancer.workers.values():
+        for worker in self._program.router.scheduler.workers.values():
             endpoint = worker.id
             if worker.load > 0 and endpoint.address is not None:
-                last = max((launch.job.last for launch in worker.out.values()), default=now)
+                last = max((launch.job.deadline for launch in worker.in_flight.values()), default=now)
                 until = (unix_us + max(0, last - now)) // LOAD_END_STEP_US * LOAD_END_STEP_US
                 loads[endpoint.id] = UnfinishedLoad(
                     start_of(endpoint, discovery),
@@ -127,6 +133,6 @@
         """What the decisions learned of each worker."""
         workers = {
             id: LearnedWorker(slots, peak, slow, stored_asides(asides, written_at.monotonic_us))
-            for id, (slots, peak, slow, asides) in self._program.router.balancer.learned().items()
+            for id, (slots, peak, slow, asides) in self._program.router.scheduler.learned_state().items()
         }
         return LearnedRecord(*astuple(written_at), workers)
--- a/mastledge/recovery/recovery_record.py
+++ b/mastledge/recovery/recovery_record.py
@@ -54,7 +54,7 @@
 
 
 class LearnedWorker(msgspec.Struct, array_like=True):
-    """What the decisions learned of a worker, as `Balancer.learned` gives it.
+    """What the decisions learned of a worker, as `Scheduler.learned_state` gives it.
 
     `asides`: [reason, fields] of each ejection; `back_at` among the fields is a span from the record's time.
     """
