--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -3,12 +3,14 @@
 from collections import Counter
 from copy import deepcopy
 
+import msgspec
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mastledge.consensus import inputs, outputs
+from mastledge.consensus import inputs, outputs, records
 from mastledge.consensus import messages as m
+from mastledge.consensus.errors import RecordError
 from mastledge.consensus.leader import Leadership
 from mastledge.consensus.leases import GrantedLeases
 from mastledge.consensus.member import Member
@@ -354,6 +356,36 @@
     assert replayed.value() == state.value()
 
 
+@pytest.mark.parametrize(
+    "record",
+    [
+        records.Identity("f", "l"),
+        records.HardState(3, "n1"),
+        records.Snapshot(7, 2, {"version": 1}),
+        records.LogEntry(8, m.Entry(3, "i", {"kind": "noop"})),
+        records.Truncation(8),
+    ],
+)
+def test_a_record_is_read_from_its_form_on_disk(record):
+    on_disk = msgspec.msgpack.decode(msgspec.msgpack.encode(records.encode_record(record)))
+    assert records.decode_record(on_disk) == record
+
+
+@pytest.mark.parametrize(
+    ("raw", "says"), [(["vote", 3, "n1"], "a later version: vote"), (["hard", 3], "hard of 1 fields")]
+)
+def test_a_record_that_cannot_be_read_names_its_kind(raw, says):
+    with pytest.raises(RecordError, match=says):
+        records.decode_record(raw)
+
+
+def test_an_entry_that_does_not_follow_is_refused():
+    state = PersistedState()
+    state.apply(("snapshot", 1, 1, {}))
+    with pytest.raises(RecordError, match="entry 3 follows 1"):
+        state.apply(("entry", 3, m.Entry(1, "i", {"kind": "noop"})))
+
+
 def test_a_large_fleet_forms_without_a_message_for_each_pair_of_members_at_each_time():
     fleet = Fleet([f"n{n:02}" for n in range(60)], 5).start()
     asked, send = Counter(), fleet.send
