--- a/mastledge/lab/crossing.py
+++ b/mastledge/lab/crossing.py
@@ -19,7 +19,7 @@
 from mastledge.lab.judge import SLACK, judged, nothing_to_the_drained, of
 from mastledge.lab.steered import Readiness, Restless, Steered
 from mastledge.program.configuration import load_configuration
-from mastledge.program.lifecycle import Program
+from mastledge.program.dispatcher import Dispatcher
 
 # Each with whether launches may be revoked.
 EFFECTS = {
@@ -180,7 +180,7 @@
         self.config = os.path.join(self.folder, "config.json")
         self.configure(0)
         self.told = load_configuration(self.config, {})
-        self.program = Program(self.told, self.log, lambda: load_configuration(self.config, {}))
+        self.program = Dispatcher(self.told, self.log, lambda: load_configuration(self.config, {}))
         self.loop = self.program.loop
         self.loop.on_error = lambda error: self.faults.append(f"{type(error).__name__}: {error}")
         self.clock, self.ready = Steered(self.loop), Readiness(self.loop, self.to_discovery)
--- a/mastledge/lab/scale/meter.py
+++ b/mastledge/lab/scale/meter.py
@@ -32,8 +32,9 @@
     "Fleet": AGREEMENT,
     "Discovery": LIST,
     "Control": CALLS,
-    "Program": UPKEEP,
-    "Handover": UPKEEP,
+    "Dispatcher": UPKEEP,
+    "SiblingWatch": UPKEEP,
+    "ConnectionHandoff": UPKEEP,
     "Meter": METER,
 }
 
@@ -104,7 +105,7 @@
 
 def purpose_of(generator):
     """What a coroutine is for, by the class of its function; what is wrapped counts as what it wraps."""
-    if generator.__qualname__ == "Program.supervised" and generator.gi_frame is not None:
+    if generator.__qualname__ == "Dispatcher.supervised" and generator.gi_frame is not None:
         inner = generator.gi_frame.f_locals.get("steps")
         generator = inner if inner is not None else generator
     return PURPOSES.get(generator.__qualname__.partition(".")[0], JOBS)
@@ -211,7 +212,7 @@
 
 def metered():
     """The build: it counts, and goes by the regions of its run."""
-    from mastledge.program.lifecycle import Program
+    from mastledge.program.dispatcher import Dispatcher
     from mastledge.routing.router import Router
 
     meter = Meter()
@@ -221,13 +222,13 @@
     if os.environ.get(SCALE):
         delay_links(os.environ[SCALE])
     Router.on_members = within(meter, LIST, Router.on_members)
-    begin, path = Program.begin, os.environ[FILE]
+    begin, path = Dispatcher.begin, os.environ[FILE]
 
     def metered_begin(self):
         begin(self)
         self.loop.spawn(meter.write(path))
 
-    Program.begin = metered_begin
+    Dispatcher.begin = metered_begin
 
 
 def share(before, after):
--- a/mastledge/program/command.py
+++ b/mastledge/program/command.py
@@ -8,7 +8,7 @@
 
 from mastledge import __version__
 from mastledge.program.configuration import ConfigurationError, load_configuration
-from mastledge.program.lifecycle import Program
+from mastledge.program.dispatcher import Dispatcher
 from mastledge.program.logs import Log
 
 
@@ -16,7 +16,7 @@
     """Runs one dispatcher until SIGTERM."""
     told = load_configuration(args.config, os.environ)
     log = Log(sys.stderr.fileno(), told["name"], args.log)
-    return Program(
+    return Dispatcher(
         told, log, lambda: load_configuration(args.config, os.environ), os.environ.get("TMPDIR")
     ).run()
 
--- /dev/null
+++ b/mastledge/program/graceful_shutdown.py
@@ -0,0 +1,104 @@
+"""The end of a dispatcher: it serves on for a moment, finishes what it has taken, and leaves."""
+
+from mastledge.program import sibling_watch
+from mastledge.program.lifecycle import Phase
+
+ACCEPT_FOR_US = 500_000  # after the signal: new connections go on coming for 0.4 s
+LONGEST_WAIT_US = 3_000_000  # of the walltime that the end waits for
+EXIT_MARGIN_US = 500_000  # and this much more, inside the 0.7 s after which the process is ended from outside
+ACCEPT_FOR_WITH_SUCCESSOR_US = 200_000
+KEEP_IDLE_WITH_SUCCESSOR_US = 1_000_000  # idle connections go later than the listener
+HAND_OFF_BEFORE_END_US = 500_000  # what still runs then goes to the successor
+POLL_US = 20_000
+LAST_ANSWERS_POLL_US = 5_000
+
+
+class GracefulShutdown:
+    """Leads a dispatcher from the request to stop to its end; times are of the loop's clock."""
+
+    def __init__(self, dispatcher):
+        """`dispatcher`: whose end this is."""
+        self._dispatcher = dispatcher
+        self._accept_until = self._end_at = self._close_idle_from = 0
+
+    def run(self):
+        """Coroutine: returns when the process may exit."""
+        self._start_leaving()
+        yield from self._accept_last_clients()
+        self._close_listener()
+        yield from self._finish_jobs()
+        yield from self._send_last_answers()
+        self._end()
+
+    def _start_leaving(self):
+        dispatcher = self._dispatcher
+        now = dispatcher.loop.now()
+        self._end_at = now + min(dispatcher.longest_walltime, LONGEST_WAIT_US) + EXIT_MARGIN_US
+        # The others may be ending too, so who is connected is served as long as what comes can still be done.
+        self._accept_until = max(now + ACCEPT_FOR_US, (now + self._end_at) // 2)
+        dispatcher.listener.leaving = now
+        dispatcher.sibling.announce(ready=False)
+        dispatcher.inbox.put("leaving", self._end_at)
+        dispatcher.enter(Phase.LEAVING)
+        if dispatcher.fleet is not None:
+            dispatcher.fleet.leave()
+
+    def _accept_last_clients(self):
+        dispatcher, loop = self._dispatcher, self._dispatcher.loop
+        while loop.now() < self._accept_until:
+            if not dispatcher.listener.succeeded and dispatcher.upgrade_state.sibling_ready():
+                self._leave_to_successor()
+            if dispatcher.listener.succeeded:
+                dispatcher.release_folders()
+            # Looked up at each turn, as the watch does: both go by the same figure.
+            yield (-1, 0, min(self._accept_until, loop.now() + sibling_watch.POLL_WITH_SIBLING_US))
+
+    def _leave_to_successor(self):
+        """All new connections go there: who is connected here comes there with its next job."""
+        dispatcher, now = self._dispatcher, self._dispatcher.loop.now()
+        dispatcher.listener.succeeded = dispatcher.listener.closing = True
+        self._accept_until = now + ACCEPT_FOR_WITH_SUCCESSOR_US
+        self._close_idle_from = now + KEEP_IDLE_WITH_SUCCESSOR_US
+        # First it takes less itself, then the other hears that it may take more.
+        dispatcher.sibling.divide_slow_start_budget()
+        dispatcher.sibling.announce(leaving=True)
+        dispatcher.log("successor_ready")
+
+    def _close_listener(self):
+        dispatcher = self._dispatcher
+        dispatcher.stop_accepting()
+        dispatcher.enter(Phase.FINISHING)
+
+    def _finish_jobs(self):
+        dispatcher, loop, listener = self._dispatcher, self._dispatcher.loop, self._dispatcher.listener
+        while listener.clients and loop.now() < self._end_at:
+            if listener.succeeded:
+                dispatcher.release_folders()
+            if loop.now() >= self._close_idle_from:
+                listener.close_all_idle()
+            if listener.succeeded and loop.now() >= self._end_at - HAND_OFF_BEFORE_END_US:
+                self._hand_off_jobs()
+            yield (-1, 0, loop.now() + POLL_US)
+
+    def _hand_off_jobs(self):
+        state = self._dispatcher.upgrade_state
+        if state.sibling_ready():
+            self._dispatcher.handoff.hand_on(self._dispatcher.router, state.path_of("jobs", 1 - state.seat))
+
+    def _send_last_answers(self):
+        dispatcher, loop, listener = self._dispatcher, self._dispatcher.loop, self._dispatcher.listener
+        dispatcher.inbox.put("over")
+        dispatcher.handoff.over()
+        while listener.clients and loop.now() < self._end_at + EXIT_MARGIN_US // 5:
+            listener.close_all_idle()
+            yield (-1, 0, loop.now() + LAST_ANSWERS_POLL_US)
+
+    def _end(self):
+        dispatcher = self._dispatcher
+        dispatcher.enter(Phase.ENDED)
+        dispatcher.log("totals", faults=dispatcher.router.faults, **dispatcher.router.totals)
+        if dispatcher.idempotency is not None:
+            dispatcher.idempotency.end()
+        if dispatcher.fleet is not None:
+            dispatcher.fleet.end()
+        dispatcher.loop.running = False
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -235,7 +235,7 @@
 
 def handover(directory):
     made = UpgradeState(str(directory), ("127.0.0.1", 8080), lambda event, **fields: None)
-    made.sit()
+    made.take_seat()
     return made
 
 
@@ -253,7 +253,7 @@
 def read_handover_state(directory):
     made = handover(directory)
     try:
-        assert made.look()
+        assert made.refresh()
         return made.shared
     finally:
         made.leave()
@@ -262,7 +262,7 @@
 def write_handover_learned(directory, learned):
     made = handover(directory)
     try:
-        made.teach(learned)
+        made.write_learned(learned)
     finally:
         made.leave()
 
@@ -270,7 +270,7 @@
 def read_handover_learned(directory):
     made = handover(directory)
     try:
-        return made.taught()
+        return made.read_learned()
     finally:
         made.leave()
 
--- a/tests/test_connection_handoff.py
+++ b/tests/test_connection_handoff.py
@@ -7,8 +7,8 @@
 from helpers import HERE
 from test_upgrade import Pair, folder  # noqa: F401 - a fixture, which pytest finds by its name here
 
-from mastledge.program import lifecycle
-from mastledge.program.lifecycle import SERVING
+from mastledge.program import graceful_shutdown
+from mastledge.program.lifecycle import Phase
 from mastledge.transport import passing
 from mastledge.transport.connection import listen
 
@@ -25,9 +25,9 @@
     """A job open in the old process, which is about to end."""
 
     def __init__(self, path, folder, monkeypatch):  # noqa: F811 - the parameter is that fixture
-        monkeypatch.setattr(lifecycle, "LONGEST", 300_000)
-        monkeypatch.setattr(lifecycle, "LAST", 700_000)
-        monkeypatch.setattr(lifecycle, "HANDS_ON", 500_000)
+        monkeypatch.setattr(graceful_shutdown, "LONGEST_WAIT_US", 300_000)
+        monkeypatch.setattr(graceful_shutdown, "EXIT_MARGIN_US", 700_000)
+        monkeypatch.setattr(graceful_shutdown, "HAND_OFF_BEFORE_END_US", 500_000)
         super().__init__(path, folder)
         for served in self.both:
             served.rig.turn = self.turn
@@ -37,7 +37,7 @@
         self.client.sendall(helpers.job(X_Txn="c1", X_Remaining_Ms=4000))
         self.worker, _ = self.old.rig.called(self.old.sock)
         self.both = both
-        assert self.turn(lambda: self.new.made.phase == SERVING)
+        assert self.turn(lambda: self.new.made.phase == Phase.SERVING)
 
     def ends(self, until):
         self.old.made.stop_requested = True
@@ -160,7 +160,7 @@
         return {kind: new.budget.used[kind] for kind in ("clients", "workers")}
 
     before = taken()  # discovery is tried again and again meanwhile
-    passing.put(new.upgrade_state.place("jobs", new.upgrade_state.seat), raw, ours)
+    passing.put(new.upgrade_state.path_of("jobs", new.upgrade_state.seat), raw, ours)
     for one in ours:
         one.close()
     assert handing.turn(lambda: handing.logged(handing.new, "connection_not_received"))
@@ -203,10 +203,10 @@
     monkeypatch.setattr(new.handoff, "attached", lambda *one: (_ for _ in ()).throw(OSError("reset")))
     raw = b'{"name":"x","kind":"render","until":9000000000000,"headed":true,"rest":""}'
     before = dict(new.budget.used)
-    passing.put(new.upgrade_state.place("jobs", new.upgrade_state.seat), raw, ours)
+    passing.put(new.upgrade_state.path_of("jobs", new.upgrade_state.seat), raw, ours)
     assert handing.turn(lambda: handing.logged(handing.new, "connection_not_received"))
     monkeypatch.undo()
-    passing.put(new.upgrade_state.place("jobs", new.upgrade_state.seat), b"{}", ours)
+    passing.put(new.upgrade_state.path_of("jobs", new.upgrade_state.seat), b"{}", ours)
     assert handing.turn(lambda: len(handing.logged(handing.new, "connection_not_received")) == 2)
     assert new.budget.used == before and not handing.new.rig.errors
     for one in ours:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -10,9 +10,10 @@
 from helpers import HERE, Rig, balancer, entry, peer_at
 from test_program import file
 
-from mastledge.program import lifecycle
+from mastledge.program import dispatcher, serving
 from mastledge.program.configuration import ConfigurationError, load_configuration
-from mastledge.program.lifecycle import DRAINING, SERVING, WAITING, Program
+from mastledge.program.dispatcher import Dispatcher
+from mastledge.program.lifecycle import Phase
 from mastledge.protocol import client_listener, control
 from mastledge.transport.connection import listen
 
@@ -59,7 +60,7 @@
         self.path = file(path, **told)
         self.rig = rig = Rig()
         told = load_configuration(self.path, {})
-        self.made = made = Program(told, rig.log, lambda: load_configuration(self.path, {}), folder)
+        self.made = made = Dispatcher(told, rig.log, lambda: load_configuration(self.path, {}), folder)
         rig.loop = made.loop
         made.loop.on_error = rig.errors.append
         made.begin()
@@ -69,7 +70,7 @@
         return self.rig.turn(until, longest)
 
     def serving(self):
-        assert self.turn(lambda: self.made.phase == SERVING)
+        assert self.turn(lambda: self.made.phase == Phase.SERVING)
         return self
 
     def connect(self, where="listen"):
@@ -101,7 +102,7 @@
 
 @pytest.fixture
 def served(tmp_path, monkeypatch):
-    monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
+    monkeypatch.setattr(serving, "FIRST_LIST_TIMEOUT_US", 0)
     made = Served(tmp_path).serving()
     yield made
     made.close()
@@ -126,9 +127,9 @@
 
 
 def test_ready_at_both_addresses_waits_for_a_worker(tmp_path, monkeypatch):
-    monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
+    monkeypatch.setattr(serving, "FIRST_LIST_TIMEOUT_US", 0)
     made = Served(tmp_path, ready=False)
-    assert made.turn(lambda: made.made.phase == WAITING)
+    assert made.turn(lambda: made.made.phase == Phase.WAITING)
     assert (made.call("/api/ready")[0], made.health()) == (503, 503)
     made.close()
 
@@ -234,10 +235,10 @@
     for _ in range(1 + (how == "twice")):
         assert served.call("/api/evacuate", "POST")[0] == 200
     assert (served.call("/api/ready")[0], served.health()) == (503, 503)
-    assert served.turn(lambda: served.made.phase == DRAINING)
+    assert served.turn(lambda: served.made.phase == Phase.DRAINING)
     assert served.call("/api/rejoin", "POST")[0] == 200
     assert (served.call("/api/ready")[0], served.health()) == (200, 200)
-    assert served.turn(lambda: served.made.phase == SERVING)
+    assert served.turn(lambda: served.made.phase == Phase.SERVING)
 
 
 def test_a_drain_lets_clients_go_between_jobs_and_loses_none(served, monkeypatch):
@@ -308,14 +309,14 @@
 
 
 def test_without_a_second_address_nothing_of_it_runs(tmp_path, monkeypatch):
-    monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
+    monkeypatch.setattr(serving, "FIRST_LIST_TIMEOUT_US", 0)
     made = Served(tmp_path, control=None).serving().made
     assert made.control_socket is None and made.loop.first is None and made.budget.most["operators"] == 0
     made.listening_socket.close()
 
 
 def test_a_second_address_in_use_is_named_in_one_message(tmp_path, monkeypatch):
-    monkeypatch.setattr(lifecycle, "TRIES", 2)
+    monkeypatch.setattr(dispatcher, "BIND_ATTEMPTS", 2)
     holder = listen((HERE, 0))
     at = "{}:{}".format(*holder.getsockname())
     with pytest.raises(OSError, match=at) as raised:
@@ -345,7 +346,7 @@
 def test_a_new_configuration_during_a_drain_leaves_it_a_drain(served):
     served.call("/api/evacuate", "POST")
     served.made.reload_configuration()
-    assert served.turn(lambda: served.made.phase == DRAINING)
+    assert served.turn(lambda: served.made.phase == Phase.DRAINING)
     assert [what for what, _ in served.rig.logged if what.startswith("config")] == ["configuration_loaded"]
     assert served.call("/api/ready")[0] == 503 and served.call("/api/rejoin", "POST")[0] == 200
     assert served.health() == 200
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,7 +13,8 @@
 from test_idempotency import answers
 from test_program import GOOD
 
-from mastledge.program import lifecycle
+from mastledge.program import graceful_shutdown
+from mastledge.program import serving as serving_phases
 from mastledge.program.upgrade_state import UpgradeState
 from mastledge.protocol import client_listener as protocol_clients
 from mastledge.protocol import worker_connections as protocol_workers
@@ -105,7 +106,7 @@
 
 @pytest.fixture
 def serving(tmp_path, monkeypatch):
-    monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
+    monkeypatch.setattr(serving_phases, "FIRST_LIST_TIMEOUT_US", 0)
     made = []
 
     def serves(*words, **how):
@@ -391,7 +392,7 @@
     (tmp_path / "beside").mkdir()
     listen = free()
     before = UpgradeState(str(tmp_path / "beside"), (HERE, int(listen.rpartition(":")[2])), print)
-    before.sit()
+    before.take_seat()
     kept = DataDirectory(str(tmp_path / "kept"))
     kept.acquire()
     made = serving(listen=listen, folder=str(tmp_path / "beside"), repeats=keeps(tmp_path)).serving()
@@ -688,7 +689,7 @@
 @pytest.mark.parametrize("phase", ["leaving", "finishing"])
 @pytest.mark.parametrize("cut", [1, 60, -1])
 def test_a_request_half_read_at_the_signal_is_served_when_its_rest_comes(cut, phase, serving, monkeypatch):
-    monkeypatch.setattr(lifecycle, "LAST", 60_000_000)
+    monkeypatch.setattr(graceful_shutdown, "EXIT_MARGIN_US", 60_000_000)
     for name in ("YOUNG", "SILENT", "WHOLE"):
         monkeypatch.setattr(protocol_clients, name, 100_000_000)
     made = serving().serving()
@@ -710,7 +711,7 @@
 @pytest.mark.parametrize("when", ["drained", "finishing"])
 def test_a_connection_that_has_just_come_is_not_closed_before_its_request(when, serving, monkeypatch):
     # It was idle when the next look came, 20 ms later at the most, and closed under its first request.
-    monkeypatch.setattr(lifecycle, "LAST", 60_000_000)
+    monkeypatch.setattr(graceful_shutdown, "EXIT_MARGIN_US", 60_000_000)
     monkeypatch.setattr(protocol_clients, "FRESH", 10_000_000)
     made = serving(control=free()).serving()
     door, looked = made.made.listener, []
@@ -755,7 +756,7 @@
 
 
 def test_a_request_that_crosses_the_close_of_its_idle_connection_is_served(serving, monkeypatch):
-    monkeypatch.setattr(lifecycle, "LAST", 60_000_000)
+    monkeypatch.setattr(graceful_shutdown, "EXIT_MARGIN_US", 60_000_000)
     made = serving().serving()
     client = made.connect()
     client.sendall(b"GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -810,7 +811,7 @@
 
 
 def test_an_answer_half_written_at_the_signal_is_written_to_its_end(serving, monkeypatch):
-    monkeypatch.setattr(lifecycle, "LAST", 60_000_000)
+    monkeypatch.setattr(graceful_shutdown, "EXIT_MARGIN_US", 60_000_000)
     monkeypatch.setattr(protocol_clients, "SLOW", 100_000_000)
     made = serving().serving()
     client = socket.socket()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -154,10 +154,10 @@
     code = (
         "import json, os, sys\n"
         "from mastledge import command_line\n"
-        "from mastledge.program import command, lifecycle\n"
+        "from mastledge.program import command, dispatcher\n"
         "from mastledge.program.configuration import load_configuration\n"
         f"told = load_configuration({path!r}, {{}})\n"
-        f"made = lifecycle.Program(told, lambda *a, **k: None, None, {str(tmp_path)!r})\n"
+        f"made = dispatcher.Dispatcher(told, lambda *a, **k: None, None, {str(tmp_path)!r})\n"
         "made.begin()\n"
         "for _ in range(20): made.loop.once(10_000)\n"
         "links = [os.readlink(f'/proc/self/fd/{fd}') for fd in os.listdir('/proc/self/fd') if fd.isdigit()"
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -15,7 +15,7 @@
 from mastledge.idempotency.persisted_keys import PersistedKeys
 from mastledge.idempotency.records import RECORD_OVERHEAD_BYTES
 from mastledge.idempotency.verdicts import Verdict
-from mastledge.program import lifecycle
+from mastledge.program import serving
 from mastledge.program.configuration import ConfigurationError, load_configuration
 
 KEEP = 1_000_000
@@ -168,7 +168,7 @@
 
 @pytest.fixture
 def keyed(tmp_path, monkeypatch):
-    monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
+    monkeypatch.setattr(serving, "FIRST_LIST_TIMEOUT_US", 0)
     made = [Keyed(tmp_path).serving()]
 
     def again():
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -5,6 +5,7 @@
 import socket
 import subprocess
 import sys
+from types import SimpleNamespace
 
 import helpers
 import orjson
@@ -12,11 +13,15 @@
 from helpers import HERE, Rig, balancer, peer_at, queue_type, workers
 
 from mastledge.command_line import main
-from mastledge.program import lifecycle
+from mastledge.program import graceful_shutdown, serving
 from mastledge.program.configuration import ConfigurationError, load_configuration
-from mastledge.program.lifecycle import ENDED, FINISHING, LEAVING, NEXT, SERVING, STARTING, WAITING, Program
+from mastledge.program.dispatcher import Dispatcher
+from mastledge.program.lifecycle import NEXT_PHASES, Lifecycle, Phase, PhaseOrderError
 from mastledge.program.logs import Log
+from mastledge.program.serving import can_serve
 from mastledge.program.settings import flatten_settings
+from mastledge.program.settings_views import settings_for_decisions
+from mastledge.program.signals import watch_signals
 from mastledge.protocol.requests import Exchange
 from mastledge.routing.router import Router
 from mastledge.transport.connection import listen
@@ -226,13 +231,17 @@
     assert orjson.loads(os.read(reads, 4096))["of"] == "event"
 
 
-@pytest.mark.parametrize(("phase", "to"), [(STARTING, SERVING), (SERVING, FINISHING), (LEAVING, WAITING)])
+@pytest.mark.parametrize(
+    ("phase", "to"),
+    [(Phase.STARTING, Phase.SERVING), (Phase.SERVING, Phase.FINISHING), (Phase.LEAVING, Phase.WAITING)],
+)
 def test_phases_follow_their_order(phase, to):
-    program = object.__new__(Program)
-    program.phase = phase
-    with pytest.raises(RuntimeError):
-        program.enter(to)
-    assert to not in NEXT[phase] and program.phase == phase
+    entered = []
+    lifecycle = Lifecycle(entered.append)
+    lifecycle.phase = phase
+    with pytest.raises(PhaseOrderError):
+        lifecycle.enter(to)
+    assert to not in NEXT_PHASES[phase] and lifecycle.phase == phase and not entered
 
 
 @pytest.mark.parametrize(
@@ -246,11 +255,11 @@
 )
 def test_ready_is_who_knows_a_worker_and_asked_for_news(answered, impatient, state, can):
     rig = Rig()
-    program = object.__new__(Program)
-    program.router, _ = router(rig)
-    next(iter(program.router.peers.values())).state = state
-    program.discovery = type("Told", (), {"task": object(), "answered": answered})
-    assert program.can_serve(impatient) == can
+    made, _ = router(rig)
+    next(iter(made.peers.values())).state = state
+    discovery = SimpleNamespace(task=object(), answered=answered)
+    dispatcher = SimpleNamespace(router=made, discovery=discovery, fleet=None, recovery=None)
+    assert can_serve(dispatcher, impatient) == can
 
 
 @pytest.mark.parametrize(
@@ -269,11 +278,11 @@
     # SIGHUP came under load and ended the program, with all that it had taken.
     rig = Rig()
     path = file(tmp_path, limits={"sockets": 64})
-    made = Program(load_configuration(path, {}), rig.log, lambda: load_configuration(path, {}))
+    made = Dispatcher(load_configuration(path, {}), rig.log, lambda: load_configuration(path, {}))
     made.discovery.follow()
     task, size = made.discovery.task, made.budget.most["clients"]
     reads, writes = os.pipe()
-    signals = made.loop.spawn(made.watch_signals(reads))
+    signals = made.loop.spawn(watch_signals(reads, made.reload_configuration, made.wake))
     made.lifecycle_task = made.loop.spawn(iter(()))
     if changed is None:
         os.remove(path)
@@ -324,8 +333,10 @@
     ("answered", "longest", "status"), [(True, 900_000, b"200"), (False, 300_000, b"503")]
 )
 def test_the_end_finishes_what_was_taken_and_not_the_rest(answered, longest, status, tmp_path, monkeypatch):
-    for name, time in (("ACCEPTING", 20_000), ("LONGEST", longest), ("LAST", 50_000), ("FIRST_NEWS", 0)):
-        monkeypatch.setattr(lifecycle, name, time)
+    times = {"ACCEPT_FOR_US": 20_000, "LONGEST_WAIT_US": longest, "EXIT_MARGIN_US": 50_000}
+    for name, time in times.items():
+        monkeypatch.setattr(graceful_shutdown, name, time)
+    monkeypatch.setattr(serving, "FIRST_LIST_TIMEOUT_US", 0)
     peer, sock = peer_at()
     door = listen((HERE, 0))
     at = f"{HERE}:{door.getsockname()[1]}"
@@ -347,16 +358,16 @@
         ],
     }
     rig = Rig()
-    made = Program(load_configuration(file(tmp_path, listen=at, known=known), {}), rig.log)
+    made = Dispatcher(load_configuration(file(tmp_path, listen=at, known=known), {}), rig.log)
     rig.loop = made.loop
     made.begin()
-    assert rig.turn(lambda: made.phase == SERVING)
+    assert rig.turn(lambda: made.phase == Phase.SERVING)
     busy, idle = (socket.create_connection(made.configuration["listen"], 2) for _ in range(2))
     busy.sendall(helpers.job(X_Remaining_Ms=4000))
     theirs, _ = rig.called(sock)
     made.stop_requested = True
     rig.loop.wake(made.lifecycle_task)
-    assert rig.turn(lambda: made.phase == LEAVING)
+    assert rig.turn(lambda: made.phase == Phase.LEAVING)
     # All dispatchers may be ending at once: who is connected is still served, as far as there is time.
     idle.sendall(b"GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
     assert b"close" not in rig.reply(idle)
@@ -365,7 +376,7 @@
         theirs.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(raw), raw))
     reply = rig.reply(busy)
     busy.close()
-    assert rig.turn(lambda: not made.loop.running) and made.phase == ENDED and not rig.errors
+    assert rig.turn(lambda: not made.loop.running) and made.phase == Phase.ENDED and not rig.errors
     assert reply.startswith(b"HTTP/1.1 " + status)
     assert (b"connection: close" in reply.lower()) != answered
     assert idle.recv(1) == b"" and not made.router.faults
@@ -393,7 +404,7 @@
 
 def test_settings_are_switched_in_a_running_program_and_back_with_jobs_open(tmp_path, monkeypatch):
     # SIGHUP only named what had changed, and the move would have cost a restart of each dispatcher.
-    monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
+    monkeypatch.setattr(serving, "FIRST_LIST_TIMEOUT_US", 0)
     peer, sock = peer_at()
     door = listen((HERE, 0))
     at = f"{HERE}:{door.getsockname()[1]}"
@@ -416,10 +427,10 @@
     }
     rig = Rig()
     path = file(tmp_path, listen=at, known=known)
-    made = Program(load_configuration(path, {}), rig.log, lambda: load_configuration(path, {}))
+    made = Dispatcher(load_configuration(path, {}), rig.log, lambda: load_configuration(path, {}))
     rig.loop = made.loop
     made.begin()
-    assert rig.turn(lambda: made.phase == SERVING)
+    assert rig.turn(lambda: made.phase == Phase.SERVING)
     clients, name = [], GOOD["settings"]["queueTypes"][0]["name"]
 
     def taken(path, txn):
@@ -469,7 +480,7 @@
 def test_settings_that_fail_their_check_change_nothing_in_a_running_program(changed, says, tmp_path):
     rig = Rig()
     path = file(tmp_path)
-    made = Program(load_configuration(path, {}), rig.log, lambda: load_configuration(path, {}))
+    made = Dispatcher(load_configuration(path, {}), rig.log, lambda: load_configuration(path, {}))
     before = made.configuration["settings"]
     file(tmp_path, settings={**GOOD["settings"], **changed})
     made.reload_configuration()
@@ -481,7 +492,7 @@
 
 
 def test_a_host_without_messages_never_asks_for_one():
-    assert lifecycle.handed({"may_message": True, "queue_types": []})["may_message"] is False
+    assert settings_for_decisions({"may_message": True, "queue_types": []})["may_message"] is False
 
 
 @pytest.mark.parametrize(
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -7,8 +7,9 @@
 from helpers import HERE
 from test_program import file
 
-from mastledge.program import lifecycle
 from mastledge.program.configuration import load_configuration
+from mastledge.program.dispatcher import Dispatcher
+from mastledge.program.serving import can_serve
 from mastledge.recovery import startup_stages as s
 from mastledge.storage.errors import DataDirectoryError
 
@@ -20,9 +21,7 @@
     recovery = {"folder": str(tmp_path / "starts"), **told}
     path = file(tmp_path, listen=f"{HERE}:7570", discovery=f"{HERE}:7571", recovery=recovery)
     seen = logged if logged is not None else []
-    return lifecycle.Program(
-        load_configuration(path, {}), lambda event, **fields: seen.append((event, fields))
-    )
+    return Dispatcher(load_configuration(path, {}), lambda event, **fields: seen.append((event, fields)))
 
 
 def turned(made, until=lambda: False, most=400):
@@ -130,7 +129,7 @@
     monkeypatch.setitem(s.BOUND, s.READING, 100_000)
     made.begin()
     turned(made, most=2)
-    assert made.recovery.waiting() == "reading what lasts: its folder" and not made.can_serve(True)
+    assert made.recovery.waiting() == "reading what lasts: its folder" and not can_serve(made, True)
     turned(made, lambda: made.recovery.steps.step != s.READING)
     assert made.recovery.steps.lesser == {s.READING: s.WITHOUT[s.READING]}
     answers.set()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -17,9 +17,9 @@
 from test_control import Served, free
 from test_program import arrived, file, router
 
-from mastledge.program import lifecycle, operator_api, upgrade_state
-from mastledge.program.lifecycle import SERVING
-from mastledge.program.upgrade_state import UpgradeState, nothing
+from mastledge.program import operator_api, process_seats, serving, sibling_watch
+from mastledge.program.lifecycle import Phase
+from mastledge.program.upgrade_state import UpgradeState, empty_shared
 from mastledge.transport.connection import bound, steer
 
 LISTEN = ("127.0.0.1", 7070)
@@ -27,12 +27,12 @@
 
 def shares(folder, log=lambda event, **fields: None):
     made = UpgradeState(str(folder), LISTEN, log)
-    made.sit()
+    made.take_seat()
     return made
 
 
 def test_two_have_a_seat_and_a_death_frees_it(tmp_path, monkeypatch):
-    monkeypatch.setattr(upgrade_state, "WAITS", 2)
+    monkeypatch.setattr(process_seats, "ATTEMPTS", 2)
     first = shares(tmp_path)
     assert first.alone()
     second = shares(tmp_path)
@@ -48,12 +48,12 @@
 def test_what_one_changes_the_other_reads_and_says_so(tmp_path):
     one, other = shares(tmp_path), shares(tmp_path)
     assert one.change(lambda told: told.update(out=["s-1"]))
-    assert not one.other_saw(one.shared["serial"])
-    assert other.look() and other.shared["out"] == ["s-1"] and not other.look()
+    assert not one.sibling_took_up(one.shared["serial"])
+    assert other.refresh() and other.shared["out"] == ["s-1"] and not other.refresh()
     other.change(lambda told: told["seen"].update({str(other.seat): told["serial"]}), news=False)
-    assert one.look() and one.other_saw(1) and one.shared["serial"] == 1
+    assert one.refresh() and one.sibling_took_up(1) and one.shared["serial"] == 1
     other.leave()
-    assert one.other_saw(99)
+    assert one.sibling_took_up(99)
 
 
 @pytest.mark.parametrize(
@@ -62,40 +62,40 @@
         b"",
         b"{",
         b"\xff\xfe",
-        orjson.dumps(nothing())[:-9],
-        orjson.dumps({**nothing(), "version": 2}),
+        orjson.dumps(empty_shared())[:-9],
+        orjson.dumps({**empty_shared(), "version": 2}),
         b"[]",
-        orjson.dumps({**nothing(), "out": [1]}),
-        orjson.dumps({**nothing(), "back": {"s": "soon"}}),
+        orjson.dumps({**empty_shared(), "out": [1]}),
+        orjson.dumps({**empty_shared(), "back": {"s": "soon"}}),
     ],
 )
 def test_a_state_that_cannot_be_used_is_logged_and_costs_nothing(left, tmp_path):
     logged = []
     one = shares(tmp_path, lambda event, **fields: logged.append(event))
-    with open(one.base + ".state", "wb") as state:
+    with open(one.state_path, "wb") as state:
         state.write(left)
-    assert not one.look() and one.shared == nothing() and logged == ["upgrade_state_unreadable"]
-    assert not one.look() and len(logged) == 1
+    assert not one.refresh() and one.shared == empty_shared() and logged == ["upgrade_state_unreadable"]
+    assert not one.refresh() and len(logged) == 1
     assert one.change(lambda told: told.update(out=["s-1"]))
     other = shares(tmp_path)
-    assert other.look() and other.shared["out"] == ["s-1"]
+    assert other.refresh() and other.shared["out"] == ["s-1"]
 
 
 def test_without_a_folder_or_room_in_it_the_process_goes_on_alone(tmp_path):
     for folder in (None, str(tmp_path / "nowhere")):
         made = UpgradeState(folder, LISTEN, lambda event, **fields: None)
-        made.sit()
+        made.take_seat()
         assert made.alone() and made.change(lambda told: told.update(out=["s-1"]))
-        assert made.shared["out"] == ["s-1"] and not made.look()
+        assert made.shared["out"] == ["s-1"] and not made.refresh()
 
 
 def test_a_state_that_cannot_be_written_is_held_alone_but_not_beside_another(tmp_path, monkeypatch):
     one = shares(tmp_path)
 
-    def full(told):
+    def full(*paths):
         raise OSError(errno.ENOSPC, "no space")
 
-    monkeypatch.setattr(one, "write", full)
+    monkeypatch.setattr(os, "replace", full)
     assert one.change(lambda told: told.update(out=["s-1"])) and one.shared["out"] == ["s-1"]
     assert one.shared["serial"] == 1
     other = shares(tmp_path)
@@ -209,7 +209,7 @@
 
 @pytest.fixture
 def folder(monkeypatch):
-    monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
+    monkeypatch.setattr(serving, "FIRST_LIST_TIMEOUT_US", 0)
     # Sockets stand in it, whose paths have 107 bytes at most: below the folder of a test they may be longer.
     with tempfile.TemporaryDirectory(prefix="shared-") as path:
         yield pathlib.Path(path)
@@ -270,7 +270,7 @@
 @pytest.fixture
 def pair(tmp_path, folder):
     made = Pair(tmp_path, folder)
-    assert made.turn(lambda: made.new.made.phase == SERVING and made.old.made.has_sibling_process)
+    assert made.turn(lambda: made.new.made.phase == Phase.SERVING and made.old.made.has_sibling_process)
     yield made
     made.close()
 
@@ -334,7 +334,7 @@
     old.made.upgrade_state.leave()
     old.close()
     new = begun(tmp_path, folder, listen="{}:{}".format(*old.made.configuration["listen"]))
-    assert new.turn(lambda: new.made.phase == SERVING)
+    assert new.turn(lambda: new.made.phase == Phase.SERVING)
     assert new.made.router.out == {"s-1"} and not new.made.listener.draining
     new.close()
 
@@ -353,7 +353,7 @@
 
 
 def test_a_call_is_answered_though_the_other_process_stands_still(pair, monkeypatch):
-    monkeypatch.setattr(operator_api, "PATIENCE", 100_000)
+    monkeypatch.setattr(operator_api, "SIBLING_TIMEOUT_US", 100_000)
     pair.both = (pair.old,)
     assert pair.old.call("/api/exclude/s-1", "POST")[0] == 200
     assert "change_not_seen" in [what for what, _ in pair.old.rig.logged]
@@ -432,20 +432,20 @@
 def test_a_signal_right_behind_the_yes_finds_the_successor(late, pair, monkeypatch):
     # It was looked for every 0.1 s only, and the old process served on as if none had come.
     old, new = pair.old.made, pair.new.made
-    new.announce(ready=False)
+    new.sibling.announce(ready=False)
     assert pair.turn(lambda: old.upgrade_state.shared["ready"] == [old.upgrade_state.seat])
-    monkeypatch.setattr(lifecycle, "BESIDE", 600_000)
+    monkeypatch.setattr(sibling_watch, "POLL_WITH_SIBLING_US", 600_000)
     old.stop_requested = True
     if not late:
-        new.announce(ready=True)
+        new.sibling.announce(ready=True)
     old.loop.wake(old.lifecycle_task)
-    monkeypatch.setattr(lifecycle, "BESIDE", 20_000)
+    monkeypatch.setattr(sibling_watch, "POLL_WITH_SIBLING_US", 20_000)
     # A machine that stands still for 0.2 s goes past "leaving" in one turn.
-    assert pair.turn(lambda: old.phase != SERVING)
+    assert pair.turn(lambda: old.phase != Phase.SERVING)
     pair.turn(lambda: False, late)
     if late:
         assert not old.listener.succeeded
-        new.announce(ready=True)
+        new.sibling.announce(ready=True)
     assert pair.turn(lambda: old.phase == "ended", 1_500_000) and old.listener.succeeded
 
 
@@ -475,7 +475,7 @@
     old = begun(tmp_path, folder).serving()
     listen = "{}:{}".format(*old.made.configuration["listen"])
     dead = begun(tmp_path, folder, listen=listen).serving()
-    dead.made.announce(leaving=True)
+    dead.made.sibling.announce(leaving=True)
     assert dead.made.upgrade_state.shared["ready"] == [0, 1]
     dead.made.upgrade_state.leave()
     new = begun(tmp_path, folder, listen=listen, known={})
@@ -522,11 +522,11 @@
     events = []
     one = shares(tmp_path, lambda event, **fields: events.append(event))
     if left is not None:
-        with open(one.base + ".learned", "wb") as file_:
+        with open(one.learned_path, "wb") as file_:
             file_.write(left % time.monotonic_ns() if b"%d" in left else left)
-    assert one.taught() == {} and bool(events) == logged
-    one.teach({"s-1": [8.0, 1.0, []]})
-    assert one.taught() == {"s-1": [8.0, 1.0, []]}
+    assert one.read_learned() == {} and bool(events) == logged
+    one.write_learned({"s-1": [8.0, 1.0, []]})
+    assert one.read_learned() == {"s-1": [8.0, 1.0, []]}
 
 
 def test_serving_starts_no_other_process(tmp_path, folder):
