--- a/mastledge/lab/scale/hollow.py
+++ b/mastledge/lab/scale/hollow.py
@@ -11,11 +11,13 @@
 from zlib import crc32
 
 from mastledge.consensus import inputs, messages, outputs
+from mastledge.consensus.configuration import MemberConfiguration
 from mastledge.consensus.persisted_state import PersistedState
-from mastledge.consensus.timing import LEADER
-from mastledge.consensus.worker_restrictions import OwnList
+from mastledge.consensus.roles import Role
+from mastledge.consensus.worker_restrictions import OwnRestrictions
 from mastledge.lab.scale.delay import DelayedLinks
 from mastledge.lab.sized import Sized
+from mastledge.peers.link_context import LinkIdentity
 from mastledge.protocol.discovery import Discovery
 from mastledge.transport.budget import Budget
 from mastledge.transport.connection import address_of
@@ -36,43 +38,41 @@
             kept.apply(record)
         seed = crc32(f"{told['seed']} {name}".encode())
         now = loop.now()
-        self.member = Sized(
-            name,
-            {**told["listed"], name: told["addresses"][name]},
-            False,
-            {},
-            told["lease"],
-            kept.value(),
-            (f"{name}.{os.getpid()}", "none"),
-            seed,
-            now,
+        configuration = MemberConfiguration(
+            name=name,
+            members={**told["listed"], name: told["addresses"][name]},
+            may_bootstrap=False,
+            settings={},
+            lease_us=told["lease"],
+            new_incarnation=f"{name}.{os.getpid()}",
+            new_fleet="none",
+            seed=seed,
         )
+        self.member = Sized(configuration, kept.value(), now)
         self.links = DelayedLinks(
             loop,
-            self.who,
-            self.address,
-            self.heard,
+            self,
             len(told["addresses"]),
             seed,
             self.log,
             regions=told["regions"],
             round_trip=told["round_trip"],
         )
-        self.own_list = OwnList()
-        self.links.begin(address_of(told["addresses"][name]))
+        self.own_restrictions = OwnRestrictions()
+        self.links.start(address_of(told["addresses"][name]))
         self.timer = loop.spawn(self.timed(), first=True)
 
     def log(self, event, **fields):
         """Nobody reads the log of a hollow dispatcher."""
 
-    def who(self):
-        return self.member.fleet, self.name, self.member.life
+    def link_identity(self):
+        return LinkIdentity(self.member.fleet, self.name, self.member.incarnation)
 
-    def address(self, name):
-        text = self.member.address(name)
+    def member_address(self, name):
+        text = self.member.address_of(name)
         return None if text is None else address_of(text)
 
-    def heard(self, name, life, content):
+    def frame_received(self, name, life, content):
         self.input(inputs.MessageReceived(name, life, messages.decode(content)))
 
     def timed(self):
@@ -96,12 +96,12 @@
     def listed(self, kind, entries, generation):
         """As `Fleet.listed`: the list is passed on as a whole dispatcher does it."""
         self.input(inputs.EndpointListUpdate(REGISTRY, kind, entries, generation))
-        if self.own_list.listed(kind, entries, generation):
-            self.input(inputs.ShareRestrictions(self.own_list.news(REGISTRY)))
+        if self.own_restrictions.update(kind, entries, generation):
+            self.input(inputs.ShareRestrictions(self.own_restrictions.to_message(REGISTRY)))
 
     def leave(self, successor):
         """Hands the lead on, as a leader that ends does, but to a member that is named."""
-        if self.member.role == LEADER:
+        if self.member.role == Role.LEADER:
             self.links.send(successor, messages.encode(messages.TimeoutNow(self.member.term)))
 
 
@@ -152,7 +152,7 @@
     followed(loop, told["discovery"], hosted)
     print(json.dumps({"hosted": len(hosted)}), flush=True)
     while loop.running and not errors:
-        loop.once()
+        loop.run_once()
     if errors:
         print(f"{type(errors[0]).__name__}: {errors[0]}", file=sys.stderr)
     return 1 if errors else 0
--- a/mastledge/program/dispatcher.py
+++ b/mastledge/program/dispatcher.py
@@ -23,7 +23,7 @@
 from mastledge.protocol.worker_connections import WorkerConnections
 from mastledge.routing.router import Router
 from mastledge.transport.budget import Budget
-from mastledge.transport.connection import BACKLOG, bound, steer
+from mastledge.transport.listening import BACKLOG, bind_socket, select_listener
 from mastledge.transport.loop import Loop, Queue
 
 BIND_ATTEMPTS = 100
@@ -133,13 +133,14 @@
     def _add_recovery(self, configuration):
         from mastledge.program.recovery_service import RecoveryService
 
-        self.recovery = self.listener.gate = RecoveryService(self, configuration, self.log)
+        self.recovery = RecoveryService(self, configuration, self.log)
+        self.listener.gate = self.recovery.gate
         self.router.listed = self._on_endpoint_list
         self.resources.reserve(FILE_DESCRIPTORS)
 
     def _on_endpoint_list(self, kind, entries):
         """Who goes by what the list says, beside the decisions."""
-        self.recovery.listed(kind, entries)
+        self.recovery.list_changed(kind, entries)
         if self.fleet is not None:
             self.fleet.listed(kind, entries)
 
@@ -195,7 +196,7 @@
         """A bound socket; the address may still be held by the process before, which is ending."""
         for left in reversed(range(BIND_ATTEMPTS)):
             try:
-                return bound(address, together)
+                return bind_socket(address, together)
             except OSError as error:
                 if error.errno != errno.EADDRINUSE or not left:
                     raise OSError(error.errno, f"{address[0]}:{address[1]}: {error.strerror}") from None
@@ -232,7 +233,7 @@
         """Takes in clients from now on; all new ones where the process before is still there."""
         self.listening_socket.listen(BACKLOG)
         if self.has_sibling_process:
-            self.log("connections_steered", done=steer(self.listening_socket, 1))
+            self.log("connections_steered", done=select_listener(self.listening_socket, 1))
         self.accept_task = self.loop.spawn(self.listener.listen(self.listening_socket))
 
     def stop_accepting(self) -> None:
--- a/mastledge/program/operator_api.py
+++ b/mastledge/program/operator_api.py
@@ -50,7 +50,7 @@
         fleet, recovery = self._program.fleet, self._program.recovery
         why = fleet.why() if fleet is not None else ""
         if not why and recovery is not None:
-            why = recovery.waiting()
+            why = recovery.waiting_for()
         return why
 
     def telemetry(self) -> str:
--- a/mastledge/program/resource_limits.py
+++ b/mastledge/program/resource_limits.py
@@ -43,4 +43,4 @@
     def _apply(self):
         descriptors = allowed_descriptors(self._sockets) // self._processes - self._reserved
         self._budget.resize(descriptors, self._memory_bytes // self._processes)
-        self._budget.shrink()
+        self._budget.evict_excess()
--- a/mastledge/program/serving.py
+++ b/mastledge/program/serving.py
@@ -31,7 +31,7 @@
         """Coroutine: returns once the dispatcher is asked to stop."""
         dispatcher = self._dispatcher
         if dispatcher.recovery is not None:
-            yield from dispatcher.recovery.prepared()
+            yield from dispatcher.recovery.prepare()
         self._start_discovery()
         dispatcher.enter(Phase.WAITING)
         self._patient_until = dispatcher.loop.now() + FIRST_LIST_TIMEOUT_US
@@ -63,7 +63,7 @@
         if dispatcher.has_sibling_process:
             dispatcher.inbox.put("inherited", dispatcher.upgrade_state.read_learned())
         elif dispatcher.recovery is not None:
-            dispatcher.inbox.put("inherited", dispatcher.recovery.taught())
+            dispatcher.inbox.put("inherited", dispatcher.recovery.inherited())
 
     def _next_wait(self):
         """Enters the phase that is due; what the loop is to wait for until the next look."""
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -6,6 +6,7 @@
 
 import io
 import socket
+from dataclasses import asdict
 from pathlib import Path
 from types import SimpleNamespace
 from typing import get_args
@@ -17,31 +18,39 @@
 from mastledge.consensus import inputs, outputs, state_machine
 from mastledge.consensus import messages as consensus_messages
 from mastledge.consensus import persisted_state as consensus_persisted
+from mastledge.consensus.configuration import MemberConfiguration
 from mastledge.consensus.member import Member
 from mastledge.idempotency.key_table import KeyTable
 from mastledge.idempotency.keyed_request import KeyedRequest
 from mastledge.idempotency.persisted_keys import PersistedKeys
+from mastledge.peers import frames as link_frames
 from mastledge.peers import links
-from mastledge.program import connection_handoff, recovery_service, replication_service
+from mastledge.peers.link_context import LinkIdentity
+from mastledge.program import connection_handoff, recovery_peer_poll, replication_frames
 from mastledge.program.fleet import Fleet
 from mastledge.program.fleet_api import FleetApi
-from mastledge.program.shared_lease import SharedLease
+from mastledge.program.recovery_clock import RecoveryClock
+from mastledge.program.recovery_persistence import RecoveryPersistence
+from mastledge.program.recovery_records import RecordBuilder
+from mastledge.program.shared_lease import LeaseNotice, SharedLease
 from mastledge.program.upgrade_state import UpgradeState
 from mastledge.protocol import load_messages
 from mastledge.protocol.worker_connections import WorkerEndpoint
 from mastledge.recovery import fleet_snapshot as snapshot_format
 from mastledge.recovery import messages as recovery_messages
-from mastledge.recovery import restored_state
+from mastledge.recovery import recovery_record
+from mastledge.replication import inputs as replication_inputs
 from mastledge.replication import messages as replication_messages
 from mastledge.replication import persisted_state as replica_persisted
-from mastledge.replication.node import Node
+from mastledge.replication.node import Node, NodeOptions
+from mastledge.replication.outputs import Persist
 from mastledge.storage import frames, write_ahead_log
 from mastledge.storage.data_directory import DataDirectory
-from mastledge.transport import passing
+from mastledge.transport import descriptor_passing
 
 ADAPTER_MODULE = "mastledge.adapter"
 ENDINGS = adapter_main.ENDING
-RECOVERY_MESSAGE = recovery_messages.Ask | recovery_messages.Load
+RECOVERY_MESSAGE = recovery_messages.AnyMessage
 
 
 class MessageFamily:
@@ -71,21 +80,21 @@
         replication_messages.AnyMessage, replication_messages.decode, replication_messages.encode
     ),
     "recovery": MessageFamily(
-        RECOVERY_MESSAGE, recovery_messages.decode, recovery_messages.encode, recovery_service.FRAME
+        RECOVERY_MESSAGE, recovery_messages.decode, recovery_messages.encode, recovery_peer_poll.FRAME_MARK
     ),
 }
 COPIES_FRAME = MessageFamily(
     replication_messages.AnyMessage,
-    replication_service.decode,
-    replication_service.encode,
-    replication_service.MARK,
+    replication_frames.decode,
+    replication_frames.encode,
+    replication_frames.MARK,
 )
 COPIES_LIST = MessageFamily(
     replication_messages.AnyMessage, replication_messages.decode_all, replication_messages.encode_all
 )
-HELLO = MessageFamily(links.Hello, links.decode_hello, links.encode_hello)
-frame_on_link = links.framed
-LONGEST_FRAME_BYTES = links.MOST
+HELLO = MessageFamily(link_frames.Hello, link_frames.decode_hello, link_frames.encode_hello)
+frame_on_link = link_frames.encode_frame
+LONGEST_FRAME_BYTES = link_frames.MAX_FRAME_BYTES
 
 frame_of_records, records_of_content, whole_frame = (
     frames.encode_frame,
@@ -98,7 +107,7 @@
     "agreement": consensus_persisted.PersistedState,
     "repeats": lambda: PersistedKeys(lambda: JOURNAL_NOW),
     "copies": lambda: replica_persisted.PersistedReplica(lambda: JOURNAL_NOW),
-    "recovery": restored_state.PersistedRecovery,
+    "recovery": recovery_record.PersistedRecovery,
 }
 
 
@@ -142,7 +151,17 @@
 def records_of_member(state, contents):
     """What a member has written that is restored with `state` and then hears messages from the member n1."""
     listed = {name: one["address"] for name, one in state["members"].items()}
-    member = Member("n0", listed, False, {}, 1_000_000, None, ("life-0", "fleet-0"), 7, 1_000_000)
+    configuration = MemberConfiguration(
+        name="n0",
+        members=listed,
+        may_bootstrap=False,
+        settings={},
+        lease_us=1_000_000,
+        new_incarnation="life-0",
+        new_fleet="fleet-0",
+        seed=7,
+    )
+    member = Member(configuration, None, 1_000_000)
     steps = [inputs.Restore("fleet-1", "life-n0", state)]
     steps += [
         inputs.MessageReceived("n1", "life-n1", consensus_messages.decode(content)) for content in contents
@@ -157,14 +176,17 @@
 
 def records_of_holder(copies, heard):
     """What a holder of copies has written that is told its placement and then hears (name, id, message)."""
-    node = Node("n0", "holder-0", "run-1", book_of_keys(), 0, 1, 1_000_000, 0)
-    steps = [("placed", copies)]
-    steps += [("heard", name, id_, replication_messages.decode(content)) for name, id_, content in heard]
-    records = replica_persisted.head("holder-0", 2, 1)
+    node = Node(NodeOptions("n0", "holder-0", "run-1", 0, 1, 1_000_000), book_of_keys(), 0)
+    steps = [replication_inputs.PlacementChanged(copies)]
+    steps += [
+        replication_inputs.MessageReceived(name, id_, replication_messages.decode(content))
+        for name, id_, content in heard
+    ]
+    records = replica_persisted.head_records("holder-0", 2, 1)
     for now, step in enumerate(steps, 10_000):
-        for what, *fields in node.step(now, *step):
-            if what == "save":
-                records += fields[1]
+        for output in node.step(now, step):
+            if isinstance(output, Persist):
+                records += output.records
     return records
 
 
@@ -203,33 +225,34 @@
 
 def records_of_start():
     """What a dispatcher keeps of its list, of what is out and of what it has learned."""
-    made = recovery_service.RecoveryService.__new__(recovery_service.RecoveryService)
     discovery = SimpleNamespace(
         answered=True, generation=42, zones={"a": 0}, kinds={"m": 0}, since=1_699_999_000_000_000
     )
     router = SimpleNamespace(balancer=decisions_that_learned())
     saved = []
-    made.loop, made.boot, made.last, made.failing, made.token = Rig().loop, "boot-1", {}, False, 0
-    made.program = SimpleNamespace(
+    loop = Rig().loop
+    program = SimpleNamespace(
         discovery=discovery, router=router, configuration={"discovery": ("127.0.0.1", 9000), "peers": None}
     )
-    made.belief = SimpleNamespace(generation=0, restricted={"s-9": 5})
+    newest_list = SimpleNamespace(generation=0, restricted={"s-9": 5})
+    builder, clock = RecordBuilder(program, newest_list), RecoveryClock(loop, "boot-1")
+    made = RecoveryPersistence(builder, clock, loop, None)
     made.writer = SimpleNamespace(append=lambda token, records: saved.extend(records))
-    made.keep(True)
+    made.store(True)
     return saved
 
 
 def genesis_state(settings, lease, members):
-    return state_machine.genesis(settings, lease, members)
+    return state_machine.initial_state(settings, lease, members)
 
 
 def fleet_snapshot(state, fleet, by, at):
     """The document that an operator is given."""
-    return FleetApi.json(None, snapshot_format.packed(state, fleet, by, at)).text.encode()
+    return FleetApi.json(None, snapshot_format.pack_snapshot(state, fleet, by, at)).text.encode()
 
 
 def fleet_snapshot_again(raw):
-    told = snapshot_format.unpacked(raw)
+    told = snapshot_format.unpack_snapshot(raw)
     return fleet_snapshot(told["state"], told["fleet"], told["by"], told["at"])
 
 
@@ -280,36 +303,43 @@
 
 
 def write_said(directory, told):
-    assert notes(directory).say(told["to"], told["index"], told["lease_until"], told["state"])
+    notice = LeaseNotice(told["to"], told["index"], told["lease_until"], told["state"])
+    assert notes(directory).publish(notice)
 
 
 def read_said(directory):
-    return notes(directory).hear()
+    return asdict(notes(directory).notice())
 
 
 def brief_of_fleet(state):
     """What of the agreed state is told to the process beside this one."""
     rules = SimpleNamespace(state=state)
-    return Fleet.brief(SimpleNamespace(member=SimpleNamespace(rules=rules)))
+    return Fleet.brief(SimpleNamespace(member=SimpleNamespace(state_machine=rules)))
 
 
 def write_taken(directory, told):
-    notes(directory).take(told["index"])
+    notes(directory).report(told["index"])
 
 
 def read_taken(directory):
-    process, index = notes(directory).listener()
-    return {"from": process, "index": index}
+    report = notes(directory).standby_report()
+    return {"from": report.process, "index": report.index}
 
 
 def handed_on(directory, job):
     """The datagram by which a job is handed to another process: {name, kind, until, headed, rest}."""
     path = str(Path(directory) / "inlet")
-    inlet, client, worker = passing.inlet(path), *socket.socketpair()
+    inlet, client, worker = descriptor_passing.open_receiver(path), *socket.socketpair()
     quiet = SimpleNamespace(trailing_data=(b"", False))
     ends = [
         SimpleNamespace(
-            sock=sock, fd=sock.fileno(), http=quiet, whole=True, owner=None, quiet=lambda: True, buffer=None
+            sock=sock,
+            fd=sock.fileno(),
+            http=quiet,
+            at_chunk_end=True,
+            owner=None,
+            is_quiet=lambda: True,
+            buffer=None,
         )
         for sock in (client, worker)
     ]
@@ -320,13 +350,13 @@
     launch = SimpleNamespace(ended=False, sent=True, conn=ends[1], headed=job["headed"])
     one = SimpleNamespace(exchange=exchange, launches=[launch])
     router = SimpleNamespace(jobs={1: one}, handed_on=lambda now, job, launch: None)
-    loop = SimpleNamespace(let_go=lambda fd: None, now=lambda: 0, cancel=lambda task: None)
+    loop = SimpleNamespace(unregister=lambda fd: None, now=lambda: 0, cancel=lambda task: None)
     made = connection_handoff.ConnectionHandoff(
         loop, None, None, balancer().settings, lambda event, **fields: None
     )
     try:
         assert made.hand_on(router, path) == 1
-        raw, socks = passing.taken(inlet, 2)
+        raw, socks = descriptor_passing.receive_sockets(inlet, 2)
         for sock in socks:
             sock.close()
         return raw
@@ -361,7 +391,12 @@
 
 def links_of(rig, who, address, heard):
     """Links of a dispatcher that is `who`; each other one is at the address that `address()` gives."""
-    return links.Links(rig.loop, lambda: who, lambda other: address(), heard, 3, 7, rig.log)
+    host = SimpleNamespace(
+        link_identity=lambda: LinkIdentity(*who),
+        member_address=lambda other: address(),
+        frame_received=heard,
+    )
+    return links.Links(rig.loop, host, 3, 7, rig.log)
 
 
 def send_on_link(made, content):
@@ -370,8 +405,8 @@
 
 def listen_on_links(made):
     """Where other dispatchers reach these links from here on."""
-    made.begin((HERE, 0))
-    return made.sock.getsockname()
+    made.start((HERE, 0))
+    return made.listener.sock.getsockname()
 
 
 def close_links(made):
