--- a/mastledge/program/connection_handoff.py
+++ b/mastledge/program/connection_handoff.py
@@ -1,10 +1,11 @@
-"""Jobs that outlast a process are handed on to the one beside it, with both of their connections.
+"""Jobs that outlast a process are handed off to the one beside it, with both of their connections.
 
 Nothing is decided about them there: what does not end well is killed, as it would have been.
 """
 
 import base64
 import binascii
+from dataclasses import dataclass
 
 import h11
 import orjson
@@ -17,129 +18,177 @@
 from mastledge.transport.errors import WaitTimeoutError
 from mastledge.transport.loop import READ
 
-EARLY = 20_000  # before the time by which the client is told; the old process had its own margin
-A_TURN = 16
+# Before the time by which the client is told: the old process had its own margin.
+ANSWER_MARGIN_US = 20_000
+RECEIVED_A_TURN = 16
+SOCKETS_A_JOB = 2  # the client's and the worker's
 
 
-class Carried:
-    """What the workers' edge needs of a launch."""
+class HandedOffJobError(ValueError):
+    """A datagram does not hold a job; the text says why."""
+
+
+@dataclass(frozen=True, slots=True)
+class HandedOffJob:
+    """A job as it stands in a datagram beside its two sockets.
+
+    `kind` is the name of its queue type; `until` the time by which its client is answered, of the machine's
+    monotonic clock in microseconds. `headed` tells whether the head of the worker's answer was read, `rest` is
+    what was read of the answer and not used yet.
+    """
+
+    name: str
+    kind: str
+    until: int
+    headed: bool
+    rest: bytes
+
+    def encode(self) -> bytes:
+        """The datagram."""
+        rest = base64.b64encode(self.rest).decode()
+        fields = {"name": self.name, "kind": self.kind, "until": self.until, "headed": self.headed}
+        return orjson.dumps({**fields, "rest": rest})
+
+    @classmethod
+    def decode(cls, raw: bytes) -> "HandedOffJob":
+        """The job of a datagram; HandedOffJobError where it holds none."""
+        try:
+            fields = http.loads(raw)
+            rest = base64.b64decode(fields["rest"])
+            job = cls(fields["name"], fields["kind"], fields["until"], bool(fields["headed"]), rest)
+        except (ValueError, KeyError, TypeError, binascii.Error) as error:
+            raise HandedOffJobError(f"{type(error).__name__}: {error}") from None
+        if not isinstance(job.until, int | float):
+            raise HandedOffJobError(f"until is no time: {job.until!r}")
+        return job
+
+
+class HandedOffLaunch:
+    """What the connections to workers need of a launch."""
 
     __slots__ = ("name", "sent", "conn", "headed")
 
-    def __init__(self, name):
-        self.name, self.sent, self.conn, self.headed = name, True, None, False
+    def __init__(self, name: str, conn: Connection, headed: bool):
+        """`conn`: to the worker, which has the whole request."""
+        self.name, self.sent, self.conn, self.headed = name, True, conn, headed
 
 
-class Nowhere:
+class DiscardingInbox:
     """In place of the queue of the decisions, which know nothing of these jobs."""
 
-    def put(self, *item):
-        pass
+    def put(self, *item) -> None:
+        """Drops an input."""
 
 
 class ConnectionHandoff:
-    def __init__(self, loop, budget, door, settings, log):
-        self.loop, self.budget, self.listener, self.log = loop, budget, door, log
-        self.workers, self.sock, self.exchanges = (
-            WorkerConnections(loop, budget, Nowhere(), settings, log),
-            None,
-            set(),
-        )
+    """Hands off jobs in the process that ends, and carries them to their end in the one that goes on."""
+
+    def __init__(self, loop, budget, listener, settings: dict, log):
+        """`listener` answers the clients of jobs that were taken over."""
+        self.loop, self.budget, self.listener, self.log = loop, budget, listener, log
+        self.workers = WorkerConnections(loop, budget, DiscardingInbox(), settings, log)
+        self.exchanges = set()  # of jobs that were taken over and have not ended
+        self._receiver = None
 
     # In the process that ends
 
-    def hand_on(self, router, path):
-        """Hands on what stands at a clear place; how many."""
+    def hand_off(self, router, path: str) -> int:
+        """Hands off all jobs that stand at a clear place to who receives at `path`; how many."""
         count = 0
         for job in list(router.jobs.values()):
-            live = [launch for launch in job.launches if not launch.ended]
-            client = job.exchange.conn  # none where a key is kept: what it came to is told to whoever asks
-            if not job.exchange.open or client is None or len(live) != 1 or not clear(client, live[0]):
+            launch = movable_launch(job)
+            if launch is None:
                 continue
-            exchange, launch = job.exchange, live[0]
-            raw = orjson.dumps(
-                {
-                    "name": exchange.name,
-                    "kind": exchange.kind,
-                    "until": exchange.until,
-                    "headed": launch.headed,
-                    "rest": base64.b64encode(launch.conn.buffer.peek()).decode(),
-                }
-            )
             try:
-                descriptor_passing.send_sockets(path, raw, (exchange.conn.sock, launch.conn.sock))
+                self._send(job.exchange, launch, path)
             except OSError as error:
-                self.log("connection_not_handed_off", job=exchange.name, why=str(error))
+                self.log("connection_not_handed_off", job=job.exchange.name, why=str(error))
                 break
-            for conn in (exchange.conn, launch.conn):
-                self.loop.unregister(conn.fd)
-            router.handed_on(self.loop.now(), job, launch)
-            self.loop.cancel(exchange.conn.owner)
+            self._let_go(router, job, launch)
             count += 1
         return count
 
+    def _send(self, exchange, launch, path):
+        message = HandedOffJob(
+            exchange.name, exchange.kind, exchange.until, launch.headed, launch.conn.buffer.peek()
+        )
+        sockets = (exchange.conn.sock, launch.conn.sock)
+        descriptor_passing.send_sockets(path, message.encode(), sockets)
+
+    def _let_go(self, router, job, launch):
+        for conn in (job.exchange.conn, launch.conn):
+            self.loop.unregister(conn.fd)
+        router.handed_on(self.loop.now(), job, launch)
+        self.loop.cancel(job.exchange.conn.owner)
+
     # In the process that goes on
 
-    def listen(self, path):
+    def listen(self, path: str):
+        """Coroutine: takes over what is sent to `path`."""
         try:
-            self.sock = descriptor_passing.open_receiver(path)
+            self._receiver = descriptor_passing.open_receiver(path)
         except OSError as error:
             # A folder whose path is too long for it, say: what outlasts the old process is killed with it.
             self.log("handoff_disabled", why=str(error))
             return
         while True:
-            yield (self.sock.fileno(), READ, None)
-            for _ in range(A_TURN):
-                got = descriptor_passing.receive_sockets(self.sock, 2)
-                if got is None:
+            yield (self._receiver.fileno(), READ, None)
+            for _ in range(RECEIVED_A_TURN):
+                received = descriptor_passing.receive_sockets(self._receiver, SOCKETS_A_JOB)
+                if received is None:
                     break
-                self.take_up(*got)
+                self.take_over(*received)
 
-    def take_up(self, raw, socks):
+    def take_over(self, raw: bytes, sockets) -> None:
+        """Goes on with the job of a datagram; its connections are closed where that cannot be."""
         try:
-            told = http.loads(raw)
-            exchange, launch = Exchange(), Carried(told["name"])
-            exchange.name, exchange.kind, exchange.until = told["name"], told["kind"], told["until"] - EARLY
-            headed, rest = bool(told["headed"]), base64.b64decode(told["rest"])
-        except (ValueError, KeyError, TypeError, binascii.Error) as error:
-            self.log("connection_not_received", why=f"{type(error).__name__}: {error}")
-            for one in socks:
-                one.close()
+            job = HandedOffJob.decode(raw)
+        except HandedOffJobError as error:
+            self._refuse(sockets, str(error))
             return
-        ends = []
+        connections = []
         try:
-            for one, kind, role in zip(socks, ("clients", "workers"), (h11.SERVER, h11.CLIENT), strict=True):
-                ends.append(self.attached(one, kind, role))
+            for sock, kind, role in zip(
+                sockets, ("clients", "workers"), (h11.SERVER, h11.CLIENT), strict=True
+            ):
+                connections.append(self.attached(sock, kind, role))
         except OSError as error:
-            self.log("connection_not_received", why=str(error))
-            for one in (*ends, *socks):
-                one.close()
+            self._refuse((*connections, *sockets), str(error))
             return
-        client, launch.conn = ends
-        launch.headed = headed
-        http.resume(client, launch.conn, headed)
-        launch.conn.buffer.append(rest)
-        self.exchanges.add(exchange)
-        client.owner = self.loop.spawn(self.listener.resumed(client, exchange))
-        task = self.loop.spawn(self.carried(launch, exchange))
-        exchange.answer = lambda *answer: self.loop.wake(client.owner, answer)
-        exchange.job = task
-        self.log("connection_received", job=exchange.name)
+        self._start(job, *connections)
+
+    def _refuse(self, closables, why):
+        self.log("connection_not_received", why=why)
+        for closable in closables:
+            closable.close()
 
-    def attached(self, sock, kind, role):
-        # Beyond the budget for a moment, but the process that hands it on closes its own at once.
+    def attached(self, sock, kind: str, role) -> Connection:
+        """A connection on a socket that was received; OSError where the loop cannot watch it."""
+        # Beyond the budget for a moment, but the process that hands it off closes its own at once.
         conn = http.attach(Connection(self.loop, sock, self.budget, kind), role)
         self.budget.used[kind] += 1
         return conn
 
-    def carried(self, launch, exchange):
-        conn = launch.conn
+    def _start(self, job, client, worker):
+        exchange = Exchange()
+        exchange.name, exchange.kind, exchange.until = job.name, job.kind, job.until - ANSWER_MARGIN_US
+        launch = HandedOffLaunch(job.name, worker, job.headed)
+        http.resume(client, worker, job.headed)
+        worker.buffer.append(job.rest)
+        self.exchanges.add(exchange)
+        client.owner = self.loop.spawn(self.listener.resumed(client, exchange))
+        exchange.answer = lambda *answer: self.loop.wake(client.owner, answer)
+        exchange.job = self.loop.spawn(self.finish(launch, exchange))
+        self.log("connection_received", job=exchange.name)
+
+    def finish(self, launch: HandedOffLaunch, exchange: Exchange):
+        """Coroutine: reads the worker's answer and has the client answered."""
         try:
-            how, result, _ = yield from self.workers.outcome(conn, launch, exchange.until)
+            how, result, _ = yield from self.workers.outcome(launch.conn, launch, exchange.until)
         except (OSError, WaitTimeoutError, ValueError, http.TooLarge, h11.RemoteProtocolError) as error:
             how, result = str(error) or type(error).__name__, None
         finally:
-            conn.close()
+            launch.conn.close()
             self.exchanges.discard(exchange)
         self.log("handed_off_launch_ended", job=exchange.name, how=how)
         if how == "completed":
@@ -147,14 +196,23 @@
         else:
             exchange.killed()
 
-    def over(self):
-        """This process has to end as well."""
+    def kill_jobs(self) -> None:
+        """Ends all jobs that were taken over: this process has to end as well."""
         for exchange in list(self.exchanges):
             exchange.killed()
             self.loop.cancel(exchange.job)
 
 
-def clear(client, launch):
+def movable_launch(job):
+    """The one launch of a job that another process can go on with, None where there is none such."""
+    running = [launch for launch in job.launches if not launch.ended]
+    client = job.exchange.conn  # none where a key is kept: what it came to is told to whoever asks
+    if not job.exchange.open or client is None or len(running) != 1:
+        return None
+    return running[0] if is_clear(client, running[0]) else None
+
+
+def is_clear(client: Connection, launch) -> bool:
     """Whether another process can go on reading here: nothing half read, nothing unread from the client."""
     worker = launch.conn
     return (
--- a/mastledge/program/graceful_shutdown.py
+++ b/mastledge/program/graceful_shutdown.py
@@ -83,12 +83,12 @@
     def _hand_off_jobs(self):
         state = self._dispatcher.upgrade_state
         if state.sibling_ready():
-            self._dispatcher.handoff.hand_on(self._dispatcher.router, state.path_of("jobs", 1 - state.seat))
+            self._dispatcher.handoff.hand_off(self._dispatcher.router, state.path_of("jobs", 1 - state.seat))
 
     def _send_last_answers(self):
         dispatcher, loop, listener = self._dispatcher, self._dispatcher.loop, self._dispatcher.listener
         dispatcher.inbox.put("over")
-        dispatcher.handoff.over()
+        dispatcher.handoff.kill_jobs()
         while listener.clients and loop.now() < self._end_at + EXIT_MARGIN_US // 5:
             listener.close_all_idle()
             yield (-1, 0, loop.now() + LAST_ANSWERS_POLL_US)
--- a/mastledge/program/logs.py
+++ b/mastledge/program/logs.py
@@ -6,50 +6,67 @@
 
 import orjson
 
-MOST = select.PIPE_BUF  # a pipe that reports room takes this much without making the writer wait
+LONGEST_LINE_BYTES = (
+    select.PIPE_BUF
+)  # a pipe that reports room takes this much without making the writer wait
+EVENTS_OF_SINGLE_JOBS = frozenset({"job_finished", "launch_ended"})
+ALWAYS_KEPT = ("at", "name", "pid", "event")
 
 
 class Log:
-    """Its descriptor may be read slowly or not at all: the dispatcher never waits for its log."""
-
-    def __init__(self, fd, name, level="info"):
-        self.fd, self.name, self.quiet = (
-            fd,
-            name,
-            {"job_finished", "launch_ended"} if level == "brief" else (),
-        )
-        self.poll, self.lost, self.pid = select.poll(), 0, os.getpid()  # two processes may have one name
-        self.poll.register(fd, select.POLLOUT)
-
-    def __call__(self, event, **fields):
-        if event in self.quiet:
+    """Writes events to a descriptor that may be read slowly or not at all: it never waits.
+
+    A line that finds no room is lost; the next one that is written says in `lost` how many were.
+    """
+
+    def __init__(self, descriptor: int, name: str, level: str = "info"):
+        """`name`: of the dispatcher; at level `brief` the lines of single jobs and launches are left out."""
+        self._descriptor, self._name = descriptor, name
+        self._left_out = EVENTS_OF_SINGLE_JOBS if level == "brief" else frozenset()
+        self._process_id = os.getpid()  # two processes may have one name
+        self._poll = select.poll()
+        self._poll.register(descriptor, select.POLLOUT)
+        self.lost = 0  # lines since the last one that was written
+
+    def __call__(self, event: str, **fields) -> None:
+        """Writes an event with its fields; what JSON cannot hold is written as text."""
+        if event in self._left_out:
             return
         line = {
             "at": time.time_ns() // 1_000_000,
-            "name": self.name,
-            "pid": self.pid,
+            "name": self._name,
+            "pid": self._process_id,
             "event": event,
             **fields,
         }
         if self.lost:
             line["lost"] = self.lost
+        if self._write(encode(line)):
+            self.lost = 0
+        else:
+            self.lost += 1
+
+    def _write(self, raw):
+        """Whether there was room for a line."""
         try:
-            raw = orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE)
-        except TypeError as error:
-            # A line that cannot be written must not cost what it tells of.
-            raw = orjson.dumps(
-                {"event": "line_unwritable", "of": event, "why": ascii(error)},
-                option=orjson.OPT_APPEND_NEWLINE,
-            )
-        if len(raw) > MOST:
-            short = {**{key: line[key] for key in ("at", "name", "pid", "event")}, "cut": len(raw)}
-            raw = orjson.dumps(short, option=orjson.OPT_APPEND_NEWLINE)
-        try:
-            ready = self.poll.poll(0)
+            ready = self._poll.poll(0)
             if ready and ready[0][1] & select.POLLOUT:
-                os.write(self.fd, raw)
-                self.lost = 0
-                return
+                os.write(self._descriptor, raw)
+                return True
         except OSError:
             pass
-        self.lost += 1
+        return False
+
+
+def encode(line: dict) -> bytes:
+    """The line as JSON; only what each line has, and its size, where it is too long."""
+    try:
+        raw = orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE)
+    except TypeError as error:
+        # A line that cannot be written must not cost what it tells of.
+        unwritable = {"event": "line_unwritable", "of": line["event"], "why": ascii(error)}
+        return orjson.dumps(unwritable, option=orjson.OPT_APPEND_NEWLINE)
+    if len(raw) <= LONGEST_LINE_BYTES:
+        return raw
+    short = {**{key: line[key] for key in ALWAYS_KEPT}, "cut": len(raw)}
+    return orjson.dumps(short, option=orjson.OPT_APPEND_NEWLINE)
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -355,7 +355,7 @@
         loop, None, None, balancer().settings, lambda event, **fields: None
     )
     try:
-        assert made.hand_on(router, path) == 1
+        assert made.hand_off(router, path) == 1
         raw, socks = descriptor_passing.receive_sockets(inlet, 2)
         for sock in socks:
             sock.close()
@@ -370,17 +370,17 @@
     rig, jobs = Rig(), []
     door = SimpleNamespace(resumed=lambda conn, exchange: iter(()))
     made = connection_handoff.ConnectionHandoff(rig.loop, rig.budget, door, balancer().settings, rig.log)
-    made.carried = lambda launch, exchange: jobs.append((launch, exchange)) or iter(())
+    made.finish = lambda launch, exchange: jobs.append((launch, exchange)) or iter(())
     here = socket.create_server((HERE, 0))
     ends = [socket.create_connection(here.getsockname()) for _ in range(2)]
     try:
-        made.take_up(raw, ends)
+        made.take_over(raw, ends)
         (launch, exchange) = jobs[0]
         assert launch.name == exchange.name
         return {
             "name": exchange.name,
             "kind": exchange.kind,
-            "until": exchange.until + connection_handoff.EARLY,
+            "until": exchange.until + connection_handoff.ANSWER_MARGIN_US,
             "headed": launch.headed,
             "rest": launch.conn.buffer.peek(),
         }
