--- a/mastledge/program/command.py
+++ b/mastledge/program/command.py
@@ -14,27 +14,27 @@
 
 def serve(args) -> int:
     """Runs one dispatcher until SIGTERM."""
-    told = load_configuration(args.config, os.environ)
-    log = Log(sys.stderr.fileno(), told["name"], args.log)
+    configuration = load_configuration(args.config, os.environ)
+    log = Log(sys.stderr.fileno(), configuration["name"], args.log)
     return Dispatcher(
-        told, log, lambda: load_configuration(args.config, os.environ), os.environ.get("TMPDIR")
+        configuration, log, lambda: load_configuration(args.config, os.environ), os.environ.get("TMPDIR")
     ).run()
 
 
 def check(args) -> int:
     """Reads the configuration and says whether it is good."""
-    told = load_configuration(args.config, os.environ)
+    configuration = load_configuration(args.config, os.environ)
     print(
-        f"{args.config}: good; {len(told['settings']['queue_types'])} queue types, listens on "
-        f"{told['listen'][0]}:{told['listen'][1]}"
+        f"{args.config}: good; {len(configuration['settings']['queue_types'])} queue types, listens on "
+        f"{configuration['listen'][0]}:{configuration['listen'][1]}"
     )
     return 0
 
 
 def settings(args) -> int:
     """Shows the settings as the decisions are handed them."""
-    told = load_configuration(args.config, os.environ)
-    print(orjson.dumps(told["settings"], option=orjson.OPT_INDENT_2).decode())
+    configuration = load_configuration(args.config, os.environ)
+    print(orjson.dumps(configuration["settings"], option=orjson.OPT_INDENT_2).decode())
     return 0
 
 
--- a/mastledge/program/configuration.py
+++ b/mastledge/program/configuration.py
@@ -1,177 +1,213 @@
-"""What one dispatcher is told: environment and configuration file."""
+"""The configuration of one dispatcher: a file, and the environment for what the file leaves out."""
 
 import os
+from collections.abc import Mapping
 
 import orjson
 
 from mastledge.program.settings import flatten_settings, parse_settings
 from mastledge.transport.connection import address_of
 
+DEFAULT_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 256
+DEFAULT_LEASE_MS = 2000
+# Shorter, and a heartbeat is lost in the noise of a busy machine; longer, and nobody waits for it.
+MIN_LEASE_MS, MAX_LEASE_MS = 500, 60_000
+DEFAULT_KEEP_MS = 60_000
+DEFAULT_KEY_ENTRIES = 100_000
+DEFAULT_KEY_BYTES = 64 << 20
+MAX_COPIES = 7  # more cost more and make nothing safer than members that vote are
+DEFAULT_RAMP_MS = 5_000
+DEFAULT_LIST_VALID_MS = 60_000
+MIN_RECOVERY_MS, MAX_RECOVERY_MS = 100, 600_000
+US_PER_MS = 1000
+
+PEERS_KEYS = {"listen", "members", "folder", "form", "lease_ms", "without_lease", "registry", "fleet"}
+REPEATS_KEYS = {"keep_ms", "copies", "entries", "bytes", "folder", "sync"}
+RECOVERY_KEYS = {"folder", "open_ms", "list_ms"}
+PARTS_WITH_FOLDERS = ("peers", "repeats", "recovery")
+
 
 class ConfigurationError(ValueError):
-    """One plain message for whoever starts the program."""
+    """The configuration cannot be used: one plain message for whoever starts the program."""
+
+
+def load_configuration(path: str, environment: Mapping[str, str]) -> dict:
+    """A plain map of all that the program is configured with; times are in microseconds.
+
+    ConfigurationError: the file cannot be read, or says what cannot be; the message names file and key.
+    """
+    document = read_document(path)
+    try:
+        configuration = parse_dispatcher(document, environment)
+        addresses = {key: configuration[key] for key in ("listen", "control", "discovery")}
+        configuration["peers"] = parse_peers(document, configuration["name"], addresses)
+        configuration["repeats"] = parse_repeats(document, configuration["peers"])
+        configuration["recovery"] = parse_recovery(document)
+        require_distinct_folders(configuration)
+    except ValueError as error:  # settings and addresses that cannot be read are such
+        raise ConfigurationError(f"{path}: {error}") from None
+    return configuration
 
 
-def part(told, name, kind, absent=None):
-    value = absent if told.get(name) is None else told[name]
+def read_document(path: str) -> dict:
+    """The JSON object in a file; ConfigurationError where there is none."""
+    try:
+        with open(path, "rb") as file:
+            document = orjson.loads(file.read())
+    except OSError as error:
+        raise ConfigurationError(f"{path}: {error.strerror}") from None
+    except orjson.JSONDecodeError as error:
+        raise ConfigurationError(f"{path} is no JSON: {error}") from None
+    if not isinstance(document, dict):
+        raise ConfigurationError(f"{path} holds no object")
+    return document
+
+
+def value_of(document: dict, key: str, kind: type, default=None):
+    """The value of a key, or its default; ConfigurationError where both are absent or the type is another."""
+    value = default if document.get(key) is None else document[key]
     if value is None:
-        raise ConfigurationError(f"{name} is missing")
+        raise ConfigurationError(f"{key} is missing")
     if not isinstance(value, kind):
-        raise ConfigurationError(f"{name} cannot be read: {value!r}")
+        raise ConfigurationError(f"{key} cannot be read: {value!r}")
     return value
 
 
-def seed_of(text):
+def require_known_keys(part: dict, name: str, known: set[str]) -> None:
+    """ConfigurationError names the first key of a part that means nothing."""
+    for key in part:
+        if key not in known:
+            raise ConfigurationError(f"{name}.{key} is unknown")
+
+
+def parse_seed(text: str) -> int:
+    """The seed, written in base 16."""
     try:
         return int(text, 16)
     except ValueError:
         raise ConfigurationError(f"seed cannot be read: {text!r}") from None
 
 
-PEERS = {"listen", "members", "folder", "form", "lease_ms", "without_lease", "registry", "fleet"}
-# Shorter, and a beat is lost in the noise of a busy machine; longer, and nobody waits for it.
-LEASE_MS = 500, 60_000
-
-
-def peers_of(told, name, taken):
-    """The part on the dispatchers that agree, None where there is none. `taken`: addresses used otherwise."""
-    peers = part(told, "peers", dict, {})
-    if not peers:
+def parse_dispatcher(document: dict, environment: Mapping[str, str]) -> dict:
+    """What each dispatcher has: its name, addresses, limits and settings."""
+    configuration = {"name": value_of(document, "name", str, environment.get("GW_NAME", "dispatcher"))}
+    for key, variable in (("listen", "GW_LISTEN"), ("discovery", "GW_DISCOVERY")):
+        configuration[key] = address_of(value_of(document, key, str, environment.get(variable)))
+    # For operators alone; absent there is no such address.
+    control = value_of(document, "control", str, environment.get("GW_CONTROL") or "")
+    configuration["control"] = address_of(control) if control else None
+    if configuration["control"] == configuration["listen"]:
+        raise ConfigurationError(f"control is the same address as listen: {control}")
+    configuration["seed"] = parse_seed(value_of(document, "seed", str))
+    limits = value_of(document, "limits", dict, {})
+    configuration["sockets"] = int(value_of(limits, "sockets", int, DEFAULT_SOCKETS))
+    configuration["memory"] = value_of(limits, "memory_mb", int, DEFAULT_MEMORY_MB) << 20
+    configuration["known"] = value_of(document, "known", dict, {})
+    configuration["document"] = value_of(document, "settings", dict)
+    configuration["settings"] = parse_settings(flatten_settings(configuration["document"]))
+    return configuration
+
+
+def parse_peers(document: dict, name: str, addresses: dict) -> dict | None:
+    """The part on the fleet, None where there is none. `addresses` are in use otherwise, by their key."""
+    part = value_of(document, "peers", dict, {})
+    if not part:
         return None
-    for key in peers:
-        if key not in PEERS:
-            raise ConfigurationError(f"peers.{key} is unknown")
-    out = {
-        key: part(peers, key, kind, absent)
-        for key, kind, absent in (
-            ("members", dict, None),
-            ("folder", str, None),
-            ("form", bool, False),
-            ("lease_ms", int, 2000),
-            ("without_lease", str, "reject"),
-            ("registry", str, ""),
-            ("fleet", str, ""),
-        )
+    require_known_keys(part, "peers", PEERS_KEYS)
+    peers = {
+        "members": value_of(part, "members", dict),
+        "folder": value_of(part, "folder", str),
+        "form": value_of(part, "form", bool, False),
+        "lease_ms": value_of(part, "lease_ms", int, DEFAULT_LEASE_MS),
+        "without_lease": value_of(part, "without_lease", str, "reject"),
+        "registry": value_of(part, "registry", str, ""),
+        "fleet": value_of(part, "fleet", str, ""),
     }
-    out["listen"] = address_of(part(peers, "listen", str))
-    for other, address in taken.items():
-        if out["listen"] == address:
-            raise ConfigurationError(f"peers.listen is the same address as {other}: {peers['listen']}")
-    seen = {}
-    for member, address in out["members"].items():
+    peers["listen"] = address_of(value_of(part, "listen", str))
+    for key, address in addresses.items():
+        if peers["listen"] == address:
+            raise ConfigurationError(f"peers.listen is the same address as {key}: {part['listen']}")
+    require_sound_members(peers["members"], name)
+    lease_ms = peers.pop("lease_ms")
+    if not MIN_LEASE_MS <= lease_ms <= MAX_LEASE_MS:
+        raise ConfigurationError(f"peers.lease_ms is not from {MIN_LEASE_MS} to {MAX_LEASE_MS}: {lease_ms}")
+    peers["lease"] = lease_ms * US_PER_MS
+    if peers["without_lease"] not in ("reject", "serve"):
+        raise ConfigurationError(
+            f"peers.without_lease is neither reject nor serve: {peers['without_lease']!r}"
+        )
+    if not peers["folder"]:
+        raise ConfigurationError("peers.folder is empty")
+    return peers
+
+
+def require_sound_members(members: dict, name: str) -> None:
+    """Each member has a name and an address of its own, and `name` is one of them."""
+    by_address = {}
+    for member, address in members.items():
         if not member or not isinstance(address, str):
             raise ConfigurationError(f"peers.members cannot be read: {member!r}")
         address_of(address)
-        if address in seen:
-            raise ConfigurationError(f"peers.members has two at one address: {seen[address]} and {member}")
-        seen[address] = member
-    if name not in out["members"]:
+        if address in by_address:
+            both = f"{by_address[address]} and {member}"
+            raise ConfigurationError(f"peers.members has two at one address: {both}")
+        by_address[address] = member
+    if name not in members:
         raise ConfigurationError(f"name is none of peers.members: {name!r}")
-    if not LEASE_MS[0] <= out["lease_ms"] <= LEASE_MS[1]:
-        low, high = LEASE_MS
-        raise ConfigurationError(f"peers.lease_ms is not from {low} to {high}: {out['lease_ms']}")
-    out["lease"] = out.pop("lease_ms") * 1000
-    if out["without_lease"] not in ("reject", "serve"):
-        raise ConfigurationError(f"peers.without_lease is neither reject nor serve: {out['without_lease']!r}")
-    if not out["folder"]:
-        raise ConfigurationError("peers.folder is empty")
-    return out
-
 
-REPEATS = {"keep_ms", "copies", "entries", "bytes", "folder", "sync"}
-MAX_COPIES = 7  # more cost more and make nothing safer than members that vote are
 
-
-def repeats_of(told, peers):
-    """The part on keys that come again, None where there is none."""
-    repeats = part(told, "repeats", dict, {})
-    if not repeats:
+def parse_repeats(document: dict, peers: dict | None) -> dict | None:
+    """The part on idempotency keys, None where there is none."""
+    part = value_of(document, "repeats", dict, {})
+    if not part:
         return None
-    for key in repeats:
-        if key not in REPEATS:
-            raise ConfigurationError(f"repeats.{key} is unknown")
-    out = {
-        key: part(repeats, key, int, absent)
-        for key, absent in (("keep_ms", 60_000), ("copies", 1), ("entries", 100_000), ("bytes", 64 << 20))
+    require_known_keys(part, "repeats", REPEATS_KEYS)
+    repeats = {
+        "keep_ms": value_of(part, "keep_ms", int, DEFAULT_KEEP_MS),
+        "copies": value_of(part, "copies", int, 1),
+        "entries": value_of(part, "entries", int, DEFAULT_KEY_ENTRIES),
+        "bytes": value_of(part, "bytes", int, DEFAULT_KEY_BYTES),
     }
-    for key, value in out.items():
+    for key, value in repeats.items():
         if value < 1:
             raise ConfigurationError(f"repeats.{key} is below 1: {value}")
-    if out["copies"] > MAX_COPIES:
-        raise ConfigurationError(f"repeats.copies is above {MAX_COPIES}: {out['copies']}")
-    if out["copies"] > 1 and peers is None:
-        raise ConfigurationError(f"repeats.copies is {out['copies']}, and there are no peers to hold them")
-    out["sync"] = part(repeats, "sync", bool, True)
-    out["keep"] = out.pop("keep_ms") * 1000
-    out["folder"] = part(repeats, "folder", str)
-    return out
-
-
-RECOVERY = {"folder", "open_ms", "list_ms"}
-
-
-def recovery_of(told):
-    """The part on starts by steps, None where there is none."""
-    recovery = part(told, "recovery", dict, {})
-    if not recovery:
+    copies = repeats["copies"]
+    if copies > MAX_COPIES:
+        raise ConfigurationError(f"repeats.copies is above {MAX_COPIES}: {copies}")
+    if copies > 1 and peers is None:
+        raise ConfigurationError(f"repeats.copies is {copies}, and there are no peers to hold them")
+    repeats["sync"] = value_of(part, "sync", bool, True)
+    repeats["keep"] = repeats.pop("keep_ms") * US_PER_MS
+    repeats["folder"] = value_of(part, "folder", str)
+    return repeats
+
+
+def parse_recovery(document: dict) -> dict | None:
+    """The part on starts by stages, None where there is none."""
+    part = value_of(document, "recovery", dict, {})
+    if not part:
         return None
-    for key in recovery:
-        if key not in RECOVERY:
-            raise ConfigurationError(f"recovery.{key} is unknown")
-    out = {"folder": part(recovery, "folder", str)}
-    for key, absent in (("open_ms", 5_000), ("list_ms", 60_000)):
-        value = part(recovery, key, int, absent)
-        if not 100 <= value <= 600_000:
-            raise ConfigurationError(f"recovery.{key} is not from 100 to 600000: {value}")
-        out[key.removesuffix("_ms")] = value * 1000
-    if not out["folder"]:
+    require_known_keys(part, "recovery", RECOVERY_KEYS)
+    recovery = {"folder": value_of(part, "folder", str)}
+    for key, default in (("open_ms", DEFAULT_RAMP_MS), ("list_ms", DEFAULT_LIST_VALID_MS)):
+        value = value_of(part, key, int, default)
+        if not MIN_RECOVERY_MS <= value <= MAX_RECOVERY_MS:
+            bounds = f"from {MIN_RECOVERY_MS} to {MAX_RECOVERY_MS}"
+            raise ConfigurationError(f"recovery.{key} is not {bounds}: {value}")
+        recovery[key.removesuffix("_ms")] = value * US_PER_MS
+    if not recovery["folder"]:
         raise ConfigurationError("recovery.folder is empty")
-    return out
+    return recovery
 
 
-def folders_differ(out):
+def require_distinct_folders(configuration: dict) -> None:
     """Each part locks its folder for itself."""
-    seen = {}
-    for name in ("peers", "repeats", "recovery"):
-        folder = out[name] and os.path.abspath(out[name]["folder"])
-        if folder in seen:
-            raise ConfigurationError(f"{name}.folder is the same as {seen[folder]}.folder: {folder}")
-        if folder:
-            seen[folder] = name
-
-
-def load_configuration(path, env):
-    """A plain map of all that the program is told; the environment stands in for what the file leaves out."""
-    try:
-        with open(path, "rb") as file:
-            told = orjson.loads(file.read())
-    except OSError as error:
-        raise ConfigurationError(f"{path}: {error.strerror}") from None
-    except orjson.JSONDecodeError as error:
-        raise ConfigurationError(f"{path} is no JSON: {error}") from None
-    if not isinstance(told, dict):
-        raise ConfigurationError(f"{path} holds no object")
-    try:
-        out = {"name": part(told, "name", str, env.get("GW_NAME", "dispatcher"))}
-        for name, variable in (("listen", "GW_LISTEN"), ("discovery", "GW_DISCOVERY")):
-            out[name] = address_of(part(told, name, str, env.get(variable)))
-        # For operators alone; absent there is no such address.
-        control = part(told, "control", str, env.get("GW_CONTROL") or "")
-        out["control"] = address_of(control) if control else None
-        if out["control"] == out["listen"]:
-            raise ConfigurationError(f"control is the same address as listen: {control}")
-        out["seed"] = seed_of(part(told, "seed", str))
-        limits = part(told, "limits", dict, {})
-        out["sockets"] = int(part(limits, "sockets", int, 1024))
-        out["memory"] = part(limits, "memory_mb", int, 256) << 20
-        out["known"] = part(told, "known", dict, {})
-        out["document"] = part(told, "settings", dict)
-        out["settings"] = parse_settings(flatten_settings(out["document"]))
-        taken = {key: out[key] for key in ("listen", "control", "discovery")}
-        out["peers"] = peers_of(told, out["name"], taken)
-        out["repeats"] = repeats_of(told, out["peers"])
-        out["recovery"] = recovery_of(told)
-        folders_differ(out)
-    except ValueError as error:  # bad settings and addresses are such
-        raise ConfigurationError(f"{path}: {error}") from None
-    return out
+    by_folder = {}
+    for name in PARTS_WITH_FOLDERS:
+        if configuration[name] is None:
+            continue
+        folder = os.path.abspath(configuration[name]["folder"])
+        if folder in by_folder:
+            raise ConfigurationError(f"{name}.folder is the same as {by_folder[folder]}.folder: {folder}")
+        by_folder[folder] = name
--- a/mastledge/program/connection_handoff.py
+++ b/mastledge/program/connection_handoff.py
@@ -33,7 +33,7 @@
     """A job as it stands in a datagram beside its two sockets.
 
     `kind` is the name of its queue type; `until` the time by which its client is answered, of the machine's
-    monotonic clock in microseconds. `headed` tells whether the head of the worker's answer was read, `rest` is
+    monotonic clock in microseconds. `headed`: whether the head of the worker's answer was read; `rest`:
     what was read of the answer and not used yet.
     """
 
--- a/mastledge/program/settings.py
+++ b/mastledge/program/settings.py
@@ -1,4 +1,4 @@
-"""From the settings that an instance is given to the plain map that the decisions are handed.
+"""From a document of settings to the plain map that the decisions are handed.
 
 They come nested, as JSON, or as pairs of path and text; either way each is looked up by its path.
 """
@@ -8,72 +8,79 @@
     """A required setting is missing or unreadable; the text names its key."""
 
 
-def us(text):
+def duration_us(text) -> int:
+    """A duration, written in milliseconds, in microseconds."""
     return round(figure(text) * 1000)
 
 
-def figure(text):
+def figure(text) -> float:
+    """A number that is not negative and not beyond reason; ValueError otherwise."""
     value = float(text)
-    if not 0 <= value < 1e15:
+    if not 0 <= value < FIGURE_LIMIT:
         raise ValueError(text)
     return value
 
 
-def count(text):
+def count(text) -> int:
+    """An integer from 1 on; ValueError otherwise."""
     if int(text) < 1:
         raise ValueError(text)
     return int(text)
 
 
-def flag(text):
+def flag(text) -> bool:
+    """A boolean, also as text; ValueError otherwise."""
     if text not in ("true", "false", True, False):
         raise ValueError(text)
     return text in ("true", True)
 
 
-def words(text):
+def words(text) -> list[str]:
+    """A list, as it is or as text with commas."""
     return [word for word in text.split(",") if word] if isinstance(text, str) else list(text)
 
 
-def numbers(text):
+def numbers(text) -> list[float]:
+    """A list of numbers, as it is or as text with commas."""
     return [float(word) for word in words(text)]
 
 
 REQUIRED = object()
+FIGURE_LIMIT = 1e15
 
-# ours: (the wire's path, how its text is read, what stands in when it is absent)
+# key here: (path in the document, how its text is parsed, default)
 PLAIN = {
     "dispatchers": ("balancers", count, REQUIRED),
     "me": ("me", int, REQUIRED),
     "zones": ("zones", words, ()),
     "kinds": ("kinds", words, ()),
     "zone": ("locality", int, 0),
-    "step": ("stepMs", us, REQUIRED),
+    "step": ("stepMs", duration_us, REQUIRED),
     "follow": ("discovery", str, REQUIRED),
     "excess_utility": ("excessUtility", figure, 1.0),
     "utility_basis": ("utilityBasis", str, "request"),
     "tells_start": ("familyInfo.tellsStart", flag, False),
-    "progress_every": ("familyInfo.progressMs", us, 0),
+    "progress_every": ("familyInfo.progressMs", duration_us, 0),
     "queue_order": ("familyInfo.queueOrder", str, "fifo"),
     "may_revoke": ("limits.cancel", flag, False),
     "may_probe": ("limits.mayProbe", flag, False),
     "may_message": ("limits.peerMessages", flag, False),
     "may_hold_off": ("limits.retryAfter", flag, False),
-    "most_hold_off": ("limits.maxRetryAfterMs", us, 0),
+    "most_hold_off": ("limits.maxRetryAfterMs", duration_us, 0),
     "parallel": ("limits.parallelTries", flag, False),
     "launches": ("limits.maxLaunches", count, REQUIRED),
     "most_held": ("limits.mostHeld", int, 20_000),
-    "conn_idle": ("limits.connIdleMs", us, 5_000_000),
-    "connect_timeout": ("limits.connectTimeoutMs", us, 250_000),
+    "conn_idle": ("limits.connIdleMs", duration_us, 5_000_000),
+    "connect_timeout": ("limits.connectTimeoutMs", duration_us, 250_000),
     "cpu_a_second": ("limits.cpuUsPerS", figure, 0.0),
     "cpu_a_job": ("limits.cpuUsPerRequest", figure, 0.0),
-    "answer_slack": ("rules.answerSlackMs", us, 0),
-    "ask_within": ("rules.askWithinMs", us, 0),
+    "answer_slack": ("rules.answerSlackMs", duration_us, 0),
+    "ask_within": ("rules.askWithinMs", duration_us, 0),
     "cold_from": ("rules.coldFrom", figure, REQUIRED),
-    "cold_for": ("rules.coldMs", us, REQUIRED),
-    "fall_for": ("rules.fallMs", us, REQUIRED),
+    "cold_for": ("rules.coldMs", duration_us, REQUIRED),
+    "fall_for": ("rules.fallMs", duration_us, REQUIRED),
     "fall_multiple": ("rules.fallMultiple", figure, REQUIRED),
-    "grace": ("rules.stopSendingWithinMs", us, REQUIRED),
+    "grace": ("rules.stopSendingWithinMs", duration_us, REQUIRED),
     "report_how": ("loadInfo.how", str, "silent"),
     "report_fields": ("loadInfo.fields", words, ()),
     "price_crossing": ("prices.crossZone", figure, 0.0),
@@ -86,18 +93,20 @@
 }
 QUEUE_TYPE = {
     "name": ("name", str, ""),
-    "target": ("targetTurnaroundMs", us, REQUIRED),
-    "walltime": ("walltimeMs", us, REQUIRED),
+    "target": ("targetTurnaroundMs", duration_us, REQUIRED),
+    "walltime": ("walltimeMs", duration_us, REQUIRED),
     "effect": ("idempotency", str, REQUIRED),
     "group": ("dedupScope", str, "all"),
-    "window": ("windowMs", us, 0),
+    "window": ("windowMs", duration_us, 0),
     "utility": ("utility", figure, 1.0),
     "late_utility": ("overdueUtility", figure, 0.0),
     "aim_stretch": ("aimStretch", figure, 0.0),
 }
 TENANT = {"name": ("name", str, ""), "portion": ("portion", figure, 0.0), "quota": ("quotaPerS", figure, 0.0)}
-EFFECT = {"pure": "restartable", "token": "deduplicated", "side_effect": "run-once"}
-REPORT = {
+EFFECTS = {"pure": "restartable", "token": "deduplicated", "side_effect": "run-once"}
+DEDUPLICATION_SCOPES = ("all", "zone", "cell")
+FOLLOW = {"pushed": "pushed", "on_request": "asked"}
+REPORT_FIELDS = {
     "outstanding": "outstanding",
     "backlog": "backlog",
     "utilization": "busy",
@@ -106,33 +115,35 @@
 }
 
 
-def read(pairs, path, kind, absent):
+def read(pairs: dict, path: str, parse, default):
+    """The value at a path, parsed, or its default; SettingError names the path."""
     text = pairs.get(path)
     if text is None:
-        if absent is REQUIRED:
+        if default is REQUIRED:
             raise SettingError(f"setting {path} is missing")
-        return absent
+        return default
     try:
-        return kind(text)
+        return parse(text)
     except (TypeError, ValueError, OverflowError):
         raise SettingError(f"setting {path} cannot be read: {text!r}") from None
 
 
-def listed(pairs, path, table):
+def read_list(pairs: dict, path: str, table: dict) -> list[dict]:
+    """The objects of a list, each read by a table as PLAIN."""
     return [
-        {ours: read(pairs, f"{path}.{i}.{name}", *how) for ours, (name, *how) in table.items()}
+        {key: read(pairs, f"{path}.{i}.{name}", *how) for key, (name, *how) in table.items()}
         for i in range(read(pairs, f"{path}.count", int, 0))
     ]
 
 
-def flatten_settings(nested, path=""):
+def flatten_settings(nested: dict, path: str = "") -> dict:
     """Paths and values of nested JSON, as the pairs have them: a list of objects by count and place."""
     pairs = {}
     for name, value in nested.items():
         here = f"{path}{name}"
         if isinstance(value, dict):
             pairs.update(flatten_settings(value, here + "."))
-        elif isinstance(value, list) and (not value or all(isinstance(item, dict) for item in value)):
+        elif isinstance(value, list) and all(isinstance(item, dict) for item in value):
             pairs[here], pairs[here + ".count"] = [], len(value)
             for n, item in enumerate(value):
                 pairs.update(flatten_settings(item, f"{here}.{n}."))
@@ -141,38 +152,47 @@
     return pairs
 
 
-def parse_pairs(text):
+def parse_pairs(text: str) -> dict[str, str]:
+    """Paths and values of lines `path=value`."""
     return dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
 
 
-def parse_settings(pairs):
-    settings = {ours: read(pairs, *how) for ours, how in PLAIN.items()}
-    settings["follow"] = {"pushed": "pushed", "on_request": "asked"}.get(settings["follow"])
+def parse_settings(pairs: dict) -> dict:
+    """The settings as the decisions know them, durations in microseconds; SettingError names a path."""
+    settings = {key: read(pairs, *how) for key, how in PLAIN.items()}
+    settings["follow"] = FOLLOW.get(settings["follow"])
     if settings["follow"] is None:
         raise SettingError(f"setting discovery cannot be read: {pairs['discovery']!r}")
-    settings["report_fields"] = [REPORT.get(name, name) for name in settings["report_fields"]]
-    settings["tenants"] = listed(pairs, "tenants", TENANT)
-    settings["queue_types"] = types = listed(pairs, "queueTypes", QUEUE_TYPE)
-    if not types:
+    settings["report_fields"] = [REPORT_FIELDS.get(name, name) for name in settings["report_fields"]]
+    settings["tenants"] = read_list(pairs, "tenants", TENANT)
+    settings["queue_types"] = read_list(pairs, "queueTypes", QUEUE_TYPE)
+    if not settings["queue_types"]:
         raise SettingError("setting queueTypes.count is missing or 0")
-    a_type = {
+    complete_queue_types(settings["queue_types"], pairs)
+    return settings
+
+
+def complete_queue_types(queue_types: list[dict], pairs: dict) -> None:
+    """Names, effects and what stands in lists beside the queue types; SettingError names a path."""
+    by_place = {
         name: read(pairs, f"familyInfo.{name}", numbers, [])
         for name in ("classKind", "classPriority", "classStretch")
     }
-    for i, qt in enumerate(types):
+    names = set()
+    for i, queue_type in enumerate(queue_types):
         # Types are told from those of other settings by their names.
-        qt["name"] = qt["name"] or f"{i}"
-        if any(qt["name"] == other["name"] for other in types[:i]):
-            raise SettingError(f"setting queueTypes.{i}.name stands twice: {qt['name']!r}")
-        if qt["effect"] not in EFFECT:
-            raise SettingError(f"setting queueTypes.{i}.idempotency cannot be read: {qt['effect']!r}")
-        if qt["group"] not in ("all", "zone", "cell"):
-            raise SettingError(f"setting queueTypes.{i}.dedupScope cannot be read: {qt['group']!r}")
-        qt["effect"] = EFFECT[qt["effect"]]
-        for ours, name, absent in (
+        queue_type["name"] = queue_type["name"] or f"{i}"
+        if queue_type["name"] in names:
+            raise SettingError(f"setting queueTypes.{i}.name stands twice: {queue_type['name']!r}")
+        names.add(queue_type["name"])
+        if queue_type["effect"] not in EFFECTS:
+            raise SettingError(f"setting queueTypes.{i}.idempotency cannot be read: {queue_type['effect']!r}")
+        if queue_type["group"] not in DEDUPLICATION_SCOPES:
+            raise SettingError(f"setting queueTypes.{i}.dedupScope cannot be read: {queue_type['group']!r}")
+        queue_type["effect"] = EFFECTS[queue_type["effect"]]
+        for key, name, default in (
             ("kind", "classKind", -1),
             ("priority", "classPriority", 0),
-            ("stretch", "classStretch", qt.pop("aim_stretch") or 0.0),
+            ("stretch", "classStretch", queue_type.pop("aim_stretch") or 0.0),
         ):
-            qt[ours] = a_type[name][i] if i < len(a_type[name]) else absent
-    return settings
+            queue_type[key] = by_place[name][i] if i < len(by_place[name]) else default
