--- a/mastledge/program/recovery_records.py
+++ b/mastledge/program/recovery_records.py
@@ -19,7 +19,7 @@
 from mastledge.scheduling.outliers import CONNECTION_REFUSED
 
 if TYPE_CHECKING:
-    from mastledge.program.lifecycle import Program
+    from mastledge.program.dispatcher import Dispatcher
 
 STORED_CONNECTION_REFUSED = "cut_off"
 """How the reason `CONNECTION_REFUSED` of the decisions, which is no text, is stored."""
@@ -41,7 +41,7 @@
     return endpoint.born + discovery.since if endpoint.born else 0
 
 
-def worker_starts(program: "Program") -> dict[str, int]:
+def worker_starts(program: "Dispatcher") -> dict[str, int]:
     """{worker id: start in Unix microseconds} of the workers of the list of now."""
     endpoints = program.router.peers
     return {id: start_of(endpoint, program.discovery) for id, endpoint in endpoints.items()}
@@ -75,7 +75,7 @@
 class RecordBuilder:
     """Makes records of the program's state of now."""
 
-    def __init__(self, program: "Program", newest_list: NewestList):
+    def __init__(self, program: "Dispatcher", newest_list: NewestList):
         """Only reads what it is given."""
         self._program, self._newest_list = program, newest_list
 
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -259,7 +259,7 @@
 
 def handover(directory):
     made = UpgradeState(str(directory), ("127.0.0.1", 8080), lambda event, **fields: None)
-    made.sit()
+    made.take_seat()
     return made
 
 
@@ -277,7 +277,7 @@
 def read_handover_state(directory):
     made = handover(directory)
     try:
-        assert made.look()
+        assert made.refresh()
         return made.shared
     finally:
         made.leave()
@@ -286,7 +286,7 @@
 def write_handover_learned(directory, learned):
     made = handover(directory)
     try:
-        made.teach(learned)
+        made.write_learned(learned)
     finally:
         made.leave()
 
@@ -294,7 +294,7 @@
 def read_handover_learned(directory):
     made = handover(directory)
     try:
-        return made.taught()
+        return made.read_learned()
     finally:
         made.leave()
 
@@ -356,7 +356,7 @@
         loop, None, None, scheduler().settings, lambda event, **fields: None
     )
     try:
-        assert made.hand_on(router, path) == 1
+        assert made.hand_off(router, path) == 1
         raw, socks = descriptor_passing.receive_sockets(inlet, 2)
         for sock in socks:
             sock.close()
@@ -371,17 +371,17 @@
     rig, jobs = Rig(), []
     door = SimpleNamespace(resumed=lambda conn, exchange: iter(()))
     made = connection_handoff.ConnectionHandoff(rig.loop, rig.budget, door, scheduler().settings, rig.log)
-    made.carried = lambda launch, exchange: jobs.append((launch, exchange)) or iter(())
+    made.finish = lambda launch, exchange: jobs.append((launch, exchange)) or iter(())
     here = socket.create_server((HERE, 0))
     ends = [socket.create_connection(here.getsockname()) for _ in range(2)]
     try:
-        made.take_up(raw, ends)
+        made.take_over(raw, ends)
         (launch, exchange) = jobs[0]
         assert launch.name == exchange.name
         return {
             "name": exchange.name,
             "kind": exchange.kind,
-            "until": exchange.until + connection_handoff.EARLY,
+            "until": exchange.until + connection_handoff.ANSWER_MARGIN_US,
             "headed": launch.headed,
             "rest": launch.conn.buffer.peek(),
         }
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -7,8 +7,9 @@
 from helpers import HERE
 from test_program import file
 
-from mastledge.program import lifecycle
 from mastledge.program.configuration import load_configuration
+from mastledge.program.dispatcher import Dispatcher
+from mastledge.program.serving import can_serve
 from mastledge.recovery import startup_stages
 from mastledge.recovery.startup_stages import DEGRADED_SERVICE, StartupStage
 from mastledge.storage.errors import DataDirectoryError
@@ -21,9 +22,7 @@
     recovery = {"folder": str(tmp_path / "starts"), **told}
     path = file(tmp_path, listen=f"{HERE}:7570", discovery=f"{HERE}:7571", recovery=recovery)
     seen = logged if logged is not None else []
-    return lifecycle.Program(
-        load_configuration(path, {}), lambda event, **fields: seen.append((event, fields))
-    )
+    return Dispatcher(load_configuration(path, {}), lambda event, **fields: seen.append((event, fields)))
 
 
 def run_loop(made, until=lambda: False, most=400):
@@ -142,7 +141,7 @@
     made.begin()
     run_loop(made, most=2)
     assert made.recovery.waiting_for() == "reading what lasts: its folder"
-    assert not made.can_serve(True)
+    assert not can_serve(made, True)
     run_loop(made, lambda: made.recovery.stages.stage != StartupStage.READING_STATE)
     assert made.recovery.stages.degraded == {
         StartupStage.READING_STATE: DEGRADED_SERVICE[StartupStage.READING_STATE]
