--- a/mastledge/program/recovery_peer_poll.py
+++ b/mastledge/program/recovery_peer_poll.py
@@ -46,7 +46,7 @@
             return
         self._next_poll_at = now + POLL_INTERVAL_US
         if not self._numbers:
-            self._choose(sorted(set(fleet.member.members()) - {self._name}))
+            self._choose(sorted(set(fleet.member.state.members()) - {self._name}))
         for name, number in self._numbers.items():
             if name not in self._responses:
                 fleet.links.send(name, FRAME_MARK + encode(LoadQuery(number)))
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -201,7 +201,7 @@
     def _on_start_proposed(self, result: Mapping) -> None:
         if self.writer is None or self.node is not None or "why" not in result:
             return
-        if self.name not in self._fleet.member.rules.members:
+        if self.name not in self._fleet.member.state_machine.members:
             self._proposed_start = ""
             return
         # The directory has been opened less often than was committed, so it lacks what others count on.
