--- a/mastledge/lab/crossing.py
+++ b/mastledge/lab/crossing.py
@@ -698,7 +698,7 @@
         for conn in list(program.listener.clients):
             self.loop.cancel(conn.owner)
         for peer in program.router.peers.values():
-            program.workers.hang_up(peer)
+            program.workers.close_idle(peer)
         program.sock.close()
         self.loop.epoll.close()
         for one in (*self.attempts, *self.callers):
--- a/mastledge/program/connection_handoff.py
+++ b/mastledge/program/connection_handoff.py
@@ -10,6 +10,7 @@
 import orjson
 
 from mastledge.protocol import http
+from mastledge.protocol.errors import BodyTooLargeError
 from mastledge.protocol.requests import Exchange
 from mastledge.protocol.worker_connections import WorkerConnections
 from mastledge.transport import descriptor_passing
@@ -97,7 +98,7 @@
 
     def take_up(self, raw, socks):
         try:
-            told = http.loads(raw)
+            told = http.parse_object(raw)
             exchange, launch = Exchange(), Carried(told["name"])
             exchange.name, exchange.kind, exchange.until = told["name"], told["kind"], told["until"] - EARLY
             headed, rest = bool(told["headed"]), base64.b64decode(told["rest"])
@@ -117,7 +118,7 @@
             return
         client, launch.conn = ends
         launch.headed = headed
-        http.resume(client, launch.conn, headed)
+        http.resume_parsers(client, launch.conn, headed)
         launch.conn.buffer.append(rest)
         self.exchanges.add(exchange)
         client.owner = self.loop.spawn(self.listener.resumed(client, exchange))
@@ -135,8 +136,8 @@
     def carried(self, launch, exchange):
         conn = launch.conn
         try:
-            how, result, _ = yield from self.workers.outcome(conn, launch, exchange.until)
-        except (OSError, WaitTimeoutError, ValueError, http.TooLarge, h11.RemoteProtocolError) as error:
+            how, result, _ = yield from self.workers.answers.read(conn, launch, exchange.until)
+        except (OSError, WaitTimeoutError, ValueError, BodyTooLargeError, h11.RemoteProtocolError) as error:
             how, result = str(error) or type(error).__name__, None
         finally:
             conn.close()
--- a/mastledge/program/fleet_api.py
+++ b/mastledge/program/fleet_api.py
@@ -9,7 +9,8 @@
 from mastledge.consensus.settings_patch import difference
 from mastledge.consensus.state_machine import LEAST_FAN_OUT, MOST_FAN_OUT, fan_out_is_good
 from mastledge.consensus.timing import LEADER
-from mastledge.protocol.control import Answer, No
+from mastledge.protocol.control import Answer
+from mastledge.protocol.errors import CallRefusedError
 from mastledge.recovery import fleet_snapshot
 from mastledge.transport.connection import address_of
 
@@ -43,7 +44,7 @@
 
     def speaking(self):
         if self.member is None:
-            raise No(503, "here only: the process beside this one speaks for this dispatcher")
+            raise CallRefusedError(503, "here only: the process beside this one speaks for this dispatcher")
         return self.member
 
     def agreed(self, request):
@@ -84,7 +85,7 @@
 
     def state(self):
         if self.speaking().rules is None:
-            raise No(503, f"nothing is agreed here yet: {self.member.why()}")
+            raise CallRefusedError(503, f"nothing is agreed here yet: {self.member.why()}")
         return self.member.rules.state
 
     def history(self, request):
@@ -97,16 +98,16 @@
     def settings_of(self, version, request):
         document = self.state()["documents"].get(version)
         if document is None:
-            raise No(404, f"no settings of version {version} are kept")
+            raise CallRefusedError(404, f"no settings of version {version} are kept")
         return self.json(document, headers=[(b"etag", b'"%s"' % version.encode())])
 
     def change_settings(self, request):
         expects = request.headers.get(b"if-match", b"").decode("latin-1").strip('W/" ')
         if not expects.isdecimal():
-            raise No(428, "If-Match has to name the version that is to be changed")
+            raise CallRefusedError(428, "If-Match has to name the version that is to be changed")
         state = self.state()
         if int(expects) != state["settings_version"]:
-            raise No(412, f"settings are of version {state['settings_version']}, not {expects}")
+            raise CallRefusedError(412, f"settings are of version {state['settings_version']}, not {expects}")
         try:
             document = orjson.loads(request.body)
             if not isinstance(document, dict):
@@ -114,7 +115,7 @@
             document = self.shared(document)
             self.whole(document, state)
         except (ValueError, TypeError, AttributeError) as error:
-            raise No(400, str(error)) from None
+            raise CallRefusedError(400, str(error)) from None
         result = yield from self.changed(self.settings_change(state, document, int(expects)))
         return result
 
@@ -133,11 +134,13 @@
             if fan_out != 0 and not fan_out_is_good(fan_out):
                 raise ValueError(f"the fan-out is neither 0 nor from {LEAST_FAN_OUT} to {MOST_FAN_OUT}")
         except (ValueError, KeyError, TypeError) as error:
-            raise No(400, f"{type(error).__name__}: {error}") from None
+            raise CallRefusedError(400, f"{type(error).__name__}: {error}") from None
         if member.role != LEADER:
-            raise No(409, f"ask the leader: {member.leader or 'nobody leads'}")
+            raise CallRefusedError(409, f"ask the leader: {member.leader or 'nobody leads'}")
         if older := member.without_relays():
-            raise No(409, f"not heard, or of a version without relays: {', '.join(older[:MOST_NAMED])}")
+            raise CallRefusedError(
+                409, f"not heard, or of a version without relays: {', '.join(older[:MOST_NAMED])}"
+            )
         return (yield from self.changed({"kind": "relays", "fan_out": fan_out}))
 
     def change_members(self, request):
@@ -149,11 +152,11 @@
             if kind == "add":
                 address_of(change["address"])
         except (ValueError, KeyError, TypeError) as error:
-            raise No(400, f"{type(error).__name__}: {error}") from None
+            raise CallRefusedError(400, f"{type(error).__name__}: {error}") from None
         # Refused at once where it is plain; what crosses another change is refused when it is agreed.
         members = self.state()["members"]
         if (kind == "add") == (name in members):
-            raise No(409, f"{name} is {'a member already' if kind == 'add' else 'no member'}")
+            raise CallRefusedError(409, f"{name} is {'a member already' if kind == 'add' else 'no member'}")
         return (
             yield from self.changed(
                 {key: change[key] for key in ("kind", "name", "address") if key in change}
@@ -173,23 +176,23 @@
         try:
             told = fleet_snapshot.unpacked(request.body) if why is None else None
         except fleet_snapshot.SnapshotError as error:
-            raise No(400, str(error)) from None
+            raise CallRefusedError(400, str(error)) from None
         state = told["state"] if told else known
         lease, heard = member.may_act(now) and not self.unreadable, member.there(now)
         if why == "":
             if lease:
-                raise No(409, "this fleet runs: its majority answers")
+                raise CallRefusedError(409, "this fleet runs: its majority answers")
             if known is None:
-                raise No(409, "nothing is kept here that could be left")
+                raise CallRefusedError(409, "nothing is kept here that could be left")
             self.input(inputs.Abandon(uuid.uuid4().hex[:16]))
             return f"{self.name} has left its fleet, and comes to the next one as new"
         no = fleet_snapshot.refused(self.name, state, member.fleet, known, lease, heard, told)
         if no:
-            raise No(409, no)
+            raise CallRefusedError(409, no)
         try:
             self.whole(state["settings"], state)
         except ValueError as error:
-            raise No(400, f"its settings can't be read: {error}") from None
+            raise CallRefusedError(400, f"its settings can't be read: {error}") from None
         life, holder = uuid.uuid4().hex[:16], ""
         if self.copies is not None and self.copies.node is not None:
             holder = self.copies.id
@@ -225,11 +228,11 @@
             while id not in self.answers:
                 self.speaking()
                 if self.loop.now() >= last:
-                    raise No(503, f"here only: {self.member.why() or 'no leader has answered'}")
+                    raise CallRefusedError(503, f"here only: {self.member.why() or 'no leader has answered'}")
                 yield (-1, 0, self.loop.now() + LOOK)
             index, result = self.answers[id]
             if result.get("status", 200) != 200:
-                raise No(result["status"], result["why"])
+                raise CallRefusedError(result["status"], result["why"])
             while self.speaking().in_force < index and self.loop.now() < last:
                 yield (-1, 0, self.loop.now() + LOOK)
         finally:
--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -145,14 +145,14 @@
             and self.key_table is None
             and not self.program.listener.succeeded
             and self.loop.now() < last
-            and not http.left(conn)
+            and not http.has_left(conn)
         ):
             yield (-1, 0, self.loop.now() + LOOK)
 
     def offer(self, conn, exchange, told):
         """The answer to a job with a key, or None where its client has gone."""
         yield from self.awaited(exchange.until, conn)
-        if http.left(conn):
+        if http.has_left(conn):
             return None
         loop, key_table = self.loop, self.key_table
         if key_table is None or self.failing:
@@ -166,7 +166,7 @@
             return self.refusal(verdict)
         if verdict == Verdict.NEW:
             record.waiters = waiters = set()
-            exchange.gone = lambda: all([http.left(conn) for conn in waiters])
+            exchange.gone = lambda: all([http.has_left(conn) for conn in waiters])
             self.first[record.scoped_key] = exchange
             record.task = loop.spawn(self.kept(exchange, told, record))
         record.waiters.add(conn)
--- a/mastledge/program/lifecycle.py
+++ b/mastledge/program/lifecycle.py
@@ -13,7 +13,8 @@
 from mastledge.program.upgrade_state import UpgradeState
 from mastledge.protocol.client_listener import ClientListener
 from mastledge.protocol.control import Control
-from mastledge.protocol.discovery import BadList, Discovery
+from mastledge.protocol.discovery import Discovery
+from mastledge.protocol.errors import EndpointListError
 from mastledge.protocol.worker_connections import WorkerConnections
 from mastledge.routing.router import Router
 from mastledge.transport.budget import Budget
@@ -415,7 +416,7 @@
             yield from self.recovery.prepared()
         try:
             self.discovery.apply(self.told["known"], "cached")
-        except BadList as error:
+        except EndpointListError as error:
             # Discovery has the list as well.
             self.log("cached_list_invalid", why=str(error))
         if self.following or self.discovery.generation is None:
--- a/mastledge/program/operator_api.py
+++ b/mastledge/program/operator_api.py
@@ -2,7 +2,7 @@
 
 import time
 
-from mastledge.protocol.control import No
+from mastledge.protocol.errors import CallRefusedError
 
 PATIENCE = 700_000  # for the process beside this one: a caller waits for 1 s, and the rules hold from then on
 LOOK = 5_000
@@ -37,7 +37,7 @@
             why = self.program.fleet.why() if self.program.fleet is not None else ""
             if self.program.recovery is not None and not why:
                 why = self.program.recovery.waiting()
-            raise No(503, f"not ready: {self.program.phase}" + (f"; {why}" if why else ""))
+            raise CallRefusedError(503, f"not ready: {self.program.phase}" + (f"; {why}" if why else ""))
         return "ready"
 
     def telemetry(self):
@@ -45,7 +45,7 @@
         door, router, workers = self.program.listener, self.program.router, self.program.workers
         figures = {f"{what}.{kind}": n for what, kinds in door.ended.items() for kind, n in kinds.items()}
         figures |= {
-            "upstream_tries": workers.tries,
+            "upstream_tries": workers.sent_launches,
             "in_progress": door.in_hand,
             "known_workers": len(router.peers),
             "skipped_workers": router.balancer.skipped(self.program.loop.now()),
@@ -54,7 +54,7 @@
 
     def known(self, worker):
         if worker not in self.program.router.peers and worker not in self.program.all_out():
-            raise No(404, f"nobody has this id: {worker}")
+            raise CallRefusedError(404, f"nobody has this id: {worker}")
 
     def exclude(self, worker):
         self.known(worker)
@@ -86,7 +86,7 @@
         program = self.program
         serial = program.tell(edit)
         if serial is None:
-            raise No(500, "the process beside this one cannot be told")
+            raise CallRefusedError(500, "the process beside this one cannot be told")
         last = program.loop.now() + PATIENCE
         while (program.holds or 0) < serial or not program.upgrade_state.other_saw(serial):
             if program.loop.now() >= last:
@@ -101,6 +101,6 @@
     def rejoin(self):
         program = self.program
         if program.signalled and not program.listener.succeeded:
-            raise No(409, f"ending: {program.phase}")
+            raise CallRefusedError(409, f"ending: {program.phase}")
         yield from self.changed(lambda told: told.update(draining=False))
         return "serving again"
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -272,7 +272,10 @@
     def lives(self):
         """{id: start in Unix microseconds} of the workers of the list of now."""
         since = self.program.discovery.since
-        return {id: peer.born + since if peer.born else 0 for id, peer in self.program.router.peers.items()}
+        return {
+            id: peer.started_at + since if peer.started_at else 0
+            for id, peer in self.program.router.peers.items()
+        }
 
     def keep_off(self):
         """While the list is older than one that was heard before, it frees nobody; but not for ever, as a
@@ -423,7 +426,7 @@
         for wkr in list(balancer.workers.values())[: b.MOST]:
             peer = wkr.id
             if peer.address is not None:
-                born = peer.born + discovery.since if peer.born else 0
+                born = peer.started_at + discovery.since if peer.started_at else 0
                 workers[peer.id] = [
                     wkr.state,
                     born,
@@ -443,7 +446,7 @@
             if wkr.load > 0 and wkr.id.address is not None:
                 peer = wkr.id
                 last = max((launch.job.last for launch in wkr.out.values()), default=clock)
-                born = peer.born + discovery.since if peer.born else 0
+                born = peer.started_at + discovery.since if peer.started_at else 0
                 # Whole tenths of a second, lest the same load be written again and again.
                 until = (now + max(0, last - clock)) // 100_000 * 100_000 + 100_000
                 out[peer.id] = [born, [*peer.address], float(wkr.load), until]
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -17,7 +17,8 @@
 from mastledge.program.configuration import COPIES
 from mastledge.program.idempotency_service import MARGIN, IdempotencyService, unix
 from mastledge.protocol import http
-from mastledge.protocol.control import Answer, No
+from mastledge.protocol.control import Answer
+from mastledge.protocol.errors import CallRefusedError
 from mastledge.protocol.requests import COMPLETED, KILLED, REJECTED
 from mastledge.replication import coordinator as o
 from mastledge.replication import messages as m
@@ -280,7 +281,7 @@
         """The answer to a job with a key, or None where its client has gone."""
         loop = self.loop
         yield from self.awaited(exchange.until, conn)
-        if http.left(conn):
+        if http.has_left(conn):
             return None
         if self.node is None or self.failing:
             return self.refusal(Verdict.FULL)
@@ -288,7 +289,7 @@
         n = self.numbers
         task = self.jobs[n] = loop.spawn(self.seen_through(n, exchange, told))
         self.clients[n] = conn
-        exchange.gone = lambda: n not in self.clients or http.left(conn)
+        exchange.gone = lambda: n not in self.clients or http.has_left(conn)
         try:
             got = yield from self.program.listener.awaited(conn, exchange.until)
         finally:
@@ -355,7 +356,7 @@
             if not isinstance(count, int) or not 1 <= count <= COPIES:
                 raise ValueError(f"not from 1 to {COPIES}: {count!r}")
         except (ValueError, KeyError, TypeError) as error:
-            raise No(400, f"count: {error}") from None
+            raise CallRefusedError(400, f"count: {error}") from None
         return (yield from self.fleet.changed({"kind": "copies", "count": count}))
 
     def copies(self, request):
--- a/mastledge/protocol/client_listener.py
+++ b/mastledge/protocol/client_listener.py
@@ -5,7 +5,8 @@
 import h11
 
 from mastledge.protocol import http
-from mastledge.protocol.requests import COMPLETED, KILLED, REJECTED, BadRequest, Requests
+from mastledge.protocol.errors import BadRequestError, BodyTooLargeError
+from mastledge.protocol.requests import COMPLETED, KILLED, REJECTED, Requests
 from mastledge.transport.budget import CLIENT_EVICTION_ORDER
 from mastledge.transport.connection import Connection
 from mastledge.transport.errors import WaitTimeoutError
@@ -138,9 +139,9 @@
                 try:
                     until = until if idle == "unused" else loop.now() + WHOLE
                     reply = yield from self.one(conn, beyond, until)
-                except BadRequest as bad:
+                except BadRequestError as bad:
                     reply = bad.status, [], bad.why.encode()
-                except http.TooLarge:
+                except BodyTooLargeError:
                     reply = 413, [], b"body too large"
                 except h11.RemoteProtocolError as error:
                     if conn.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
@@ -169,8 +170,10 @@
                     or conn.discards_input
                     or conn.http.their_state is not h11.DONE
                 )
-                yield from conn.send(http.answer(conn, status, headers, content, last), loop.now() + SLOW)
-                if last or not http.again(conn.http):
+                yield from conn.send(
+                    http.response_bytes(conn, status, headers, content, last), loop.now() + SLOW
+                )
+                if last or not http.start_next_cycle(conn.http):
                     self.rests("unused", conn)
                     yield from self.linger(conn)
                     return
@@ -200,7 +203,7 @@
 
     def linger(self, conn):
         conn.shutdown_write()
-        until, left = self.loop.now() + LINGER, 16 * http.MOST_BODY
+        until, left = self.loop.now() + LINGER, 16 * http.MAX_BODY_BYTES
         while left > 0:
             part = yield from conn.receive(until)
             if not part:
@@ -209,35 +212,35 @@
 
     def one(self, conn, beyond, until):
         """One request: its answer, or None where the client has gone."""
-        pieces = http.Pieces(until, SILENT, lambda n: self.come(conn, n))
-        pieces.heard(0)
+        pieces = http.PieceDeadlines(until, SILENT, lambda n: self.come(conn, n))
+        pieces.on_piece(0)
         try:
-            head = yield from http.event(conn, pieces)
+            head = yield from http.next_event(conn, pieces)
             if isinstance(head, h11.ConnectionClosed):
                 return None
-            size = http.framed(head)
+            size = http.body_limit(head)
             self.rests(None, conn)
             if not self.budget.reserve_memory(size):
                 self.log("memory_limit", held=self.budget.request_bytes, clients=len(self.clients))
                 self.count(self.requests.name_of(head), REJECTED)
                 return self.no_room
             try:
-                pieces.heard(pieces.count)
-                content = yield from http.body(conn, pieces)
+                pieces.on_piece(pieces.count)
+                content = yield from http.read_body(conn, pieces)
                 return (yield from self.whole(conn, head, content, beyond))
             finally:
                 self.budget.release_memory(size)
         except WaitTimeoutError:
-            raise BadRequest(408, "request not complete in time") from None
+            raise BadRequestError(408, "request not complete in time") from None
 
     def whole(self, conn, head, content, beyond):
         self.rests(None, conn)
-        gone = http.left(conn)
-        if not http.next_begins(conn):
+        gone = http.has_left(conn)
+        if not http.may_be_followed(conn):
             # A length that is too small cuts a body off, and its rest would be read as the next request.
-            raise BadRequest(400, "bytes beyond the stated length")
+            raise BadRequestError(400, "bytes beyond the stated length")
         if head.method == b"HEAD":
-            raise BadRequest(405, "")
+            raise BadRequestError(405, "")
         path = head.target.partition(b"?")[0]
         if path == b"/health/ready":
             # Who asks here means the dispatcher, which goes on in another process where that has taken over.
@@ -250,7 +253,7 @@
             return None
         if not self.new(exchange):
             # An id is new with every request, so this is another's, and that job goes on untouched.
-            raise BadRequest(409, "X-Txn is in use")
+            raise BadRequestError(409, "X-Txn is in use")
         if beyond or self.in_hand >= self.most_held or self.crowded() or not self.lawful():
             # Nothing of it was sent anywhere, so trying again is harmless.
             self.log("connection_limit", job=exchange.name, clients=len(self.clients))
@@ -274,7 +277,7 @@
             finally:
                 self.in_hand -= 1
         exchange.conn, exchange.answer = conn, lambda *answer: self.loop.wake(conn.owner, answer)
-        exchange.gone = lambda: http.left(conn)
+        exchange.gone = lambda: http.has_left(conn)
         try:
             self.inbox.put("arrived", exchange, *told)
             reply = yield from self.outcome(conn, exchange)
@@ -301,7 +304,7 @@
                 exchange.open = False
             if reply is not None:
                 self.count(exchange.kind, reply[0])
-                yield from conn.send(http.answer(conn, *reply, True), self.loop.now() + SLOW)
+                yield from conn.send(http.response_bytes(conn, *reply, True), self.loop.now() + SLOW)
                 yield from self.linger(conn)
         except (OSError, WaitTimeoutError):
             return
@@ -336,7 +339,7 @@
                 if isinstance(got, tuple):
                     return got
                 # Who ends only its sending has left as well: the two are not to be told apart.
-                if got & CONNECTION_ENDED or got and http.left(conn):
+                if got & CONNECTION_ENDED or got and http.has_left(conn):
                     return None
             # What came in this very turn is still on its way through the decisions.
             until = self.loop.now() + LAST_WORD
--- a/mastledge/protocol/control.py
+++ b/mastledge/protocol/control.py
@@ -5,6 +5,7 @@
 import h11
 
 from mastledge.protocol import http
+from mastledge.protocol.errors import BodyTooLargeError, CallRefusedError
 from mastledge.transport.connection import Connection
 from mastledge.transport.errors import WaitTimeoutError
 from mastledge.transport.listening import accept
@@ -14,13 +15,6 @@
 LINGER = 200_000
 
 
-class No(Exception):
-    """The call is refused, with this status."""
-
-    def __init__(self, status, why):
-        self.status, self.why = status, why
-
-
 class Answer:
     """A yes that is more than a text under 200."""
 
@@ -39,12 +33,13 @@
     """`calls` maps a path, or its beginning up to the id, to the method and what carries it out, or methods
     to what carries them out and wants the request as well.
 
-    That gives back the text of a yes or an Answer, or raises No; where it takes time it is a coroutine.
+    That gives back the text of a yes or an Answer, or raises CallRefusedError; where it takes time it is a
+    coroutine.
     """
 
     def __init__(self, loop, budget, calls, log):
         self.loop, self.budget, self.calls, self.log = loop, budget, calls, log
-        self.callers, self.most = {}, http.MOST_BODY
+        self.callers, self.most = {}, http.MAX_BODY_BYTES
 
     def listen(self, sock):
         while True:
@@ -79,22 +74,22 @@
         until, head, kind = self.loop.now() + WHOLE, None, "text/plain; charset=utf-8"
         try:
             try:
-                head = yield from http.event(conn, until)
+                head = yield from http.next_event(conn, until)
                 if isinstance(head, h11.ConnectionClosed):
                     return
-                http.framed(head, self.most)
-                content = yield from http.body(conn, until, self.most)
+                http.body_limit(head, self.most)
+                content = yield from http.read_body(conn, until, self.most)
                 self.callers[conn] = True
                 told = yield from self.done(head, content)
                 if isinstance(told, Answer):
                     status, headers, text, kind = told.status, [*told.headers], told.text, told.kind
                 else:
                     status, headers, text = 200, [], told
-            except No as no:
+            except CallRefusedError as no:
                 status, headers, text = no.status, [], no.why
             except WaitTimeoutError:
                 status, headers, text = 408, [], "call not complete in time"
-            except http.TooLarge:
+            except BodyTooLargeError:
                 status, headers, text = 413, [], "body too large"
             except h11.RemoteProtocolError as error:
                 if conn.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
@@ -106,7 +101,9 @@
             headers.append((b"content-type", kind.encode()))
             head_only = head is not None and head.method == b"HEAD"
             content = b"" if head_only else text.removesuffix("\n").encode() + b"\n"
-            yield from conn.send(http.answer(conn, status, headers, content, True), self.loop.now() + WHOLE)
+            yield from conn.send(
+                http.response_bytes(conn, status, headers, content, True), self.loop.now() + WHOLE
+            )
             self.callers[conn] = False
             conn.shutdown_write()
             last = self.loop.now() + LINGER
@@ -124,15 +121,17 @@
         worker = (unquote(rest),) if start + "/" in self.calls else ()
         call = self.calls.get(start + "/" if worker else path)
         if call is None or worker == ("",):
-            raise No(404, "no such call")
+            raise CallRefusedError(404, "no such call")
         if isinstance(call, dict):
             if head.method not in call:
-                raise No(405, f"this call goes by {' or '.join(method.decode() for method in call)}")
+                raise CallRefusedError(
+                    405, f"this call goes by {' or '.join(method.decode() for method in call)}"
+                )
             told = call[head.method](*worker, Request(head, content))
         else:
             method, carry_out = call
             if head.method != method:
-                raise No(405, f"this call goes by {method.decode()}")
+                raise CallRefusedError(405, f"this call goes by {method.decode()}")
             told = carry_out(*worker)
         if not isinstance(told, str | Answer):
             told = yield from told
--- a/mastledge/protocol/discovery.py
+++ b/mastledge/protocol/discovery.py
@@ -3,6 +3,7 @@
 import h11
 
 from mastledge.protocol import http
+from mastledge.protocol.errors import BodyTooLargeError, EndpointListError
 from mastledge.transport.connection import address_of, connect
 from mastledge.transport.errors import OutOfDescriptorsError, WaitTimeoutError
 from mastledge.transport.loop import Loop
@@ -23,10 +24,6 @@
 STATES = {"ready", "draining", "gone"}
 
 
-class BadList(ValueError):
-    """A list or a line of it that cannot be understood."""
-
-
 class Discovery:
     def __init__(self, loop, budget, inbox, address, words, log):
         self.loop, self.budget, self.inbox, self.address, self.log = loop, budget, inbox, address, log
@@ -81,7 +78,7 @@
                         raise
                     self.log("discovery_entry_invalid", why=f"{type(error).__name__}: {error}")
         except (KeyError, TypeError, AttributeError, ValueError) as error:
-            raise BadList(f"{type(error).__name__}: {error}") from None
+            raise EndpointListError(f"{type(error).__name__}: {error}") from None
         self.generation = generation
         if entries or reset or whole:
             self.inbox.put("members", whole or ("whole" if reset else "changes"), entries)
@@ -114,7 +111,7 @@
         try:
             yield from steps
             return
-        except BadList as error:
+        except EndpointListError as error:
             # What comes after it cannot be trusted to build on what is held.
             self.generation, why = None, f"bad list: {error}"
         except (
@@ -122,7 +119,7 @@
             WaitTimeoutError,
             OutOfDescriptorsError,
             h11.RemoteProtocolError,
-            http.TooLarge,
+            BodyTooLargeError,
         ) as error:
             why = str(error) or type(error).__name__
         if why != self.trouble:
@@ -137,8 +134,8 @@
         try:
             http.attach(conn, h11.CLIENT)
             host = (b"host", b"%s:%d" % (self.address[0].encode(), self.address[1]))
-            yield from conn.send(http.request(conn, b"GET", target, [host]), until)
-            head = yield from http.head(conn, until)
+            yield from conn.send(http.request_bytes(conn, b"GET", target, [host]), until)
+            head = yield from http.response_head(conn, until)
             if head.status_code != 200:
                 raise h11.RemoteProtocolError(f"answered {head.status_code}")
             return conn
@@ -148,19 +145,19 @@
 
     def read(self, line):
         try:
-            return http.loads(line)
+            return http.parse_object(line)
         except ValueError as error:
-            raise BadList(str(error)) from None
+            raise EndpointListError(str(error)) from None
 
     def change(self, conn):
         """The next object of a watch, in one line or indented; nothing for an empty line, None at the end."""
         parts, size, until = [], 0, self.loop.now() + SILENT
-        while (line := (yield from http.lines(conn, until, MOST_LIST))) is not None:
+        while (line := (yield from http.next_line(conn, until, MOST_LIST))) is not None:
             if not parts and not line.strip():
                 return {}
             size += len(line) + 1
             if parts and not line[:1].isspace() and not line.startswith(b"}") or size > MOST_LIST:
-                raise BadList(f"cut off: {parts[0][:80]!r}")
+                raise EndpointListError(f"cut off: {parts[0][:80]!r}")
             parts.append(line)
             # An indented one opens in a line of its own, and all up to its end is further in.
             if line.startswith(b"}") or line.strip() != b"{" and len(parts) == 1:
@@ -179,7 +176,7 @@
             pass
         while (line := conn.buffer.next_line()) is not None:
             try:
-                entries = [self.entry(one) for one in http.loads(line)["instances"]]
+                entries = [self.entry(one) for one in http.parse_object(line)["instances"]]
             except (KeyError, TypeError, AttributeError, ValueError):
                 continue
             if entries := [entry for entry in entries if entry[3] != "ready"]:
@@ -189,11 +186,11 @@
         conn = yield from self.asked(b"/registry/instances")
         try:
             parts, size, until = [], 0, self.loop.now() + SILENT
-            while (line := (yield from http.lines(conn, until, MOST_LIST))) is not None:
+            while (line := (yield from http.next_line(conn, until, MOST_LIST))) is not None:
                 parts.append(line)
                 size += len(line) + 1
                 if size > MOST_LIST:
-                    raise http.TooLarge
+                    raise BodyTooLargeError
             self.apply(self.read(b"\n".join(parts)), "whole")
         finally:
             conn.close()
@@ -211,7 +208,7 @@
                 if told:
                     self.apply(told)
             raise h11.RemoteProtocolError("the watch ended")
-        except BadList:
+        except EndpointListError:
             self.restrict(conn)
             raise
         finally:
--- a/mastledge/protocol/requests.py
+++ b/mastledge/protocol/requests.py
@@ -4,6 +4,7 @@
 from urllib.parse import unquote_to_bytes
 
 from mastledge.protocol import http
+from mastledge.protocol.errors import BadRequestError
 
 COMPLETED, REJECTED, KILLED = 200, 503, 500
 ID = re.compile(rb"[!-~]{1,128}")
@@ -12,13 +13,6 @@
 ONCE = (b"x-txn", b"x-lane", b"x-remaining-ms", b"x-estimate", b"idempotency-key", b"host")
 
 
-class BadRequest(Exception):
-    """The request is answered at the door, with this status."""
-
-    def __init__(self, status, why):
-        self.status, self.why = status, why
-
-
 class Exchange:
     """One job's request, to be passed on as it came, and the way back to its client."""
 
@@ -78,27 +72,27 @@
         return None
 
     def name_of(self, head):
-        found = self.type_of(http.lane(head))
+        found = self.type_of(http.queue_type_in_path(head))
         return None if found is None else self.queue_types[found]["name"]
 
     def job(self, head, content, now):
         """The exchange of a job, and all that the decisions are told of the job when it arrives."""
-        queue_type = self.type_of(http.lane(head))
+        queue_type = self.type_of(http.queue_type_in_path(head))
         if queue_type is None:
-            raise BadRequest(404, "no such path")
+            raise BadRequestError(404, "no such path")
         if head.method != b"POST":
-            raise BadRequest(405, "jobs come by POST")
+            raise BadRequestError(405, "jobs come by POST")
         qt, fields = self.queue_types[queue_type], dict(head.headers)
         if len(fields) < len(head.headers):
             names = [name for name, _ in head.headers]
             if any(names.count(name) > 1 for name in ONCE):
-                raise BadRequest(400, "a header stands twice")
+                raise BadRequestError(400, "a header stands twice")
         if not ID.fullmatch(fields.get(b"x-txn", b"")):
-            raise BadRequest(400, "X-Txn is missing or no id")
+            raise BadRequestError(400, "X-Txn is missing or no id")
         if b"x-lane" in fields and self.type_of(fields[b"x-lane"]) != queue_type:
-            raise BadRequest(400, "X-Lane and path differ")
+            raise BadRequestError(400, "X-Lane and path differ")
         if qt["effect"] == "deduplicated" and not fields.get(b"idempotency-key"):
-            raise BadRequest(400, "Idempotency-Key is missing")
+            raise BadRequestError(400, "Idempotency-Key is missing")
         patience = qt["walltime"]
         if b"x-remaining-ms" in fields:
             # One client's walltime without end would move what is expected of all the others.
@@ -112,7 +106,7 @@
         exchange.headers = [
             (name, value)
             for name, value in head.headers
-            if name not in http.DROPPED and name != b"x-remaining-ms"
+            if name not in http.HOP_BY_HOP_HEADERS and name != b"x-remaining-ms"
         ]
         extras = pairs(fields.get(b"x-labels", b""), b",")
         width = number(extras.get(b"width", extras.get(b"slots", b"1"))) or 1.0
@@ -137,5 +131,5 @@
     # Python's own reading lets through more: nan, 1e9, 1_000.
     value = float(text) if FIGURE.fullmatch(text) else 1e12
     if not value < 1e12:
-        raise BadRequest(400, f"no number: {text[:40]!r}")
+        raise BadRequestError(400, f"no number: {text[:40]!r}")
     return value
--- a/mastledge/routing/router.py
+++ b/mastledge/routing/router.py
@@ -2,7 +2,7 @@
 
 import traceback
 
-from mastledge.protocol.worker_connections import WorkerEndpoint
+from mastledge.protocol.worker_endpoint import WorkerEndpoint
 
 AGAIN = 250_000  # after which who was turned away for want of rules may come again: elsewhere there are some
 
@@ -80,17 +80,17 @@
             peer = self.peers.get(wkr_id)
             if peer is None:
                 peer = self.peers[wkr_id] = WorkerEndpoint(wkr_id, wkr_id in self.out)
-            if state != "ready" or born > peer.born or (peer.address and address != peer.address):
+            if state != "ready" or born > peer.started_at or (peer.address and address != peer.address):
                 # Nothing new goes there, or its connections died with its former life.
-                self.workers.hang_up(peer)
-            peer.address, peer.born, peer.state = address, max(born, peer.born), state
+                self.workers.close_idle(peer)
+            peer.address, peer.started_at, peer.state = address, max(born, peer.started_at), state
             told.append((zone, peer, state, born, cls, cell, units))
         if kind in ("whole", "cached"):
             named = {entry[0] for entry in entries}
             for peer in self.peers.values():
                 if peer.id not in named:
                     peer.state = "gone"
-                    self.workers.hang_up(peer)
+                    self.workers.close_idle(peer)
         self.balancer.members(now, kind, told)
         # Launches under way hold what they need of it.
         self.peers = {peer.id: peer for peer in self.peers.values() if peer.state != "gone"}
@@ -171,9 +171,9 @@
         self.out = out
         self.balancer.by_hand(now, out, back)
         for peer in self.peers.values():
-            was, peer.out = peer.out, peer.id in out
-            if peer.out and not was:
-                self.workers.hang_up(peer)
+            was, peer.excluded = peer.excluded, peer.id in out
+            if peer.excluded and not was:
+                self.workers.close_idle(peer)
         for job in self.jobs.values():
             for launch in job.launches:
                 if launch.peer.id in out and not launch.sent:
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -28,7 +28,7 @@
 from mastledge.program.shared_lease import SharedLease
 from mastledge.program.upgrade_state import UpgradeState
 from mastledge.protocol import load_messages
-from mastledge.protocol.worker_connections import WorkerEndpoint
+from mastledge.protocol.worker_endpoint import WorkerEndpoint
 from mastledge.recovery import fleet_snapshot as snapshot_format
 from mastledge.recovery import messages as recovery_messages
 from mastledge.recovery import restored_state
@@ -171,7 +171,7 @@
 def three_workers():
     peers = [WorkerEndpoint(f"s-{number}") for number in range(3)]
     for number, peer in enumerate(peers):
-        peer.address, peer.born = ("127.0.0.1", 8001 + number), 1_000_000 * number
+        peer.address, peer.started_at = ("127.0.0.1", 8001 + number), 1_000_000 * number
     return [(0, peer, *entry(0)[2:]) for peer in peers]
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,7 +8,8 @@
 from mastledge.balance import Balancer
 from mastledge.protocol import http
 from mastledge.protocol.client_listener import ClientListener
-from mastledge.protocol.worker_connections import WorkerConnections, WorkerEndpoint
+from mastledge.protocol.worker_connections import WorkerConnections
+from mastledge.protocol.worker_endpoint import WorkerEndpoint
 from mastledge.transport.budget import Budget
 from mastledge.transport.connection import Connection
 from mastledge.transport.listening import listen
--- a/tests/test_crossing_search.py
+++ b/tests/test_crossing_search.py
@@ -10,8 +10,11 @@
 from mastledge.protocol import client_listener, http
 from mastledge.protocol.client_listener import ClientListener
 from mastledge.protocol.discovery import Discovery
+from mastledge.protocol.idle_connections import IdleConnections
 from mastledge.protocol.requests import Exchange
-from mastledge.protocol.worker_connections import WorkerConnections, WorkerEndpoint
+from mastledge.protocol.worker_answers import HEAD_SAYS_REJECTED, LINE_SAYS_REJECTED, WorkerAnswers
+from mastledge.protocol.worker_connections import WorkerConnections
+from mastledge.protocol.worker_endpoint import WorkerEndpoint
 from mastledge.routing.router import Router
 from mastledge.transport.budget import Budget
 
@@ -39,7 +42,7 @@
 
 
 def a_request_is_not_looked_behind(patch):
-    patch(client_listener.http, "left", lambda conn: False)
+    patch(client_listener.http, "has_left", lambda conn: False)
 
 
 def a_job_is_launched_behind_its_answer(patch):
@@ -60,16 +63,16 @@
 
 
 def launches_hold_to_what_they_were_decided_for(patch):
-    patch(WorkerEndpoint, "life", lambda self: 0)
+    patch(WorkerEndpoint, "incarnation", lambda self: 0)
 
 
 def connections_to_a_former_life_are_kept(patch):
-    kept, hang_up = WorkerConnections.kept, WorkerConnections.hang_up
-    patch(WorkerConnections, "kept", lambda self, peer, conn, life: kept(self, peer, conn, peer.life()))
+    keep, close_idle = IdleConnections.keep, WorkerConnections.close_idle
+    patch(IdleConnections, "keep", lambda self, peer, conn, life: keep(self, peer, conn, peer.incarnation()))
     patch(
         WorkerConnections,
-        "hang_up",
-        lambda self, peer: None if peer.state == "ready" else hang_up(self, peer),
+        "close_idle",
+        lambda self, peer: None if peer.state == "ready" else close_idle(self, peer),
     )
 
 
@@ -87,14 +90,15 @@
         return True
         yield
 
-    outcome = WorkerConnections.outcome
+    read = WorkerAnswers.read
 
     def proves(self, conn, launch, until):
-        how, result, report = yield from outcome(self, conn, launch, until)
-        return "returned" if how == "turned away" else how, result, report
+        answer = yield from read(self, conn, launch, until)
+        by_head = answer.outcome == HEAD_SAYS_REJECTED
+        return answer._replace(outcome=LINE_SAYS_REJECTED) if by_head else answer
 
-    patch(WorkerConnections, "ended_alone", alone)
-    patch(WorkerConnections, "outcome", proves)
+    patch(WorkerAnswers, "is_whole_and_alone", alone)
+    patch(WorkerAnswers, "read", proves)
 
 
 def the_window_is_looked_at_where_it_is_decided_only(patch):
@@ -129,7 +133,7 @@
 def awaits_for_ever(conn):
     while True:
         got = yield (conn.fd, 1, None)
-        if isinstance(got, tuple) or got and http.left(conn):
+        if isinstance(got, tuple) or got and http.has_left(conn):
             return got if isinstance(got, tuple) else None
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,6 +16,7 @@
 from mastledge.program import lifecycle
 from mastledge.program.upgrade_state import UpgradeState
 from mastledge.protocol import client_listener as protocol_clients
+from mastledge.protocol import worker_answers
 from mastledge.protocol import worker_connections as protocol_workers
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.transport.connection import Connection
@@ -471,7 +472,7 @@
     at = made.made.discovery.since // 1000 + made.rig.loop.now() // 1000
     made.lists(started=at if news == "born" else 0, sock=sock if news == "moved" else None)
     peers = made.made.router.peers
-    assert made.turn(lambda: peers["s-1"].born or peers["s-1"].address == sock.getsockname())
+    assert made.turn(lambda: peers["s-1"].started_at or peers["s-1"].address == sock.getsockname())
     answers(theirs, b"a1")
     assert b" 200 " in made.rig.reply(client) and theirs.recv(1) == b"" and not peers["s-1"].idle
     sock.close()
@@ -504,7 +505,7 @@
 @pytest.mark.parametrize("part", [b"\n", b'{"id":"a1","from":"s-1","state":"running","share":0.1}\n', b"x"])
 @pytest.mark.parametrize("answered", [False, True])
 def test_an_answer_that_never_ends_is_ended_by_the_clock(part, answered, serving, monkeypatch):
-    monkeypatch.setattr(protocol_workers, "TAIL", 50_000)
+    monkeypatch.setattr(worker_answers, "ANSWER_TAIL_US", 50_000)
     made = serving("restartable", {"cancel": False}).serving()
     launches, carried_out = [], made.made.router.carried_out
     made.made.router.carried_out = lambda launch, until: launches.append(launch) or carried_out(launch, until)
@@ -1063,7 +1064,7 @@
         client = made.taken()
         theirs, _ = made.rig.called(made.sock)
         assert made.turn(lambda: made.job("a1").launches[0].sent)
-        monkeypatch.setattr(protocol_clients.http, "left", breaks)
+        monkeypatch.setattr(protocol_clients.http, "has_left", breaks)
         client.sendall(b"x")
     assert b" 500 " in made.rig.reply(client)
     assert made.turn(lambda: not made.made.router.jobs)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -102,7 +102,7 @@
     made, _ = router(rig)
     (peer,) = made.peers.values()
     hung = []
-    made.workers.hang_up = hung.append
+    made.workers.close_idle = hung.append
     made.on_members(rig.loop.now(), "changes", [(peer.id, peer.address, 0, state, born, 0, 0, 1.0)])
     known = made.balancer.workers.get(peer)
     assert hung == [peer] and (known.state if known else "gone") == state
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -15,7 +15,7 @@
 from mastledge.lab.schedule import LEASE, Broken, Fleet
 from mastledge.lab.sized import Sized, begun, measured, rests
 from mastledge.program.fleet_api import FleetApi
-from mastledge.protocol.control import No
+from mastledge.protocol.errors import CallRefusedError
 
 SEEDS = 30
 TRIED = 100  # schedules in which a wrong build has to be caught
@@ -413,7 +413,7 @@
     ],
 )
 def test_relays_that_cannot_be_are_refused_in_one_line(made, body, status, says):
-    with pytest.raises(No) as refused:
+    with pytest.raises(CallRefusedError) as refused:
         answer(made, body)
     assert refused.value.status == status and says in refused.value.why and "\n" not in refused.value.why
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -196,7 +196,7 @@
     task.launches[0].sent = sent
     held = []
     made.on_by_hand(rig.loop.now(), frozenset({peer.id}), {}, lambda: held.append(True))
-    assert held and peer.out and task.launches[0].task.ended == revoked
+    assert held and peer.excluded and task.launches[0].task.ended == revoked
     assert [item[2] for item in rig.inbox.items if item[0] == "ended"] == (["unsent"] if revoked else [])
 
 
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -8,8 +8,12 @@
 from helpers import Rig, peer_at, workers
 
 from mastledge.protocol import worker_connections as protocol_workers
-from mastledge.protocol.discovery import BadList, Discovery
+from mastledge.protocol.discovery import Discovery
+from mastledge.protocol.errors import EndpointListError, LaunchWithheldError
+from mastledge.protocol.idle_connections import MAX_BREAK_RATE
 from mastledge.protocol.requests import Exchange
+from mastledge.protocol.worker_endpoint import WorkerEndpoint
+from mastledge.transport.errors import WaitTimeoutError
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 STATS = b"HTTP/1.1 200 OK\r\nContent-Length: "
@@ -105,7 +109,7 @@
     rig = Rig()
     peer, sock = peer_at()
     made = workers(rig)
-    made.patience = 20_000
+    made.answers.patience_us = 20_000
     launch = launched(rig, made, peer)
     theirs, _ = rig.called(sock)
     assert rig.turn(lambda: len(rig.inbox.items) > 1)
@@ -176,7 +180,7 @@
     peer, sock = peer_at()
     made = workers(rig)
     theirs = idle(rig, made, peer, sock)
-    monkeypatch.setattr(protocol_workers, "REFUSED", 1_000_000)
+    monkeypatch.setattr(protocol_workers, "REFUSAL_US", 1_000_000)
     launch = launched(rig, made, peer, once=once)
     request = rig.reply(theirs)
     if answer:
@@ -198,10 +202,10 @@
     peer, sock = peer_at()
     made = workers(rig)
     theirs = idle(rig, made, peer, sock)
-    made.breaks = breaks
+    made.idle.reuse.break_rate = breaks
     launched(rig, made, peer, once=once)
     if fresh:
-        assert rig.called(sock)[1].startswith(b"POST") and 0 < made.breaks < breaks
+        assert rig.called(sock)[1].startswith(b"POST") and 0 < made.idle.reuse.break_rate < breaks
     else:
         assert rig.reply(theirs).startswith(b"POST")
 
@@ -213,17 +217,17 @@
     idle(rig, made, peer, sock).close()
     rig.turn(lambda: not peer.idle)
     theirs = idle(rig, made, peer, sock)
-    assert made.breaks == 0
+    assert made.idle.reuse.break_rate == 0
     launched(rig, made, peer)
     rig.reply(theirs)
     theirs.close()
-    assert outcome(rig)[0] == "dropped" and made.breaks > protocol_workers.BREAKS
-    before = made.breaks
+    assert outcome(rig)[0] == "dropped" and made.idle.reuse.break_rate > MAX_BREAK_RATE
+    before = made.idle.reuse.break_rate
     theirs = idle(rig, made, peer, sock)
     launched(rig, made, peer)
     rig.reply(theirs)
     theirs.sendall(plain(500))
-    assert outcome(rig)[0] == "error" and made.breaks < before
+    assert outcome(rig)[0] == "error" and made.idle.reuse.break_rate < before
 
 
 def test_the_last_byte_of_a_run_once_job_follows_when_the_connection_holds():
@@ -239,14 +243,14 @@
     rig = Rig()
     peer, sock = peer_at()
     made = workers(rig)
-    made.keep = 20_000 if why == "old" else made.keep
+    made.idle.max_idle_us = 20_000 if why == "old" else made.idle.max_idle_us
     theirs = idle(rig, made, peer, sock)
     if why == "closed by the worker":
         theirs.close()
     elif why == "said something":
         theirs.sendall(b"x")
     elif why == "hung up":
-        made.hang_up(peer)
+        made.close_idle(peer)
     elif why == "evicted":
         rig.budget.evict("workers")
     assert rig.turn(lambda: not peer.idle) and rig.budget.used["workers"] == 0
@@ -303,7 +307,7 @@
     made, list_ = discovery(rig), told(**changed)
     list_["instances"].append(told(instanceId="s-2")["instances"][0])
     if whole is None:
-        with pytest.raises(BadList):
+        with pytest.raises(EndpointListError):
             made.apply(list_)
         assert not rig.inbox.items and made.generation is None
     else:
@@ -323,7 +327,7 @@
 )
 def test_a_list_of_another_shape_is_bad(list_):
     rig = Rig()
-    with pytest.raises(BadList):
+    with pytest.raises(EndpointListError):
         discovery(rig).apply(list_)
     assert not rig.inbox.items
 
@@ -360,7 +364,7 @@
     made = workers(rig)
     theirs = idle(rig, made, peer, sock)
     sock.close()
-    made.taken = lambda peer, once: None
+    made.idle.take = lambda peer, run_once: None
     launched(rig, made, peer)
     assert outcome(rig)[0] == "unreachable" and not peer.idle and theirs.recv(1) == b""
 
@@ -368,17 +372,17 @@
 @pytest.mark.parametrize(
     ("lawful", "out", "left", "how"),
     [
-        (False, False, 1_000, protocol_workers.Withheld),
-        (True, True, 1_000, protocol_workers.Withheld),
-        (True, False, 0, protocol_workers.WaitTimeoutError),
+        (False, False, 1_000, LaunchWithheldError),
+        (True, True, 1_000, LaunchWithheldError),
+        (True, False, 0, WaitTimeoutError),
     ],
 )
 def test_the_last_byte_is_withheld_without_lease_from_who_is_out_and_after_its_time(lawful, out, left, how):
     # A process that was stopped may wake with the walltime over, and its lease not.
-    rig, peer = Rig(), protocol_workers.WorkerEndpoint("s-1", out)
+    rig, peer = Rig(), WorkerEndpoint("s-1", out)
     made = workers(rig)
     made.rule = type("Rule", (), {"may_act": lambda self, now: lawful})()
     near, far = socket.socketpair()
     with near, far, pytest.raises(how):
         conn = type("Conn", (), {"sock": near, "fd": near.fileno()})()
-        next(made.sent_lawfully(conn, peer, b"x", rig.loop.now() + left))
+        next(made.write_while_lawful(conn, peer, b"x", rig.loop.now() + left))
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -25,13 +25,13 @@
     Balancer.by_hand = by_hand
     from mastledge.protocol.worker_connections import WorkerConnections
 
-    sent = WorkerConnections.sent_lawfully
+    sent = WorkerConnections.write_while_lawful
 
-    def sent_lawfully(self, conn, peer, *how):
-        peer.out = False
+    def write_while_lawful(self, conn, peer, *how):
+        peer.excluded = False
         return sent(self, conn, peer, *how)
 
-    WorkerConnections.sent_lawfully = sent_lawfully
+    WorkerConnections.write_while_lawful = write_while_lawful
 
 
 def twice():
