--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -166,7 +166,7 @@
             return self.refusal(verdict)
         if verdict == Verdict.NEW:
             record.waiters = waiters = set()
-            exchange.gone = lambda: all([http.has_left(conn) for conn in waiters])
+            exchange.check_left = lambda: all([http.has_left(conn) for conn in waiters])
             self.first[record.scoped_key] = exchange
             record.task = loop.spawn(self.kept(exchange, told, record))
         record.waiters.add(conn)
@@ -198,7 +198,11 @@
 
     def seen_through(self, exchange, told, record):
         loop, key_table = self.loop, self.key_table
-        if not (yield from self.lasting(record)) or loop.now() >= exchange.until or exchange.left():
+        if (
+            not (yield from self.lasting(record))
+            or loop.now() >= exchange.until
+            or exchange.client_has_left()
+        ):
             # Nothing was launched, and what the disk may hold of it is taken back once it holds anything.
             key_table.release(record)
             self.save()
--- a/mastledge/program/lifecycle.py
+++ b/mastledge/program/lifecycle.py
@@ -120,7 +120,7 @@
             self.share()
         self.control = Control(loop, self.budget, OperatorApi(self).calls(), log)
         if self.fleet is not None:
-            self.control.most = SNAPSHOT
+            self.control.max_body_bytes = SNAPSHOT
 
     def join(self):
         """Takes its place among the dispatchers that agree."""
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -289,7 +289,7 @@
         n = self.numbers
         task = self.jobs[n] = loop.spawn(self.seen_through(n, exchange, told))
         self.clients[n] = conn
-        exchange.gone = lambda: n not in self.clients or http.has_left(conn)
+        exchange.check_left = lambda: n not in self.clients or http.has_left(conn)
         try:
             got = yield from self.program.listener.awaited(conn, exchange.until)
         finally:
@@ -335,7 +335,7 @@
             return status, [], content
         if what != o.GO:
             return self.refusal(Verdict.FULL)
-        if loop.now() >= exchange.until or exchange.left():
+        if loop.now() >= exchange.until or exchange.client_has_left():
             self.input("ended", n, m.DROPPED)
             return REJECTED, [], b""
         self.going.add(n)
--- a/mastledge/protocol/client_listener.py
+++ b/mastledge/protocol/client_listener.py
@@ -6,7 +6,7 @@
 
 from mastledge.protocol import http
 from mastledge.protocol.errors import BadRequestError, BodyTooLargeError
-from mastledge.protocol.requests import COMPLETED, KILLED, REJECTED, Requests
+from mastledge.protocol.requests import COMPLETED, KILLED, REJECTED, Requests, retry_after_headers
 from mastledge.transport.budget import CLIENT_EVICTION_ORDER
 from mastledge.transport.connection import Connection
 from mastledge.transport.errors import WaitTimeoutError
@@ -50,7 +50,7 @@
             kinds.update({qt["name"]: kinds.get(qt["name"], 0) for qt in words["queue_types"]})
         self.few = words["dispatchers"] <= 2
         hold_off = min(words["hold_off"], PATIENCE)
-        self.no_room = REJECTED, [(b"retry-after", b"%.3f" % (hold_off / 1e6))] if hold_off else [], b""
+        self.no_room = REJECTED, retry_after_headers(hold_off), b""
 
     def up(self):
         return self.ready and not self.leaving and not self.draining and self.lawful()
@@ -222,7 +222,7 @@
             self.rests(None, conn)
             if not self.budget.reserve_memory(size):
                 self.log("memory_limit", held=self.budget.request_bytes, clients=len(self.clients))
-                self.count(self.requests.name_of(head), REJECTED)
+                self.count(self.requests.queue_type_name(head), REJECTED)
                 return self.no_room
             try:
                 pieces.on_piece(pieces.count)
@@ -277,7 +277,7 @@
             finally:
                 self.in_hand -= 1
         exchange.conn, exchange.answer = conn, lambda *answer: self.loop.wake(conn.owner, answer)
-        exchange.gone = lambda: http.has_left(conn)
+        exchange.check_left = lambda: http.has_left(conn)
         try:
             self.inbox.put("arrived", exchange, *told)
             reply = yield from self.outcome(conn, exchange)
--- a/mastledge/protocol/discovery.py
+++ b/mastledge/protocol/discovery.py
@@ -1,94 +1,113 @@
-"""Discovery: the list of workers, and the watch on its changes."""
+"""Discovery: the endpoint list, and the watch on its changes."""
+
+import contextlib
+from collections.abc import Callable
+from typing import Any
 
 import h11
 
 from mastledge.protocol import http
 from mastledge.protocol.errors import BodyTooLargeError, EndpointListError
+from mastledge.transport.budget import Budget
 from mastledge.transport.connection import address_of, connect
 from mastledge.transport.errors import OutOfDescriptorsError, WaitTimeoutError
-from mastledge.transport.loop import Loop
+from mastledge.transport.loop import Loop, Queue
 
-# What discovery holds counts as told 6 s after it can be reached (4 s after SIGHUP, which starts a call at
-# once). The call that is out then ends within SILENT, as a watch and a whole list are given up after that, a
-# connect and a head (ANSWER) sooner; the next begins within LONGEST and is answered at once: 3.0 s in all.
-# Where lists are asked for, the calls of all dispatchers wait in turn. One that is given up has cost its
+# What discovery holds counts as notified 6 s after it is reachable (4 s after SIGHUP, which starts a call at
+# once). The call that is out then ends within MAX_SILENCE_US, as a watch and a whole list are given up after
+# that, a connect and a head (ANSWER_TIMEOUT_US) sooner; another begins within MAX_RETRY_US and is answered at
+# once: 3.0 s in all.
+# Where lists are polled, the calls of all dispatchers wait in turn. One that is given up has cost its
 # answer for nothing, and where all give up early most hear nothing. So it has as long as 6 s leave: 5.5 s.
-# One that is refused comes again within LONGEST, before the queue has run dry: all have been answered once
-# discovery has done the work for all (docs/incidents/calls-in-turn.md).
-SILENT = 2_600_000  # while nothing changes an empty line comes every 2 s
-ANSWER = 1_000_000  # the list is held on this machine and is given at once, or not at all
-IN_TURN = 2_500_000  # where it is asked for
+# One that is refused comes again within MAX_RETRY_US, before the queue has run dry: all have been answered
+# once discovery has done the work for all (docs/incidents/calls-in-turn.md).
+MAX_SILENCE_US = 2_600_000  # while nothing changes an empty line comes every 2 s
+ANSWER_TIMEOUT_US = 1_000_000  # the list is held on this machine and is given at once, or not at all
+POLL_TIMEOUT_US = 2_500_000  # where it is asked for
 # A watch that broke is taken up again soon, but not in a rush.
-PAUSE, LONGEST = 50_000, 400_000
-MOST_LIST = 16 * 1024 * 1024
+MIN_RETRY_US, MAX_RETRY_US = 50_000, 400_000
+MAX_LIST_BYTES = 16 * 1024 * 1024
 STATES = {"ready", "draining", "gone"}
+STATE = 3  # its place in an entry
+MALFORMED = (KeyError, TypeError, AttributeError, ValueError)  # what JSON of another shape ends in
 
 
 class Discovery:
-    def __init__(self, loop, budget, inbox, address, words, log):
+    """Keeps the endpoint list up to date and puts its changes into the queue of the decisions.
+
+    `inbox` takes ("members", kind, entries), where the kind is "whole", "changes", "failed" or the name that
+    a caller of apply() gives. An entry is (id, address, zone, state, start, machine type, cell, weight), the
+    start in microseconds of the monotonic clock, 0 for none.
+    """
+
+    def __init__(  # noqa: PLR0913 - the program wires it once, each part is another owner's
+        self,
+        loop: Loop,
+        budget: Budget,
+        inbox: Queue,
+        address: tuple[str, int],
+        settings: dict[str, Any],
+        log: Callable,
+    ) -> None:
+        """`settings` holds `zones`, `kinds`, `asked` (lists are polled) and `unix_now` in microseconds."""
         self.loop, self.budget, self.inbox, self.address, self.log = loop, budget, inbox, address, log
-        self.zones = {name: n for n, name in enumerate(words["zones"])}
-        self.kinds = {name: n for n, name in enumerate(words["kinds"])}
-        self.since = words["unix_now"] - Loop.now()
-        self.generation, self.task, self.trouble = None, None, None
-        self.answered, self.answer = False, IN_TURN if words["asked"] else ANSWER
-
-    def configure(self, words):
+        self.zones = {name: number for number, name in enumerate(settings["zones"])}
+        self.kinds = {name: number for number, name in enumerate(settings["kinds"])}
+        self.since = settings["unix_now"] - Loop.now()  # Unix time less the monotonic clock
+        self.generation = None  # of the list that is held; None: the whole list is to be read
+        self.task = None  # that keeps the watch up
+        self.trouble = None  # what was logged last while discovery fails
+        self.answered = False
+        self.answer_timeout_us = POLL_TIMEOUT_US if settings["asked"] else ANSWER_TIMEOUT_US
+
+    def configure(self, settings: dict[str, Any]) -> tuple[list[int], list[int]]:
         """The numbers of the zones and kinds that settings name; those in use stay as they are."""
-        self.answer = IN_TURN if words["asked"] else ANSWER
+        self.answer_timeout_us = POLL_TIMEOUT_US if settings["asked"] else ANSWER_TIMEOUT_US
         return (
-            [self.zones.setdefault(name, len(self.zones)) for name in words["zones"]],
-            [self.kinds.setdefault(name, len(self.kinds)) for name in words["kinds"]],
+            [self.zones.setdefault(name, len(self.zones)) for name in settings["zones"]],
+            [self.kinds.setdefault(name, len(self.kinds)) for name in settings["kinds"]],
         )
 
-    def entry(self, one):
-        """A worker of a list as (id, address, zone, state, start, kind, cell, units)."""
-        zone, kind, started = one["zone"], one["machineType"], one["startedAtMs"]
-        if one["lifecycle"] not in STATES or not isinstance(one["instanceId"], str):
-            raise ValueError(f"no worker: {one!r}"[:200])
+    def parse_entry(self, entry: dict) -> tuple:
+        """A worker of a list; raises one of MALFORMED."""
+        zone, kind, started_at_ms = entry["zone"], entry["machineType"], entry["startedAtMs"]
+        if entry["lifecycle"] not in STATES or not isinstance(entry["instanceId"], str):
+            raise ValueError(f"no worker: {entry!r}"[:200])
         # The clock of the decisions is monotonic, so a start is moved to it by one fixed difference.
-        born = (round(started * 1000) - self.since or 1) if started else 0
+        started_at = (round(started_at_ms * 1000) - self.since or 1) if started_at_ms else 0
         # A zone or kind that the settings do not name is a new one, unlike all others.
         return (
-            one["instanceId"],
-            address_of(one["hostPort"]),
+            entry["instanceId"],
+            address_of(entry["hostPort"]),
             self.zones.setdefault(zone, len(self.zones)),
-            one["lifecycle"],
-            born,
+            entry["lifecycle"],
+            started_at,
             self.kinds.setdefault(kind, len(self.kinds)),
-            int(one["cell"]),
-            float(one["weight"]),
+            int(entry["cell"]),
+            float(entry["weight"]),
         )
 
-    def apply(self, told, whole=None):
-        """Takes over a list or a change. One bad entry spoils a change, but not a whole list asked for."""
-        entries = []
+    def apply(self, message: dict, whole: str | None = None) -> None:
+        """Takes over a change, or under the kind `whole` a list.
+
+        One bad entry spoils a change, which raises EndpointListError; in a whole list it is left out.
+        """
         try:
-            generation, reset = told["generation"], bool(told["reset"])
-            if not isinstance(generation, int):
-                raise ValueError(f"no generation: {generation!r}")
-            if not (reset or whole) and generation < (self.generation or generation):
-                # An older change may free a worker that a newer one has named as draining.
-                raise ValueError(f"generation {generation} behind {self.generation}")
-            for one in told["instances"]:
-                try:
-                    entries.append(self.entry(one))
-                except (KeyError, TypeError, AttributeError, ValueError) as error:
-                    if whole is None:
-                        raise
-                    self.log("discovery_entry_invalid", why=f"{type(error).__name__}: {error}")
-        except (KeyError, TypeError, AttributeError, ValueError) as error:
+            generation, reset = message["generation"], bool(message["reset"])
+            self._check_generation(generation, reset or bool(whole))
+            entries = self._parse_entries(message["instances"], whole is not None)
+        except MALFORMED as error:
             raise EndpointListError(f"{type(error).__name__}: {error}") from None
         self.generation = generation
         if entries or reset or whole:
             self.inbox.put("members", whole or ("whole" if reset else "changes"), entries)
 
-    def follow(self):
+    def follow(self) -> None:
         """Starts the watch unless it is kept up already."""
         if self.task is None or self.task.ended:
-            self.task = self.loop.spawn(self.kept_up())
+            self.task = self.loop.spawn(self._keep_up())
 
-    def move(self, address):
+    def move(self, address: tuple[str, int]) -> None:
         """Asks elsewhere from now on. What is held stays in force until that place has told its list."""
         if address == self.address:
             return
@@ -98,18 +117,36 @@
             self.loop.cancel(self.task)
             self.follow()
 
-    def kept_up(self):
-        fails = 0
+    def _check_generation(self, generation, is_whole):
+        if not isinstance(generation, int):
+            raise ValueError(f"no generation: {generation!r}")
+        if not is_whole and generation < (self.generation or generation):
+            # An older change may free a worker that a newer one has named as draining.
+            raise ValueError(f"generation {generation} behind {self.generation}")
+
+    def _parse_entries(self, instances, skip_malformed):
+        entries = []
+        for instance in instances:
+            try:
+                entries.append(self.parse_entry(instance))
+            except MALFORMED as error:
+                if not skip_malformed:
+                    raise
+                self.log("discovery_entry_invalid", why=f"{type(error).__name__}: {error}")
+        return entries
+
+    def _keep_up(self):
+        failures = 0
         while True:
             began = self.loop.now()
-            yield from self.tried(self.watch())
-            fails = 0 if self.loop.now() - began > SILENT else fails + 1
-            yield (-1, 0, self.loop.now() + min(PAUSE << min(fails, 8), LONGEST))
+            yield from self._attempt(self._watch())
+            failures = 0 if self.loop.now() - began > MAX_SILENCE_US else failures + 1
+            yield (-1, 0, self.loop.now() + min(MIN_RETRY_US << min(failures, 8), MAX_RETRY_US))
 
-    def tried(self, steps):
+    def _attempt(self, call):
         """Runs a call of discovery; whatever becomes of it, the list that is held stays in force."""
         try:
-            yield from steps
+            yield from call
             return
         except EndpointListError as error:
             # What comes after it cannot be trusted to build on what is held.
@@ -128,8 +165,9 @@
             self.log("discovery_watch_failed", why=why, generation=self.generation)
         self.inbox.put("members", "failed", ())
 
-    def asked(self, target):
-        until = self.loop.now() + self.answer
+    def _open(self, target):
+        """A connection on which a call has been answered by 200."""
+        until = self.loop.now() + self.answer_timeout_us
         conn = yield from connect(self.loop, self.budget, "discovery", self.address, until)
         try:
             http.attach(conn, h11.CLIENT)
@@ -143,73 +181,73 @@
             conn.close()
             raise
 
-    def read(self, line):
+    def _watch(self):
+        if self.generation is None:
+            yield from self._read_list()
+        conn = yield from self._open(b"/registry/instances?follow=1&since=%d" % self.generation)
         try:
-            return http.parse_object(line)
-        except ValueError as error:
-            raise EndpointListError(str(error)) from None
-
-    def change(self, conn):
-        """The next object of a watch, in one line or indented; nothing for an empty line, None at the end."""
-        parts, size, until = [], 0, self.loop.now() + SILENT
-        while (line := (yield from http.next_line(conn, until, MOST_LIST))) is not None:
-            if not parts and not line.strip():
+            self.trouble, self.answered = None, True
+            self.log("discovery_watch_started", generation=self.generation)
+            # That it answers is news as well: it ends a failure.
+            self.inbox.put("members", "changes", ())
+            while (change := (yield from self._next_change(conn))) is not None:
+                if change:
+                    self.apply(change)
+            raise h11.RemoteProtocolError("the watch ended")
+        except EndpointListError:
+            self._apply_restrictions(conn)
+            raise
+        finally:
+            conn.close()
+
+    def _read_list(self):
+        conn = yield from self._open(b"/registry/instances")
+        try:
+            lines, size, until = [], 0, self.loop.now() + MAX_SILENCE_US
+            while (line := (yield from http.next_line(conn, until, MAX_LIST_BYTES))) is not None:
+                lines.append(line)
+                size += len(line) + 1
+                if size > MAX_LIST_BYTES:
+                    raise BodyTooLargeError
+            self.apply(parse_message(b"\n".join(lines)), "whole")
+        finally:
+            conn.close()
+
+    def _next_change(self, conn):
+        """The next object of a watch, in one line or indented; {} for an empty line, None at the end."""
+        lines, size, until = [], 0, self.loop.now() + MAX_SILENCE_US
+        while (line := (yield from http.next_line(conn, until, MAX_LIST_BYTES))) is not None:
+            if not lines and not line.strip():
                 return {}
             size += len(line) + 1
-            if parts and not line[:1].isspace() and not line.startswith(b"}") or size > MOST_LIST:
-                raise EndpointListError(f"cut off: {parts[0][:80]!r}")
-            parts.append(line)
+            if lines and not line[:1].isspace() and not line.startswith(b"}") or size > MAX_LIST_BYTES:
+                raise EndpointListError(f"cut off: {lines[0][:80]!r}")
+            lines.append(line)
             # An indented one opens in a line of its own, and all up to its end is further in.
-            if line.startswith(b"}") or line.strip() != b"{" and len(parts) == 1:
-                return self.read(b"\n".join(parts))
+            if line.startswith(b"}") or line.strip() != b"{" and len(lines) == 1:
+                return parse_message(b"\n".join(lines))
         return None
 
-    def restrict(self, conn):
-        """Who is draining or gone by what stands behind a bad change: that counts as told as well.
+    def _apply_restrictions(self, conn):
+        """Who is draining or gone by what stands behind a bad change: that counts as notified as well.
 
         The whole list that is asked for now frees who is not.
         """
-        try:
-            while isinstance(got := conn.http.next_event(), h11.Data):
-                conn.buffer.append(got.data)
-        except h11.RemoteProtocolError:
-            pass
+        with contextlib.suppress(h11.RemoteProtocolError):
+            while isinstance(event := conn.http.next_event(), h11.Data):
+                conn.buffer.append(event.data)
         while (line := conn.buffer.next_line()) is not None:
             try:
-                entries = [self.entry(one) for one in http.parse_object(line)["instances"]]
-            except (KeyError, TypeError, AttributeError, ValueError):
+                entries = [self.parse_entry(entry) for entry in http.parse_object(line)["instances"]]
+            except MALFORMED:
                 continue
-            if entries := [entry for entry in entries if entry[3] != "ready"]:
+            if entries := [entry for entry in entries if entry[STATE] != "ready"]:
                 self.inbox.put("members", "changes", entries)
 
-    def whole(self):
-        conn = yield from self.asked(b"/registry/instances")
-        try:
-            parts, size, until = [], 0, self.loop.now() + SILENT
-            while (line := (yield from http.next_line(conn, until, MOST_LIST))) is not None:
-                parts.append(line)
-                size += len(line) + 1
-                if size > MOST_LIST:
-                    raise BodyTooLargeError
-            self.apply(self.read(b"\n".join(parts)), "whole")
-        finally:
-            conn.close()
 
-    def watch(self):
-        if self.generation is None:
-            yield from self.whole()
-        conn = yield from self.asked(b"/registry/instances?follow=1&since=%d" % self.generation)
-        try:
-            self.trouble, self.answered = None, True
-            self.log("discovery_watch_started", generation=self.generation)
-            # That it answers is news as well: it ends a failure.
-            self.inbox.put("members", "changes", ())
-            while (told := (yield from self.change(conn))) is not None:
-                if told:
-                    self.apply(told)
-            raise h11.RemoteProtocolError("the watch ended")
-        except EndpointListError:
-            self.restrict(conn)
-            raise
-        finally:
-            conn.close()
+def parse_message(raw: bytes) -> dict:
+    """A list or a change; EndpointListError where it is no JSON object."""
+    try:
+        return http.parse_object(raw)
+    except ValueError as error:
+        raise EndpointListError(str(error)) from None
--- a/mastledge/protocol/load_messages.py
+++ b/mastledge/protocol/load_messages.py
@@ -1,31 +1,42 @@
-"""Messages between dispatchers: what one has out at each worker, and which keys its jobs wanted."""
+"""Messages between dispatchers: what one has out at each worker, and which keys its jobs wanted.
 
+The layout, big endian: a mark of four bytes, the number of loads (u16) and the sender's time (u64); then
+for each load the worker's number (u32) and four times its load (u8); then for each key its hash (u64) and
+the work that it wanted in milliseconds (u16).
+"""
+
+from collections.abc import Sequence
 from struct import Struct
 
 MARK = b"mst1"
-MOST = 256
-HEAD, LOAD, WANT = Struct(">4sHQ"), Struct(">IB"), Struct(">QH")
+MAX_MESSAGE_BYTES = 256
+HEAD, LOAD, KEY_WORK = Struct(">4sHQ"), Struct(">IB"), Struct(">QH")
+LOAD_UNITS = 4  # of a load of one job
+MAX_LOAD, MAX_WORK_MS = 255, 65535
+
 
+def encoded(sent_at: int, loads: Sequence[tuple[int, float]], wants: Sequence[tuple[int, float]]) -> bytes:
+    """The message of loads by worker and work in microseconds by key.
 
-def encoded(told_at, loads, wants):
-    """What does not fit is left out; the decisions name no more than that usually."""
-    loads = loads[: (MOST - HEAD.size) // LOAD.size]
-    loads = [LOAD.pack(name, min(255, round(4 * load))) for name, load in loads]
-    room = (MOST - HEAD.size - LOAD.size * len(loads)) // WANT.size
-    wants = [WANT.pack(key, min(65535, round(work / 1000))) for key, work in wants[:room]]
-    return b"".join((HEAD.pack(MARK, len(loads), told_at), *loads, *wants))
+    What does not fit is left out; the decisions name no more than that usually.
+    """
+    loads = loads[: (MAX_MESSAGE_BYTES - HEAD.size) // LOAD.size]
+    loads = [LOAD.pack(worker, min(MAX_LOAD, round(LOAD_UNITS * load))) for worker, load in loads]
+    space = (MAX_MESSAGE_BYTES - HEAD.size - LOAD.size * len(loads)) // KEY_WORK.size
+    wants = [KEY_WORK.pack(key, min(MAX_WORK_MS, round(work / 1000))) for key, work in wants[:space]]
+    return b"".join((HEAD.pack(MARK, len(loads), sent_at), *loads, *wants))
 
 
-def decoded(content):
-    """When it was told, loads by worker name and work by key; None where it is no such message."""
-    if not HEAD.size <= len(content) <= MOST:
+def decoded(content: bytes) -> tuple[int, list[tuple[int, float]], list[tuple[int, int]]] | None:
+    """When it was sent, loads by worker and work in microseconds by key; None where it is no such message."""
+    if not HEAD.size <= len(content) <= MAX_MESSAGE_BYTES:
         return None
-    mark, count, told_at = HEAD.unpack_from(content)
+    mark, count, sent_at = HEAD.unpack_from(content)
     middle = HEAD.size + count * LOAD.size
-    if mark != MARK or middle > len(content) or (len(content) - middle) % WANT.size:
+    if mark != MARK or middle > len(content) or (len(content) - middle) % KEY_WORK.size:
         return None
     return (
-        told_at,
-        [(name, load / 4) for name, load in LOAD.iter_unpack(content[HEAD.size : middle])],
-        [(key, work * 1000) for key, work in WANT.iter_unpack(content[middle:])],
+        sent_at,
+        [(worker, load / LOAD_UNITS) for worker, load in LOAD.iter_unpack(content[HEAD.size : middle])],
+        [(key, work * 1000) for key, work in KEY_WORK.iter_unpack(content[middle:])],
     )
--- a/mastledge/protocol/requests.py
+++ b/mastledge/protocol/requests.py
@@ -3,18 +3,25 @@
 import re
 from urllib.parse import unquote_to_bytes
 
+import h11
+
 from mastledge.protocol import http
 from mastledge.protocol.errors import BadRequestError
 
-COMPLETED, REJECTED, KILLED = 200, 503, 500
-ID = re.compile(rb"[!-~]{1,128}")
-FIGURE = re.compile(rb"[0-9]+(?:\.[0-9]+)?")
+COMPLETED, REJECTED, KILLED = 200, 503, 500  # statuses of a job's answer
+JOB_ID = re.compile(rb"[!-~]{1,128}")
+NUMBER = re.compile(rb"[0-9]+(?:\.[0-9]+)?")
+MAX_NUMBER = 1e12
 # Two of these would be read as the first by one and as the last by another.
-ONCE = (b"x-txn", b"x-lane", b"x-remaining-ms", b"x-estimate", b"idempotency-key", b"host")
+UNIQUE_HEADERS = (b"x-txn", b"x-lane", b"x-remaining-ms", b"x-estimate", b"idempotency-key", b"host")
 
 
 class Exchange:
-    """One job's request, to be passed on as it came, and the way back to its client."""
+    """One job's request, to be passed on as it came, and the way back to its client.
+
+    `answer` is called once with status, headers and content. `until` is the end of the walltime, in
+    microseconds of the monotonic clock.
+    """
 
     __slots__ = (
         "answer",
@@ -27,109 +34,141 @@
         "until",
         "open",
         "job",
-        "once",
+        "run_once",
         "conn",
         "key",
         "tenant",
-        "gone",
+        "check_left",
     )
 
-    def __init__(self):
-        self.answer, self.open, self.job, self.once = None, True, None, False
-        self.conn = self.key = self.gone = None
+    def __init__(self) -> None:
+        """An open exchange; who makes it fills in the request."""
+        self.answer, self.open, self.job, self.run_once = None, True, None, False
+        self.conn = self.key = self.check_left = None
         self.tenant = ""
 
-    def left(self):
+    def client_has_left(self) -> bool:
         """Whether nobody waits for its answer any more: then nothing is sent on for it."""
-        return self.gone is not None and self.gone()
+        return self.check_left is not None and self.check_left()
 
-    def completed(self, result):
+    def completed(self, result: bytes) -> None:
+        """Answers with a result."""
         self.finish(COMPLETED, [(b"content-type", b"application/octet-stream")], result)
 
-    def rejected(self, hold_off):
-        self.finish(REJECTED, [(b"retry-after", b"%.3f" % (hold_off / 1e6))] if hold_off else [], b"")
+    def rejected(self, retry_after_us: int) -> None:
+        """Answers that a retry is harmless, after so long; 0 names no time."""
+        self.finish(REJECTED, retry_after_headers(retry_after_us), b"")
 
-    def killed(self):
+    def killed(self) -> None:
+        """Answers that the job may have run."""
         self.finish(KILLED, [], b"")
 
-    def finish(self, status, headers, content):
+    def finish(self, status: int, headers: list[tuple[bytes, bytes]], content: bytes) -> None:
+        """Answers and closes it; nothing where it is closed."""
         if self.open:
             self.open = False
             self.answer(status, headers, content)
 
 
 class Requests:
-    def __init__(self, words):
-        self.queue_types = words["queue_types"]
-        self.types = {qt["name"]: n for n, qt in enumerate(self.queue_types)}
-        self.tenants = {name.encode(): n for n, name in enumerate(words["tenants"])}
+    """Makes jobs of requests, by the settings."""
+
+    def __init__(self, settings: dict) -> None:
+        """Of the settings it uses `queue_types` and `tenants`."""
+        self.queue_types = settings["queue_types"]
+        self.numbers = {queue_type["name"]: n for n, queue_type in enumerate(self.queue_types)}
+        self.tenants = {name.encode(): n for n, name in enumerate(settings["tenants"])}
 
-    def type_of(self, raw):
+    def queue_type_number(self, raw: bytes) -> int | None:
         """The queue type that a path or header names: as it stands, or quoted as URLs are; None for none."""
         for name in (raw, unquote_to_bytes(raw)):
-            if (found := self.types.get(name.decode("utf-8", "replace"))) is not None:
-                return found
+            if (number := self.numbers.get(name.decode("utf-8", "replace"))) is not None:
+                return number
         return None
 
-    def name_of(self, head):
-        found = self.type_of(http.queue_type_in_path(head))
-        return None if found is None else self.queue_types[found]["name"]
+    def queue_type_name(self, head: h11.Request) -> str | None:
+        """The name of the queue type that a request is for; None for none."""
+        number = self.queue_type_number(http.queue_type_in_path(head))
+        return None if number is None else self.queue_types[number]["name"]
 
-    def job(self, head, content, now):
-        """The exchange of a job, and all that the decisions are told of the job when it arrives."""
-        queue_type = self.type_of(http.queue_type_in_path(head))
+    def job(self, head: h11.Request, content: bytes, now: int) -> tuple[Exchange, tuple]:
+        """The exchange of a job, and all that the decisions are told of the job when it arrives.
+
+        That is (queue type, estimate in microseconds, key, width, memory, tenant, walltime in microseconds).
+        Raises BadRequestError.
+        """
+        queue_type = self.queue_type_number(http.queue_type_in_path(head))
         if queue_type is None:
             raise BadRequestError(404, "no such path")
         if head.method != b"POST":
             raise BadRequestError(405, "jobs come by POST")
-        qt, fields = self.queue_types[queue_type], dict(head.headers)
+        fields, settings = dict(head.headers), self.queue_types[queue_type]
+        self._check(head, fields, queue_type)
+        walltime = settings["walltime"]
+        if b"x-remaining-ms" in fields:
+            # One client's walltime without end would move what is expected of all the others.
+            walltime = min(round(parse_number(fields[b"x-remaining-ms"]) * 1000), walltime)
+        exchange = new_exchange(head, fields, content, settings)
+        exchange.until = now + walltime
+        return exchange, self._arrival(fields, queue_type, walltime)
+
+    def _check(self, head, fields, queue_type):
         if len(fields) < len(head.headers):
             names = [name for name, _ in head.headers]
-            if any(names.count(name) > 1 for name in ONCE):
+            if any(names.count(name) > 1 for name in UNIQUE_HEADERS):
                 raise BadRequestError(400, "a header stands twice")
-        if not ID.fullmatch(fields.get(b"x-txn", b"")):
+        if not JOB_ID.fullmatch(fields.get(b"x-txn", b"")):
             raise BadRequestError(400, "X-Txn is missing or no id")
-        if b"x-lane" in fields and self.type_of(fields[b"x-lane"]) != queue_type:
+        if b"x-lane" in fields and self.queue_type_number(fields[b"x-lane"]) != queue_type:
             raise BadRequestError(400, "X-Lane and path differ")
-        if qt["effect"] == "deduplicated" and not fields.get(b"idempotency-key"):
+        if self.queue_types[queue_type]["effect"] == "deduplicated" and not fields.get(b"idempotency-key"):
             raise BadRequestError(400, "Idempotency-Key is missing")
-        patience = qt["walltime"]
-        if b"x-remaining-ms" in fields:
-            # One client's walltime without end would move what is expected of all the others.
-            patience = min(round(number(fields[b"x-remaining-ms"]) * 1000), patience)
-        exchange = Exchange()
-        exchange.name, exchange.kind = fields[b"x-txn"].decode("latin-1"), qt["name"]
-        exchange.until, exchange.once = now + patience, qt["effect"] == "run-once"
-        if (given := fields.get(b"idempotency-key")) is not None:
-            exchange.key, exchange.tenant = given, fields.get(b"x-org", b"").decode("latin-1")
-        exchange.method, exchange.target, exchange.body = head.method, head.target, content
-        exchange.headers = [
-            (name, value)
-            for name, value in head.headers
-            if name not in http.HOP_BY_HOP_HEADERS and name != b"x-remaining-ms"
-        ]
-        extras = pairs(fields.get(b"x-labels", b""), b",")
-        width = number(extras.get(b"width", extras.get(b"slots", b"1"))) or 1.0
-        memory = number(extras.get(b"ramUnits", extras.get(b"memory", b"0")))
+
+    def _arrival(self, fields, queue_type, walltime):
+        labels = parse_pairs(fields.get(b"x-labels", b""), b",")
+        width = parse_number(labels.get(b"width", labels.get(b"slots", b"1"))) or 1.0
+        memory = parse_number(labels.get(b"ramUnits", labels.get(b"memory", b"0")))
         # What the job is about: any text will do for the decisions, 0 for none.
-        key = pairs(fields.get(b"cookie", b""), b";").get(b"user", 0)
-        hint = round(number(fields.get(b"x-estimate", b"0")))
+        key = parse_pairs(fields.get(b"cookie", b""), b";").get(b"user", 0)
+        estimate = round(parse_number(fields.get(b"x-estimate", b"0")))
         tenant = self.tenants.get(fields.get(b"x-org", b""), 0)
-        return exchange, (queue_type, hint, key, width, memory, tenant, patience)
-
-
-def pairs(text, mark):
-    out = {}
-    for pair in text.split(mark):
+        return queue_type, estimate, key, width, memory, tenant, walltime
+
+
+def new_exchange(head: h11.Request, fields: dict[bytes, bytes], content: bytes, queue_type: dict) -> Exchange:
+    """The exchange of a request that has been checked; `until` is still to be set."""
+    exchange = Exchange()
+    exchange.name, exchange.kind = fields[b"x-txn"].decode("latin-1"), queue_type["name"]
+    exchange.run_once = queue_type["effect"] == "run-once"
+    if (key := fields.get(b"idempotency-key")) is not None:
+        exchange.key, exchange.tenant = key, fields.get(b"x-org", b"").decode("latin-1")
+    exchange.method, exchange.target, exchange.body = head.method, head.target, content
+    exchange.headers = [
+        (name, value)
+        for name, value in head.headers
+        if name not in http.HOP_BY_HOP_HEADERS and name != b"x-remaining-ms"
+    ]
+    return exchange
+
+
+def retry_after_headers(retry_after_us: int) -> list[tuple[bytes, bytes]]:
+    """The header that tells a client when it may come again, none for 0."""
+    return [(b"retry-after", b"%.3f" % (retry_after_us / 1e6))] if retry_after_us else []
+
+
+def parse_pairs(text: bytes, separator: bytes) -> dict[bytes, bytes]:
+    """Values by name of `name=value` pairs; those without a name are left out."""
+    values = {}
+    for pair in text.split(separator):
         name, _, value = pair.strip().partition(b"=")
         if name:
-            out[name] = value
-    return out
+            values[name] = value
+    return values
 
 
-def number(text):
-    # Python's own reading lets through more: nan, 1e9, 1_000.
-    value = float(text) if FIGURE.fullmatch(text) else 1e12
-    if not value < 1e12:
+def parse_number(text: bytes) -> float:
+    """A decimal number; BadRequestError for anything else, also for what Python reads: nan, 1e9, 1_000."""
+    value = float(text) if NUMBER.fullmatch(text) else MAX_NUMBER
+    if not value < MAX_NUMBER:
         raise BadRequestError(400, f"no number: {text[:40]!r}")
     return value
--- a/mastledge/protocol/worker_connections.py
+++ b/mastledge/protocol/worker_connections.py
@@ -76,7 +76,7 @@
 
     def send(self, endpoint: WorkerEndpoint, launch: Any, exchange: Any, until: int) -> Coroutine:
         """The connection on which the whole request was written, or None, and how the launch ended then."""
-        conn, incarnation = self.idle.take(endpoint, exchange.once), endpoint.incarnation()
+        conn, incarnation = self.idle.take(endpoint, exchange.run_once), endpoint.incarnation()
         is_new, sent = conn is None, False
         try:
             if is_new:
@@ -86,7 +86,7 @@
                 # A drain counts from its news, and a new incarnation takes less: both before the first byte.
                 self.log("launch_withheld", worker=endpoint.id)
                 raise LaunchWithheldError
-            if exchange.once:
+            if exchange.run_once:
                 yield from self._write_up_to_last_byte(conn, endpoint, content, launch.send_by, exchange)
                 content = content[-1:]
             yield from self.write_while_lawful(conn, endpoint, content, launch.send_by, exchange)
@@ -121,7 +121,7 @@
             if self.rule is not None and not self.rule.may_act(self.loop.now()) or endpoint.excluded:
                 self.log("launch_withheld", worker=endpoint.id)
                 raise LaunchWithheldError
-            if exchange is not None and exchange.left():
+            if exchange is not None and exchange.client_has_left():
                 raise ClientLeftError
             try:
                 content = content[conn.sock.send(content) :]
--- a/mastledge/routing/router.py
+++ b/mastledge/routing/router.py
@@ -119,7 +119,7 @@
         What may be running goes on where its key is kept, as what it comes to is promised to who asks again.
         """
         job = exchange.job
-        if job is None or job.id not in self.jobs or not exchange.open or not exchange.left():
+        if job is None or job.id not in self.jobs or not exchange.open or not exchange.client_has_left():
             return
         if exchange.conn is not None:
             exchange.open = False
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -144,7 +144,7 @@
     ],
 )
 def test_a_bad_call_gets_a_no_and_others_do_not_wait_for_it(sent, status, served, monkeypatch):
-    monkeypatch.setattr(control, "WHOLE", 300_000)
+    monkeypatch.setattr(control, "CALL_TIMEOUT_US", 300_000)
     bad = served.connect("control")
     bad.sendall(sent)
     assert served.call("/api/ready")[0] == 200
--- a/tests/test_crossing_search.py
+++ b/tests/test_crossing_search.py
@@ -38,7 +38,7 @@
 
 
 def left_is_not_looked_at(patch):
-    patch(Exchange, "left", lambda self: False)
+    patch(Exchange, "client_has_left", lambda self: False)
 
 
 def a_request_is_not_looked_behind(patch):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -526,8 +526,8 @@
 
     from mastledge.protocol import discovery as protocol_discovery
 
-    monkeypatch.setattr(protocol_discovery, "SILENT", 50_000)
-    monkeypatch.setattr(protocol_discovery, "MOST_LIST", 1 << 16)
+    monkeypatch.setattr(protocol_discovery, "MAX_SILENCE_US", 50_000)
+    monkeypatch.setattr(protocol_discovery, "MAX_LIST_BYTES", 1 << 16)
     rig = Rig()
     sock = socket.create_server((HERE, 0))
     made = discovery(rig, sock.getsockname())
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -19,7 +19,7 @@
 from test_workers import discovery
 
 from mastledge.lab.steered import Steered
-from mastledge.protocol.discovery import LONGEST, SILENT
+from mastledge.protocol.discovery import MAX_RETRY_US, MAX_SILENCE_US
 
 ROOT = Path(__file__).parent.parent
 
@@ -178,7 +178,7 @@
         watch.sendall(chunk(b"\n"))
     agent.goes_on(1_000_000)
     agent.drains()
-    assert agent.clock.run(agent.heard, TOLD, agent.serves) and agent.clock.at - agent.since <= SILENT
+    assert agent.clock.run(agent.heard, TOLD, agent.serves) and agent.clock.at - agent.since <= MAX_SILENCE_US
 
 
 @pytest.mark.parametrize("does", WAYS)
@@ -288,7 +288,7 @@
     rig = Rig(sockets=512)
     rig.budget.limits["discovery"] = 64
     place = InTurn(rig, count, each)
-    within = min(TOLD, count * each + LONGEST)
+    within = min(TOLD, count * each + MAX_RETRY_US)
     assert place.clock.run(lambda: all(one.answered for one in place.made), within, place.serves), sum(
         one.answered for one in place.made
     )
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -38,7 +38,7 @@
 
 def exchange(body=b"x", once=False):
     made = Exchange()
-    made.once = once
+    made.run_once = once
     made.method, made.target, made.headers, made.body = b"POST", b"/render?a=1", [(b"x-txn", b"9b1f")], body
     return made
 
@@ -285,7 +285,7 @@
     rig = Rig()
     made = discovery(rig)
     made.since = 5_000_000_000
-    entry = made.entry(told(zone=zone, machineType=kind, startedAtMs=started)["instances"][0])
+    entry = made.parse_entry(told(zone=zone, machineType=kind, startedAtMs=started)["instances"][0])
     assert entry == ("s-1", ("10.1.0.18", 7070), says[0], "ready", says[2], says[1], 2, 1.5)
 
 
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -92,12 +92,12 @@
     """Launches on workers that the list says are draining."""
     from mastledge.protocol.discovery import Discovery
 
-    entry = Discovery.entry
+    parse_entry = Discovery.parse_entry
 
-    def ready(self, one):
-        return entry(self, {**one, "lifecycle": "ready"})
+    def ready(self, entry):
+        return parse_entry(self, {**entry, "lifecycle": "ready"})
 
-    Discovery.entry = ready
+    Discovery.parse_entry = ready
 
 
 def cold():
