--- a/mastledge/lab/crossing.py
+++ b/mastledge/lab/crossing.py
@@ -686,7 +686,7 @@
             out.append(f"nothing_left: {len(self.loop.waiters) - idle} tasks")
         if program.budget.used["workers"] > idle:
             out.append(f"nothing_left: {program.budget.used['workers'] - idle} workers' descriptors")
-        if program.budget.request_bytes or program.listener.in_hand:
+        if program.budget.request_bytes or program.listener.jobs.in_hand:
             out.append("nothing_left: room for bodies, or jobs in hand")
         return out
 
--- a/mastledge/program/connection_handoff.py
+++ b/mastledge/program/connection_handoff.py
@@ -121,7 +121,7 @@
         http.resume_parsers(client, launch.conn, headed)
         launch.conn.buffer.append(rest)
         self.exchanges.add(exchange)
-        client.owner = self.loop.spawn(self.listener.resumed(client, exchange))
+        client.owner = self.loop.spawn(self.listener.serve_resumed(client, exchange))
         task = self.loop.spawn(self.carried(launch, exchange))
         exchange.answer = lambda *answer: self.loop.wake(client.owner, answer)
         exchange.job = task
--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -171,7 +171,7 @@
             record.task = loop.spawn(self.kept(exchange, told, record))
         record.waiters.add(conn)
         try:
-            got = yield from self.program.listener.awaited(conn, exchange.until)
+            got = yield from self.program.listener.jobs.wait_for_answer(conn, exchange.until)
             return got if got != () else (KILLED, [], b"")
         finally:
             record.waiters.discard(conn)
--- a/mastledge/program/lifecycle.py
+++ b/mastledge/program/lifecycle.py
@@ -108,7 +108,7 @@
         if told["peers"]:
             self.join()
         if told["repeats"]:
-            self.idempotency = self.listener.idempotency = self.keeping()(self, told, log)
+            self.idempotency = self.listener.jobs.idempotency = self.keeping()(self, told, log)
             self.reserved += FILES
             self.share()
         if told["recovery"]:
@@ -435,7 +435,7 @@
             if door.draining:
                 if self.phase != DRAINING:
                     self.go(DRAINING)
-                door.let_go()
+                door.close_while_draining()
                 yield (-1, 0, loop.now() + LOOK)
                 continue
             if self.phase == DRAINING:
@@ -472,7 +472,7 @@
         if self.accepting is not None:
             loop.cancel(self.accepting)
         door.closing = True
-        door.last_call(self.sock)
+        door.accept_waiting(self.sock)
         loop.forget(self.sock.fileno())
         self.sock.close()
         self.go(FINISHING)
--- a/mastledge/program/operator_api.py
+++ b/mastledge/program/operator_api.py
@@ -33,7 +33,7 @@
         }
 
     def ready(self):
-        if not self.program.listener.up():
+        if not self.program.listener.is_ready():
             why = self.program.fleet.why() if self.program.fleet is not None else ""
             if self.program.recovery is not None and not why:
                 why = self.program.recovery.waiting()
@@ -43,10 +43,12 @@
     def telemetry(self):
         """A line a figure. Counts run from the start of this process."""
         door, router, workers = self.program.listener, self.program.router, self.program.workers
-        figures = {f"{what}.{kind}": n for what, kinds in door.ended.items() for kind, n in kinds.items()}
+        figures = {
+            f"{what}.{kind}": n for what, kinds in door.jobs.ended.items() for kind, n in kinds.items()
+        }
         figures |= {
             "upstream_tries": workers.sent_launches,
-            "in_progress": door.in_hand,
+            "in_progress": door.jobs.in_hand,
             "known_workers": len(router.peers),
             "skipped_workers": router.balancer.skipped(self.program.loop.now()),
         }
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -352,11 +352,11 @@
         hold_off = self.opening.admit(began, further)
         if hold_off is not None:
             exchange.open = False
-            self.program.listener.count(exchange.kind, REJECTED)
+            self.program.listener.jobs.count(exchange.kind, REJECTED)
             return REJECTED, [(b"retry-after", b"%.3f" % (hold_off / 1e6))] if hold_off else [], b""
         reply = None
         try:
-            reply = yield from self.program.listener.taken(conn, exchange, told)
+            reply = yield from self.program.listener.jobs.take(conn, exchange, told)
             return reply
         finally:
             how = ELSE if reply is None else {COMPLETED: DONE, REJECTED: TURNED}.get(reply[0], ELSE)
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -291,7 +291,7 @@
         self.clients[n] = conn
         exchange.check_left = lambda: n not in self.clients or http.has_left(conn)
         try:
-            got = yield from self.program.listener.awaited(conn, exchange.until)
+            got = yield from self.program.listener.jobs.wait_for_answer(conn, exchange.until)
         finally:
             del self.clients[n]
         if got:
--- a/mastledge/protocol/client_listener.py
+++ b/mastledge/protocol/client_listener.py
@@ -1,354 +1,164 @@
-"""Clients: takes their jobs, holds the connection until the answer, notices when they leave."""
+"""Accepts clients and decides, before the decisions hear of a job, whether it is let in."""
 
-from collections import deque
+import socket
+from collections.abc import Callable
 
 import h11
 
 from mastledge.protocol import http
-from mastledge.protocol.errors import BadRequestError, BodyTooLargeError
-from mastledge.protocol.requests import COMPLETED, KILLED, REJECTED, Requests, retry_after_headers
-from mastledge.transport.budget import CLIENT_EVICTION_ORDER
+from mastledge.protocol.client_connection import ClientConnection
+from mastledge.protocol.client_jobs import ClientJobs
+from mastledge.protocol.errors import BadRequestError
+from mastledge.protocol.requests import REJECTED, Exchange, Requests, retry_after_headers
+from mastledge.transport.budget import Budget
 from mastledge.transport.connection import Connection
-from mastledge.transport.errors import WaitTimeoutError
 from mastledge.transport.listening import accept
-from mastledge.transport.loop import CONNECTION_ENDED, READ
+from mastledge.transport.loop import READ, Coroutine, Loop, Queue
 
-WHOLE = 10_000_000  # a request must be whole this long after its first byte, the first one after the connect
-SILENT = 3_000_000  # nor silent for longer in between: some are written slowly, others never to an end
-SLOW = 5_000_000  # an answer that its client does not read is held for this long
-IDLE = 120_000_000
-YOUNG = 1_000_000
-FRESH = 250_000  # a connection is opened for a request, which may be on its way
-PATIENCE = 250_000  # after which it may come again where there was no room for it
-FREE = 3  # connections of clients, while leaving: a burst comes before a rejection has freed one
-FEWER = 250_000  # after SIGTERM; from then on new connections go to others
-PAUSE = 20_000  # where descriptors are short
-ACCEPTS = 32  # in a turn: a crowd that comes at once must not hold up who is there
-CLOSES, REFUSES, HANGS_UP = 500_000, 1_700_000, 3_000_000  # after the call to drain; see docs/operations.md
-LAST_WORD = 5_000  # after the end of a walltime
-LINGER = 1_000_000  # what is still under way is read, or closing would reset the answer to it
+MIN_AGE_US = 250_000  # before it is closed: a connection is opened for a request, which may be on its way
+MAX_RETRY_AFTER_US = 250_000  # after which it may come again where there was no place for it
+FREE_CONNECTIONS = 3  # of clients, while leaving: a burst comes before a rejection has freed one
+FEW_DISPATCHERS = 2
+KEEPS_FREE_AFTER_US = 250_000  # after SIGTERM; from then on new connections go to others
+SHORTAGE_PAUSE_US = 20_000  # where descriptors are short
+MAX_ACCEPTS = 32  # in an iteration: a crowd that comes at once must not hold up who is there
+# After the call to drain (docs/operations.md): idle ones are closed, jobs rejected, half requests closed.
+CLOSES_AFTER_US, REJECTS_AFTER_US, HANGS_UP_AFTER_US = 500_000, 1_700_000, 3_000_000
 
 
 class ClientListener:
-    """Everything between the listening socket and the queue of the decisions."""
-
-    def __init__(self, loop, budget, inbox, words, log):
-        self.loop, self.budget, self.inbox, self.log = loop, budget, inbox, log
-        self.clients, self.ready, self.in_hand = set(), False, 0
+    """What clients' connections share: the door to the decisions, and the phases that close it.
+
+    The program sets `ready`, `closing` and `succeeded` (by another process), and `leaving` and `draining` to
+    the time of the signal or call. `rule` is set where dispatchers agree (whether what is in force is known
+    here), `gate` where a start is gradual (who is let in, by `passed`, round `jobs.take`).
+    """
+
+    def __init__(self, loop: Loop, budget: Budget, inbox: Queue, settings: dict, log: Callable) -> None:
+        """Not ready, and nobody is connected."""
+        self.loop, self.budget, self.log = loop, budget, log
+        self.jobs = ClientJobs(loop, inbox, log)
+        self.clients, self.ready = set(), False
         self.leaving = self.closing = self.draining = self.succeeded = False
-        self.ended = {what: {} for what in ("passed", "dropped", "bad_gateway")}
-        self.names, self.known = set(), deque()
-        self.idempotency = None  # where keys are kept: what becomes of a job whose key has come before
-        self.rule = None  # where dispatchers agree: whether what is in force is known here
-        self.gate = None  # where a start is gradual: who is let in, by `passed`, round `taken`
-        self.configure(words)
+        self.rule = self.gate = None
+        self.configure(settings)
 
-    def configure(self, words):
+    def configure(self, settings: dict) -> None:
         """For what comes from now on; who waits for an answer goes on doing so."""
-        self.requests, self.most_held = Requests(words), words["most_held"]
-        for kinds in self.ended.values():
-            kinds.update({qt["name"]: kinds.get(qt["name"], 0) for qt in words["queue_types"]})
-        self.few = words["dispatchers"] <= 2
-        hold_off = min(words["hold_off"], PATIENCE)
-        self.no_room = REJECTED, retry_after_headers(hold_off), b""
-
-    def up(self):
-        return self.ready and not self.leaving and not self.draining and self.lawful()
-
-    def lawful(self):
+        self.requests, self.most_held = Requests(settings), settings["most_held"]
+        self.jobs.configure(settings["queue_types"])
+        self.few_dispatchers = settings["dispatchers"] <= FEW_DISPATCHERS
+        retry_after_us = min(settings["hold_off"], MAX_RETRY_AFTER_US)
+        self.rejection = REJECTED, retry_after_headers(retry_after_us), b""
+
+    def is_ready(self) -> bool:
+        """Whether jobs are wanted here."""
+        return self.ready and not self.leaving and not self.draining and self.may_act()
+
+    def is_ready_or_succeeded(self) -> bool:
+        """As clients ask: they mean the dispatcher, which goes on in another process that has taken over."""
+        return self.is_ready() or self.succeeded and not self.draining
+
+    def may_act(self) -> bool:
+        """Whether what dispatchers have agreed on is known here."""
         return self.rule is None or self.rule.may_act(self.loop.now())
 
-    def count(self, kind, status):
-        """Each job under one count, also what was answered here alone. 4xx: it was none."""
-        if kind in self.ended["passed"] and (status == REJECTED or not 400 <= status < 500):
-            what = {COMPLETED: "passed", REJECTED: "dropped"}.get(status, "bad_gateway")
-            self.ended[what][kind] += 1
-
-    def let_go(self):
-        """While draining: most have left with an answer; the others are closed where that crosses nothing."""
-        gone = self.loop.now() - self.draining
-        for place, since in (("unused", CLOSES), ("clients", CLOSES), ("begun", HANGS_UP)):
-            if gone >= since:
-                self.close_all(place)
-
-    def close_all(self, place):
-        """Closes who rests there and will close now, but for who has only just come."""
-        old = self.loop.now() - FRESH
-        for conn, close in list(self.budget.idle[place].items()):
-            if conn.opened_us <= old:
-                close()
-
-    def listen(self, sock):
+    def close_while_draining(self) -> None:
+        """Most have left with an answer; the others are closed where that crosses nothing."""
+        drained_for = self.loop.now() - self.draining
+        for group, after in (
+            ("unused", CLOSES_AFTER_US),
+            ("clients", CLOSES_AFTER_US),
+            ("begun", HANGS_UP_AFTER_US),
+        ):
+            if drained_for >= after:
+                self._close_group(group)
+
+    def close_all_idle(self) -> None:
+        """Closes all connections on which no whole request is in hand or on its way."""
+        for group in ("unused", "unfinished", "clients"):
+            self._close_group(group)
+
+    def listen(self, sock: socket.socket) -> Coroutine:
+        """Accepts clients for ever."""
         while True:
             yield (sock.fileno(), READ, None)
-            if self.last_call(sock, ACCEPTS):
+            if self.accept_waiting(sock, MAX_ACCEPTS):
                 self.log("out_of_descriptors", clients=len(self.clients))
-                yield (-1, 0, self.loop.now() + PAUSE)
+                yield (-1, 0, self.loop.now() + SHORTAGE_PAUSE_US)
 
-    def last_call(self, sock, most=0):
-        """Takes in what the machine has accepted, or the most; True where descriptors do not suffice."""
+    def accept_waiting(self, sock: socket.socket, max_accepts: int = 0) -> bool:
+        """Takes in what waits, or the most (0: all); True where descriptors do not suffice."""
         while not self.budget.is_exhausted("clients"):
-            one, short = accept(sock, self.budget)
-            if one is None:
-                return short
+            accepted, is_short = accept(sock, self.budget)
+            if accepted is None:
+                return is_short
             try:
-                self.welcome(one)
+                self._serve(accepted)
             except OSError as error:
                 # It may be gone before it is looked at.
                 self.log("client_lost", why=str(error))
-            most -= 1
-            if not most:
+            max_accepts -= 1
+            if not max_accepts:
                 return False
         return True
 
-    def welcome(self, sock):
-        # Its request may count as taken already, so beyond the budget it still gets a proper rejection.
-        beyond = not self.budget.acquire("clients")
-        if beyond:
-            self.budget.used["clients"] += 1
-        try:
-            conn = http.attach(Connection(self.loop, sock, self.budget, "clients"), h11.SERVER)
-        except OSError:
-            sock.close()
-            self.budget.release("clients")
-            raise
-        conn.owner = self.loop.spawn(self.serve(conn, beyond))
-        self.clients.add(conn)
-
-    def close_idle(self, conn):
-        """Closes it unless a request is under way, which a client would have to send again."""
-        if not conn.is_quiet():
-            return False
-        self.loop.cancel(conn.owner)
-        return True
-
-    def close_all_idle(self):
-        for place in ("unused", "unfinished", "clients"):
-            self.close_all(place)
-
-    def serve(self, conn, beyond):
-        # Who connects and says nothing, or never all of it, goes before any client that has had an answer.
-        loop, idle, until = self.loop, "unused", self.loop.now() + WHOLE
-        try:
-            while True:
-                self.rests(idle, conn)
-                if conn.http.trailing_data == (b"", False):
-                    wait = until if idle == "unused" else loop.now() + IDLE
-                    if not (yield (conn.fd, READ, wait)) and conn.is_quiet():
-                        return
-                try:
-                    until = until if idle == "unused" else loop.now() + WHOLE
-                    reply = yield from self.one(conn, beyond, until)
-                except BadRequestError as bad:
-                    reply = bad.status, [], bad.why.encode()
-                except BodyTooLargeError:
-                    reply = 413, [], b"body too large"
-                except h11.RemoteProtocolError as error:
-                    if conn.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
-                        return
-                    reply = 413 if error.error_status_hint == 431 else 400, [], str(error).encode()
-                except (OSError, WaitTimeoutError):
-                    return
-                except Exception as error:
-                    # Who is closed on with no answer sends again, while what is out for it may run.
-                    self.log("internal_error", call="serve", why=f"{type(error).__name__}: {error}")
-                    reply = KILLED, [], b""
-                else:
-                    idle = "clients"
-                self.rests("unused" if idle == "unused" else None, conn)
-                if reply is None:
-                    return
-                status, headers, content = reply
-                if 400 <= status < 500:
-                    self.log("bad_request", status=status, why=content[:200].decode("latin-1"))
-                # Nothing that follows what could not be read, or not be used, can be trusted.
-                last = (
-                    beyond
-                    or self.closing
-                    or self.draining
-                    or 400 <= status < 500
-                    or conn.discards_input
-                    or conn.http.their_state is not h11.DONE
-                )
-                yield from conn.send(
-                    http.response_bytes(conn, status, headers, content, last), loop.now() + SLOW
-                )
-                if last or not http.start_next_cycle(conn.http):
-                    self.rests("unused", conn)
-                    yield from self.linger(conn)
-                    return
-        except (OSError, WaitTimeoutError):
-            return
-        finally:
-            self.rests(None, conn)
-            self.clients.discard(conn)
-            conn.close()
-
-    def rests(self, place, conn):
-        """Where it stands among those that give way when descriptors run short; None: not among them."""
-        for kind in CLIENT_EVICTION_ORDER:
-            self.budget.remove_idle(kind, conn)
-        if place is not None:
-            self.budget.add_idle(place, conn, lambda: self.close_idle(conn))
-
-    def come(self, conn, pieces):
-        """So many pieces of a request are here, the last one now; called with none while it is awaited."""
-        self.rests("begun", conn)
-        if pieces < 2:
-            # Half a request of a moment ago may be whole in the next; of long ago, hardly ever.
-            young = self.loop.now() + YOUNG
-            self.budget.add_idle(
-                "unfinished", conn, lambda: self.loop.now() >= young and self.close_idle(conn)
-            )
+    def serve_resumed(self, conn: Connection, exchange: Exchange) -> Coroutine:
+        """Goes on with a client whose job another process has handed on, up to its answer."""
+        return ClientConnection(self, conn).serve_resumed(exchange)
 
-    def linger(self, conn):
-        conn.shutdown_write()
-        until, left = self.loop.now() + LINGER, 16 * http.MAX_BODY_BYTES
-        while left > 0:
-            part = yield from conn.receive(until)
-            if not part:
-                return
-            left -= len(part)
+    def reject_for_memory(self, head: h11.Request) -> tuple:
+        """The answer to a request for which there is no memory."""
+        self.log("memory_limit", held=self.budget.request_bytes, clients=len(self.clients))
+        self.jobs.count(self.requests.queue_type_name(head), REJECTED)
+        return self.rejection
 
-    def one(self, conn, beyond, until):
-        """One request: its answer, or None where the client has gone."""
-        pieces = http.PieceDeadlines(until, SILENT, lambda n: self.come(conn, n))
-        pieces.on_piece(0)
-        try:
-            head = yield from http.next_event(conn, pieces)
-            if isinstance(head, h11.ConnectionClosed):
-                return None
-            size = http.body_limit(head)
-            self.rests(None, conn)
-            if not self.budget.reserve_memory(size):
-                self.log("memory_limit", held=self.budget.request_bytes, clients=len(self.clients))
-                self.count(self.requests.queue_type_name(head), REJECTED)
-                return self.no_room
-            try:
-                pieces.on_piece(pieces.count)
-                content = yield from http.read_body(conn, pieces)
-                return (yield from self.whole(conn, head, content, beyond))
-            finally:
-                self.budget.release_memory(size)
-        except WaitTimeoutError:
-            raise BadRequestError(408, "request not complete in time") from None
-
-    def whole(self, conn, head, content, beyond):
-        self.rests(None, conn)
-        gone = http.has_left(conn)
-        if not http.may_be_followed(conn):
-            # A length that is too small cuts a body off, and its rest would be read as the next request.
-            raise BadRequestError(400, "bytes beyond the stated length")
-        if head.method == b"HEAD":
-            raise BadRequestError(405, "")
-        path = head.target.partition(b"?")[0]
-        if path == b"/health/ready":
-            # Who asks here means the dispatcher, which goes on in another process where that has taken over.
-            up = self.up() or self.succeeded and not self.draining
-            return (200 if up else 503), [], b"ready" if up else b"not ready"
-        if path == b"/health/live":
-            return 200, [], b"live"
-        exchange, told = self.requests.job(head, content, self.loop.now())
-        if gone:
-            return None
-        if not self.new(exchange):
+    def rejection_of(self, exchange: Exchange, over_budget: bool) -> tuple | None:
+        """The answer to a job that is not let in, else None; BadRequestError where its id is in use."""
+        if not self.jobs.is_new(exchange):
             # An id is new with every request, so this is another's, and that job goes on untouched.
             raise BadRequestError(409, "X-Txn is in use")
-        if beyond or self.in_hand >= self.most_held or self.crowded() or not self.lawful():
-            # Nothing of it was sent anywhere, so trying again is harmless.
-            self.log("connection_limit", job=exchange.name, clients=len(self.clients))
-            self.count(exchange.kind, REJECTED)
-            return self.no_room
-        if self.gate is None:
-            return (yield from self.taken(conn, exchange, told))
-        return (yield from self.gate.passed(conn, exchange, told, (b"x-resent", b"1") in head.headers))
-
-    def taken(self, conn, exchange, told):
-        """A job that is let in: its answer, or None where its client has gone."""
-        self.in_hand += 1
-        self.names.add(exchange.name)
-        self.known.append((exchange.until, exchange.name))
-        if self.idempotency is not None and exchange.key is not None:
-            try:
-                reply = yield from self.idempotency.offer(conn, exchange, told)
-                if reply is not None:
-                    self.count(exchange.kind, reply[0])
-                return reply
-            finally:
-                self.in_hand -= 1
-        exchange.conn, exchange.answer = conn, lambda *answer: self.loop.wake(conn.owner, answer)
-        exchange.check_left = lambda: http.has_left(conn)
-        try:
-            self.inbox.put("arrived", exchange, *told)
-            reply = yield from self.outcome(conn, exchange)
-            if reply is not None:
-                self.count(exchange.kind, reply[0])
-            return reply
-        finally:
-            self.in_hand -= 1
-            if exchange.open:
-                exchange.open = False
-                self.inbox.put("abandoned", exchange)
-
-    def resumed(self, conn, exchange):
-        """Goes on with a client whose job another process has handed on, up to its answer."""
-        self.in_hand += 1
-        self.clients.add(conn)
-        self.names.add(exchange.name)
-        self.known.append((exchange.until, exchange.name))
-        try:
-            try:
-                reply = yield from self.outcome(conn, exchange)
-            finally:
-                self.in_hand -= 1
-                exchange.open = False
-            if reply is not None:
-                self.count(exchange.kind, reply[0])
-                yield from conn.send(http.response_bytes(conn, *reply, True), self.loop.now() + SLOW)
-                yield from self.linger(conn)
-        except (OSError, WaitTimeoutError):
-            return
-        finally:
-            self.clients.discard(conn)
-            conn.close()
-
-    def new(self, exchange):
-        """Whether no job of this id was taken in the time that its client can wait for it."""
-        known, now = self.known, self.loop.now()
-        while known and known[0][0] <= now:
-            self.names.discard(known.popleft()[1])
-        return exchange.name not in self.names
+        is_full = over_budget or self.jobs.in_hand >= self.most_held
+        if not is_full and not self.is_crowded() and self.may_act():
+            return None
+        # Nothing of it was sent anywhere, so trying again is harmless.
+        self.log("connection_limit", job=exchange.name, clients=len(self.clients))
+        self.jobs.count(exchange.kind, REJECTED)
+        return self.rejection
 
-    def crowded(self):
+    def is_crowded(self) -> bool:
         """Who finds all its connections busy opens one more, and that comes to nobody where all are leaving.
 
         So some are kept free, and what would take them comes again in a moment. Where there are more than
         two dispatchers, some other is up and takes at once what does not come here.
         """
-        if self.draining and self.loop.now() >= self.draining + REFUSES:
+        if self.draining and self.loop.now() >= self.draining + REJECTS_AFTER_US:
             return True
-        late = self.few and self.leaving and not self.succeeded and self.loop.now() >= self.leaving + FEWER
-        return late and len(self.budget.idle["clients"]) < FREE
-
-    def awaited(self, conn, until):
-        """The answer that its coroutine is woken with; None: the client has left; (): it is late."""
-        for _ in range(2):
-            got = READ
-            while got:
-                got = yield (conn.fd, READ, until)  # the end is read as well, and no other mask costs a call
-                if isinstance(got, tuple):
-                    return got
-                # Who ends only its sending has left as well: the two are not to be told apart.
-                if got & CONNECTION_ENDED or got and http.has_left(conn):
-                    return None
-            # What came in this very turn is still on its way through the decisions.
-            until = self.loop.now() + LAST_WORD
-        return ()
+        keeps_free = (
+            self.few_dispatchers
+            and self.leaving
+            and not self.succeeded
+            and self.loop.now() >= self.leaving + KEEPS_FREE_AFTER_US
+        )
+        return keeps_free and len(self.budget.idle["clients"]) < FREE_CONNECTIONS
+
+    def _close_group(self, group):
+        """Closes who is idle in a group and will close now, but for who has only just come."""
+        opened_before = self.loop.now() - MIN_AGE_US
+        for conn, close in list(self.budget.idle[group].items()):
+            if conn.opened_us <= opened_before:
+                close()
 
-    def outcome(self, conn, exchange):
-        got = yield from self.awaited(conn, exchange.until)
-        if got != ():
-            return got
-        # The decisions end each job before this; should they fail at it, the client still gets its answer.
-        self.log("answer_late", job=exchange.name)
-        return KILLED, [], b""
+    def _serve(self, sock):
+        # Its request may count as taken already, so beyond the budget it still gets a proper rejection.
+        over_budget = not self.budget.acquire("clients")
+        if over_budget:
+            self.budget.used["clients"] += 1
+        try:
+            conn = http.attach(Connection(self.loop, sock, self.budget, "clients"), h11.SERVER)
+        except OSError:
+            sock.close()
+            self.budget.release("clients")
+            raise
+        conn.owner = self.loop.spawn(ClientConnection(self, conn, over_budget).serve())
+        self.clients.add(conn)
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -344,7 +344,7 @@
 def taken_up(raw):
     """The job as the process that takes it up has it, in the form that `handed_on` takes."""
     rig, jobs = Rig(), []
-    door = SimpleNamespace(resumed=lambda conn, exchange: iter(()))
+    door = SimpleNamespace(serve_resumed=lambda conn, exchange: iter(()))
     made = connection_handoff.ConnectionHandoff(rig.loop, rig.budget, door, balancer().settings, rig.log)
     made.carried = lambda launch, exchange: jobs.append((launch, exchange)) or iter(())
     here = socket.create_server((HERE, 0))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,6 +7,7 @@
 
 from mastledge.balance import Balancer
 from mastledge.protocol import http
+from mastledge.protocol.client_connection import ClientConnection
 from mastledge.protocol.client_listener import ClientListener
 from mastledge.protocol.worker_connections import WorkerConnections
 from mastledge.protocol.worker_endpoint import WorkerEndpoint
@@ -181,7 +182,7 @@
 def client(rig, made, beyond=False):
     """A client's socket, served by this door."""
     conn, theirs = rig.pair()
-    conn.owner = rig.loop.spawn(made.serve(conn, beyond))
+    conn.owner = rig.loop.spawn(ClientConnection(made, conn, beyond).serve())
     made.clients.add(conn)
     return theirs
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -5,7 +5,7 @@
 import pytest
 from helpers import HERE, Rig, client, door, job, queue_type
 
-from mastledge.protocol import client_listener
+from mastledge.protocol import client_connection
 from mastledge.transport.budget import CLIENT_EVICTION_ORDER
 from mastledge.transport.listening import listen
 
@@ -168,7 +168,7 @@
 
 def test_bodies_that_never_end_leave_memory_to_whole_ones(monkeypatch):
     # Hundreds of them could fill it otherwise; the oldest go, and who finds no room is rejected untouched.
-    monkeypatch.setattr(client_listener, "YOUNG", 0)
+    monkeypatch.setattr(client_connection, "MIN_UNFINISHED_US", 0)
     rig = Rig(memory=8 * 100_000)
     made = door(rig)
     slow, usual = client(rig, made), client(rig, made)
@@ -237,7 +237,7 @@
     rig.loop.run_once(0)
     theirs.sendall(unread)
     (conn,) = made.clients
-    assert made.close_idle(conn) == (not unread)
+    assert rig.budget.idle["unused"][conn]() == (not unread)
 
 
 @pytest.mark.parametrize(
@@ -245,7 +245,7 @@
 )
 def test_a_client_gives_way_until_its_job_is_taken(raw, goes, monkeypatch):
     # Requests that never become whole could hold all descriptors otherwise.
-    monkeypatch.setattr(client_listener, "YOUNG", 0)
+    monkeypatch.setattr(client_connection, "MIN_UNFINISHED_US", 0)
     rig = Rig(sockets=0)
     made = door(rig)
     theirs = client(rig, made)
@@ -291,7 +291,7 @@
 )
 def test_who_never_sends_a_whole_request_goes_in_time(raw, answer, monkeypatch):
     # Bytes that come one by one must not prolong it, and who had an answer stays.
-    monkeypatch.setattr(client_listener, "WHOLE", 60_000)
+    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_US", 60_000)
     rig = Rig()
     made = door(rig)
     usual, theirs = client(rig, made), client(rig, made)
@@ -317,7 +317,7 @@
     rig = Rig()
     made, sock = door(rig), listen((HERE, 0))
     theirs = [socket.create_connection(sock.getsockname(), 2) for _ in range(waiting)]
-    assert not made.last_call(sock) and len(made.clients) == len(theirs) == rig.budget.used["clients"]
+    assert not made.accept_waiting(sock) and len(made.clients) == len(theirs) == rig.budget.used["clients"]
 
 
 @pytest.mark.parametrize(
@@ -325,7 +325,7 @@
 )
 def test_a_request_in_pieces_is_read_to_its_end_unless_it_falls_silent(gap, silent, answer, monkeypatch):
     # All had 2 s from the connect, which cut off jobs that were written in 2 s, with room or without.
-    monkeypatch.setattr(client_listener, "SILENT", silent)
+    monkeypatch.setattr(client_connection, "MAX_SILENCE_US", silent)
     rig = Rig()
     made = door(rig)
     theirs, raw = client(rig, made), job(body=b"x" * 50)
@@ -341,7 +341,7 @@
 
 
 def test_crowds_give_way_before_clients_and_those_before_what_still_comes(monkeypatch):
-    monkeypatch.setattr(client_listener, "YOUNG", 100_000)
+    monkeypatch.setattr(client_connection, "MIN_UNFINISHED_US", 100_000)
     rig = Rig()
     made = door(rig)
     slow, half, usual, unused = (client(rig, made) for _ in range(4))
--- a/tests/test_connection_handoff.py
+++ b/tests/test_connection_handoff.py
@@ -88,7 +88,7 @@
     assert figures["svc.in_progress"] == figures["svc.upstream_tries"] == 0
     handing.client.close()
     assert handing.turn(
-        lambda: not handing.new.made.handoff.exchanges and not handing.new.made.listener.in_hand
+        lambda: not handing.new.made.handoff.exchanges and not handing.new.made.listener.jobs.in_hand
     )
 
 
@@ -105,7 +105,7 @@
 def test_a_client_that_leaves_takes_its_handed_job_with_it(handing):
     handing.ends(lambda: handing.logged(handing.new, "connection_received"))
     handing.client.close()
-    assert handing.turn(lambda: not handing.new.made.listener.in_hand)
+    assert handing.turn(lambda: not handing.new.made.listener.jobs.in_hand)
 
 
 def test_the_time_of_a_job_goes_on_in_the_other_process(handing, monkeypatch):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -241,7 +241,11 @@
 
 
 def test_a_drain_lets_clients_go_between_jobs_and_loses_none(served, monkeypatch):
-    for name, after in (("CLOSES", 100_000), ("REFUSES", 400_000), ("HANGS_UP", 1_500_000)):
+    for name, after in (
+        ("CLOSES_AFTER_US", 100_000),
+        ("REJECTS_AFTER_US", 400_000),
+        ("HANGS_UP_AFTER_US", 1_500_000),
+    ):
         monkeypatch.setattr(client_listener, name, after)
     idle, busy, half = (served.connect() for _ in range(3))
     for one in (idle, half):
@@ -255,7 +259,7 @@
     assert idle.recv(1) == b""
     # Its last byte comes too late for the drain: rejected, so a retry elsewhere is harmless.
     assert served.turn(
-        lambda: served.made.loop.now() > served.made.listener.draining + client_listener.REFUSES
+        lambda: served.made.loop.now() > served.made.listener.draining + client_listener.REJECTS_AFTER_US
     )
     half.sendall(b"x")
     reply = served.rig.reply(half)
@@ -335,13 +339,13 @@
 
 
 def test_a_crowd_is_taken_in_a_few_a_turn(served):
-    crowd = [served.connect() for _ in range(3 * client_listener.ACCEPTS)]
+    crowd = [served.connect() for _ in range(3 * client_listener.MAX_ACCEPTS)]
     most, door = 0, served.made.listener
     while len(door.clients) < min(len(crowd), served.made.budget.limits["clients"]):
         before = len(door.clients)
         served.made.loop.run_once(10_000)
         most = max(most, len(door.clients) - before)
-    assert 0 < most <= client_listener.ACCEPTS
+    assert 0 < most <= client_listener.MAX_ACCEPTS
 
 
 def test_a_new_configuration_during_a_drain_leaves_it_a_drain(served):
--- a/tests/test_crossing_search.py
+++ b/tests/test_crossing_search.py
@@ -8,7 +8,7 @@
 from mastledge.lab import crossing
 from mastledge.lab.command import cross
 from mastledge.protocol import client_listener, http
-from mastledge.protocol.client_listener import ClientListener
+from mastledge.protocol.client_jobs import ClientJobs
 from mastledge.protocol.discovery import Discovery
 from mastledge.protocol.idle_connections import IdleConnections
 from mastledge.protocol.requests import Exchange
@@ -127,7 +127,7 @@
 
 def nobody_is_told_that_its_time_is_over(patch):
     patch(Balancer, "give_up", lambda self, job, hold_off: None)
-    patch(ClientListener, "awaited", lambda self, conn, until: awaits_for_ever(conn))
+    patch(ClientJobs, "wait_for_answer", lambda self, conn, until: awaits_for_ever(conn))
 
 
 def awaits_for_ever(conn):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,8 +15,7 @@
 
 from mastledge.program import lifecycle
 from mastledge.program.upgrade_state import UpgradeState
-from mastledge.protocol import client_listener as protocol_clients
-from mastledge.protocol import worker_answers
+from mastledge.protocol import client_connection, client_listener, worker_answers
 from mastledge.protocol import worker_connections as protocol_workers
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.transport.connection import Connection
@@ -398,9 +397,9 @@
     made = serving(listen=listen, folder=str(tmp_path / "beside"), repeats=keeps(tmp_path)).serving()
     assert made.made.idempotency.key_table is None
     client = made.asked(Idempotency_Key="k1")
-    assert made.turn(lambda: made.made.listener.in_hand)
+    assert made.turn(lambda: made.made.listener.jobs.in_hand)
     leaves(made, client)
-    assert made.turn(lambda: not made.made.listener.in_hand)
+    assert made.turn(lambda: not made.made.listener.jobs.in_hand)
     kept.release()
     before.leave()
     assert made.turn(lambda: made.made.idempotency.key_table is not None)
@@ -690,8 +689,8 @@
 @pytest.mark.parametrize("cut", [1, 60, -1])
 def test_a_request_half_read_at_the_signal_is_served_when_its_rest_comes(cut, phase, serving, monkeypatch):
     monkeypatch.setattr(lifecycle, "LAST", 60_000_000)
-    for name in ("YOUNG", "SILENT", "WHOLE"):
-        monkeypatch.setattr(protocol_clients, name, 100_000_000)
+    for name in ("MIN_UNFINISHED_US", "MAX_SILENCE_US", "REQUEST_TIMEOUT_US"):
+        monkeypatch.setattr(client_connection, name, 100_000_000)
     made = serving().serving()
     raw = helpers.job(X_Txn="a1", X_Remaining_Ms=4000)
     client = made.connect()
@@ -714,24 +713,24 @@
 def test_a_connection_that_has_just_come_is_not_closed_before_its_request(when, serving, monkeypatch):
     # It was idle when the next look came, 20 ms later at the most, and closed under its first request.
     monkeypatch.setattr(lifecycle, "LAST", 60_000_000)
-    monkeypatch.setattr(protocol_clients, "FRESH", 10_000_000)
+    monkeypatch.setattr(client_listener, "MIN_AGE_US", 10_000_000)
     made = serving(control=free()).serving()
     door, looked = made.made.listener, []
     if when == "drained":
-        monkeypatch.setattr(protocol_clients, "CLOSES", 0)
+        monkeypatch.setattr(client_listener, "CLOSES_AFTER_US", 0)
         assert made.call("/api/evacuate", "POST")[0] == 200
         assert made.turn(lambda: made.made.phase == "draining")
         client = made.connect()
-        let_go, name = door.let_go, "let_go"
+        let_go, name = door.close_while_draining, "close_while_draining"
     else:
-        last_call, let_go, name = door.last_call, door.close_all_idle, "close_all_idle"
+        last_call, let_go, name = door.accept_waiting, door.close_all_idle, "close_all_idle"
         clients = []
 
         def last(*how):
             clients.append(made.connect())  # the last one that the machine takes in
             last_call(*how)
 
-        door.last_call = last
+        door.accept_waiting = last
         made.ends()
         assert made.turn(lambda: made.made.phase == "leaving")
         made.jumps(40)
@@ -814,7 +813,7 @@
 
 def test_an_answer_half_written_at_the_signal_is_written_to_its_end(serving, monkeypatch):
     monkeypatch.setattr(lifecycle, "LAST", 60_000_000)
-    monkeypatch.setattr(protocol_clients, "SLOW", 100_000_000)
+    monkeypatch.setattr(client_connection, "SEND_TIMEOUT_US", 100_000_000)
     made = serving().serving()
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -1064,7 +1063,7 @@
         client = made.taken()
         theirs, _ = made.rig.called(made.sock)
         assert made.turn(lambda: made.job("a1").launches[0].sent)
-        monkeypatch.setattr(protocol_clients.http, "has_left", breaks)
+        monkeypatch.setattr(client_connection.http, "has_left", breaks)
         client.sendall(b"x")
     assert b" 500 " in made.rig.reply(client)
     assert made.turn(lambda: not made.made.router.jobs)
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -193,7 +193,7 @@
     second = made.asked("a2")
     assert made.turn(lambda: made.made.idempotency.key_table.verdict_counts["join"] == 1)
     first.close()  # who leaves doesn't take the job along
-    made.turn(lambda: made.made.listener.in_hand == 1)
+    made.turn(lambda: made.made.listener.jobs.in_hand == 1)
     answers(theirs, b"a1")
     assert made.rig.reply(second).endswith(b"\r\n\r\nr")
     assert made.reply("a3").endswith(b"\r\n\r\nr")
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -70,15 +70,15 @@
             self.jobs[job_id].ended = True
 
     Balancer.arrived = kept
-    from mastledge.protocol import client_listener
+    from mastledge.protocol import client_jobs
 
-    outcome = client_listener.ClientListener.outcome
+    outcome = client_jobs.ClientJobs.answer
 
     def slow(self, conn, exchange):
         exchange.until += 400_000
         return (yield from outcome(self, conn, exchange))
 
-    client_listener.ClientListener.outcome = slow
+    client_jobs.ClientJobs.answer = slow
 
 
 def forgetful():
