--- a/mastledge/idempotency/persisted_keys.py
+++ b/mastledge/idempotency/persisted_keys.py
@@ -50,12 +50,12 @@
 
 
 def with_expiry(entry: LogEntry, expires_at: int) -> LogEntry:
-    """The same end of a claim, told until another time."""
+    """The same end of a claim with another expiry."""
     return (*entry[:-1], expires_at)
 
 
 class PersistedKeys:
-    """What the entries of a log amount to: `records` in the form that `WriteAheadLog` asks for."""
+    """What the entries of a log amount to, in the form that `WriteAheadLog` asks for."""
 
     def __init__(self, unix_clock: Callable[[], int]) -> None:
         """`unix_clock` gives Unix microseconds, by which a rewrite leaves out what has expired."""
--- a/mastledge/lab/builds.py
+++ b/mastledge/lab/builds.py
@@ -27,22 +27,22 @@
 
 def elder():
     """Speaks another version on links: an earlier one of the program beside the new."""
-    from mastledge.peers import links
+    from mastledge.peers import frames
 
-    links.VERSION = 0
+    frames.PROTOCOL_VERSION = 0
 
 
 def slow_disk():
     """Not wrong: its folder of starts takes 4 s to be read."""
-    from mastledge.program.recovery_service import RecoveryService
+    from mastledge.program.recovery_directory import RecoveryDirectory
 
-    opened = RecoveryService.opened
+    read_log = RecoveryDirectory.read_log
 
     def slowly(self):
         time.sleep(4)
-        opened(self)
+        read_log(self)
 
-    RecoveryService.opened = slowly
+    RecoveryDirectory.read_log = slowly
 
 
 def baseline(policy):
--- a/mastledge/lab/scale/meter.py
+++ b/mastledge/lab/scale/meter.py
@@ -27,13 +27,15 @@
 AGREEMENT, LIST, CALLS, JOBS, UPKEEP, METER = "agreement", "list", "calls", "jobs", "upkeep", "meter"
 CONTROL = (AGREEMENT, LIST, CALLS, UPKEEP)
 PURPOSES = {
-    "Links": AGREEMENT,
+    "OutgoingLink": AGREEMENT,
+    "LinkListener": AGREEMENT,
     "DelayedLinks": AGREEMENT,
     "Fleet": AGREEMENT,
     "Discovery": LIST,
     "Control": CALLS,
-    "Program": UPKEEP,
-    "Handover": UPKEEP,
+    "Dispatcher": UPKEEP,
+    "SiblingWatch": UPKEEP,
+    "ConnectionHandoff": UPKEEP,
     "Meter": METER,
 }
 
@@ -104,7 +106,7 @@
 
 def purpose_of(generator):
     """What a coroutine is for, by the class of its function; what is wrapped counts as what it wraps."""
-    if generator.__qualname__ == "Program.vital" and generator.gi_frame is not None:
+    if generator.__qualname__ == "Dispatcher.supervised" and generator.gi_frame is not None:
         inner = generator.gi_frame.f_locals.get("steps")
         generator = inner if inner is not None else generator
     return PURPOSES.get(generator.__qualname__.partition(".")[0], JOBS)
@@ -163,10 +165,10 @@
 def meter_messages(meter):
     from mastledge.program.fleet import Fleet
 
-    heard = Fleet.heard
+    frame_received = Fleet.frame_received
 
     def count(table, content, message):
-        some = table[type(message).__name__ if message is not None else "other"]
+        some = table[type(message).__struct_config__.tag if message is not None else "other"]
         some[0] += 1
         some[1] += FRAME_HEAD + len(content)
 
@@ -184,9 +186,10 @@
         count(meter.received, content, message)
         meter.sent["read"][0] += 1
         meter.sent["read"][1] += READ_BYTE
-        heard(self, name, life, content)
+        frame_received(self, name, life, content)
 
-    Fleet.do_send, Fleet.heard = metered_send, within(meter, AGREEMENT, metered_heard)
+    Fleet.do_send = metered_send
+    Fleet.frame_received = within(meter, AGREEMENT, metered_heard)
 
 
 def hold_voters():
@@ -211,7 +214,7 @@
 
 def metered():
     """The build: it counts, and goes by the regions of its run."""
-    from mastledge.program.lifecycle import Program
+    from mastledge.program.dispatcher import Dispatcher
     from mastledge.routing.router import Router
 
     meter = Meter()
@@ -221,13 +224,13 @@
     if os.environ.get(SCALE):
         delay_links(os.environ[SCALE])
     Router.on_members = within(meter, LIST, Router.on_members)
-    begin, path = Program.begin, os.environ[FILE]
+    begin, path = Dispatcher.begin, os.environ[FILE]
 
     def metered_begin(self):
         begin(self)
         self.loop.spawn(meter.write(path))
 
-    Program.begin = metered_begin
+    Dispatcher.begin = metered_begin
 
 
 def share(before, after):
--- a/mastledge/program/command.py
+++ b/mastledge/program/command.py
@@ -7,32 +7,34 @@
 import orjson
 
 from mastledge import __version__
-from mastledge.program.configuration import BadConfiguration, configuration
-from mastledge.program.lifecycle import Program
+from mastledge.program.configuration import ConfigurationError, load_configuration
+from mastledge.program.dispatcher import Dispatcher
 from mastledge.program.logs import Log
 
 
 def serve(args) -> int:
     """Runs one dispatcher until SIGTERM."""
-    told = configuration(args.config, os.environ)
-    log = Log(sys.stderr.fileno(), told["name"], args.log)
-    return Program(told, log, lambda: configuration(args.config, os.environ), os.environ.get("TMPDIR")).run()
+    configuration = load_configuration(args.config, os.environ)
+    log = Log(sys.stderr.fileno(), configuration["name"], args.log)
+    return Dispatcher(
+        configuration, log, lambda: load_configuration(args.config, os.environ), os.environ.get("TMPDIR")
+    ).run()
 
 
 def check(args) -> int:
     """Reads the configuration and says whether it is good."""
-    told = configuration(args.config, os.environ)
+    configuration = load_configuration(args.config, os.environ)
     print(
-        f"{args.config}: good; {len(told['settings']['queue_types'])} queue types, listens on "
-        f"{told['listen'][0]}:{told['listen'][1]}"
+        f"{args.config}: good; {len(configuration['settings']['queue_types'])} queue types, listens on "
+        f"{configuration['listen'][0]}:{configuration['listen'][1]}"
     )
     return 0
 
 
 def settings(args) -> int:
     """Shows the settings as the decisions are handed them."""
-    told = configuration(args.config, os.environ)
-    print(orjson.dumps(told["settings"], option=orjson.OPT_INDENT_2).decode())
+    configuration = load_configuration(args.config, os.environ)
+    print(orjson.dumps(configuration["settings"], option=orjson.OPT_INDENT_2).decode())
     return 0
 
 
@@ -89,7 +91,7 @@
     if offers("fleet", arguments):
         from mastledge.program import fleet_command
 
-        fleet_command.commands(commands)
+        fleet_command.add_commands(commands)
 
 
 def run(args) -> int:
@@ -98,7 +100,7 @@
         return fail("no configuration: give --config or set GW_CONFIG", 2)
     try:
         return args.call(args)
-    except BadConfiguration as error:
+    except ConfigurationError as error:
         return fail(str(error), 2)
     except ModuleNotFoundError as error:
         if (error.name or "").partition(".")[0] == "mastledge":
--- a/mastledge/protocol/client_connection.py
+++ b/mastledge/protocol/client_connection.py
@@ -155,7 +155,7 @@
         if listener.gate is None:
             return (yield from listener.jobs.take(conn, exchange, arrival))
         resent = (b"x-resent", b"1") in head.headers
-        return (yield from listener.gate.passed(conn, exchange, arrival, resent))
+        return (yield from listener.gate.serve(conn, exchange, arrival, resent))
 
     def _send(self, status, headers, content):
         """Sends an answer; whether the connection goes on."""
--- a/mastledge/protocol/client_listener.py
+++ b/mastledge/protocol/client_listener.py
@@ -31,7 +31,7 @@
 
     The program sets `ready`, `closing` and `succeeded` (by another process), and `leaving` and `draining` to
     the time of the signal or call. `rule` is set where dispatchers agree (whether what is in force is known
-    here), `gate` where a start is gradual (who is let in, by `passed`, round `jobs.take`).
+    here), `gate` where a start is gradual (who is admitted, by `serve`, round `jobs.take`).
     """
 
     def __init__(self, loop: Loop, budget: Budget, inbox: Queue, settings: dict, log: Callable) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,7 +13,8 @@
 from test_idempotency import answers
 from test_program import GOOD
 
-from mastledge.program import lifecycle
+from mastledge.program import graceful_shutdown
+from mastledge.program import serving as serving_phases
 from mastledge.program.upgrade_state import UpgradeState
 from mastledge.protocol import client_connection, client_listener, worker_answers
 from mastledge.protocol import worker_connections as protocol_workers
@@ -88,8 +89,8 @@
         return theirs
 
     def ends(self):
-        self.made.signalled = True
-        self.made.loop.wake(self.made.life)
+        self.made.stop_requested = True
+        self.made.loop.wake(self.made.lifecycle_task)
 
     def jumps(self, seconds):
         """So much later, all at once: what is due by then is due, and a full machine changes nothing."""
@@ -105,7 +106,7 @@
 
 @pytest.fixture
 def serving(tmp_path, monkeypatch):
-    monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
+    monkeypatch.setattr(serving_phases, "FIRST_LIST_TIMEOUT_US", 0)
     made = []
 
     def serves(*words, **how):
@@ -321,11 +322,11 @@
     made = serving(repeats=keeps(tmp_path)).serving()
     disk = Stalled(made.made.idempotency, monkeypatch)
     client = made.asked(Idempotency_Key="k1")
-    assert made.turn(lambda: made.made.idempotency.first)
+    assert made.turn(lambda: made.made.idempotency.first_jobs)
     leaves(made, client)
     assert made.turn(lambda: not made.made.listener.clients)
     disk.goes_on.set()
-    assert made.turn(lambda: not made.made.idempotency.keeping)
+    assert made.turn(lambda: not made.made.idempotency.jobs_under_way)
     assert not made.made.idempotency.key_table.records and not made.made.router.count
     made.asked("a2", Idempotency_Key="k1")
     made.only("a2")
@@ -347,7 +348,8 @@
         assert made.rig.reply(second).endswith(b"\r\n\r\nr")
         return
     assert (
-        made.turn(lambda: not made.made.idempotency.keeping) and not made.made.idempotency.key_table.records
+        made.turn(lambda: not made.made.idempotency.jobs_under_way)
+        and not made.made.idempotency.key_table.records
     )
     made.lists()
     made.asked("a3", Idempotency_Key="k1")
@@ -375,7 +377,7 @@
         theirs.sendall(b"HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
     else:
         theirs.close()
-    assert made.turn(lambda: not made.made.idempotency.keeping) and not made.made.router.jobs
+    assert made.turn(lambda: not made.made.idempotency.jobs_under_way) and not made.made.router.jobs
     made.lists(name="s-2")
     assert made.turn(lambda: "s-1" not in made.made.router.peers)
     second = made.asked("a2", Idempotency_Key="k1")
@@ -391,7 +393,7 @@
     (tmp_path / "beside").mkdir()
     listen = free()
     before = UpgradeState(str(tmp_path / "beside"), (HERE, int(listen.rpartition(":")[2])), print)
-    before.sit()
+    before.take_seat()
     kept = DataDirectory(str(tmp_path / "kept"))
     kept.acquire()
     made = serving(listen=listen, folder=str(tmp_path / "beside"), repeats=keeps(tmp_path)).serving()
@@ -663,7 +665,7 @@
     made = agreed(ready=False)
     client = made.taken("a1", Idempotency_Key="k1")
     leaves(made, client)
-    assert made.turn(lambda: not made.made.idempotency.keeping) and not made.made.router.jobs
+    assert made.turn(lambda: not made.made.idempotency.jobs_under_way) and not made.made.router.jobs
     made.lists()
     made.asked("a2", Idempotency_Key="k1")
     made.only("a2")
@@ -674,7 +676,7 @@
     made = agreed(ready=False)
     client = made.taken("a1", Idempotency_Key="k1")
     second = made.asked("a2", Idempotency_Key="k1")
-    assert made.turn(lambda: made.made.idempotency.keeping == 2)
+    assert made.turn(lambda: made.made.idempotency.jobs_under_way == 2)
     leaves(made, client)
     assert made.turn(lambda: made.job("a2"))
     made.lists()
@@ -688,7 +690,7 @@
 @pytest.mark.parametrize("phase", ["leaving", "finishing"])
 @pytest.mark.parametrize("cut", [1, 60, -1])
 def test_a_request_half_read_at_the_signal_is_served_when_its_rest_comes(cut, phase, serving, monkeypatch):
-    monkeypatch.setattr(lifecycle, "LAST", 60_000_000)
+    monkeypatch.setattr(graceful_shutdown, "EXIT_MARGIN_US", 60_000_000)
     for name in ("MIN_UNFINISHED_US", "MAX_SILENCE_US", "REQUEST_TIMEOUT_US"):
         monkeypatch.setattr(client_connection, name, 100_000_000)
     made = serving().serving()
@@ -712,7 +714,7 @@
 @pytest.mark.parametrize("when", ["drained", "finishing"])
 def test_a_connection_that_has_just_come_is_not_closed_before_its_request(when, serving, monkeypatch):
     # It was idle when the next look came, 20 ms later at the most, and closed under its first request.
-    monkeypatch.setattr(lifecycle, "LAST", 60_000_000)
+    monkeypatch.setattr(graceful_shutdown, "EXIT_MARGIN_US", 60_000_000)
     monkeypatch.setattr(client_listener, "MIN_AGE_US", 10_000_000)
     made = serving(control=free()).serving()
     door, looked = made.made.listener, []
@@ -757,7 +759,7 @@
 
 
 def test_a_request_that_crosses_the_close_of_its_idle_connection_is_served(serving, monkeypatch):
-    monkeypatch.setattr(lifecycle, "LAST", 60_000_000)
+    monkeypatch.setattr(graceful_shutdown, "EXIT_MARGIN_US", 60_000_000)
     made = serving().serving()
     client = made.connect()
     client.sendall(b"GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -812,12 +814,12 @@
 
 
 def test_an_answer_half_written_at_the_signal_is_written_to_its_end(serving, monkeypatch):
-    monkeypatch.setattr(lifecycle, "LAST", 60_000_000)
+    monkeypatch.setattr(graceful_shutdown, "EXIT_MARGIN_US", 60_000_000)
     monkeypatch.setattr(client_connection, "SEND_TIMEOUT_US", 100_000_000)
     made = serving().serving()
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    client.connect(made.made.told["listen"])
+    client.connect(made.made.configuration["listen"])
     made.theirs.append(client)
     client.sendall(helpers.job(X_Txn="a1", X_Remaining_Ms=4000))
     assert made.turn(lambda: made.job("a1"))
@@ -858,10 +860,10 @@
     client = made.taken()
     theirs, _ = made.rig.called(made.sock)
     assert made.turn(lambda: made.job("a1").launches[0].sent)
-    balancer, now = made.made.router.balancer, made.rig.loop.now()
-    job = balancer.jobs[made.job("a1").id]
-    job.last = now  # its time is over from here on
-    balancer.remind(now, job)
+    scheduler, now = made.made.router.scheduler, made.rig.loop.now()
+    job = scheduler.jobs[made.job("a1").id]
+    job.deadline = now  # its time is over from here on
+    scheduler.timers.set(now, job)
     made.made.inbox.put("sharing", 1.0)
     reply = made.rig.reply(client)
     assert reply.startswith(b"HTTP/1.1 503" if effect == "restartable" else b"HTTP/1.1 500")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -5,25 +5,32 @@
 import socket
 import subprocess
 import sys
+from types import SimpleNamespace
 
 import helpers
 import orjson
 import pytest
-from helpers import HERE, Rig, balancer, peer_at, queue_type, workers
+from helpers import HERE, Rig, peer_at, queue_type, scheduler, workers
 
 from mastledge.command_line import main
-from mastledge.program import lifecycle
-from mastledge.program.configuration import BadConfiguration, configuration
-from mastledge.program.lifecycle import ENDED, FINISHING, LEAVING, NEXT, SERVING, STARTING, WAITING, Program
+from mastledge.program import graceful_shutdown, serving
+from mastledge.program.configuration import ConfigurationError, load_configuration
+from mastledge.program.dispatcher import Dispatcher
+from mastledge.program.lifecycle import NEXT_PHASES, Lifecycle, Phase, PhaseOrderError
 from mastledge.program.logs import Log
-from mastledge.program.settings import flat
+from mastledge.program.serving import can_serve
+from mastledge.program.settings import flatten_settings
+from mastledge.program.settings_views import settings_for_decisions
+from mastledge.program.signals import watch_signals
 from mastledge.protocol.requests import Exchange
 from mastledge.routing.router import Router
 from mastledge.transport.listening import listen
 
 
 def router(rig, effect="restartable", listed=1):
-    made = Router(rig.loop, rig.inbox, balancer([queue_type(effect)], workers=0), workers(rig), None, rig.log)
+    made = Router(
+        rig.loop, rig.inbox, scheduler([queue_type(effect)], workers=0), workers(rig), None, rig.log
+    )
     made.discovery = type("Told", (), {"generation": 1})
     now, entries, socks = rig.loop.now(), [], []
     for n in range(listed):
@@ -104,7 +111,7 @@
     hung = []
     made.workers.close_idle = hung.append
     made.on_members(rig.loop.now(), "changes", [(peer.id, peer.address, 0, state, born, 0, 0, 1.0)])
-    known = made.balancer.workers.get(peer)
+    known = made.scheduler.workers.get(peer)
     assert hung == [peer] and (known.state if known else "gone") == state
 
 
@@ -126,11 +133,11 @@
         job, given = arrived(rig, made)
     gone = [(peer.id, peer.address, 0, "gone", 0, 0, 0, 1.0)]
     made.on_members(rig.loop.now(), "changes", gone)
-    assert not made.peers and (peer in made.balancer.workers) == out
+    assert not made.peers and (peer in made.scheduler.workers) == out
     if out:
         made.on_ended(rig.loop.now(), job.launches[0], "completed", b"r", ())
         made.on_members(rig.loop.now(), "changes", [])
-        assert given[0][0] == 200 and not made.balancer.workers and not made.faults
+        assert given[0][0] == 200 and not made.scheduler.workers and not made.faults
 
 
 def test_a_fault_over_one_job_is_logged_and_passed():
@@ -171,7 +178,7 @@
 
 
 def test_a_configuration_becomes_a_plain_map(tmp_path):
-    told = configuration(file(tmp_path, limits={"sockets": 512}), {})
+    told = load_configuration(file(tmp_path, limits={"sockets": 512}), {})
     settings = told["settings"]
     assert (told["listen"], told["seed"], told["sockets"]) == (("127.0.0.1", 7070), 0x8C1F, 512)
     assert settings["queue_types"][0]["effect"] == "restartable" and settings["may_revoke"] is True
@@ -192,8 +199,8 @@
     ],
 )
 def test_a_bad_configuration_is_one_plain_message(changed, says, tmp_path):
-    with pytest.raises(BadConfiguration, match=says):
-        configuration(file(tmp_path, **changed), {})
+    with pytest.raises(ConfigurationError, match=says):
+        load_configuration(file(tmp_path, **changed), {})
 
 
 @pytest.mark.parametrize(
@@ -205,7 +212,7 @@
     ],
 )
 def test_nested_settings_are_found_by_their_paths(nested, pairs):
-    assert flat(nested) == pairs
+    assert flatten_settings(nested) == pairs
 
 
 def test_a_log_that_nobody_reads_is_not_waited_for():
@@ -226,13 +233,17 @@
     assert orjson.loads(os.read(reads, 4096))["of"] == "event"
 
 
-@pytest.mark.parametrize(("phase", "to"), [(STARTING, SERVING), (SERVING, FINISHING), (LEAVING, WAITING)])
+@pytest.mark.parametrize(
+    ("phase", "to"),
+    [(Phase.STARTING, Phase.SERVING), (Phase.SERVING, Phase.FINISHING), (Phase.LEAVING, Phase.WAITING)],
+)
 def test_phases_follow_their_order(phase, to):
-    program = object.__new__(Program)
-    program.phase = phase
-    with pytest.raises(RuntimeError):
-        program.go(to)
-    assert to not in NEXT[phase] and program.phase == phase
+    entered = []
+    lifecycle = Lifecycle(entered.append)
+    lifecycle.phase = phase
+    with pytest.raises(PhaseOrderError):
+        lifecycle.enter(to)
+    assert to not in NEXT_PHASES[phase] and lifecycle.phase == phase and not entered
 
 
 @pytest.mark.parametrize(
@@ -246,11 +257,11 @@
 )
 def test_ready_is_who_knows_a_worker_and_asked_for_news(answered, impatient, state, can):
     rig = Rig()
-    program = object.__new__(Program)
-    program.router, _ = router(rig)
-    next(iter(program.router.peers.values())).state = state
-    program.discovery = type("Told", (), {"task": object(), "answered": answered})
-    assert program.can_serve(impatient) == can
+    made, _ = router(rig)
+    next(iter(made.peers.values())).state = state
+    discovery = SimpleNamespace(task=object(), answered=answered)
+    dispatcher = SimpleNamespace(router=made, discovery=discovery, fleet=None, recovery=None)
+    assert can_serve(dispatcher, impatient) == can
 
 
 @pytest.mark.parametrize(
@@ -269,12 +280,12 @@
     # SIGHUP came under load and ended the program, with all that it had taken.
     rig = Rig()
     path = file(tmp_path, limits={"sockets": 64})
-    made = Program(configuration(path, {}), rig.log, lambda: configuration(path, {}))
+    made = Dispatcher(load_configuration(path, {}), rig.log, lambda: load_configuration(path, {}))
     made.discovery.follow()
     task, size = made.discovery.task, made.budget.limits["clients"]
     reads, writes = os.pipe()
-    signals = made.loop.spawn(made.signals(reads))
-    made.life = made.loop.spawn(iter(()))
+    signals = made.loop.spawn(watch_signals(reads, made.reload_configuration, made.wake))
+    made.lifecycle_task = made.loop.spawn(iter(()))
     if changed is None:
         os.remove(path)
     else:
@@ -324,8 +335,10 @@
     ("answered", "longest", "status"), [(True, 900_000, b"200"), (False, 300_000, b"503")]
 )
 def test_the_end_finishes_what_was_taken_and_not_the_rest(answered, longest, status, tmp_path, monkeypatch):
-    for name, time in (("ACCEPTING", 20_000), ("LONGEST", longest), ("LAST", 50_000), ("FIRST_NEWS", 0)):
-        monkeypatch.setattr(lifecycle, name, time)
+    times = {"ACCEPT_FOR_US": 20_000, "LONGEST_WAIT_US": longest, "EXIT_MARGIN_US": 50_000}
+    for name, time in times.items():
+        monkeypatch.setattr(graceful_shutdown, name, time)
+    monkeypatch.setattr(serving, "FIRST_LIST_TIMEOUT_US", 0)
     peer, sock = peer_at()
     door = listen((HERE, 0))
     at = f"{HERE}:{door.getsockname()[1]}"
@@ -347,16 +360,16 @@
         ],
     }
     rig = Rig()
-    made = Program(configuration(file(tmp_path, listen=at, known=known), {}), rig.log)
+    made = Dispatcher(load_configuration(file(tmp_path, listen=at, known=known), {}), rig.log)
     rig.loop = made.loop
     made.begin()
-    assert rig.turn(lambda: made.phase == SERVING)
-    busy, idle = (socket.create_connection(made.told["listen"], 2) for _ in range(2))
+    assert rig.turn(lambda: made.phase == Phase.SERVING)
+    busy, idle = (socket.create_connection(made.configuration["listen"], 2) for _ in range(2))
     busy.sendall(helpers.job(X_Remaining_Ms=4000))
     theirs, _ = rig.called(sock)
-    made.signalled = True
-    rig.loop.wake(made.life)
-    assert rig.turn(lambda: made.phase == LEAVING)
+    made.stop_requested = True
+    rig.loop.wake(made.lifecycle_task)
+    assert rig.turn(lambda: made.phase == Phase.LEAVING)
     # All dispatchers may be ending at once: who is connected is still served, as far as there is time.
     idle.sendall(b"GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
     assert b"close" not in rig.reply(idle)
@@ -365,7 +378,7 @@
         theirs.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(raw), raw))
     reply = rig.reply(busy)
     busy.close()
-    assert rig.turn(lambda: not made.loop.running) and made.phase == ENDED and not rig.errors
+    assert rig.turn(lambda: not made.loop.running) and made.phase == Phase.ENDED and not rig.errors
     assert reply.startswith(b"HTTP/1.1 " + status)
     assert (b"connection: close" in reply.lower()) != answered
     assert idle.recv(1) == b"" and not made.router.faults
@@ -393,7 +406,7 @@
 
 def test_settings_are_switched_in_a_running_program_and_back_with_jobs_open(tmp_path, monkeypatch):
     # SIGHUP only named what had changed, and the move would have cost a restart of each dispatcher.
-    monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
+    monkeypatch.setattr(serving, "FIRST_LIST_TIMEOUT_US", 0)
     peer, sock = peer_at()
     door = listen((HERE, 0))
     at = f"{HERE}:{door.getsockname()[1]}"
@@ -416,32 +429,32 @@
     }
     rig = Rig()
     path = file(tmp_path, listen=at, known=known)
-    made = Program(configuration(path, {}), rig.log, lambda: configuration(path, {}))
+    made = Dispatcher(load_configuration(path, {}), rig.log, lambda: load_configuration(path, {}))
     rig.loop = made.loop
     made.begin()
-    assert rig.turn(lambda: made.phase == SERVING)
+    assert rig.turn(lambda: made.phase == Phase.SERVING)
     clients, name = [], GOOD["settings"]["queueTypes"][0]["name"]
 
     def taken(path, txn):
-        clients.append(socket.create_connection(made.told["listen"], 2))
+        clients.append(socket.create_connection(made.configuration["listen"], 2))
         clients[-1].sendall(helpers.job(path, X_Txn=txn, X_Remaining_Ms=4000))
         return rig.called(sock)
 
     open_before, head = taken(f"/{name}", "aa01")
     assert b"aa01" in head
     file(tmp_path, listen=at, known=known, settings=OTHER)
-    made.reconfigure()
+    made.reload_configuration()
     open_between, head = taken("/file-final", "aa02")
-    assert b"aa02" in head and made.router.balancer.settings["report_how"] == "piggyback"
-    assert made.router.balancer.settings["may_message"] is False
-    assert made.router.balancer.settings["zone"] == made.router.balancer.ready[0].zone
+    assert b"aa02" in head and made.router.scheduler.settings["report_how"] == "piggyback"
+    assert made.router.scheduler.settings["may_message"] is False
+    assert made.router.scheduler.settings["zone"] == made.router.scheduler.ready[0].zone
     answers(open_before, b"aa01")
     assert rig.reply(clients[0]).startswith(b"HTTP/1.1 200")
     file(tmp_path, listen=at, known=known)
-    made.reconfigure()
+    made.reload_configuration()
     answers(open_between, b"aa02")
     assert rig.reply(clients[1]).startswith(b"HTTP/1.1 200")
-    clients.append(socket.create_connection(made.told["listen"], 2))
+    clients.append(socket.create_connection(made.configuration["listen"], 2))
     clients[2].sendall(helpers.job("/file-final", X_Txn="aa03"))
     assert rig.reply(clients[2]).startswith(b"HTTP/1.1 404")
     assert [fields["settings"] for what, fields in rig.logged if what == "configuration_loaded"] == [
@@ -449,8 +462,10 @@
         True,
     ]
     assert made.router.totals["completed"] == 2 and not made.router.jobs and not made.router.faults
-    assert made.router.count == 2 and made.told["settings"] == configuration(path, {})["settings"]
-    for one in (*clients, open_before, open_between, sock, made.sock):
+    assert (
+        made.router.count == 2 and made.configuration["settings"] == load_configuration(path, {})["settings"]
+    )
+    for one in (*clients, open_before, open_between, sock, made.listening_socket):
         one.close()
 
 
@@ -467,17 +482,19 @@
 def test_settings_that_fail_their_check_change_nothing_in_a_running_program(changed, says, tmp_path):
     rig = Rig()
     path = file(tmp_path)
-    made = Program(configuration(path, {}), rig.log, lambda: configuration(path, {}))
-    before = made.told["settings"]
+    made = Dispatcher(load_configuration(path, {}), rig.log, lambda: load_configuration(path, {}))
+    before = made.configuration["settings"]
     file(tmp_path, settings={**GOOD["settings"], **changed})
-    made.reconfigure()
+    made.reload_configuration()
     ((what, fields),) = rig.logged
     assert what == "configuration_rejected" and says in fields["why"] and "\n" not in fields["why"]
-    assert made.told["settings"] is before and not any(item[0] == "configured" for item in made.inbox.items)
+    assert made.configuration["settings"] is before and not any(
+        item[0] == "configured" for item in made.inbox.items
+    )
 
 
 def test_a_host_without_messages_never_asks_for_one():
-    assert lifecycle.handed({"may_message": True, "queue_types": []})["may_message"] is False
+    assert settings_for_decisions({"may_message": True, "queue_types": []})["may_message"] is False
 
 
 @pytest.mark.parametrize(
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,13 +13,15 @@
 
 import orjson
 import pytest
-from helpers import HERE, Rig, arrive, balancer, entry, pull
+from helpers import HERE, Rig, arrive, entry, pull, scheduler
 from test_control import Served, free
 from test_program import arrived, file, router
 
-from mastledge.program import lifecycle, operator_api, upgrade_state
-from mastledge.program.lifecycle import SERVING
-from mastledge.program.upgrade_state import UpgradeState, nothing
+from mastledge.program import operator_api, process_seats, serving, sibling_watch
+from mastledge.program.lifecycle import Phase
+from mastledge.program.upgrade_state import UpgradeState, empty_shared
+from mastledge.scheduling.decisions import LaunchJob
+from mastledge.scheduling.slow_start import least_warmth
 from mastledge.transport.listening import bind_socket, select_listener
 
 LISTEN = ("127.0.0.1", 7070)
@@ -27,12 +29,12 @@
 
 def shares(folder, log=lambda event, **fields: None):
     made = UpgradeState(str(folder), LISTEN, log)
-    made.sit()
+    made.take_seat()
     return made
 
 
 def test_two_have_a_seat_and_a_death_frees_it(tmp_path, monkeypatch):
-    monkeypatch.setattr(upgrade_state, "WAITS", 2)
+    monkeypatch.setattr(process_seats, "ATTEMPTS", 2)
     first = shares(tmp_path)
     assert first.alone()
     second = shares(tmp_path)
@@ -48,12 +50,12 @@
 def test_what_one_changes_the_other_reads_and_says_so(tmp_path):
     one, other = shares(tmp_path), shares(tmp_path)
     assert one.change(lambda told: told.update(out=["s-1"]))
-    assert not one.other_saw(one.told["serial"])
-    assert other.look() and other.told["out"] == ["s-1"] and not other.look()
+    assert not one.sibling_took_up(one.shared["serial"])
+    assert other.refresh() and other.shared["out"] == ["s-1"] and not other.refresh()
     other.change(lambda told: told["seen"].update({str(other.seat): told["serial"]}), news=False)
-    assert one.look() and one.other_saw(1) and one.told["serial"] == 1
+    assert one.refresh() and one.sibling_took_up(1) and one.shared["serial"] == 1
     other.leave()
-    assert one.other_saw(99)
+    assert one.sibling_took_up(99)
 
 
 @pytest.mark.parametrize(
@@ -62,44 +64,44 @@
         b"",
         b"{",
         b"\xff\xfe",
-        orjson.dumps(nothing())[:-9],
-        orjson.dumps({**nothing(), "version": 2}),
+        orjson.dumps(empty_shared())[:-9],
+        orjson.dumps({**empty_shared(), "version": 2}),
         b"[]",
-        orjson.dumps({**nothing(), "out": [1]}),
-        orjson.dumps({**nothing(), "back": {"s": "soon"}}),
+        orjson.dumps({**empty_shared(), "out": [1]}),
+        orjson.dumps({**empty_shared(), "back": {"s": "soon"}}),
     ],
 )
 def test_a_state_that_cannot_be_used_is_logged_and_costs_nothing(left, tmp_path):
     logged = []
     one = shares(tmp_path, lambda event, **fields: logged.append(event))
-    with open(one.base + ".state", "wb") as state:
+    with open(one.state_path, "wb") as state:
         state.write(left)
-    assert not one.look() and one.told == nothing() and logged == ["upgrade_state_unreadable"]
-    assert not one.look() and len(logged) == 1
+    assert not one.refresh() and one.shared == empty_shared() and logged == ["upgrade_state_unreadable"]
+    assert not one.refresh() and len(logged) == 1
     assert one.change(lambda told: told.update(out=["s-1"]))
     other = shares(tmp_path)
-    assert other.look() and other.told["out"] == ["s-1"]
+    assert other.refresh() and other.shared["out"] == ["s-1"]
 
 
 def test_without_a_folder_or_room_in_it_the_process_goes_on_alone(tmp_path):
     for folder in (None, str(tmp_path / "nowhere")):
         made = UpgradeState(folder, LISTEN, lambda event, **fields: None)
-        made.sit()
+        made.take_seat()
         assert made.alone() and made.change(lambda told: told.update(out=["s-1"]))
-        assert made.told["out"] == ["s-1"] and not made.look()
+        assert made.shared["out"] == ["s-1"] and not made.refresh()
 
 
 def test_a_state_that_cannot_be_written_is_held_alone_but_not_beside_another(tmp_path, monkeypatch):
     one = shares(tmp_path)
 
-    def full(told):
+    def full(*paths):
         raise OSError(errno.ENOSPC, "no space")
 
-    monkeypatch.setattr(one, "write", full)
-    assert one.change(lambda told: told.update(out=["s-1"])) and one.told["out"] == ["s-1"]
-    assert one.told["serial"] == 1
+    monkeypatch.setattr(os, "replace", full)
+    assert one.change(lambda told: told.update(out=["s-1"])) and one.shared["out"] == ["s-1"]
+    assert one.shared["serial"] == 1
     other = shares(tmp_path)
-    assert not one.change(lambda told: told.update(out=[])) and one.told["out"] == ["s-1"]
+    assert not one.change(lambda told: told.update(out=[])) and one.shared["out"] == ["s-1"]
     other.leave()
 
 
@@ -135,55 +137,55 @@
     ],
 )
 def test_nothing_new_goes_to_who_is_out_whatever_the_list_says(news):
-    made = balancer(workers=2)
-    made.by_hand(0, {"0"}, {})
+    made = scheduler(workers=2)
+    made.set_excluded(0, {"0"}, {})
     if news:
-        made.members(1, *news)
-        made.members(2, "changes", [entry(0)])
+        made.update_endpoints(1, *news)
+        made.update_endpoints(2, "changes", [entry(0)])
     for n in range(5):
         arrive(made, 10, job=n)
-    assert {decision[:3:2] for decision in pull(made, 10)} == {("launch", 1)}
-    assert made.skipped(10) == 1
+    assert {(d.__class__, d.worker) for d in pull(made, 10)} == {(LaunchJob, 1)}
+    assert made.count_skipped_workers(10) == 1
 
 
 @pytest.mark.parametrize("aside", [False, True])
 def test_who_is_called_back_is_fed_as_a_cold_worker(aside):
-    made = balancer(workers=2)
+    made = scheduler(workers=2)
     if aside:
         arrive(made, 0)
-        ((_, job_id, wkr_id, _),) = pull(made, 0)
-        made.ended(1_000, job_id, 0, "error", 1_000, False, ())
-    made.by_hand(2_000, {"0", "1"}, {})
+        (sent,) = pull(made, 0)
+        made.launch_ended(1_000, sent.job, 0, "error", 1_000, False, ())
+    made.set_excluded(2_000, {"0", "1"}, {})
     assert made.ready == []
-    made.by_hand(9_000_000, set(), {"0": 8_900_000, "1": 8_900_000})
+    made.set_excluded(9_000_000, set(), {"0": 8_900_000, "1": 8_900_000})
     worker = made.workers[0]
-    assert (worker.born, worker.credit, worker.aside) == (8_900_000, 0.0, {}) and len(made.ready) == 2
-    assert made.warmth(worker, 9_000_000) < 0.3
+    assert (worker.born, worker.credit, worker.ejections) == (8_900_000, 0.0, {}) and len(made.ready) == 2
+    assert least_warmth(worker, 9_000_000, made.settings) < 0.3
     # A list that is behind still names its former start; one that is not, a later one.
-    made.members(9_100_000, "whole", [entry(0), entry(1, born=9_050_000)])
+    made.update_endpoints(9_100_000, "whole", [entry(0), entry(1, born=9_050_000)])
     assert (made.workers[0].born, made.workers[1].born) == (8_900_000, 9_050_000)
 
 
 def test_who_comes_back_to_the_list_after_the_call_is_cold_as_well():
-    made = balancer(workers=2)
-    made.by_hand(0, {"0"}, {})
-    made.members(1, "whole", [entry(1)])
-    made.by_hand(5_000_000, set(), {"0": 5_000_000})
-    made.members(6_000_000, "changes", [entry(0)])
+    made = scheduler(workers=2)
+    made.set_excluded(0, {"0"}, {})
+    made.update_endpoints(1, "whole", [entry(1)])
+    made.set_excluded(5_000_000, set(), {"0": 5_000_000})
+    made.update_endpoints(6_000_000, "changes", [entry(0)])
     assert made.workers[0].born == 5_000_000
 
 
 @pytest.mark.parametrize("share", [1.0, 0.5, 0.125])
 def test_two_processes_share_what_a_cold_worker_may_get(share):
-    made = balancer(workers=2)
-    made.by_hand(0, (), {"0": 1})
-    made.sharing(0, share)
+    made = scheduler(workers=2)
+    made.set_excluded(0, (), {"0": 1})
+    made.set_traffic_share(0, share)
     arrive(made, 0, hint=1_000)
-    made.cold_room(made.workers[0], made.jobs[1], 100_000)
-    alone = balancer(workers=2)
-    alone.by_hand(0, (), {"0": 1})
+    made.slow_start.within_budget(made.workers[0], made.jobs[1], 100_000)
+    alone = scheduler(workers=2)
+    alone.set_excluded(0, (), {"0": 1})
     arrive(alone, 0, hint=1_000)
-    alone.cold_room(alone.workers[0], alone.jobs[1], 100_000)
+    alone.slow_start.within_budget(alone.workers[0], alone.jobs[1], 100_000)
     assert made.workers[0].credit / share == pytest.approx(alone.workers[0].credit)
 
 
@@ -209,7 +211,7 @@
 
 @pytest.fixture
 def folder(monkeypatch):
-    monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
+    monkeypatch.setattr(serving, "FIRST_LIST_TIMEOUT_US", 0)
     # Sockets stand in it, whose paths have 107 bytes at most: below the folder of a test they may be longer.
     with tempfile.TemporaryDirectory(prefix="shared-") as path:
         yield pathlib.Path(path)
@@ -232,13 +234,13 @@
 )
 def test_workers_are_left_out_by_calls(steps, answers, out, tmp_path, folder):
     served = begun(tmp_path, folder).serving()
-    assert calls(served, *steps) == answers and served.made.upgrade_state.told["out"] == out
+    assert calls(served, *steps) == answers and served.made.upgrade_state.shared["out"] == out
     assert served.made.router.out == frozenset(out)
-    assert [wkr.id.id for wkr in served.made.router.balancer.ready] == ([] if out else ["s-1"])
+    assert [wkr.id.id for wkr in served.made.router.scheduler.ready] == ([] if out else ["s-1"])
     figures = served.figures()
     assert (figures["svc.known_workers"], figures["svc.skipped_workers"]) == (1, len(out))
     # Back without having been out is no restart; after it the worker is cold, also with the list behind.
-    (worker,) = served.made.router.balancer.workers.values()
+    (worker,) = served.made.router.scheduler.workers.values()
     assert (worker.born > 0) == (steps[-1] == "/api/include/s-1" and len(steps) > 1)
     served.close()
 
@@ -248,7 +250,7 @@
 
     def __init__(self, path, folder):
         self.old = begun(path, folder).serving()
-        listen = "{}:{}".format(*self.old.made.told["listen"])
+        listen = "{}:{}".format(*self.old.made.configuration["listen"])
         self.new = begun(path, folder, listen=listen)
         self.both = (self.old, self.new)
         for served in self.both:
@@ -270,28 +272,28 @@
 @pytest.fixture
 def pair(tmp_path, folder):
     made = Pair(tmp_path, folder)
-    assert made.turn(lambda: made.new.made.phase == SERVING and made.old.made.beside)
+    assert made.turn(lambda: made.new.made.phase == Phase.SERVING and made.old.made.has_sibling_process)
     yield made
     made.close()
 
 
 def test_two_share_descriptors_bodies_and_cold_budget_until_one_is_gone(pair):
     whole = 128 - 32
-    assert pair.turn(lambda: all(served.made.router.balancer.share == 0.5 for served in pair.both))
+    assert pair.turn(lambda: all(served.made.router.scheduler.traffic.share == 0.5 for served in pair.both))
     for served in pair.both:
         assert served.made.budget.limits["clients"] < whole * 12 // 25 // 2
         assert served.made.budget.max_request_bytes == (256 << 20) // 16
     pair.old.made.upgrade_state.leave()
-    assert pair.turn(lambda: pair.new.made.router.balancer.share == 1)
+    assert pair.turn(lambda: pair.new.made.router.scheduler.traffic.share == 1)
     assert pair.new.made.budget.limits["clients"] == whole * 12 // 25
 
 
 @pytest.mark.parametrize("at", [0, 1])
 def test_who_is_out_is_out_in_both_before_the_yes(pair, at):
     assert pair.both[at].call("/api/exclude/s-1", "POST")[0] == 200
-    assert [served.made.router.balancer.ready for served in pair.both] == [[], []]
+    assert [served.made.router.scheduler.ready for served in pair.both] == [[], []]
     assert pair.both[1 - at].call("/api/include/s-1", "POST")[0] == 200
-    assert [len(served.made.router.balancer.ready) for served in pair.both] == [1, 1]
+    assert [len(served.made.router.scheduler.ready) for served in pair.both] == [1, 1]
 
 
 @pytest.mark.parametrize("at", [0, 1])
@@ -306,8 +308,8 @@
     kept = pair.old.connect()
     # What is connected stays with its process; the steering sends every new one to the other.
     assert pair.turn(lambda: pair.new.made.listener.clients) and not pair.old.made.listener.clients
-    pair.old.made.signalled = True
-    pair.old.made.loop.wake(pair.old.made.life)
+    pair.old.made.stop_requested = True
+    pair.old.made.loop.wake(pair.old.made.lifecycle_task)
     assert pair.turn(lambda: pair.old.made.phase == "ended", 3_000_000)
     pair.both = (pair.new,)
     kept.sendall(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -333,27 +335,27 @@
     assert calls(old, "/api/exclude/s-1", *["/api/evacuate"] * drained) == [200] * (1 + drained)
     old.made.upgrade_state.leave()
     old.close()
-    new = begun(tmp_path, folder, listen="{}:{}".format(*old.made.told["listen"]))
-    assert new.turn(lambda: new.made.phase == SERVING)
+    new = begun(tmp_path, folder, listen="{}:{}".format(*old.made.configuration["listen"]))
+    assert new.turn(lambda: new.made.phase == Phase.SERVING)
     assert new.made.router.out == {"s-1"} and not new.made.listener.draining
     new.close()
 
 
 def test_a_new_process_that_never_gets_ready_takes_no_clients(tmp_path, folder):
     old = begun(tmp_path, folder).serving()
-    new = begun(tmp_path, folder, listen="{}:{}".format(*old.made.told["listen"]), known={})
+    new = begun(tmp_path, folder, listen="{}:{}".format(*old.made.configuration["listen"]), known={})
     for _ in range(20):
         new.made.loop.run_once(2_000)
-    assert new.made.accepting is None
+    assert new.made.accept_task is None
     assert all(old.health() == 200 for _ in range(10))
     new.made.upgrade_state.leave()
-    assert old.turn(lambda: not old.made.beside)
+    assert old.turn(lambda: not old.made.has_sibling_process)
     for served in (old, new):
         served.close()
 
 
 def test_a_call_is_answered_though_the_other_process_stands_still(pair, monkeypatch):
-    monkeypatch.setattr(operator_api, "PATIENCE", 100_000)
+    monkeypatch.setattr(operator_api, "SIBLING_TIMEOUT_US", 100_000)
     pair.both = (pair.old,)
     assert pair.old.call("/api/exclude/s-1", "POST")[0] == 200
     assert "change_not_seen" in [what for what, _ in pair.old.rig.logged]
@@ -432,20 +434,20 @@
 def test_a_signal_right_behind_the_yes_finds_the_successor(late, pair, monkeypatch):
     # It was looked for every 0.1 s only, and the old process served on as if none had come.
     old, new = pair.old.made, pair.new.made
-    new.says(ready=False)
-    assert pair.turn(lambda: old.upgrade_state.told["ready"] == [old.upgrade_state.seat])
-    monkeypatch.setattr(lifecycle, "BESIDE", 600_000)
-    old.signalled = True
+    new.sibling.announce(ready=False)
+    assert pair.turn(lambda: old.upgrade_state.shared["ready"] == [old.upgrade_state.seat])
+    monkeypatch.setattr(sibling_watch, "POLL_WITH_SIBLING_US", 600_000)
+    old.stop_requested = True
     if not late:
-        new.says(ready=True)
-    old.loop.wake(old.life)
-    monkeypatch.setattr(lifecycle, "BESIDE", 20_000)
+        new.sibling.announce(ready=True)
+    old.loop.wake(old.lifecycle_task)
+    monkeypatch.setattr(sibling_watch, "POLL_WITH_SIBLING_US", 20_000)
     # A machine that stands still for 0.2 s goes past "leaving" in one turn.
-    assert pair.turn(lambda: old.phase != SERVING)
+    assert pair.turn(lambda: old.phase != Phase.SERVING)
     pair.turn(lambda: False, late)
     if late:
         assert not old.listener.succeeded
-        new.says(ready=True)
+        new.sibling.announce(ready=True)
     assert pair.turn(lambda: old.phase == "ended", 1_500_000) and old.listener.succeeded
 
 
@@ -456,32 +458,35 @@
     pair.turn(lambda: new.listener.clients)
     client.close()
     old.listener.leaving, most = 1, []
-    old.signalled = True
+    old.stop_requested = True
     held = old.loop.spawn(iter(()))
     old.listener.clients.add(held)
-    old.loop.wake(old.life)
+    old.loop.wake(old.lifecycle_task)
 
     def divided():
-        most.append(old.router.balancer.share + new.router.balancer.share)
-        return new.router.balancer.share > 0.5
+        most.append(old.router.scheduler.traffic.share + new.router.scheduler.traffic.share)
+        return new.router.scheduler.traffic.share > 0.5
 
     assert pair.turn(divided) and max(most) <= 1
-    assert (old.router.balancer.share, new.router.balancer.share) == (0.125, 0.875)
+    assert (old.router.scheduler.traffic.share, new.router.scheduler.traffic.share) == (0.125, 0.875)
     old.upgrade_state.leave()
-    assert pair.turn(lambda: new.router.balancer.share == 1) and new.upgrade_state.told["leaving"] == []
+    assert (
+        pair.turn(lambda: new.router.scheduler.traffic.share == 1)
+        and new.upgrade_state.shared["leaving"] == []
+    )
 
 
 def test_flags_of_who_died_in_a_seat_are_not_those_of_the_next(tmp_path, folder):
     old = begun(tmp_path, folder).serving()
-    listen = "{}:{}".format(*old.made.told["listen"])
+    listen = "{}:{}".format(*old.made.configuration["listen"])
     dead = begun(tmp_path, folder, listen=listen).serving()
-    dead.made.says(leaving=True)
-    assert dead.made.upgrade_state.told["ready"] == [0, 1]
+    dead.made.sibling.announce(leaving=True)
+    assert dead.made.upgrade_state.shared["ready"] == [0, 1]
     dead.made.upgrade_state.leave()
     new = begun(tmp_path, folder, listen=listen, known={})
     for _ in range(3):
         new.made.loop.run_once(2_000)
-    told = new.made.upgrade_state.told
+    told = new.made.upgrade_state.shared
     assert new.made.upgrade_state.seat == 1 and told["ready"] == [0] and told["leaving"] == []
     for served in (old, dead, new):
         served.close()
@@ -491,19 +496,24 @@
 
 
 def test_a_new_process_starts_from_what_the_old_one_learned():
-    old, new = balancer(workers=3), balancer(workers=3)
+    old, new = scheduler(workers=3), scheduler(workers=3)
     arrive(old, 0)
-    ((_, job_id, wkr_id, _),) = pull(old, 0)
-    old.ended(1_000, job_id, 0, "error", 1_000, False, ())
+    (sent,) = pull(old, 0)
+    wkr_id = sent.worker
+    old.launch_ended(1_000, sent.job, 0, "error", 1_000, False, ())
     old.workers[wkr_id].slots, old.workers[wkr_id].peak, old.workers[wkr_id].slow = 3.5, 3.0, 2.0
-    new.inherited(2_000, {**orjson.loads(orjson.dumps(old.learned())), "nobody": [1.0, 1.0, 1.0, []]})
+    new.restore_learned(
+        2_000, {**orjson.loads(orjson.dumps(old.learned_state())), "nobody": [1.0, 1.0, 1.0, []]}
+    )
     worker = new.workers[wkr_id]
-    assert (worker.slots, worker.peak, worker.slow, list(worker.aside)) == (3.5, 3.0, 2.0, [0])
+    assert (worker.slots, worker.peak, worker.slow, list(worker.ejections)) == (3.5, 3.0, 2.0, [0])
     # Without the room that was seen each worker counted as one of a single slot, and cold ones got little.
     old.survey()
-    assert new.capacity == old.capacity > balancer(workers=3).capacity
-    assert vars(worker.aside[0]) == vars(old.workers[wkr_id].aside[0]) and new.asides == old.asides
-    assert new.skipped(2_000) == 1
+    assert new.slow_start.capacity == old.slow_start.capacity > scheduler(workers=3).slow_start.capacity
+    assert (
+        worker.ejections[0] == old.workers[wkr_id].ejections[0] and new.outliers.counts == old.outliers.counts
+    )
+    assert new.count_skipped_workers(2_000) == 1
 
 
 @pytest.mark.parametrize(
@@ -522,11 +532,11 @@
     events = []
     one = shares(tmp_path, lambda event, **fields: events.append(event))
     if left is not None:
-        with open(one.base + ".learned", "wb") as file_:
+        with open(one.learned_path, "wb") as file_:
             file_.write(left % time.monotonic_ns() if b"%d" in left else left)
-    assert one.taught() == {} and bool(events) == logged
-    one.teach({"s-1": [8.0, 1.0, []]})
-    assert one.taught() == {"s-1": [8.0, 1.0, []]}
+    assert one.read_learned() == {} and bool(events) == logged
+    one.write_learned({"s-1": [8.0, 1.0, []]})
+    assert one.read_learned() == {"s-1": [8.0, 1.0, []]}
 
 
 def test_serving_starts_no_other_process(tmp_path, folder):
