--- a/mastledge/program/connection_handoff.py
+++ b/mastledge/program/connection_handoff.py
@@ -11,6 +11,7 @@
 import orjson
 
 from mastledge.protocol import http
+from mastledge.protocol.errors import BodyTooLargeError
 from mastledge.protocol.requests import Exchange
 from mastledge.protocol.worker_connections import WorkerConnections
 from mastledge.transport import descriptor_passing
@@ -53,7 +54,7 @@
     def decode(cls, raw: bytes) -> "HandedOffJob":
         """The job of a datagram; HandedOffJobError where it holds none."""
         try:
-            fields = http.loads(raw)
+            fields = http.parse_object(raw)
             rest = base64.b64decode(fields["rest"])
             job = cls(fields["name"], fields["kind"], fields["until"], bool(fields["headed"]), rest)
         except (ValueError, KeyError, TypeError, binascii.Error) as error:
@@ -173,10 +174,10 @@
         exchange = Exchange()
         exchange.name, exchange.kind, exchange.until = job.name, job.kind, job.until - ANSWER_MARGIN_US
         launch = HandedOffLaunch(job.name, worker, job.headed)
-        http.resume(client, worker, job.headed)
+        http.resume_parsers(client, worker, job.headed)
         worker.buffer.append(job.rest)
         self.exchanges.add(exchange)
-        client.owner = self.loop.spawn(self.listener.resumed(client, exchange))
+        client.owner = self.loop.spawn(self.listener.serve_resumed(client, exchange))
         exchange.answer = lambda *answer: self.loop.wake(client.owner, answer)
         exchange.job = self.loop.spawn(self.finish(launch, exchange))
         self.log("connection_received", job=exchange.name)
@@ -184,8 +185,8 @@
     def finish(self, launch: HandedOffLaunch, exchange: Exchange):
         """Coroutine: reads the worker's answer and has the client answered."""
         try:
-            how, result, _ = yield from self.workers.outcome(launch.conn, launch, exchange.until)
-        except (OSError, WaitTimeoutError, ValueError, http.TooLarge, h11.RemoteProtocolError) as error:
+            how, result, _ = yield from self.workers.answers.read(launch.conn, launch, exchange.until)
+        except (OSError, WaitTimeoutError, ValueError, BodyTooLargeError, h11.RemoteProtocolError) as error:
             how, result = str(error) or type(error).__name__, None
         finally:
             launch.conn.close()
--- a/mastledge/program/dispatcher.py
+++ b/mastledge/program/dispatcher.py
@@ -127,7 +127,7 @@
             from mastledge.program.replication_service import ReplicationService as Service
         else:
             from mastledge.program.idempotency_service import IdempotencyService as Service
-        self.idempotency = self.listener.idempotency = Service(self, configuration, self.log)
+        self.idempotency = self.listener.jobs.idempotency = Service(self, configuration, self.log)
         self.resources.reserve(FILE_DESCRIPTORS)
 
     def _add_recovery(self, configuration):
@@ -147,7 +147,7 @@
     def _add_operator_api(self):
         self.control = Control(self.loop, self.budget, OperatorApi(self).calls(), self.log)
         if self.fleet is not None:
-            self.control.most = FLEET_REQUEST_BYTES
+            self.control.max_body_bytes = FLEET_REQUEST_BYTES
 
     # Running
 
@@ -241,7 +241,7 @@
         if self.accept_task is not None:
             self.loop.cancel(self.accept_task)
         self.listener.closing = True
-        self.listener.last_call(self.listening_socket)
+        self.listener.accept_waiting(self.listening_socket)
         self.loop.forget(self.listening_socket.fileno())
         self.listening_socket.close()
 
--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -105,7 +105,7 @@
         `arrival`: fields of the job as the decisions take them.
         """
         yield from self.wait_until_open(exchange.until, conn)
-        if http.left(conn):
+        if http.has_left(conn):
             return None
         if self.key_table is None or self.disk_failing:
             return rejection(Verdict.FULL)
@@ -130,7 +130,7 @@
     ) -> Generator[tuple, object, Reply | None]:
         job.waiters.add(conn)
         try:
-            reply = yield from self.program.listener.awaited(conn, until)
+            reply = yield from self.program.listener.jobs.wait_for_answer(conn, until)
             return KILLED_REPLY if reply == () else reply
         finally:
             job.waiters.discard(conn)
@@ -153,7 +153,7 @@
     def _reply_of(self, job: KeyedJob, arrival: tuple) -> Generator[tuple, object, Reply]:
         key_table, record, exchange = self.key_table, job.record, job.exchange
         claimed = yield from self.persist(job)
-        if not claimed or self.loop.now() >= exchange.until or exchange.left():
+        if not claimed or self.loop.now() >= exchange.until or exchange.client_has_left():
             # Nothing was launched. What the disk may hold of the claim is taken back once it holds anything.
             key_table.release(record)
             self.save()
--- a/mastledge/program/keyed_job.py
+++ b/mastledge/program/keyed_job.py
@@ -51,10 +51,10 @@
         self.record, self.exchange = record, exchange
         self.waiters: set[Connection] = set()
         self.task: Task | None = None
-        exchange.gone = self.all_clients_left
+        exchange.check_left = self.all_clients_left
 
     def all_clients_left(self) -> bool:
         """Whether nobody waits any more."""
         # Each connection is read, whatever the others say: that takes up what its client has sent.
-        left = [http.left(conn) for conn in self.waiters]
+        left = [http.has_left(conn) for conn in self.waiters]
         return all(left)
--- a/mastledge/program/keyed_service.py
+++ b/mastledge/program/keyed_service.py
@@ -113,7 +113,7 @@
         `until`: end of the job's walltime.
         """
         last = min(until - ANSWER_MARGIN_US, self.loop.now() + DIRECTORY_PATIENCE_US)
-        while self._may_open() and self.loop.now() < last and not http.left(conn):
+        while self._may_open() and self.loop.now() < last and not http.has_left(conn):
             yield (-1, 0, self.loop.now() + DIRECTORY_POLL_US)
 
     def _may_open(self) -> bool:
--- a/mastledge/program/operator_api.py
+++ b/mastledge/program/operator_api.py
@@ -2,7 +2,7 @@
 
 import time
 
-from mastledge.protocol.control import No
+from mastledge.protocol.errors import CallRefusedError
 
 # For the sibling process: a caller waits for 1 s, and what was changed holds from then on all the same.
 SIBLING_TIMEOUT_US = 700_000
@@ -10,7 +10,7 @@
 
 
 class OperatorApi:
-    """The calls of operators. Each returns its answer's text, some as a coroutine; `No` is a refusal."""
+    """The calls of operators. Each returns its answer's text, some as a coroutine; or CallRefusedError."""
 
     def __init__(self, program):
         """`program`: the dispatcher that is asked."""
@@ -41,10 +41,10 @@
 
     def ready(self) -> str:
         """Whether the dispatcher takes jobs; a refusal names the phase and what is waited for."""
-        if self._program.listener.up():
+        if self._program.listener.is_ready():
             return "ready"
         why = self._why_not_ready()
-        raise No(503, f"not ready: {self._program.phase}" + (f"; {why}" if why else ""))
+        raise CallRefusedError(503, f"not ready: {self._program.phase}" + (f"; {why}" if why else ""))
 
     def _why_not_ready(self):
         fleet, recovery = self._program.fleet, self._program.recovery
@@ -58,12 +58,12 @@
         listener, router, workers = self._program.listener, self._program.router, self._program.workers
         figures = {
             f"{outcome}.{queue_type}": count
-            for outcome, counts in listener.ended.items()
+            for outcome, counts in listener.jobs.ended.items()
             for queue_type, count in counts.items()
         }
         figures |= {
-            "upstream_tries": workers.tries,
-            "in_progress": listener.in_hand,
+            "upstream_tries": workers.sent_launches,
+            "in_progress": listener.jobs.in_hand,
             "known_workers": len(router.peers),
             "skipped_workers": router.scheduler.count_skipped_workers(self._program.loop.now()),
         }
@@ -107,20 +107,20 @@
         """Coroutine: ends a drain; refused where the process is ending and no other has taken over."""
         program = self._program
         if program.stop_requested and not program.listener.succeeded:
-            raise No(409, f"ending: {program.phase}")
+            raise CallRefusedError(409, f"ending: {program.phase}")
         yield from self._change(lambda shared: shared.update(draining=False))
         return "serving again"
 
     def _require_known(self, worker):
         if worker not in self._program.router.peers and worker not in self._program.excluded_workers():
-            raise No(404, f"nobody has this id: {worker}")
+            raise CallRefusedError(404, f"nobody has this id: {worker}")
 
     def _change(self, edit):
         """Changes what both processes share, and waits until the decisions of both hold it."""
         program, sibling = self._program, self._program.sibling
         serial = sibling.publish(edit)
         if serial is None:
-            raise No(500, "the process beside this one cannot be told")
+            raise CallRefusedError(500, "the process beside this one cannot be told")
         wait_until = program.loop.now() + SIBLING_TIMEOUT_US
         while (sibling.decided_serial or 0) < serial or not program.upgrade_state.sibling_took_up(serial):
             if program.loop.now() >= wait_until:
--- a/mastledge/program/recovery_admission.py
+++ b/mastledge/program/recovery_admission.py
@@ -26,7 +26,7 @@
             return self._reject(exchange, retry_after_us)
         answer = None
         try:
-            answer = yield from self._listener.taken(connection, exchange, request)
+            answer = yield from self._listener.jobs.take(connection, exchange, request)
             return answer
         finally:
             # Also where the task is cancelled, as the client has gone.
@@ -37,6 +37,6 @@
 
     def _reject(self, exchange: Exchange, retry_after_us: int) -> tuple:
         exchange.open = False
-        self._listener.count(exchange.kind, REJECTED)
+        self._listener.jobs.count(exchange.kind, REJECTED)
         headers = [(b"retry-after", b"%.3f" % (retry_after_us / 1e6))] if retry_after_us else []
         return REJECTED, headers, b""
--- a/mastledge/program/recovery_records.py
+++ b/mastledge/program/recovery_records.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from mastledge.protocol.discovery import Discovery
-from mastledge.protocol.worker_connections import WorkerEndpoint
+from mastledge.protocol.worker_endpoint import WorkerEndpoint
 from mastledge.recovery.newest_list import MAX_WORKERS, NewestList
 from mastledge.recovery.recovery_record import (
     ClockReading,
@@ -38,7 +38,7 @@
 
 def start_of(endpoint: WorkerEndpoint, discovery: Discovery) -> int:
     """When a worker started, in Unix microseconds; 0 for long ago."""
-    return endpoint.born + discovery.since if endpoint.born else 0
+    return endpoint.started_at + discovery.since if endpoint.started_at else 0
 
 
 def worker_starts(program: "Dispatcher") -> dict[str, int]:
--- a/mastledge/program/replicated_jobs.py
+++ b/mastledge/program/replicated_jobs.py
@@ -36,7 +36,7 @@
         self.is_launched = False  # the decisions have it, or had it
 
     def client_left(self) -> bool:
-        return self.conn is None or http.left(self.conn)
+        return self.conn is None or http.has_left(self.conn)
 
 
 class ReplicatedJobs:
@@ -69,9 +69,9 @@
         self._last_id += 1
         job = self._jobs[self._last_id] = _Job(self._last_id, conn)
         job.task = self._loop.spawn(self._see_through(job, exchange, arrival))
-        exchange.gone = job.client_left
+        exchange.check_left = job.client_left
         try:
-            reply = yield from self._service.program.listener.awaited(conn, exchange.until)
+            reply = yield from self._service.program.listener.jobs.wait_for_answer(conn, exchange.until)
         finally:
             job.conn = None
         if reply:
@@ -111,7 +111,7 @@
             return KILLED_REPLY
         if told.verdict is not Verdict.GRANTED:
             return _reply_without_launch(told)
-        if self._loop.now() >= exchange.until or exchange.left():
+        if self._loop.now() >= exchange.until or exchange.client_has_left():
             self._handle(JobEnded(job.job_id, JobOutcome.RELEASED))
             return REJECTED_REPLY
         return (yield from self._launch(job, exchange, arrival))
--- a/mastledge/program/replication_api.py
+++ b/mastledge/program/replication_api.py
@@ -5,7 +5,8 @@
 import orjson
 
 from mastledge.program.configuration import MAX_COPIES
-from mastledge.protocol.control import Answer, No, Request
+from mastledge.protocol.control import Answer, Request
+from mastledge.protocol.errors import CallRefusedError
 from mastledge.replication.node import Node
 from mastledge.replication.outputs import Verdict
 from mastledge.replication.placement import Placement
@@ -21,7 +22,7 @@
         if not isinstance(count, int) or not 1 <= count <= MAX_COPIES:
             raise ValueError(f"not from 1 to {MAX_COPIES}: {count!r}")
     except (ValueError, KeyError, TypeError) as error:
-        raise No(400, f"count: {error}") from None
+        raise CallRefusedError(400, f"count: {error}") from None
     return count
 
 
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -282,7 +282,7 @@
         `arrival`: what the decisions are told of the job.
         """
         yield from self.wait_until_open(exchange.until, conn)
-        if http.left(conn):
+        if http.has_left(conn):
             return None
         if self.node is None or self.disk_failing:
             return rejection(Verdict.FULL)
--- a/mastledge/program/serving.py
+++ b/mastledge/program/serving.py
@@ -1,7 +1,7 @@
 """The phases of a dispatcher until it is asked to stop: waiting for workers, serving, draining."""
 
 from mastledge.program.lifecycle import Phase
-from mastledge.protocol.discovery import BadList
+from mastledge.protocol.errors import EndpointListError
 
 FIRST_LIST_TIMEOUT_US = 250_000  # what discovery is waited for where workers are known already
 READY_POLL_US = 2_000
@@ -47,7 +47,7 @@
         dispatcher = self._dispatcher
         try:
             dispatcher.discovery.apply(dispatcher.configuration["known"], "cached")
-        except BadList as error:
+        except EndpointListError as error:
             # Discovery has the list as well.
             dispatcher.log("cached_list_invalid", why=str(error))
         if dispatcher.follows_discovery or dispatcher.discovery.generation is None:
@@ -71,7 +71,7 @@
         if dispatcher.listener.draining:
             if dispatcher.phase != Phase.DRAINING:
                 dispatcher.enter(Phase.DRAINING)
-            dispatcher.listener.let_go()
+            dispatcher.listener.close_while_draining()
             return (-1, 0, dispatcher.loop.now() + DRAIN_POLL_US)
         if dispatcher.phase == Phase.DRAINING:
             dispatcher.enter(Phase.WAITING)
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -35,7 +35,7 @@
 from mastledge.program.shared_lease import LeaseNotice, SharedLease
 from mastledge.program.upgrade_state import UpgradeState
 from mastledge.protocol import load_messages
-from mastledge.protocol.worker_connections import WorkerEndpoint
+from mastledge.protocol.worker_endpoint import WorkerEndpoint
 from mastledge.recovery import fleet_snapshot as snapshot_format
 from mastledge.recovery import messages as recovery_messages
 from mastledge.recovery import recovery_record
@@ -194,7 +194,7 @@
 def three_workers():
     peers = [WorkerEndpoint(f"s-{number}") for number in range(3)]
     for number, peer in enumerate(peers):
-        peer.address, peer.born = ("127.0.0.1", 8001 + number), 1_000_000 * number
+        peer.address, peer.started_at = ("127.0.0.1", 8001 + number), 1_000_000 * number
     return [(0, peer, *entry(0)[2:]) for peer in peers]
 
 
@@ -369,7 +369,7 @@
 def taken_up(raw):
     """The job as the process that takes it up has it, in the form that `handed_on` takes."""
     rig, jobs = Rig(), []
-    door = SimpleNamespace(resumed=lambda conn, exchange: iter(()))
+    door = SimpleNamespace(serve_resumed=lambda conn, exchange: iter(()))
     made = connection_handoff.ConnectionHandoff(rig.loop, rig.budget, door, scheduler().settings, rig.log)
     made.finish = lambda launch, exchange: jobs.append((launch, exchange)) or iter(())
     here = socket.create_server((HERE, 0))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,8 +6,10 @@
 import h11
 
 from mastledge.protocol import http
+from mastledge.protocol.client_connection import ClientConnection
 from mastledge.protocol.client_listener import ClientListener
-from mastledge.protocol.worker_connections import WorkerConnections, WorkerEndpoint
+from mastledge.protocol.worker_connections import WorkerConnections
+from mastledge.protocol.worker_endpoint import WorkerEndpoint
 from mastledge.scheduling.scheduler import Scheduler
 from mastledge.transport.budget import Budget
 from mastledge.transport.connection import Connection
@@ -180,7 +182,7 @@
 def client(rig, made, beyond=False):
     """A client's socket, served by this door."""
     conn, theirs = rig.pair()
-    conn.owner = rig.loop.spawn(made.serve(conn, beyond))
+    conn.owner = rig.loop.spawn(ClientConnection(made, conn, beyond).serve())
     made.clients.add(conn)
     return theirs
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,7 @@
 from mastledge.program import graceful_shutdown
 from mastledge.program import serving as serving_phases
 from mastledge.program.upgrade_state import UpgradeState
-from mastledge.protocol import client_listener as protocol_clients
+from mastledge.protocol import client_connection, client_listener, worker_answers
 from mastledge.protocol import worker_connections as protocol_workers
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.transport.connection import Connection
@@ -399,9 +399,9 @@
     made = serving(listen=listen, folder=str(tmp_path / "beside"), repeats=keeps(tmp_path)).serving()
     assert made.made.idempotency.key_table is None
     client = made.asked(Idempotency_Key="k1")
-    assert made.turn(lambda: made.made.listener.in_hand)
+    assert made.turn(lambda: made.made.listener.jobs.in_hand)
     leaves(made, client)
-    assert made.turn(lambda: not made.made.listener.in_hand)
+    assert made.turn(lambda: not made.made.listener.jobs.in_hand)
     kept.release()
     before.leave()
     assert made.turn(lambda: made.made.idempotency.key_table is not None)
@@ -473,7 +473,7 @@
     at = made.made.discovery.since // 1000 + made.rig.loop.now() // 1000
     made.lists(started=at if news == "born" else 0, sock=sock if news == "moved" else None)
     peers = made.made.router.peers
-    assert made.turn(lambda: peers["s-1"].born or peers["s-1"].address == sock.getsockname())
+    assert made.turn(lambda: peers["s-1"].started_at or peers["s-1"].address == sock.getsockname())
     answers(theirs, b"a1")
     assert b" 200 " in made.rig.reply(client) and theirs.recv(1) == b"" and not peers["s-1"].idle
     sock.close()
@@ -506,7 +506,7 @@
 @pytest.mark.parametrize("part", [b"\n", b'{"id":"a1","from":"s-1","state":"running","share":0.1}\n', b"x"])
 @pytest.mark.parametrize("answered", [False, True])
 def test_an_answer_that_never_ends_is_ended_by_the_clock(part, answered, serving, monkeypatch):
-    monkeypatch.setattr(protocol_workers, "TAIL", 50_000)
+    monkeypatch.setattr(worker_answers, "ANSWER_TAIL_US", 50_000)
     made = serving("restartable", {"cancel": False}).serving()
     launches, carried_out = [], made.made.router.carried_out
     made.made.router.carried_out = lambda launch, until: launches.append(launch) or carried_out(launch, until)
@@ -527,8 +527,8 @@
 
     from mastledge.protocol import discovery as protocol_discovery
 
-    monkeypatch.setattr(protocol_discovery, "SILENT", 50_000)
-    monkeypatch.setattr(protocol_discovery, "MOST_LIST", 1 << 16)
+    monkeypatch.setattr(protocol_discovery, "MAX_SILENCE_US", 50_000)
+    monkeypatch.setattr(protocol_discovery, "MAX_LIST_BYTES", 1 << 16)
     rig = Rig()
     sock = socket.create_server((HERE, 0))
     made = discovery(rig, sock.getsockname())
@@ -691,8 +691,8 @@
 @pytest.mark.parametrize("cut", [1, 60, -1])
 def test_a_request_half_read_at_the_signal_is_served_when_its_rest_comes(cut, phase, serving, monkeypatch):
     monkeypatch.setattr(graceful_shutdown, "EXIT_MARGIN_US", 60_000_000)
-    for name in ("YOUNG", "SILENT", "WHOLE"):
-        monkeypatch.setattr(protocol_clients, name, 100_000_000)
+    for name in ("MIN_UNFINISHED_US", "MAX_SILENCE_US", "REQUEST_TIMEOUT_US"):
+        monkeypatch.setattr(client_connection, name, 100_000_000)
     made = serving().serving()
     raw = helpers.job(X_Txn="a1", X_Remaining_Ms=4000)
     client = made.connect()
@@ -715,24 +715,24 @@
 def test_a_connection_that_has_just_come_is_not_closed_before_its_request(when, serving, monkeypatch):
     # It was idle when the next look came, 20 ms later at the most, and closed under its first request.
     monkeypatch.setattr(graceful_shutdown, "EXIT_MARGIN_US", 60_000_000)
-    monkeypatch.setattr(protocol_clients, "FRESH", 10_000_000)
+    monkeypatch.setattr(client_listener, "MIN_AGE_US", 10_000_000)
     made = serving(control=free()).serving()
     door, looked = made.made.listener, []
     if when == "drained":
-        monkeypatch.setattr(protocol_clients, "CLOSES", 0)
+        monkeypatch.setattr(client_listener, "CLOSES_AFTER_US", 0)
         assert made.call("/api/evacuate", "POST")[0] == 200
         assert made.turn(lambda: made.made.phase == "draining")
         client = made.connect()
-        let_go, name = door.let_go, "let_go"
+        let_go, name = door.close_while_draining, "close_while_draining"
     else:
-        last_call, let_go, name = door.last_call, door.close_all_idle, "close_all_idle"
+        last_call, let_go, name = door.accept_waiting, door.close_all_idle, "close_all_idle"
         clients = []
 
         def last(*how):
             clients.append(made.connect())  # the last one that the machine takes in
             last_call(*how)
 
-        door.last_call = last
+        door.accept_waiting = last
         made.ends()
         assert made.turn(lambda: made.made.phase == "leaving")
         made.jumps(40)
@@ -815,7 +815,7 @@
 
 def test_an_answer_half_written_at_the_signal_is_written_to_its_end(serving, monkeypatch):
     monkeypatch.setattr(graceful_shutdown, "EXIT_MARGIN_US", 60_000_000)
-    monkeypatch.setattr(protocol_clients, "SLOW", 100_000_000)
+    monkeypatch.setattr(client_connection, "SEND_TIMEOUT_US", 100_000_000)
     made = serving().serving()
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -1065,7 +1065,7 @@
         client = made.taken()
         theirs, _ = made.rig.called(made.sock)
         assert made.turn(lambda: made.job("a1").launches[0].sent)
-        monkeypatch.setattr(protocol_clients.http, "left", breaks)
+        monkeypatch.setattr(client_connection.http, "has_left", breaks)
         client.sendall(b"x")
     assert b" 500 " in made.rig.reply(client)
     assert made.turn(lambda: not made.made.router.jobs)
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -266,7 +266,7 @@
     second = dispatcher.asked("a2")
     assert dispatcher.turn(lambda: dispatcher.verdict_count(Verdict.JOIN) == 1)
     first.close()  # who leaves doesn't take the job along
-    dispatcher.turn(lambda: dispatcher.made.listener.in_hand == 1)
+    dispatcher.turn(lambda: dispatcher.made.listener.jobs.in_hand == 1)
     answers(worker, b"a1")
     assert is_answer(dispatcher.rig.reply(second))
     assert is_answer(dispatcher.reply("a3"))
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -25,13 +25,13 @@
     Scheduler.set_excluded = by_hand
     from mastledge.protocol.worker_connections import WorkerConnections
 
-    sent = WorkerConnections.sent_lawfully
+    sent = WorkerConnections.write_while_lawful
 
-    def sent_lawfully(self, conn, peer, *how):
-        peer.out = False
+    def write_while_lawful(self, conn, peer, *how):
+        peer.excluded = False
         return sent(self, conn, peer, *how)
 
-    WorkerConnections.sent_lawfully = sent_lawfully
+    WorkerConnections.write_while_lawful = write_while_lawful
 
 
 def twice():
@@ -71,15 +71,15 @@
             self.jobs[job_id].ended = True
 
     Scheduler.job_arrived = kept
-    from mastledge.protocol import client_listener
+    from mastledge.protocol import client_jobs
 
-    outcome = client_listener.ClientListener.outcome
+    outcome = client_jobs.ClientJobs.answer
 
     def slow(self, conn, exchange):
         exchange.until += 400_000
         return (yield from outcome(self, conn, exchange))
 
-    client_listener.ClientListener.outcome = slow
+    client_jobs.ClientJobs.answer = slow
 
 
 def forgetful():
@@ -93,12 +93,12 @@
     """Launches on workers that the list says are draining."""
     from mastledge.protocol.discovery import Discovery
 
-    entry = Discovery.entry
+    parse_entry = Discovery.parse_entry
 
-    def ready(self, one):
-        return entry(self, {**one, "lifecycle": "ready"})
+    def ready(self, entry):
+        return parse_entry(self, {**entry, "lifecycle": "ready"})
 
-    Discovery.entry = ready
+    Discovery.parse_entry = ready
 
 
 def cold():
