--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -31,6 +31,7 @@
 from mastledge.replication import inputs
 from mastledge.replication.inputs import JobOutcome
 from mastledge.replication.outputs import Verdict
+from mastledge.scheduling.decisions import FollowEndpoints, KillJob, LaunchJob, RejectJob, RevokeLaunch
 
 LINK = 100, 600  # microseconds on the way, least and most
 BOOT = 200_000, 320_000  # from the start of a process to its first step
@@ -133,7 +134,7 @@
         self.up = self.ready = False
         self.until, self.deferred = 0, []
         self.kept, self.late, self.silent = None, 0, False
-        self.jobs, self.balancer, self.ramp, self.restored = {}, None, None, None
+        self.jobs, self.scheduler, self.ramp, self.restored = {}, None, None, None
         self.newest_list = NewestList()
         self.claims, self.numbers = {}, 0
 
@@ -155,7 +156,7 @@
         seed = (world.seed * 64 + self.n) * 1000 + self.life
         self.jobs, self.count, self.wake_at, self.generation, self.listed = {}, 0, None, None, {}
         self.out, self.heard_restricted = frozenset(), {}
-        self.balancer = world.decisions(settings, seed, now)
+        self.scheduler = world.decisions(settings, seed, now)
         recovery = world.scenario.recovery
         self.ramp, self.restored = None, None
         if recovery:
@@ -168,7 +169,7 @@
             self.newest_list.restore(self.restored.generation, self.restored.restricted())
             if self.restored.workers:
                 some = [(id, one.state, one.started_at) for id, one in self.restored.workers.items()]
-                self.balancer.members(now, "cached", entries_of(some))
+                self.scheduler.update_endpoints(now, "cached", entries_of(some))
         if world.keys is not None:
             world.keys.hosts[self.name].start()
         if world.agreeing:
@@ -179,13 +180,13 @@
     def crash(self):
         """All that it held is gone; connections break."""
         world = self.world
-        if world.scenario.recovery and self.balancer is not None:
+        if world.scenario.recovery and self.scheduler is not None:
             self.kept = self.keep()
         self.up = self.ready = False
         self.life += 1
         if world.agreeing and world.nodes[self.name].up:
             world.nodes[self.name].crash()
-        self.balancer = self.ramp = self.restored = None
+        self.scheduler = self.ramp = self.restored = None
         if world.keys is not None:
             world.keys.hosts[self.name].crash()
         claims, self.claims = self.claims, {}
@@ -202,13 +203,13 @@
     def keep(self):
         """What its folder has of it, as `program.recovery` writes it down."""
         now, out, workers = self.world.now, {}, {}
-        for wkr in self.balancer.workers.values():
+        for wkr in self.scheduler.workers.values():
             workers[wkr.id] = StoredWorker(wkr.state, wkr.born, ["", 0])
-            known = [launch for launch in wkr.out.values() if launch.sent <= now - KEPT]
+            known = [launch for launch in wkr.in_flight.values() if launch.sent_at <= now - KEPT]
             if known:
-                last = max(launch.job.last for launch in known)
+                last = max(launch.job.deadline for launch in known)
                 out[wkr.id] = UnfinishedLoad(wkr.born, ["", 0], sum(launch.load for launch in known), last)
-        learned = {id: LearnedWorker(*told[:3], []) for id, told in self.balancer.learned().items()}
+        learned = {id: LearnedWorker(*told[:3], []) for id, told in self.scheduler.learned_state().items()}
         return RecoveryRecord(
             unix_us=now,
             registry="lab",
@@ -234,10 +235,10 @@
             return
         world, now = self.world, self.world.now
         if self.ramp is not None:
-            slots = sum(wkr.slots * self.balancer.warmth(wkr, now) for wkr in self.balancer.ready)
+            slots = self.scheduler.usable_slots(now)
             self.ramp.resize(slots, world.settings["dispatchers"])
             self.ramp.update(now)
-        if not self.ready and self.may_act() and self.balancer.ready:
+        if not self.ready and self.may_act() and self.scheduler.ready:
             self.ready = True
             if self.ramp is not None:
                 self.take_over(now)
@@ -246,9 +247,9 @@
         world.at(100_000 if self.ready else 10_000, self.look, life)
 
     def take_over(self, now):
-        workers = {wkr.id: WorkerIdentity(wkr.born, ["", 0]) for wkr in self.balancer.workers.values()}
+        workers = {wkr.id: WorkerIdentity(wkr.born, ["", 0]) for wkr in self.scheduler.workers.values()}
         inherited = inherited_workers(self.restored, now, workers)
-        self.balancer.inherited(now, {id: one.fields() for id, one in inherited.items()})
+        self.scheduler.restore_learned(now, {id: one.fields() for id, one in inherited.items()})
         others = [one for one in self.world.dispatchers.values() if one is not self and one.up]
         some = [others[self.world.draw(len(others))] for _ in range(min(5, len(others)))]
         loads = [PeerLoad(one.ramp.in_flight, not one.ramp.limited) for one in some if one.ramp]
@@ -256,7 +257,7 @@
         self.ramp.start(now)
 
     def exclude_by_newer_list(self):
-        known = {wkr.id: wkr.born for wkr in self.balancer.workers.values()}
+        known = {wkr.id: wkr.born for wkr in self.scheduler.workers.values()}
         excluded = self.newest_list.excluded(self.generation, known)
         if self.generation is not None and not excluded:
             self.newest_list.restricted = {}
@@ -277,7 +278,7 @@
         out = frozenset({*agreed, *self.excluded_by_newer_list})
         if out != self.out:
             self.out = out
-            self.balancer.by_hand(now, out, back)
+            self.scheduler.set_excluded(now, out, back)
             for job in self.jobs.values():
                 for launch in job.launches:
                     if launch.wkr.name in out and not launch.sent and not launch.ended:
@@ -303,12 +304,12 @@
         world = self.world
         self.generation = generation
         world.note("told", who=self.name, generation=generation)
-        self.balancer.members(world.now, kind, entries_of(entries))
+        self.scheduler.update_endpoints(world.now, kind, entries_of(entries))
         self.pull()
 
     def changed(self, life):
         """All that has become visible since the last time: a watch is in order."""
-        if life != self.life or self.balancer is None or self.generation is None:
+        if life != self.life or self.scheduler is None or self.generation is None:
             return
         if self.silent or self.world.list_down:
             self.world.at(50_000, self.changed, life)
@@ -333,7 +334,7 @@
 
     def arrive(self, job, life):
         world = self.world
-        if life != self.life or self.balancer is None:
+        if life != self.life or self.scheduler is None:
             world.client_lost(job, "ConnectionError")
             return
         if self.frozen(self.arrive, job, life):
@@ -365,7 +366,7 @@
         job.n = self.count
         self.jobs[job.n] = job
         types = [one.name for one in world.scenario.clients.queue_types]
-        self.balancer.arrived(now, job.n, types.index(job.kind.name), 0, 0, 1.0, 0.0, 0, job.until - now)
+        self.scheduler.job_arrived(now, job.n, types.index(job.kind.name), 0, 0, 1.0, 0.0, 0, job.until - now)
         self.pull()
 
     # Keys
@@ -442,25 +443,25 @@
                 self.ramp.record_outcome(
                     self.world.now, AdmittedJobOutcome.FAILED, self.world.now - job.began
                 )
-            self.balancer.abandoned(self.world.now, job.n)
+            self.scheduler.job_abandoned(self.world.now, job.n)
             self.pull()
 
     def hear(self, launch, what):
         """News of a launch from its worker, or of its connection."""
         world, job = self.world, launch.job
-        if launch.life != self.life or launch.ended or self.balancer is None:
+        if launch.life != self.life or launch.ended or self.scheduler is None:
             return
         if self.frozen(self.hear, launch, what):
             return
         now = world.now
         if what == "started":
             launch.began = now
-            self.balancer.started(now, job.n, launch.n)
+            self.scheduler.launch_started(now, job.n, launch.n)
         else:
             launch.ended = True
             if what == "completed":
                 self.answer(job, 200, 0, f"{launch.wkr.name} {job.name}")
-            self.balancer.ended(now, job.n, launch.n, what, now - launch.at, not job.open, ())
+            self.scheduler.launch_ended(now, job.n, launch.n, what, now - launch.at, not job.open, ())
             if not job.open and all(one.ended for one in job.launches):
                 self.jobs.pop(job.n, None)
         self.pull()
@@ -468,16 +469,30 @@
     def pull(self):
         world = self.world
         now = world.now
-        while (decision := self.balancer.decide(now)) is not None:
-            what, *fields = decision
-            getattr(self, "do_" + what)(now, *fields)
-        at = self.balancer.wake_at()
+        while (decision := self.scheduler.decide(now)) is not None:
+            self.carry_out(now, decision)
+        at = self.scheduler.wake_at()
         if at is not None:
             at = max(at, now + 1)
             if self.wake_at is None or at < self.wake_at or self.wake_at <= now:
                 self.wake_at = at
                 world.at(at - now, self.wake, self.life, at)
 
+    def carry_out(self, now, decision):
+        match decision:
+            case LaunchJob(job, worker, within):
+                self.do_launch(now, job, worker, within)
+            case RejectJob(job, retry_after):
+                self.do_reject(now, job, retry_after)
+            case KillJob(job):
+                self.do_kill(now, job)
+            case RevokeLaunch(job, number):
+                self.do_revoke(now, job, number)
+            case FollowEndpoints():
+                pass  # every change of the list reaches the dispatchers of the emulation
+            case _:
+                raise TypeError(f"no such decision: {decision}")
+
     def wake(self, life, at):
         if life != self.life or not self.up or self.wake_at != at:
             return
@@ -529,9 +544,6 @@
         if launch is not None and not launch.ended:
             self.world.at(0, self.hear, launch, "revoked" if launch.sent else "unsent")
 
-    def do_follow(self, now, on):
-        pass
-
 
 class Keys(copying.Fleet):
     """Copies of keys on the emulation's clock: their links, disks, and when each hears who holds them."""
@@ -565,7 +577,7 @@
         super().step(member, input)
         world = self.fleet
         dispatcher = world.dispatchers.get(self.name)
-        if self.up and dispatcher is not None and dispatcher.balancer is not None:
+        if self.up and dispatcher is not None and dispatcher.scheduler is not None:
             dispatcher.by_hand()
 
 
--- a/mastledge/program/dispatcher.py
+++ b/mastledge/program/dispatcher.py
@@ -4,7 +4,6 @@
 import socket
 import time
 
-from mastledge.balance import Balancer
 from mastledge.program.connection_handoff import ConnectionHandoff
 from mastledge.program.excluded_workers import ExcludedWorkers
 from mastledge.program.graceful_shutdown import GracefulShutdown
@@ -22,6 +21,7 @@
 from mastledge.protocol.discovery import Discovery
 from mastledge.protocol.worker_connections import WorkerConnections
 from mastledge.routing.router import Router
+from mastledge.scheduling.scheduler import Scheduler
 from mastledge.transport.budget import Budget
 from mastledge.transport.listening import BACKLOG, bind_socket, select_listener
 from mastledge.transport.loop import Loop, Queue
@@ -95,8 +95,8 @@
         self.discovery = Discovery(loop, budget, inbox, configuration["discovery"], edges, log)
         self.workers = WorkerConnections(loop, budget, inbox, settings, log)
         self.listener = ClientListener(loop, budget, inbox, edges, log)
-        balancer = Balancer(settings_for_decisions(settings), configuration["seed"], loop.now())
-        self.router = Router(loop, inbox, balancer, self.workers, self.discovery, log)
+        scheduler = Scheduler(settings_for_decisions(settings), configuration["seed"], loop.now())
+        self.router = Router(loop, inbox, scheduler, self.workers, self.discovery, log)
         self.handoff = ConnectionHandoff(loop, budget, self.listener, settings, log)
 
     def _add_upgrade_parts(self, configuration, folder):
--- a/mastledge/program/operator_api.py
+++ b/mastledge/program/operator_api.py
@@ -65,7 +65,7 @@
             "upstream_tries": workers.tries,
             "in_progress": listener.in_hand,
             "known_workers": len(router.peers),
-            "skipped_workers": router.balancer.skipped(self._program.loop.now()),
+            "skipped_workers": router.scheduler.count_skipped_workers(self._program.loop.now()),
         }
         return "".join(f"svc.{name}={figure}\n" for name, figure in figures.items())
 
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -171,9 +171,9 @@
         )
 
     def _resize_ramp(self, now: int) -> None:
-        balancer = self._program.router.balancer
+        scheduler = self._program.router.scheduler
         # Also those that are ejected here: that is this one's own view, and ends by jobs that are admitted.
-        slots = sum(worker.slots * balancer.warmth(worker, now) for worker in balancer.ready)
+        slots = scheduler.usable_slots(now)
         self.ramp.resize(slots, self._program.configuration["settings"]["dispatchers"])
 
     def _advance_stages(self, now: int) -> None:
@@ -225,7 +225,7 @@
         self.poll.receive(name, content)
 
     def inherited(self) -> dict[str, list]:
-        """What the decisions begin with by worker id, as `Balancer.inherited` takes it."""
+        """What the decisions begin with by worker id, as `Scheduler.restore_learned` takes it."""
         unix_now, starts = self._clock.unix_now(), worker_starts(self._program)
         workers = {
             id: WorkerIdentity(starts[id], endpoint.address)
--- a/mastledge/program/sibling_watch.py
+++ b/mastledge/program/sibling_watch.py
@@ -41,7 +41,7 @@
             self.divide_slow_start_budget()
             if self._dispatcher.phase in (Phase.SERVING, Phase.DRAINING) and loop.now() >= write_learned_at:
                 write_learned_at = loop.now() + WRITE_LEARNED_EVERY_US
-                self._shared_state.write_learned(self._dispatcher.router.balancer.learned())
+                self._shared_state.write_learned(self._dispatcher.router.scheduler.learned_state())
             yield (-1, 0, loop.now() + (POLL_WITH_SIBLING_US if divided else POLL_US))
 
     def _clear_old_marks(self):
--- a/mastledge/recovery/restored_state.py
+++ b/mastledge/recovery/restored_state.py
@@ -74,7 +74,7 @@
     load: float
 
     def fields(self) -> list:
-        """The form that `Balancer.inherited` takes."""
+        """The form that `Scheduler.restore_learned` takes."""
         return [self.slots, self.peak, self.slow, self.asides, self.load]
 
 
--- /dev/null
+++ b/mastledge/scheduling/scheduler.py
@@ -0,0 +1,398 @@
+"""The decisions of one dispatcher as its host calls them; docs/interface.md describes the calls.
+
+Inputs only update what is known. Then the host calls `decide` until that gives None, and again no later than
+`wake_at`. Times are whole microseconds.
+"""
+
+from collections import deque
+from collections.abc import Collection, Hashable, Iterable, Sequence
+
+from mastledge.scheduling.admission import AdmissionControl
+from mastledge.scheduling.affinity import KeyAffinity
+from mastledge.scheduling.decisions import (
+    Decision,
+    FollowEndpoints,
+    KillJob,
+    LaunchJob,
+    RejectJob,
+    RevokeLaunch,
+    SendLoadMessage,
+)
+from mastledge.scheduling.eligibility import Eligibility
+from mastledge.scheduling.estimation import FleetEstimates
+from mastledge.scheduling.fleet_view import EndpointPoll, FleetView, ListKind
+from mastledge.scheduling.gossip import LoadGossip
+from mastledge.scheduling.hedging import LaunchMonitor, Verdict
+from mastledge.scheduling.intake import ANSWER_STEPS, JobIntake
+from mastledge.scheduling.launching import Launcher
+from mastledge.scheduling.learned_state import learned_state, restore_learned
+from mastledge.scheduling.learning import OutcomeLearner
+from mastledge.scheduling.load_reports import LoadReports
+from mastledge.scheduling.other_load import OtherLoad
+from mastledge.scheduling.outcomes import GIVEN_UP, REJECTED, Outcome, may_have_run, repeat_is_harmless
+from mastledge.scheduling.outliers import OutlierDetector
+from mastledge.scheduling.prediction import (
+    fade_slowness,
+    move_in_curve,
+    remove_from_curve,
+    remove_if_connection_is_dead,
+    slowness,
+)
+from mastledge.scheduling.random_source import RandomSource
+from mastledge.scheduling.retry import relaunch_limits
+from mastledge.scheduling.selection import WorkerSelector
+from mastledge.scheduling.slow_start import SlowStart, least_warmth
+from mastledge.scheduling.state import Job, Launch, QueueType, Worker
+from mastledge.scheduling.subset import CandidateSubset
+from mastledge.scheduling.timers import Timers
+from mastledge.scheduling.traffic import Traffic
+
+SURVEY_INTERVAL_US = 1_000_000
+HELD_STEPS = 5  # steps of the clock after which a job that no worker may get is looked at again
+
+
+class Scheduler:
+    """One dispatcher's decisions. Its parts are public for tests and for the laboratory's policies."""
+
+    def __init__(
+        self, settings: dict, seed: int, now: int, selector_type: type[WorkerSelector] = WorkerSelector
+    ):
+        """The settings map is copied; all chance comes from the seed."""
+        # One map that all parts share; `reconfigure` replaces what is in it.
+        self.settings = settings = dict(settings)
+        self.queue_types: list[QueueType] = []
+        self.jobs: dict = {}
+        self.random, self.timers, self.fleet = RandomSource(seed), Timers(), FleetView()
+        self.traffic = Traffic(settings)
+        self._adopt_terms()
+        self.estimates = FleetEstimates(self.queue_types, settings["step"])
+        self.admission = AdmissionControl(settings, self.random, self.traffic, self.estimates, now)
+        self.admission.adopt(self.queue_types)
+        self.reports = LoadReports(settings, self.fleet, self.estimates, self.admission)
+        self.gossip = LoadGossip(settings, self.fleet)
+        self.other_load = OtherLoad(settings, self.estimates, self.reports, self.gossip)
+        self.affinity = KeyAffinity(self.fleet, self.estimates)
+        self.intake = JobIntake(settings, self.estimates, self.affinity, self.gossip, self.traffic)
+        self.outliers = OutlierDetector(self.fleet)
+        self.subset = CandidateSubset(settings, self.random, self.fleet)
+        self.slow_start = SlowStart(settings, self.random, self.fleet, self.subset, self.traffic)
+        self.eligibility = Eligibility(self.fleet, self.outliers, self.slow_start)
+        self.selector = selector_type(
+            settings, self.random, self.fleet, self.subset, self.affinity, self.eligibility, self.other_load
+        )
+        self.monitor = LaunchMonitor(
+            settings, self.timers, self.selector, self.outliers, self.admission, self.estimates, self.traffic
+        )
+        self.launcher = Launcher(
+            settings, self.timers, self.affinity, self.other_load, self.slow_start, self.monitor
+        )
+        self.learner = OutcomeLearner(
+            settings, self.estimates, self.traffic, self.affinity, self.outliers, self.other_load
+        )
+        self._pending, self._revocations = deque(), deque()  # jobs to decide on, launches to revoke
+        self._survey_at, self._shutdown_at = now, None
+        self.poll = EndpointPoll(settings, self.random)
+        self.poll.begin(now)
+        self.survey()
+
+    # What hosts may read.
+
+    @property
+    def workers(self) -> dict:
+        """All workers that are known, by id."""
+        return self.fleet.workers
+
+    @property
+    def ready(self) -> list:
+        """The workers that may get jobs."""
+        return self.fleet.ready
+
+    def usable_slots(self, now: int) -> float:
+        """The slots of all ready workers, of those that warm up as much as they have at the least."""
+        return sum(worker.slots * least_warmth(worker, now, self.settings) for worker in self.ready)
+
+    def learned_state(self) -> dict[str, list]:
+        """What a process that takes over starts from, in plain values and by the text of ids."""
+        return learned_state(self.ready)
+
+    def count_skipped_workers(self, now: int) -> int:
+        """How many workers of the list get nothing now."""
+        return self.fleet.count_skipped(now)
+
+    # Inputs about the dispatcher and its workers.
+
+    def update_endpoints(self, now: int, kind: ListKind, entries: Iterable[tuple]) -> None:
+        """News of the endpoint list; docs/interface.md says what an entry is."""
+        if kind == ListKind.FAILED:
+            self.poll.failed(now)
+            return
+        if kind != ListKind.CACHED:
+            self.poll.answered()
+        self.fleet.update(now, kind != ListKind.CHANGES, entries)
+        self.fleet_changed()
+
+    def set_excluded(self, now: int, excluded: Collection[str], called_back: dict[str, int]) -> None:
+        """Workers excluded by an operator, by the text of ids, and when others were called back."""
+        self.fleet.set_excluded(now, excluded, called_back)
+        self.fleet_changed()
+
+    def load_message_received(  # noqa: PLR0913 - the fields of a load message
+        self,
+        now: int,
+        sender: int,
+        told_at: int,
+        loads: Iterable[tuple[int, float]],
+        wants: Iterable[tuple[int, float]],
+    ) -> None:
+        """What another dispatcher has in flight at each worker, and the keys that its jobs wanted lately."""
+        if self.gossip.receive(now, sender, told_at, loads):
+            self.affinity.add_wants(wants)
+
+    def reconfigure(self, now: int, settings: dict) -> None:
+        """New settings: open jobs keep the terms that they were taken under, and what was learned stays."""
+        follow = self.settings["follow"]
+        self.settings.clear()
+        self.settings.update(settings)
+        self._adopt_terms()
+        self.admission.adopt(self.queue_types)
+        if settings["follow"] != follow:
+            self.poll.begin(now)
+        self.survey()
+
+    def set_traffic_share(self, now: int, share: float) -> None:
+        """This process's part of the dispatcher, where that is two processes."""
+        self.traffic.share = share
+
+    def restore_learned(self, now: int, learned: dict[str, list]) -> None:
+        """What another process of this dispatcher has learned, once at the start."""
+        restore_learned(self.ready, learned, now)
+        self.survey()
+
+    def shut_down_at(self, now: int, last: int) -> None:
+        """The host ends then: what is open is given up while that can still be told."""
+        self._shutdown_at = last - ANSWER_STEPS * self.settings["step"]
+        for job in self.jobs.values():
+            job.deadline = min(job.deadline, self._shutdown_at)
+            self.timers.set(job.deadline, job)
+
+    # Inputs about jobs and launches; of those that are no longer known they are passed over.
+
+    def job_arrived(  # noqa: PLR0913 - a call for each job: an object for its terms would cost CPU
+        self,
+        now: int,
+        job_id: Hashable,
+        queue_type: int,
+        hint: int,
+        key: int,
+        width: float,
+        memory: float,
+        tenant: int,
+        patience: int,
+    ) -> None:
+        """A job was taken; hint 0 and key 0 mean none, patience is what is left of this attempt."""
+        job = Job(job_id, self.queue_types[queue_type], now)
+        job.key, job.hint, job.load, job.tenant = key, hint, max(width, memory), tenant
+        self.intake.take(job, patience, now, self._shutdown_at)
+        self.monitor.job_arrived()
+        self.jobs[job_id] = job
+        self._pending.append(job)
+        self.timers.set(job.deadline, job)
+
+    def job_abandoned(self, now: int, job_id: Hashable) -> None:
+        """The client left."""
+        job = self.jobs.get(job_id)
+        if job is not None and not job.ended:
+            self.close_job(job)
+
+    def launch_started(self, now: int, job_id: Hashable, number: int) -> None:
+        """The worker tells that the launch began."""
+        launch = self._find_launch(job_id, number)
+        if launch is None or launch.started_at or launch.ended:
+            return
+        job, worker = launch.job, launch.worker
+        launch.started_at = launch.heard_at = worker.heard_at = now
+        if launch.curve_entry is None:
+            return
+        if job.in_flight > 1 and self.settings["may_revoke"]:
+            self._revocations.extend(
+                other for other in job.launches if not other.started_at and not other.ended
+            )
+        wait = self.other_load.observe_start(launch, now)
+        self.admission.observe_wait(max(0, wait), now)
+        end = now + int((launch.mean + job.variation) * slowness(worker, now, self.settings))
+        move_in_curve(launch, end)
+        self.timers.set(end, launch)
+
+    def launch_progressed(self, now: int, job_id: Hashable, number: int, share: float) -> None:
+        """The worker tells the share that is done."""
+        launch = self._find_launch(job_id, number)
+        if launch is not None and not launch.ended:
+            launch.heard_at = launch.worker.heard_at = now
+
+    def launch_silent(self, now: int, job_id: Hashable, number: int) -> None:
+        """The worker has not even told that it has the launch, in a time in which others have."""
+        launch = self._find_launch(job_id, number)
+        if launch is not None:
+            remove_if_connection_is_dead(launch)
+
+    def launch_ended(  # noqa: PLR0913 - a call for each launch: an object for its end would cost CPU
+        self,
+        now: int,
+        job_id: Hashable,
+        number: int,
+        outcome: Outcome,
+        lag: int,
+        final: bool,
+        report: Sequence[float],
+    ) -> None:
+        """The launch ended, `lag` after its sending; `final`: so did its job; `report`: load, or nothing."""
+        launch = self._find_launch(job_id, number)
+        if launch is None or launch.ended:
+            return
+        job = launch.job
+        launch.ended, launch.may_have_run = True, may_have_run(outcome)
+        job.in_flight -= 1
+        if launch.curve_entry is not None:
+            remove_from_curve(launch)
+            # What never started waited longest, and would be missing where most is moved or rejected.
+            if outcome in REJECTED:
+                self.admission.observe_wait(self.admission.mean_slack, now)
+            elif outcome in GIVEN_UP and not launch.started_at:
+                self.admission.observe_wait(now - launch.sent_at, now)
+        self.learner.learn(launch, outcome, lag, now)
+        self.reports.learn(launch, report, now)
+        if final or job.ended:
+            self.close_job(job)
+        else:
+            self._pending.append(job)
+
+    def wake_at(self) -> int | None:
+        """The latest time of the next call of `decide`; None: nothing is due."""
+        soon, ask_at, message_at = self.timers.next_due(), self.poll.ask_at, self.gossip.message_at
+        if ask_at is None and message_at is None:
+            return soon
+        return min(at for at in (soon, ask_at, message_at) if at is not None)
+
+    def decide(self, now: int) -> Decision | None:
+        """The next decision; None: there is none now."""
+        if self._survey_at <= now:
+            self.fade(now)
+        # Calls whose answer is plain are left out: most decisions are none of these.
+        poll, gossip = self.poll, self.gossip
+        if poll.ask_at is not None and poll.is_due(now):
+            return FollowEndpoints()
+        if gossip.message_at is not None and gossip.is_due(now, bool(self.jobs)):
+            return SendLoadMessage(now, *gossip.message())
+        while (subject := self.timers.pop_due(now)) is not None:
+            if subject.__class__ is Launch:
+                self.check_launch(subject, now)
+            else:
+                self._pending.append(subject)
+        while self._revocations:
+            launch = self._revocations.popleft()
+            if not launch.ended and not launch.revoked:
+                launch.revoked = True
+                return RevokeLaunch(launch.job.id, launch.number)
+        while self._pending:
+            job = self._pending.popleft()
+            if not job.ended and (decision := self.decide_job(job, now)) is not None:
+                return decision
+        return None
+
+    def decide_job(self, job: Job, now: int) -> Decision | None:
+        """What to do with a job now; None: nothing."""
+        if now >= job.deadline:
+            return self.reject_or_kill(job, 0)
+        wants_hedge, job.wants_hedge = job.wants_hedge, False
+        if job.in_flight and not wants_hedge:
+            return None
+        limits = relaunch_limits(job, self.settings["launches"], now)
+        if limits is None:
+            return None if job.in_flight else self.reject_or_kill(job, 0)
+        best, wait = self.selector.pick(job, now, limits.group_of)
+        if best is None:
+            return self._hold(job, now, limits)
+        self.admission.update_pressure(now)
+        if not job.launches and self.admission.sheds(job, wait, best, now):
+            return self.reject_or_kill(job, wait)
+        if job.in_flight:
+            self.monitor.budget -= 1
+        return self.launch(job, best, now, limits.until)
+
+    def reject_or_kill(self, job: Job, wait: float) -> RejectJob | KillJob:
+        """A rejection says that trying again is harmless; where that is not known the job is killed."""
+        is_harmless = repeat_is_harmless(job)
+        self.close_job(job)
+        if is_harmless:
+            return RejectJob(job.id, self.admission.retry_after(wait))
+        return KillJob(job.id)
+
+    def launch(self, job: Job, worker: Worker, now: int, until: int | None = None) -> LaunchJob:
+        """Sends the job to the worker, before that time if there is one."""
+        return self.launcher.launch(job, worker, now, until)
+
+    def check_launch(self, launch: Launch, now: int) -> None:
+        """Looks at a launch whose time has come, and does what follows."""
+        job, verdict = launch.job, self.monitor.check(launch, now)
+        if verdict is Verdict.GIVE_UP:
+            job.deadline = now
+            self._pending.append(job)
+        elif verdict is Verdict.HEDGE:
+            job.wants_hedge = True
+            self._pending.append(job)
+        elif verdict is Verdict.MOVE:
+            self.monitor.budget -= 1
+            self._revocations.append(launch)
+
+    def _hold(self, job, now, limits):
+        """No worker is eligible: the job is held until its target, or longer where it may have run."""
+        if job.in_flight:
+            return None
+        connect_timeout = self.settings["connect_timeout"]
+        if limits.group_of is None and now >= max(job.target_at, job.arrived_at + connect_timeout):
+            return self.reject_or_kill(job, connect_timeout)
+        self.timers.set(now + HELD_STEPS * self.settings["step"], job)
+        return None
+
+    def _find_launch(self, job_id, number):
+        job = self.jobs.get(job_id)
+        return job.launches[number] if job is not None and number < len(job.launches) else None
+
+    def close_job(self, job: Job) -> None:
+        """The job has its final answer; what is in flight for it is revoked where that is possible."""
+        job.ended = True
+        if not job.in_flight:
+            self.jobs.pop(job.id, None)
+        elif self.settings["may_revoke"]:
+            self._revocations.extend(launch for launch in job.launches if not launch.ended)
+
+    def _adopt_terms(self):
+        """Queue types and tenants are told from those before by name, and keep what was learned of them."""
+        before = {queue_type.name: queue_type for queue_type in self.queue_types}
+        terms = self.settings["queue_types"]
+        self.queue_types = [QueueType(one, before.get(one["name"])) for one in terms]
+        self.traffic.adopt(self.settings["tenants"])
+
+    def fleet_changed(self) -> None:
+        """Other workers are ready."""
+        self.affinity.fleet_changed()
+        self.survey()
+
+    def fade(self, now: int) -> None:
+        """Once a second: what was learned fades, and figures over the whole fleet are taken."""
+        self._survey_at = now + SURVEY_INTERVAL_US
+        self.traffic.fade()
+        self.survey()
+        self.gossip.expire(now)
+        self.affinity.fade()
+        fade_slowness(self.ready, self.estimates.running_time.mean)
+        self.slow_start.update_warming_up(now)
+
+    def survey(self) -> None:
+        """Figures over the whole fleet: taken for each job they cost more than deciding."""
+        slots_are_reported = self.reports.survey()
+        self.outliers.count()
+        self.slow_start.survey(self.queue_types, slots_are_reported)
+        self.traffic.survey()
+        self.subset.survey(self.traffic.arrival_rate)
+        self.gossip.survey(self.traffic.arrival_rate)
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -2,7 +2,7 @@
 
 import msgspec
 import orjson
-from helpers import HERE, Rig, arrive, balancer, entry, pull
+from helpers import HERE, Rig, arrive, entry, pull, scheduler
 from test_program import GOOD, file
 from test_restored_state import record, restored
 from test_terms import Agent
@@ -16,6 +16,7 @@
 from mastledge.recovery import fleet_snapshot
 from mastledge.recovery.recovery_record import RecoveryRecord, StoredWorker
 from mastledge.replication.placement import Placement
+from mastledge.scheduling.decisions import LaunchJob
 
 MANY = 1024  # processes
 WORKERS = 4096
@@ -40,16 +41,16 @@
 
 
 def test_the_decisions_know_many_workers_and_many_dispatchers():
-    made = balancer(workers=WORKERS, dispatchers=MANY)
+    made = scheduler(workers=WORKERS, dispatchers=MANY)
     arrive(made)
-    ((what, _, wkr, _),) = pull(made, 0)
-    assert what == "launch" and len(made.ready) == WORKERS
-    made.members(10, "changes", [entry(i, "draining") for i in range(WORKERS - 1)])
+    (decision,) = pull(made, 0)
+    assert isinstance(decision, LaunchJob) and len(made.ready) == WORKERS
+    made.update_endpoints(10, "changes", [entry(i, "draining") for i in range(WORKERS - 1)])
     arrive(made, 20, 2)
-    ((what, _, wkr, _),) = pull(made, 20)
-    assert wkr == WORKERS - 1
-    made.members(30, "whole", [entry(i, born=25) for i in range(WORKERS)])
-    room = sum(made.cold_room(one, made.jobs[2], 2_000_000) for one in made.ready)
+    (decision,) = pull(made, 20)
+    assert decision.worker == WORKERS - 1
+    made.update_endpoints(30, "whole", [entry(i, born=25) for i in range(WORKERS)])
+    room = sum(made.slow_start.within_budget(one, made.jobs[2], 2_000_000) for one in made.ready)
     assert 0 < room < WORKERS // 10  # credit for less than a job is a matter of chance
     settings = parse_settings(flatten_settings({**GOOD["settings"], "balancers": MANY}))
     assert settings["dispatchers"] == MANY
