--- a/mastledge/program/operator_client.py
+++ b/mastledge/program/operator_client.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from mastledge.program.configuration import ConfigurationError, configuration
+from mastledge.program.configuration import ConfigurationError, load_configuration
 from mastledge.transport.connection import address_of
 
 CALL_TIMEOUT_S = 3.0
@@ -86,7 +86,7 @@
         except ValueError as error:
             raise ConfigurationError(f"--control: {error}") from None
     if arguments.config:
-        address = configuration(arguments.config, os.environ)["control"]
+        address = load_configuration(arguments.config, os.environ)["control"]
         if address:
             return address
     raise ConfigurationError("no second address: give --control, --config or set GW_CONTROL")
--- a/mastledge/program/replicated_jobs.py
+++ b/mastledge/program/replicated_jobs.py
@@ -10,13 +10,13 @@
 from mastledge.idempotency import verdicts
 from mastledge.idempotency.keyed_request import request_fingerprint
 from mastledge.program.keyed_job import KILLED_REPLY, REJECTED_REPLY, Reply, rejection, replay
-from mastledge.program.keyed_service import ANSWER_MARGIN_US, KeyedService, Steps
+from mastledge.program.keyed_service import ANSWER_MARGIN_US, KeyedService
 from mastledge.protocol import http
 from mastledge.protocol.requests import COMPLETED, REJECTED, Exchange
 from mastledge.replication.inputs import ClientLeft, Input, JobEnded, JobOutcome, Offer
 from mastledge.replication.outputs import JobVerdict, Verdict
 from mastledge.transport.connection import Connection
-from mastledge.transport.loop import Task
+from mastledge.transport.loop import Coroutine, Task
 
 OUTCOME_OF_STATUS = {COMPLETED: JobOutcome.ANSWERED, REJECTED: JobOutcome.RELEASED}
 
@@ -89,7 +89,7 @@
             self._handle(ClientLeft(job.job_id))
             self._loop.cancel(job.task)
 
-    def _see_through(self, job: _Job, exchange: Exchange, arrival: tuple) -> Steps:
+    def _see_through(self, job: _Job, exchange: Exchange, arrival: tuple) -> Coroutine:
         """Runs a job to its end, also where its client has left, and wakes that one with the answer."""
         self._count_under_way(1)
         try:
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -10,7 +10,7 @@
 from mastledge.idempotency.key_table import KeyTable
 from mastledge.idempotency.verdicts import Verdict
 from mastledge.program.keyed_job import Reply, rejection
-from mastledge.program.keyed_service import DISK_RETRY_US, KeyedService, Steps, unix_now_us
+from mastledge.program.keyed_service import DISK_RETRY_US, KeyedService, unix_now_us
 from mastledge.program.replica_node import ReplicaNode
 from mastledge.program.replicated_jobs import ReplicatedJobs
 from mastledge.program.replication_api import json_answer, node_figures, requested_count
@@ -31,7 +31,7 @@
 from mastledge.storage.write_ahead_log import WriteAheadLog
 from mastledge.storage.writer import Writer
 from mastledge.transport.connection import Connection
-from mastledge.transport.loop import READ, Task
+from mastledge.transport.loop import READ, Coroutine, Task
 
 
 class ReplicationService(KeyedService):
@@ -128,7 +128,7 @@
 
     # The log
 
-    def _take_writer_results(self) -> Steps:
+    def _take_writer_results(self) -> Coroutine:
         while True:
             yield (self.writer.fd, READ, None)
             for result in self.writer.completed():
@@ -154,7 +154,7 @@
         self._rewrite_task = self.loop.spawn(self.program.supervised(self._rewrite()))
         self.tasks.append(self._rewrite_task)
 
-    def _rewrite(self) -> Steps:
+    def _rewrite(self) -> Coroutine:
         """Writes all records anew, again and again until that goes well."""
         while self.disk_failing:
             yield (-1, 0, self.loop.now() + DISK_RETRY_US)
@@ -250,7 +250,7 @@
         for message in frame.messages:
             self._replica.handle(MessageReceived(sender, frame.id, message))
 
-    def _flush_frames(self) -> Steps:
+    def _flush_frames(self) -> Coroutine:
         while True:
             self._frames.flush(self.directory_id)
             yield (-1, 0, None)
