--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -228,7 +228,7 @@
 
     def _start_node(self, committed_count: int) -> None:
         # After that all that was promised before is over, by whatever clock.
-        promise_us = self.settings["keep"] + 3 * self.program.walltime + 2 * self._fleet.told["lease"]
+        promise_us = self.settings["keep"] + 3 * self.program.longest_walltime + 2 * self._fleet.told["lease"]
         options = NodeOptions(
             name=self.name,
             directory_id=self.directory_id,
