--- a/tests/test_connection_handoff.py
+++ b/tests/test_connection_handoff.py
@@ -102,7 +102,7 @@
     assert not handing.logged(handing.new, "connection_received")
 
 
-def test_a_client_that_leaves_takes_its_handed_job_with_it(handing):
+def test_a_client_that_leaves_ends_its_handed_off_job(handing):
     handing.ends(lambda: handing.logged(handing.new, "connection_received"))
     handing.client.close()
     assert handing.turn(lambda: not handing.new.made.listener.in_hand)
@@ -117,7 +117,7 @@
     assert handing.new.made.loop.now() <= exchange.until
 
 
-def test_a_process_that_ends_with_jobs_it_took_up_answers_them(handing):
+def test_a_process_that_ends_answers_the_jobs_that_it_took_over(handing):
     handing.ends(
         lambda: handing.old.made.phase == "ended" and handing.logged(handing.new, "connection_received")
     )
@@ -150,7 +150,7 @@
         (b"{}", 0),
     ],
 )
-def test_what_cannot_be_taken_up_is_closed(raw, count, handing):
+def test_what_cannot_be_taken_over_is_closed(raw, count, handing):
     new, door = handing.new.made, listen((HERE, 0))
     door.setblocking(True)
     callers = [socket.create_connection(door.getsockname(), 2) for _ in range(count)]
@@ -175,25 +175,29 @@
 def test_a_full_queue_is_an_error_and_loses_no_connection(tmp_path):
     inlet = descriptor_passing.open_receiver(str(tmp_path / "jobs0"))
     pair = socket.socketpair()
-    count = 0
-    with pytest.raises(OSError):
-        while count < 100_000:
+    sent = []
+
+    def fill():
+        while len(sent) < 100_000:
             descriptor_passing.send_sockets(str(tmp_path / "jobs0"), b"x" * 1000, pair)
-            count += 1
+            sent.append(1)
+
+    with pytest.raises(BlockingIOError):
+        fill()
     taken = 0
     while (got := descriptor_passing.receive_sockets(inlet, 2)) is not None:
         taken += 1
         assert got[0] == b"x" * 1000
         for one in got[1]:
             one.close()
-    assert 0 < taken == count
+    assert 0 < taken == len(sent)
     for one in (inlet, *pair):
         one.close()
 
 
-def test_a_folder_that_cannot_hold_the_inlet_turns_handing_on_off(handing, tmp_path):
-    relay = handing.new.made.handoff
-    task = handing.new.made.loop.spawn(relay.listen(str(tmp_path / ("x" * 200))))
+def test_a_folder_that_cannot_hold_the_socket_disables_the_handoff(handing, tmp_path):
+    handoff = handing.new.made.handoff
+    task = handing.new.made.loop.spawn(handoff.listen(str(tmp_path / ("x" * 200))))
     assert handing.turn(lambda: task.ended) and handing.logged(handing.new, "handoff_disabled")
     assert not handing.new.rig.errors
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -56,11 +56,19 @@
             if ready
             else {}
         )
-        told = {"listen": free(), "control": free(), "known": known, "limits": {"sockets": 128}, **changed}
-        self.path = file(path, **told)
+        document = {
+            "listen": free(),
+            "control": free(),
+            "known": known,
+            "limits": {"sockets": 128},
+            **changed,
+        }
+        self.path = file(path, **document)
         self.rig = rig = Rig()
-        told = load_configuration(self.path, {})
-        self.made = made = Dispatcher(told, rig.log, lambda: load_configuration(self.path, {}), folder)
+        configuration = load_configuration(self.path, {})
+        self.made = made = Dispatcher(
+            configuration, rig.log, lambda: load_configuration(self.path, {}), folder
+        )
         rig.loop = made.loop
         made.loop.on_error = rig.errors.append
         made.begin()
@@ -210,7 +218,7 @@
     assert served.rig.reply(client).startswith(b"HTTP/1.1 400")
     served.made.listener.most_held = 100
     late = served.connect()
-    served.made.router.scheduler.job_arrived = lambda *told: None
+    served.made.router.scheduler.job_arrived = lambda *fields: None
     late.sendall(helpers.job(X_Txn="a4", X_Remaining_Ms=100))
     assert served.rig.reply(late).startswith(b"HTTP/1.1 500")
     figures = served.figures()
@@ -222,7 +230,7 @@
     ("state", "back_at", "skipped"),
     [("ready", None, 0), ("ready", 99, 1), ("ready", -1, 0), ("draining", None, 1), ("gone", None, 0)],
 )
-def test_skipped_is_what_is_listed_and_gets_nothing_now(state, back_at, skipped):
+def test_skipped_workers_are_listed_and_get_nothing_now(state, back_at, skipped):
     made = scheduler(workers=3)
     made.update_endpoints(0, "changes", [entry(0, state)])
     if back_at is not None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -178,9 +178,9 @@
 
 
 def test_a_configuration_becomes_a_plain_map(tmp_path):
-    told = load_configuration(file(tmp_path, limits={"sockets": 512}), {})
-    settings = told["settings"]
-    assert (told["listen"], told["seed"], told["sockets"]) == (("127.0.0.1", 7070), 0x8C1F, 512)
+    loaded = load_configuration(file(tmp_path, limits={"sockets": 512}), {})
+    settings = loaded["settings"]
+    assert (loaded["listen"], loaded["seed"], loaded["sockets"]) == (("127.0.0.1", 7070), 0x8C1F, 512)
     assert settings["queue_types"][0]["effect"] == "restartable" and settings["may_revoke"] is True
     assert settings["cold_for"] == 8_700_000
 
@@ -327,8 +327,8 @@
     monkeypatch.delenv("GW_CONFIG", raising=False)
     monkeypatch.setattr("sys.argv", ["mastledge", *words])
     assert main() == code
-    told = "".join(capsys.readouterr())
-    assert says in told and told.count("\n") == 1
+    printed = "".join(capsys.readouterr())
+    assert says in printed and printed.count("\n") == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -27,7 +27,7 @@
 LISTEN = ("127.0.0.1", 7070)
 
 
-def shares(folder, log=lambda event, **fields: None):
+def with_seat(folder, log=lambda event, **fields: None):
     made = UpgradeState(str(folder), LISTEN, log)
     made.take_seat()
     return made
@@ -35,24 +35,24 @@
 
 def test_two_have_a_seat_and_a_death_frees_it(tmp_path, monkeypatch):
     monkeypatch.setattr(process_seats, "ATTEMPTS", 2)
-    first = shares(tmp_path)
+    first = with_seat(tmp_path)
     assert first.alone()
-    second = shares(tmp_path)
+    second = with_seat(tmp_path)
     assert not first.alone() and not second.alone() and {first.seat, second.seat} == {0, 1}
     with pytest.raises(OSError, match="two processes") as raised:
-        shares(tmp_path)
+        with_seat(tmp_path)
     assert raised.value.errno == errno.EADDRINUSE
     first.leave()
     assert second.alone()
-    assert shares(tmp_path).seat == first.seat
+    assert with_seat(tmp_path).seat == first.seat
 
 
 def test_what_one_changes_the_other_reads_and_says_so(tmp_path):
-    one, other = shares(tmp_path), shares(tmp_path)
-    assert one.change(lambda told: told.update(out=["s-1"]))
+    one, other = with_seat(tmp_path), with_seat(tmp_path)
+    assert one.change(lambda shared: shared.update(out=["s-1"]))
     assert not one.sibling_took_up(one.shared["serial"])
     assert other.refresh() and other.shared["out"] == ["s-1"] and not other.refresh()
-    other.change(lambda told: told["seen"].update({str(other.seat): told["serial"]}), news=False)
+    other.change(lambda shared: shared["seen"].update({str(other.seat): shared["serial"]}), news=False)
     assert one.refresh() and one.sibling_took_up(1) and one.shared["serial"] == 1
     other.leave()
     assert one.sibling_took_up(99)
@@ -73,13 +73,13 @@
 )
 def test_a_state_that_cannot_be_used_is_logged_and_costs_nothing(left, tmp_path):
     logged = []
-    one = shares(tmp_path, lambda event, **fields: logged.append(event))
+    one = with_seat(tmp_path, lambda event, **fields: logged.append(event))
     with open(one.state_path, "wb") as state:
         state.write(left)
     assert not one.refresh() and one.shared == empty_shared() and logged == ["upgrade_state_unreadable"]
     assert not one.refresh() and len(logged) == 1
-    assert one.change(lambda told: told.update(out=["s-1"]))
-    other = shares(tmp_path)
+    assert one.change(lambda shared: shared.update(out=["s-1"]))
+    other = with_seat(tmp_path)
     assert other.refresh() and other.shared["out"] == ["s-1"]
 
 
@@ -87,21 +87,21 @@
     for folder in (None, str(tmp_path / "nowhere")):
         made = UpgradeState(folder, LISTEN, lambda event, **fields: None)
         made.take_seat()
-        assert made.alone() and made.change(lambda told: told.update(out=["s-1"]))
+        assert made.alone() and made.change(lambda shared: shared.update(out=["s-1"]))
         assert made.shared["out"] == ["s-1"] and not made.refresh()
 
 
 def test_a_state_that_cannot_be_written_is_held_alone_but_not_beside_another(tmp_path, monkeypatch):
-    one = shares(tmp_path)
+    one = with_seat(tmp_path)
 
     def full(*paths):
         raise OSError(errno.ENOSPC, "no space")
 
     monkeypatch.setattr(os, "replace", full)
-    assert one.change(lambda told: told.update(out=["s-1"])) and one.shared["out"] == ["s-1"]
+    assert one.change(lambda shared: shared.update(out=["s-1"])) and one.shared["out"] == ["s-1"]
     assert one.shared["serial"] == 1
-    other = shares(tmp_path)
-    assert not one.change(lambda told: told.update(out=[])) and one.shared["out"] == ["s-1"]
+    other = with_seat(tmp_path)
+    assert not one.change(lambda shared: shared.update(out=[])) and one.shared["out"] == ["s-1"]
     other.leave()
 
 
@@ -136,7 +136,7 @@
         ("changes", [entry(0, "draining")]),
     ],
 )
-def test_nothing_new_goes_to_who_is_out_whatever_the_list_says(news):
+def test_an_excluded_worker_gets_nothing_new_whatever_the_list_says(news):
     made = scheduler(workers=2)
     made.set_excluded(0, {"0"}, {})
     if news:
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize("aside", [False, True])
-def test_who_is_called_back_is_fed_as_a_cold_worker(aside):
+def test_an_included_worker_warms_up(aside):
     made = scheduler(workers=2)
     if aside:
         arrive(made, 0)
@@ -166,7 +166,7 @@
     assert (made.workers[0].born, made.workers[1].born) == (8_900_000, 9_050_000)
 
 
-def test_who_comes_back_to_the_list_after_the_call_is_cold_as_well():
+def test_an_included_worker_that_is_listed_later_warms_up_as_well():
     made = scheduler(workers=2)
     made.set_excluded(0, {"0"}, {})
     made.update_endpoints(1, "whole", [entry(1)])
@@ -176,7 +176,7 @@
 
 
 @pytest.mark.parametrize("share", [1.0, 0.5, 0.125])
-def test_two_processes_share_what_a_cold_worker_may_get(share):
+def test_two_processes_share_the_slow_start_budget_of_a_worker(share):
     made = scheduler(workers=2)
     made.set_excluded(0, (), {"0": 1})
     made.set_traffic_share(0, share)
@@ -232,7 +232,7 @@
         (["/api/exclude/s%2D1"], [200], ["s-1"]),
     ],
 )
-def test_workers_are_left_out_by_calls(steps, answers, out, tmp_path, folder):
+def test_workers_are_excluded_and_included_by_calls(steps, answers, out, tmp_path, folder):
     served = begun(tmp_path, folder).serving()
     assert calls(served, *steps) == answers and served.made.upgrade_state.shared["out"] == out
     assert served.made.router.out == frozenset(out)
@@ -277,7 +277,7 @@
     made.close()
 
 
-def test_two_share_descriptors_bodies_and_cold_budget_until_one_is_gone(pair):
+def test_two_share_descriptors_bodies_and_slow_start_budget_until_one_is_gone(pair):
     whole = 128 - 32
     assert pair.turn(lambda: all(served.made.router.scheduler.traffic.share == 0.5 for served in pair.both))
     for served in pair.both:
@@ -289,7 +289,7 @@
 
 
 @pytest.mark.parametrize("at", [0, 1])
-def test_who_is_out_is_out_in_both_before_the_yes(pair, at):
+def test_an_excluded_worker_is_excluded_in_both_before_the_answer(pair, at):
     assert pair.both[at].call("/api/exclude/s-1", "POST")[0] == 200
     assert [served.made.router.scheduler.ready for served in pair.both] == [[], []]
     assert pair.both[1 - at].call("/api/include/s-1", "POST")[0] == 200
@@ -330,7 +330,7 @@
 
 
 @pytest.mark.parametrize("drained", [False, True])
-def test_what_was_shared_after_a_death_of_all_is_out_by_hand_only(drained, tmp_path, folder):
+def test_only_excluded_workers_outlast_a_death_of_all_processes(drained, tmp_path, folder):
     old = begun(tmp_path, folder).serving()
     assert calls(old, "/api/exclude/s-1", *["/api/evacuate"] * drained) == [200] * (1 + drained)
     old.made.upgrade_state.leave()
@@ -354,7 +354,7 @@
         served.close()
 
 
-def test_a_call_is_answered_though_the_other_process_stands_still(pair, monkeypatch):
+def test_a_call_is_answered_though_the_sibling_process_stands_still(pair, monkeypatch):
     monkeypatch.setattr(operator_api, "SIBLING_TIMEOUT_US", 100_000)
     pair.both = (pair.old,)
     assert pair.old.call("/api/exclude/s-1", "POST")[0] == 200
@@ -431,7 +431,7 @@
 
 
 @pytest.mark.parametrize("late", [0, 300_000])
-def test_a_signal_right_behind_the_yes_finds_the_successor(late, pair, monkeypatch):
+def test_a_signal_right_after_the_answer_finds_the_successor(late, pair, monkeypatch):
     # It was looked for every 0.1 s only, and the old process served on as if none had come.
     old, new = pair.old.made, pair.new.made
     new.sibling.announce(ready=False)
@@ -451,7 +451,7 @@
     assert pair.turn(lambda: old.phase == "ended", 1_500_000) and old.listener.succeeded
 
 
-def test_who_hands_over_leaves_most_of_the_cold_budget_to_the_other(pair):
+def test_who_hands_over_leaves_most_of_the_slow_start_budget_to_the_other(pair):
     # Halves until the old one was gone starved the new one of cold workers: 16 jobs a second, then 34 alone.
     old, new = pair.old.made, pair.new.made
     client = pair.new.connect()
@@ -486,8 +486,8 @@
     new = begun(tmp_path, folder, listen=listen, known={})
     for _ in range(3):
         new.made.loop.run_once(2_000)
-    told = new.made.upgrade_state.shared
-    assert new.made.upgrade_state.seat == 1 and told["ready"] == [0] and told["leaving"] == []
+    state = new.made.upgrade_state
+    assert state.seat == 1 and state.shared["ready"] == [0] and state.shared["leaving"] == []
     for served in (old, dead, new):
         served.close()
 
@@ -530,7 +530,7 @@
 )
 def test_what_was_learned_long_ago_or_cannot_be_used_is_left(left, logged, tmp_path):
     events = []
-    one = shares(tmp_path, lambda event, **fields: events.append(event))
+    one = with_seat(tmp_path, lambda event, **fields: events.append(event))
     if left is not None:
         with open(one.learned_path, "wb") as file_:
             file_.write(left % time.monotonic_ns() if b"%d" in left else left)
@@ -556,7 +556,7 @@
 
 def test_the_deploy_file_runs_one_process():
     with open(os.path.join(os.path.dirname(__file__), "..", "deploy", "balancer.toml"), "rb") as deploy:
-        told = tomllib.load(deploy)
-    assert told["run"].startswith("exec ") and told["sim"].startswith("exec ")
+        site = tomllib.load(deploy)
+    assert site["run"].startswith("exec ") and site["sim"].startswith("exec ")
     root = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
-    assert all(os.path.exists(os.path.join(root, path)) for path in (*told["policy"], *told["node"]))
+    assert all(os.path.exists(os.path.join(root, path)) for path in (*site["policy"], *site["node"]))
