--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -18,7 +18,7 @@
 from mastledge.lab.load import Clients
 from mastledge.lab.rig import document, limits
 from mastledge.lab.scenario import BadScenario
-from mastledge.program.settings import flat, plain_map
+from mastledge.program.settings import flatten_settings, parse_settings
 from mastledge.recovery.admission_ramp import AdmissionRamp, AdmittedJobOutcome, PeerLoad
 from mastledge.recovery.newest_list import NewestList
 from mastledge.recovery.recovery_record import (
@@ -267,8 +267,12 @@
         if excluded_by_newer_list is not None:
             self.excluded_by_newer_list = excluded_by_newer_list
         agreed, back = (), {}
-        if world.agreeing and world.nodes[self.name].up and world.nodes[self.name].member.rules is not None:
-            state = world.nodes[self.name].member.rules.state
+        if (
+            world.agreeing
+            and world.nodes[self.name].up
+            and world.nodes[self.name].member.state_machine is not None
+        ):
+            state = world.nodes[self.name].member.state_machine.state
             agreed = state["out"]
         out = frozenset({*agreed, *self.excluded_by_newer_list})
         if out != self.out:
@@ -574,7 +578,7 @@
         self.nodes = {name: Member(self, name, 1.0) for name in (names if self.agreeing else [])}
         self.scenario, self.seed, self.show = scenario, seed, show
         self.decisions = policies.named(policy)
-        self.settings = plain_map(flat(document(scenario)))
+        self.settings = parse_settings(flatten_settings(document(scenario)))
         self.settings["may_message"] = False
         self.events, self.spells, self.late, self.lag = [], [], 0.0, 0.0
         self.workers = {
--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -8,14 +8,15 @@
 from copy import deepcopy
 
 from mastledge.consensus import inputs, messages, outputs
-from mastledge.consensus.leases import longest
+from mastledge.consensus.configuration import MemberConfiguration
+from mastledge.consensus.leases import longest_lease_us
 from mastledge.consensus.member import Member
 from mastledge.consensus.persisted_state import PersistedState
-from mastledge.consensus.timing import LEADER
-from mastledge.consensus.worker_restrictions import OwnList
+from mastledge.consensus.roles import Role
+from mastledge.consensus.worker_restrictions import OwnRestrictions
 from mastledge.peers.links import Links
 from mastledge.program.fleet_api import LOOK, FleetApi
-from mastledge.program.settings import flat, plain_map
+from mastledge.program.settings import flatten_settings, parse_settings
 from mastledge.program.shared_lease import SharedLease
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.storage.errors import DataDirectoryError
@@ -62,7 +63,7 @@
         self.rule = LeaseGuard(self, self.told["without_lease"] == "serve")
         self.member = self.writer = self.links = self.timer = None
         self.answers, self.count, self.applied = {}, 0, -1
-        self.held, self.own_list, self.news = None, OwnList(), None
+        self.held, self.own_restrictions, self.news = None, OwnRestrictions(), None
         self.longest, self.unreadable = 0, ""
         # What the process beside this one, which speaks, has told: up to which entry, and until when it
         # holds.
@@ -77,10 +78,10 @@
         try:
             self.folder.acquire()
         except DataDirectoryError:
-            if not self.program.beside:
+            if not self.program.has_sibling_process:
                 raise
             self.log("fleet_standby", folder=self.told["folder"])
-            self.tasks = [self.loop.spawn(self.program.vital(self.listens()), first=True)]
+            self.tasks = [self.loop.spawn(self.program.supervised(self.listens()), first=True)]
             return
         self.speak()
 
@@ -96,26 +97,26 @@
             raise
         self.writer = Writer(self.journal)
         now = self.spoke_at = self.loop.now()
-        self.member = Member(
-            self.name,
-            self.told["members"],
-            self.told["form"],
-            self.shared(self.document),
-            self.told["lease"],
-            deepcopy(kept.value()),
-            (uuid.uuid4().hex[:16], uuid.uuid4().hex[:16]),
-            self.seed,
-            now,
+        configuration = MemberConfiguration(
+            name=self.name,
+            members=self.told["members"],
+            may_bootstrap=self.told["form"],
+            settings=self.shared(self.document),
+            lease_us=self.told["lease"],
+            new_incarnation=uuid.uuid4().hex[:16],
+            new_fleet=uuid.uuid4().hex[:16],
+            seed=self.seed,
         )
+        self.member = Member(configuration, deepcopy(kept.value()), now)
         self.links = Links(
             self.loop, self.who, self.address, self.heard, len(self.told["members"]), self.seed, log
         )
         if self.index:
             # The process before goes by its last lease for a while: until then nothing newer is said to hold
             # here.
-            self.member.shown = self.index
+            self.member.lease.standby_index = self.index
         self.links.begin(self.told["listen"])
-        vital, spawn = self.program.vital, self.loop.spawn
+        vital, spawn = self.program.supervised, self.loop.spawn
         self.timer = spawn(vital(self.timed()), first=True)
         self.tasks = [
             spawn(vital(self.written()), first=True),
@@ -128,9 +129,11 @@
         """Another process of this dispatcher speaks from here on; this one goes by the lease that it has."""
         if self.member is None:
             return
-        self.heard_until = max(self.heard_until, self.member.lease_until if self.held else 0)
-        self.index = max(self.index, self.member.rules.applied if self.member.rules else 0)
-        self.log("fleet_handed_over", index=self.index, leads=self.member.role == LEADER)
+        self.heard_until = max(self.heard_until, self.member.lease.lease_until if self.held else 0)
+        self.index = max(
+            self.index, self.member.state_machine.applied_index if self.member.state_machine else 0
+        )
+        self.log("fleet_handed_over", index=self.index, leads=self.member.role == Role.LEADER)
         self.leave()
         self.end()
         self.member = None
@@ -162,7 +165,7 @@
     def why(self):
         if self.unreadable or self.member is None:
             return self.unreadable or "the process beside this one has told nothing that holds"
-        return self.member.why()
+        return self.member.no_lease_reason()
 
     # Two processes of one dispatcher
 
@@ -189,7 +192,7 @@
             except DataDirectoryError:
                 continue
             self.log("fleet_active", index=self.index)
-            self.loop.spawn(self.program.vital(self.takes_over()), first=True)
+            self.loop.spawn(self.program.supervised(self.takes_over()), first=True)
             return
 
     def takes_over(self):
@@ -201,29 +204,47 @@
         to = None
         while True:
             member, now = self.member, self.loop.now()
-            if self.program.beside and member.rules is not None:
+            if self.program.has_sibling_process and member.state_machine is not None:
                 pid, index = self.notes.listener()
-                if pid is not None and self.held and member.rules.applied >= self.index:
+                if pid is not None and self.held and member.state_machine.applied_index >= self.index:
                     if (
-                        self.notes.say(pid, member.rules.applied, member.lease_until, self.brief())
+                        self.notes.say(
+                            pid, member.state_machine.applied_index, member.lease.lease_until, self.brief()
+                        )
                         and pid != to
                     ):
-                        to, member.shown = pid, member.rules.applied
-                    member.shown = max(member.shown or 0, index) if pid == to else member.shown
-            elif not self.program.beside:
+                        to, member.lease.standby_index = pid, member.state_machine.applied_index
+                    member.lease.standby_index = (
+                        max(member.lease.standby_index or 0, index)
+                        if pid == to
+                        else member.lease.standby_index
+                    )
+            elif not self.program.has_sibling_process:
                 to = None
                 self.notes.alone()
             # One that has handed over acts by its last lease; a process that has gone acts by none.
             if (
-                member.shown is not None
+                member.lease.standby_index is not None
                 and to is None
-                and (not self.program.beside or now > self.spoke_at + longest(member.lease))
+                and (
+                    not self.program.has_sibling_process
+                    or now > self.spoke_at + longest_lease_us(member.lease_us)
+                )
             ):
-                member.shown = None
-            yield (-1, 0, now + (4 * LOOK if self.program.beside or member.shown is not None else 20 * LOOK))
+                member.lease.standby_index = None
+            yield (
+                -1,
+                0,
+                now
+                + (
+                    4 * LOOK
+                    if self.program.has_sibling_process or member.lease.standby_index is not None
+                    else 20 * LOOK
+                ),
+            )
 
     def brief(self):
-        state = self.member.rules.state
+        state = self.member.state_machine.state
         return {
             name: state[name]
             for name in ("version", "settings", "settings_version", "lease", "out", "back", "gone", "members")
@@ -232,10 +253,10 @@
     # What the member's decisions need of the program
 
     def who(self):
-        return self.member.fleet, self.name, self.member.life
+        return self.member.fleet, self.name, self.member.incarnation
 
     def address(self, name):
-        text = self.member.address(name)
+        text = self.member.address_of(name)
         if text is None:
             return None
         return address_of(text)
@@ -276,10 +297,10 @@
         due = self.member.wake_at()
         for output in self.member.step(now, input):
             self.carry_out(output)
-        rules = self.member.rules
-        if rules is not None and rules.applied != self.applied and rules.applied >= self.index:
+        rules = self.member.state_machine
+        if rules is not None and rules.applied_index != self.applied and rules.applied_index >= self.index:
             # Behind what the process before has told it would go back in time.
-            self.applied = rules.applied
+            self.applied = rules.applied_index
             self.links.resize(len(rules.members))
             self.take_rules(rules.state)
         self.tell_lease(now)
@@ -297,7 +318,7 @@
             case outputs.Rewrite(token, records):
                 self.writer.rewrite(token, records)
             case outputs.Committed(id, index, result):
-                self.do_agreed(id, index, result)
+                self.do_agreed(id, index, result.to_document())
             case outputs.RestrictionsReceived(restrictions):
                 self.do_news(restrictions)
             case outputs.LogEvent(name, fields):
@@ -342,7 +363,7 @@
     # The worker list
 
     def registry(self):
-        told = self.program.told["discovery"]
+        told = self.program.configuration["discovery"]
         return self.told["registry"] or f"{told[0]}:{told[1]}"
 
     def listed(self, kind, entries):
@@ -352,32 +373,36 @@
         brief = [(entry[0], entry[3]) for entry in entries]
         generation = self.program.discovery.generation
         self.input(inputs.EndpointListUpdate(self.registry(), kind, brief, generation))
-        if self.own_list.listed(kind, brief, generation):
+        if self.own_restrictions.update(kind, brief, generation):
             self.pass_on()
         self.take_news()
 
     def pass_on(self):
-        self.input(inputs.ShareRestrictions(self.own_list.news(self.registry())))
+        self.input(inputs.ShareRestrictions(self.own_restrictions.to_message(self.registry())))
 
     def retold(self):
         while True:
             yield (-1, 0, self.loop.now() + RETELL)
-            if self.own_list.generation and self.own_list.restricted and self.program.discovery.answered:
+            if (
+                self.own_restrictions.generation
+                and self.own_restrictions.restricted
+                and self.program.discovery.answered
+            ):
                 self.pass_on()
 
     def take_news(self):
         """Another's newer list keeps off whom it restricts, until one's own is as new."""
-        out = self.own_list.out(self.news)
-        if out != self.program.heard_out:
+        out = self.own_restrictions.kept_off_by(self.news)
+        if out != self.program.excluded.restricted_by_fleet:
             generation = self.news and self.news.generation
             self.log(
                 "workers_restricted_by_peers",
                 out=sorted(out),
                 generation=generation,
-                own=self.own_list.generation,
+                own=self.own_restrictions.generation,
             )
-            self.program.heard_out = out
-            self.program.recompose()
+            self.program.excluded.restricted_by_fleet = out
+            self.program.refresh_excluded_workers()
 
     # The rules
 
@@ -385,14 +410,14 @@
         return {name: value for name, value in document.items() if name not in OWN}
 
     def whole(self, document, state):
-        """The agreed settings with what is this dispatcher's own; BadSetting names the key."""
+        """The agreed settings with what is this dispatcher's own; SettingError names the key."""
         whole = {**document, **{name: self.document[name] for name in OWN if name in self.document}}
         # A member more takes its part before it may act, one less gives it up later: parts never sum to more
         # than all.
         count = len(state["members"]) + len(state["gone"]) if state else 0
-        pairs = flat(whole)
+        pairs = flatten_settings(whole)
         pairs["balancers"] = max(int(pairs.get("balancers", 1)), count)
-        return plain_map(pairs)
+        return parse_settings(pairs)
 
     def take_rules(self, state):
         try:
@@ -403,9 +428,9 @@
             # half of it.
             self.unreadable = f"cannot read settings of version {state['settings_version']}: {error}"
             self.log("fleet_settings_unreadable", why=self.unreadable)
-            self.program.lapse()
+            self.program.lease_lapsed()
             return
-        self.program.agreed(settings, state)
+        self.program.apply_committed(settings, state)
         if self.copies is not None and self.member is not None:
             self.copies.placed(state)
 
@@ -420,8 +445,10 @@
                 version=self.version(),
             )
             if not held and not self.rule.serves:
-                self.program.lapse()
-            self.loop.wake(self.program.life)
+                self.program.lease_lapsed()
+            self.loop.wake(self.program.lifecycle_task)
 
     def version(self):
-        return self.member.rules.version if self.member is not None and self.member.rules else 0
+        return (
+            self.member.state_machine.version if self.member is not None and self.member.state_machine else 0
+        )
--- a/mastledge/program/recovery_exclusion.py
+++ b/mastledge/program/recovery_exclusion.py
@@ -11,7 +11,7 @@
 
 
 class WorkerExclusion:
-    """Sets `program.excluded_by_newer_list`, by the newest list and the one of now."""
+    """Sets `program.excluded.by_newer_list`, by the newest list and the one of now."""
 
     def __init__(self, program: "Program", list_validity_us: int, log: Callable[..., None]):
         """`list_validity_us`: after which an older list counts, as registries may count anew."""
@@ -33,7 +33,7 @@
     def update(self) -> None:
         """Excludes workers or frees them."""
         excluded = self._excluded() if self._program.discovery.answered else frozenset()
-        if excluded == self._program.excluded_by_newer_list:
+        if excluded == self._program.excluded.by_newer_list:
             return
         self._log(
             "workers_excluded_by_newer_list",
@@ -41,8 +41,8 @@
             generation=self._program.discovery.generation,
             newest=self.newest_list.generation,
         )
-        self._program.excluded_by_newer_list = excluded
-        self._program.recompose()
+        self._program.excluded.by_newer_list = excluded
+        self._program.refresh_excluded_workers()
 
     def _excluded(self) -> frozenset[str]:
         generation = self._program.discovery.generation
--- a/mastledge/program/recovery_records.py
+++ b/mastledge/program/recovery_records.py
@@ -83,7 +83,7 @@
             id: RestrictedWorker("gone", start, ["", 0]) for id, start in self._newest_list.restricted.items()
         }
         workers.update(self._listed_workers())
-        registry = registry_name(self._program.told)
+        registry = registry_name(self._program.configuration)
         return ListRecord(*astuple(written_at), registry, generation, workers)
 
     def _listed_workers(self) -> dict[str, StoredWorker]:
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -80,8 +80,8 @@
 
     def begin(self) -> None:
         """Opens the directory and starts the tasks; DataDirectoryError where another dispatcher has it."""
-        self.directory.open(other_process_runs=self._program.beside)
-        vital, spawn = self._program.vital, self._loop.spawn
+        self.directory.open(other_process_runs=self._program.has_sibling_process)
+        vital, spawn = self._program.supervised, self._loop.spawn
         store = self.persistence.run(self._take_over_directory)
         self._tasks = [spawn(vital(self._run()), first=True), spawn(vital(store), first=True)]
 
@@ -101,7 +101,7 @@
             self._program.discovery.apply(self._restored_list(), "cached")
             # Changes are counted from a list that its registry has told to this process.
             self._program.discovery.generation = None
-        dispatchers = self._program.told["settings"]["dispatchers"]
+        dispatchers = self._program.configuration["settings"]["dispatchers"]
         spread_us = min(MAX_DISCOVERY_SPREAD_US, DISCOVERY_SPREAD_US * dispatchers)
         yield (-1, 0, self._loop.now() + int(self._random.draw() * spread_us))
 
@@ -157,7 +157,7 @@
         if self.directory.trouble:
             self.restored = RestoredState.rejected(self.directory.trouble)
         else:
-            registry = registry_name(self._program.told)
+            registry = registry_name(self._program.configuration)
             self.restored = restore(record, self._clock.now(), registry, self._list_validity_us)
         self.exclusion.newest_list.restore(self.restored.generation, self.restored.restricted())
         self.persistence.start(self.directory.write_ahead_log)
@@ -174,7 +174,7 @@
         balancer = self._program.router.balancer
         # Also those that are ejected here: that is this one's own view, and ends by jobs that are admitted.
         slots = sum(worker.slots * balancer.warmth(worker, now) for worker in balancer.ready)
-        self.ramp.resize(slots, self._program.told["settings"]["dispatchers"])
+        self.ramp.resize(slots, self._program.configuration["settings"]["dispatchers"])
 
     def _advance_stages(self, now: int) -> None:
         self._report_stages(now)
@@ -191,7 +191,7 @@
         )
         if stage == StartupStage.RAMPING_UP:
             self.ramp.start(now)
-        self._loop.wake(self._program.life)
+        self._loop.wake(self._program.lifecycle_task)
 
     def _report_stages(self, now: int) -> None:
         discovery, fleet = self._program.discovery, self._program.fleet
@@ -254,7 +254,7 @@
                 "learned": len(self.restored.learned),
                 "not": self.restored.rejected_parts,
             },
-            "kept_off": sorted(self._program.excluded_by_newer_list),
+            "kept_off": sorted(self._program.excluded.by_newer_list),
             "asked": self.poll.polled(),
             "answered": self.poll.answered(),
             "disk": "failing" if self.persistence.is_failing else self.directory.trouble or "good",
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -17,6 +17,7 @@
 from mastledge.consensus import inputs, outputs, state_machine
 from mastledge.consensus import messages as consensus_messages
 from mastledge.consensus import persisted_state as consensus_persisted
+from mastledge.consensus.configuration import MemberConfiguration
 from mastledge.consensus.member import Member
 from mastledge.idempotency.key_table import KeyTable
 from mastledge.idempotency.keyed_request import KeyedRequest
@@ -40,7 +41,7 @@
 from mastledge.replication.node import Node
 from mastledge.storage import frames, write_ahead_log
 from mastledge.storage.data_directory import DataDirectory
-from mastledge.transport import passing
+from mastledge.transport import descriptor_passing
 
 ADAPTER_MODULE = "mastledge.adapter"
 ENDINGS = adapter_main.ENDING
@@ -145,7 +146,17 @@
 def records_of_member(state, contents):
     """What a member has written that is restored with `state` and then hears messages from the member n1."""
     listed = {name: one["address"] for name, one in state["members"].items()}
-    member = Member("n0", listed, False, {}, 1_000_000, None, ("life-0", "fleet-0"), 7, 1_000_000)
+    configuration = MemberConfiguration(
+        name="n0",
+        members=listed,
+        may_bootstrap=False,
+        settings={},
+        lease_us=1_000_000,
+        new_incarnation="life-0",
+        new_fleet="fleet-0",
+        seed=7,
+    )
+    member = Member(configuration, None, 1_000_000)
     steps = [inputs.Restore("fleet-1", "life-n0", state)]
     steps += [
         inputs.MessageReceived("n1", "life-n1", consensus_messages.decode(content)) for content in contents
@@ -213,7 +224,7 @@
     saved = []
     loop = Rig().loop
     program = SimpleNamespace(
-        discovery=discovery, router=router, told={"discovery": ("127.0.0.1", 9000), "peers": None}
+        discovery=discovery, router=router, configuration={"discovery": ("127.0.0.1", 9000), "peers": None}
     )
     newest_list = SimpleNamespace(generation=0, restricted={"s-9": 5})
     builder, clock = RecordBuilder(program, newest_list), RecoveryClock(loop, "boot-1")
@@ -224,7 +235,7 @@
 
 
 def genesis_state(settings, lease, members):
-    return state_machine.genesis(settings, lease, members)
+    return state_machine.initial_state(settings, lease, members)
 
 
 def fleet_snapshot(state, fleet, by, at):
@@ -258,7 +269,7 @@
     made = handover(directory)
     try:
         assert made.look()
-        return made.told
+        return made.shared
     finally:
         made.leave()
 
@@ -294,7 +305,7 @@
 def brief_of_fleet(state):
     """What of the agreed state is told to the process beside this one."""
     rules = SimpleNamespace(state=state)
-    return Fleet.brief(SimpleNamespace(member=SimpleNamespace(rules=rules)))
+    return Fleet.brief(SimpleNamespace(member=SimpleNamespace(state_machine=rules)))
 
 
 def write_taken(directory, told):
@@ -309,11 +320,17 @@
 def handed_on(directory, job):
     """The datagram by which a job is handed to another process: {name, kind, until, headed, rest}."""
     path = str(Path(directory) / "inlet")
-    inlet, client, worker = passing.inlet(path), *socket.socketpair()
+    inlet, client, worker = descriptor_passing.open_receiver(path), *socket.socketpair()
     quiet = SimpleNamespace(trailing_data=(b"", False))
     ends = [
         SimpleNamespace(
-            sock=sock, fd=sock.fileno(), http=quiet, whole=True, owner=None, quiet=lambda: True, buffer=None
+            sock=sock,
+            fd=sock.fileno(),
+            http=quiet,
+            at_chunk_end=True,
+            owner=None,
+            is_quiet=lambda: True,
+            buffer=None,
         )
         for sock in (client, worker)
     ]
@@ -324,13 +341,13 @@
     launch = SimpleNamespace(ended=False, sent=True, conn=ends[1], headed=job["headed"])
     one = SimpleNamespace(exchange=exchange, launches=[launch])
     router = SimpleNamespace(jobs={1: one}, handed_on=lambda now, job, launch: None)
-    loop = SimpleNamespace(let_go=lambda fd: None, now=lambda: 0, cancel=lambda task: None)
+    loop = SimpleNamespace(unregister=lambda fd: None, now=lambda: 0, cancel=lambda task: None)
     made = connection_handoff.ConnectionHandoff(
         loop, None, None, balancer().settings, lambda event, **fields: None
     )
     try:
         assert made.hand_on(router, path) == 1
-        raw, socks = passing.taken(inlet, 2)
+        raw, socks = descriptor_passing.receive_sockets(inlet, 2)
         for sock in socks:
             sock.close()
         return raw
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -16,7 +16,7 @@
 from mastledge.idempotency.records import RECORD_OVERHEAD_BYTES
 from mastledge.idempotency.verdicts import Verdict
 from mastledge.program import lifecycle
-from mastledge.program.configuration import BadConfiguration, configuration
+from mastledge.program.configuration import ConfigurationError, load_configuration
 
 KEEP = 1_000_000
 FINGERPRINT = request_fingerprint(b"/post", b"x")
@@ -245,5 +245,5 @@
     ],
 )
 def test_a_bad_configuration_of_repeats_is_one_plain_message(changed, says, tmp_path):
-    with pytest.raises(BadConfiguration, match=says):
-        configuration(file(tmp_path, repeats={"folder": "x", **changed}), {})
+    with pytest.raises(ConfigurationError, match=says):
+        load_configuration(file(tmp_path, repeats={"folder": "x", **changed}), {})
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -8,7 +8,7 @@
 from test_program import file
 
 from mastledge.program import lifecycle
-from mastledge.program.configuration import configuration
+from mastledge.program.configuration import load_configuration
 from mastledge.recovery import startup_stages
 from mastledge.recovery.startup_stages import DEGRADED_SERVICE, StartupStage
 from mastledge.storage.errors import DataDirectoryError
@@ -21,19 +21,21 @@
     recovery = {"folder": str(tmp_path / "starts"), **told}
     path = file(tmp_path, listen=f"{HERE}:7570", discovery=f"{HERE}:7571", recovery=recovery)
     seen = logged if logged is not None else []
-    return lifecycle.Program(configuration(path, {}), lambda event, **fields: seen.append((event, fields)))
+    return lifecycle.Program(
+        load_configuration(path, {}), lambda event, **fields: seen.append((event, fields))
+    )
 
 
 def run_loop(made, until=lambda: False, most=400):
     for _ in range(most):
         if until():
             return
-        made.loop.once(10_000)
+        made.loop.run_once(10_000)
 
 
 def ended(made):
     made.recovery.end()
-    made.sock.close()
+    made.listening_socket.close()
 
 
 def lists(made, generation, *states):
@@ -71,13 +73,13 @@
         StartupStage.AWAITING_ENDPOINT_LIST: DEGRADED_SERVICE[StartupStage.AWAITING_ENDPOINT_LIST]
     }
     lists(again, 6, "ready", "ready")
-    assert again.excluded_by_newer_list == {"w1"}
+    assert again.excluded.by_newer_list == {"w1"}
     assert again.router.out == {"w1"}
     told = orjson.loads(again.recovery.figures(None).text)
     assert told["kept_off"] == ["w1"]
     assert told["believed"]["workers"] == 2
     lists(again, 8, "ready", "ready")
-    assert again.excluded_by_newer_list == frozenset()
+    assert again.excluded.by_newer_list == frozenset()
     assert again.router.out == frozenset()
     ended(again)
 
@@ -86,9 +88,9 @@
     made = started(tmp_path, list_ms=100)
     lists(made, 7, "ready", "draining")
     lists(made, 6, "ready", "ready")
-    assert made.excluded_by_newer_list == {"w1"}
-    run_loop(made, lambda: not made.excluded_by_newer_list)
-    assert not made.excluded_by_newer_list
+    assert made.excluded.by_newer_list == {"w1"}
+    run_loop(made, lambda: not made.excluded.by_newer_list)
+    assert not made.excluded.by_newer_list
     assert made.recovery.exclusion.newest_list.generation == 6
     ended(made)
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -8,11 +8,11 @@
 from test_terms import Agent
 
 from mastledge.consensus import messages as m
-from mastledge.consensus.state_machine import genesis
-from mastledge.consensus.worker_restrictions import ListExchange, OwnList
+from mastledge.consensus.state_machine import initial_state
+from mastledge.consensus.worker_restrictions import ListExchange, OwnRestrictions
 from mastledge.peers import links
-from mastledge.program.configuration import configuration
-from mastledge.program.settings import flat, plain_map
+from mastledge.program.configuration import load_configuration
+from mastledge.program.settings import flatten_settings, parse_settings
 from mastledge.recovery import fleet_snapshot
 from mastledge.recovery.recovery_record import RecoveryRecord, StoredWorker
 from mastledge.replication.placement import Placement
@@ -51,7 +51,7 @@
     made.members(30, "whole", [entry(i, born=25) for i in range(WORKERS)])
     room = sum(made.cold_room(one, made.jobs[2], 2_000_000) for one in made.ready)
     assert 0 < room < WORKERS // 10  # credit for less than a job is a matter of chance
-    settings = plain_map(flat({**GOOD["settings"], "balancers": MANY}))
+    settings = parse_settings(flatten_settings({**GOOD["settings"], "balancers": MANY}))
     assert settings["dispatchers"] == MANY
 
 
@@ -61,11 +61,13 @@
 
 def test_a_configuration_names_many_members(tmp_path):
     peers = {"listen": f"{HERE}:1", "members": members(), "folder": "x"}
-    assert len(configuration(file(tmp_path, name=NAMES[0], peers=peers), {})["peers"]["members"]) == MANY
+    assert len(load_configuration(file(tmp_path, name=NAMES[0], peers=peers), {})["peers"]["members"]) == MANY
 
 
 def state():
-    made = genesis(GOOD["settings"], 2_000_000, {name: (at, "0" * 16) for name, at in members().items()})
+    made = initial_state(
+        GOOD["settings"], 2_000_000, {name: (at, "0" * 16) for name, at in members().items()}
+    )
     workers = [f"worker-of-a-long-name-{n}" for n in range(WORKERS)]
     return {**made, "out": workers, "back": {one: 1 << 50 for one in workers}}
 
@@ -96,11 +98,11 @@
 
 def test_restrictions_of_many_workers_are_passed_on():
     workers = [(f"worker-of-a-long-name-{n}", "draining") for n in range(WORKERS)]
-    own, ours, theirs = OwnList(), ListExchange(), ListExchange()
-    own.listed("whole", workers, 7)
-    assert len(own.news("r").workers) == WORKERS
-    ours.own("r", "whole", workers, 7)
-    ours.news_for("them")
-    (news,) = ours.news_for("them")
+    own, ours, theirs = OwnRestrictions(), ListExchange(), ListExchange()
+    own.update("whole", workers, 7)
+    assert len(own.to_message("r").workers) == WORKERS
+    ours.update_own("r", "whole", workers, 7)
+    ours.restrictions_for("them")
+    (news,) = ours.restrictions_for("them")
     told = m.decode(m.encode(m.AppendEntries(1, 1, 1, [], 1, 5, 0, 1, 0, {}, [news])))
-    assert len(theirs.told(told.news[0]).workers) == WORKERS
+    assert len(theirs.receive(told.restrictions[0]).workers) == WORKERS
