--- a/mastledge/program/fleet_api.py
+++ b/mastledge/program/fleet_api.py
@@ -78,10 +78,10 @@
                 "disk": "failing" if member.persistence.failed else "good",
                 "longest_write_us": self.writer.longest_write_us,
                 "longest_step_us": self.longest,
-                "frames_sent": self.links.sent,
-                "frames_got": self.links.got,
-                "bytes_sent": self.links.bytes_sent,
-                "bytes_got": self.links.bytes_got,
+                "frames_sent": self.links.counters.frames_sent,
+                "frames_got": self.links.counters.frames_received,
+                "bytes_sent": self.links.counters.bytes_sent,
+                "bytes_got": self.links.counters.bytes_received,
             }
         )
 
@@ -199,7 +199,7 @@
             raise No(400, f"its settings can't be read: {error}") from None
         life, holder = uuid.uuid4().hex[:16], ""
         if self.copies is not None and self.copies.node is not None:
-            holder = self.copies.id
+            holder = self.copies.directory_id
         what = why or f"restored from version {state['version']}"
         entry = fleet_snapshot.FormationEntry(what, self.name, time.time_ns() // 1000)
         after = fleet_snapshot.successor_state(state, self.name, life, holder, entry)
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -6,6 +6,7 @@
 
 import io
 import socket
+from dataclasses import asdict
 from pathlib import Path
 from types import SimpleNamespace
 from typing import get_args
@@ -22,23 +23,27 @@
 from mastledge.idempotency.key_table import KeyTable
 from mastledge.idempotency.keyed_request import KeyedRequest
 from mastledge.idempotency.persisted_keys import PersistedKeys
+from mastledge.peers import frames as link_frames
 from mastledge.peers import links
-from mastledge.program import connection_handoff, recovery_peer_poll, replication_service
+from mastledge.peers.link_context import LinkIdentity
+from mastledge.program import connection_handoff, recovery_peer_poll, replication_frames
 from mastledge.program.fleet import Fleet
 from mastledge.program.fleet_api import FleetApi
 from mastledge.program.recovery_clock import RecoveryClock
 from mastledge.program.recovery_persistence import RecoveryPersistence
 from mastledge.program.recovery_records import RecordBuilder
-from mastledge.program.shared_lease import SharedLease
+from mastledge.program.shared_lease import LeaseNotice, SharedLease
 from mastledge.program.upgrade_state import UpgradeState
 from mastledge.protocol import load_messages
 from mastledge.protocol.worker_connections import WorkerEndpoint
 from mastledge.recovery import fleet_snapshot as snapshot_format
 from mastledge.recovery import messages as recovery_messages
 from mastledge.recovery import recovery_record
+from mastledge.replication import inputs as replication_inputs
 from mastledge.replication import messages as replication_messages
 from mastledge.replication import persisted_state as replica_persisted
-from mastledge.replication.node import Node
+from mastledge.replication.node import Node, NodeOptions
+from mastledge.replication.outputs import Persist
 from mastledge.storage import frames, write_ahead_log
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.transport import descriptor_passing
@@ -80,16 +85,16 @@
 }
 COPIES_FRAME = MessageFamily(
     replication_messages.AnyMessage,
-    replication_service.decode,
-    replication_service.encode,
-    replication_service.MARK,
+    replication_frames.decode,
+    replication_frames.encode,
+    replication_frames.MARK,
 )
 COPIES_LIST = MessageFamily(
     replication_messages.AnyMessage, replication_messages.decode_all, replication_messages.encode_all
 )
-HELLO = MessageFamily(links.Hello, links.decode_hello, links.encode_hello)
-frame_on_link = links.framed
-LONGEST_FRAME_BYTES = links.MOST
+HELLO = MessageFamily(link_frames.Hello, link_frames.decode_hello, link_frames.encode_hello)
+frame_on_link = link_frames.encode_frame
+LONGEST_FRAME_BYTES = link_frames.MAX_FRAME_BYTES
 
 frame_of_records, records_of_content, whole_frame = (
     frames.encode_frame,
@@ -171,14 +176,17 @@
 
 def records_of_holder(copies, heard):
     """What a holder of copies has written that is told its placement and then hears (name, id, message)."""
-    node = Node("n0", "holder-0", "run-1", book_of_keys(), 0, 1, 1_000_000, 0)
-    steps = [("placed", copies)]
-    steps += [("heard", name, id_, replication_messages.decode(content)) for name, id_, content in heard]
-    records = replica_persisted.head("holder-0", 2, 1)
+    node = Node(NodeOptions("n0", "holder-0", "run-1", 0, 1, 1_000_000), book_of_keys(), 0)
+    steps = [replication_inputs.PlacementChanged(copies)]
+    steps += [
+        replication_inputs.MessageReceived(name, id_, replication_messages.decode(content))
+        for name, id_, content in heard
+    ]
+    records = replica_persisted.head_records("holder-0", 2, 1)
     for now, step in enumerate(steps, 10_000):
-        for what, *fields in node.step(now, *step):
-            if what == "save":
-                records += fields[1]
+        for output in node.step(now, step):
+            if isinstance(output, Persist):
+                records += output.records
     return records
 
 
@@ -295,11 +303,12 @@
 
 
 def write_said(directory, told):
-    assert notes(directory).say(told["to"], told["index"], told["lease_until"], told["state"])
+    notice = LeaseNotice(told["to"], told["index"], told["lease_until"], told["state"])
+    assert notes(directory).publish(notice)
 
 
 def read_said(directory):
-    return notes(directory).hear()
+    return asdict(notes(directory).notice())
 
 
 def brief_of_fleet(state):
@@ -309,12 +318,12 @@
 
 
 def write_taken(directory, told):
-    notes(directory).take(told["index"])
+    notes(directory).report(told["index"])
 
 
 def read_taken(directory):
-    process, index = notes(directory).listener()
-    return {"from": process, "index": index}
+    report = notes(directory).standby_report()
+    return {"from": report.process, "index": report.index}
 
 
 def handed_on(directory, job):
@@ -382,7 +391,12 @@
 
 def links_of(rig, who, address, heard):
     """Links of a dispatcher that is `who`; each other one is at the address that `address()` gives."""
-    return links.Links(rig.loop, lambda: who, lambda other: address(), heard, 3, 7, rig.log)
+    host = SimpleNamespace(
+        link_identity=lambda: LinkIdentity(*who),
+        member_address=lambda other: address(),
+        frame_received=heard,
+    )
+    return links.Links(rig.loop, host, 3, 7, rig.log)
 
 
 def send_on_link(made, content):
@@ -391,8 +405,8 @@
 
 def listen_on_links(made):
     """Where other dispatchers reach these links from here on."""
-    made.begin((HERE, 0))
-    return made.sock.getsockname()
+    made.start((HERE, 0))
+    return made.listener.sock.getsockname()
 
 
 def close_links(made):
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -10,7 +10,7 @@
 from mastledge.consensus import messages as m
 from mastledge.consensus.state_machine import initial_state
 from mastledge.consensus.worker_restrictions import ListExchange, OwnRestrictions
-from mastledge.peers import links
+from mastledge.peers.frames import MAX_FRAME_BYTES
 from mastledge.program.configuration import load_configuration
 from mastledge.program.settings import flatten_settings, parse_settings
 from mastledge.recovery import fleet_snapshot
@@ -75,7 +75,7 @@
 def test_what_a_large_fleet_agrees_on_fits_a_frame_and_a_snapshot():
     made = state()
     raw = m.encode(m.BootstrapCluster("f", made))
-    assert len(raw) < links.MOST // 4
+    assert len(raw) < MAX_FRAME_BYTES // 4
     told = fleet_snapshot.unpack_snapshot(
         msgspec.json.encode(fleet_snapshot.pack_snapshot(made, "f", "x", 1))
     )
@@ -85,7 +85,7 @@
 def test_keys_are_held_among_many_dispatchers():
     ids = {name: f"id of {name}" for name in NAMES}
     placement = Placement({"epoch": 1, "count": 3, "now": ids, "next": None, "caught": []})
-    held = [placement.share("t", b"k%d" % n).names for n in range(300)]
+    held = [placement.replicas_of("t", b"k%d" % n).names for n in range(300)]
     assert all(len(set(names)) == 3 for names in held) and len({n for names in held for n in names}) > 400
 
 
