--- a/mastledge/program/recovery_exclusion.py
+++ b/mastledge/program/recovery_exclusion.py
@@ -1,4 +1,4 @@
-"""Keeps workers from new jobs while the endpoint list is older than one that was heard before."""
+"""Keeps workers from new jobs while the endpoint list is older than one that was received before."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -21,7 +21,7 @@
         self._older_since: int | None = None
 
     def list_changed(self, kind: str, entries: list) -> None:
-        """Discovery has told `entries` as the decisions take them; `kind`: "whole", "changes" or "cached"."""
+        """Discovery gave `entries`, as the decisions take them; `kind`: "whole", "changes" or "cached"."""
         generation = self._program.discovery.generation
         if generation is None or kind not in ("whole", "changes"):
             return
--- a/mastledge/program/recovery_records.py
+++ b/mastledge/program/recovery_records.py
@@ -74,7 +74,7 @@
         self._program, self._newest_list = program, newest_list
 
     def endpoint_list(self, written_at: ClockReading) -> ListRecord | None:
-        """The list as this process heard it; None where what is stored is newer."""
+        """The list as this process received it; None where what is stored is newer."""
         discovery = self._program.discovery
         generation = discovery.generation
         if not discovery.answered or generation is None or generation < self._newest_list.generation:
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -99,7 +99,7 @@
             yield (-1, 0, self._loop.now() + STAGE_INTERVAL_US)
         if self.restored.workers:
             self._program.discovery.apply(self._restored_list(), "cached")
-            # Changes are counted from a list that its registry has told to this process.
+            # Changes are counted from a list that its registry has given to this process.
             self._program.discovery.generation = None
         dispatchers = self._program.configuration["settings"]["dispatchers"]
         spread_us = min(MAX_DISCOVERY_SPREAD_US, DISCOVERY_SPREAD_US * dispatchers)
@@ -199,8 +199,8 @@
         report(StartupStage.READING_STATE, self.directory.is_read, "its folder")
         if fleet is not None:
             report(StartupStage.AWAITING_LEASE, fleet.rule.may_act(now), fleet.why())
-        heard = discovery.answered or discovery.task is None and discovery.generation is not None
-        report(StartupStage.AWAITING_ENDPOINT_LIST, heard, discovery.trouble or "discovery")
+        has_list = discovery.answered or discovery.task is None and discovery.generation is not None
+        report(StartupStage.AWAITING_ENDPOINT_LIST, has_list, discovery.trouble or "discovery")
         if self.stages.stage == StartupStage.POLLING_PEERS:
             self.poll.poll(now)
         report(StartupStage.POLLING_PEERS, fleet is None or self.poll.is_complete(), "the others' load")
@@ -217,7 +217,7 @@
     # What the program and the fleet hand in and take
 
     def list_changed(self, kind: str, entries: list) -> None:
-        """Discovery has told of the workers, as the decisions are told of it."""
+        """Discovery gave a list of the workers or changes of it, as the decisions take them."""
         self.exclusion.list_changed(kind, entries)
 
     def receive(self, name: str, content: bytes) -> None:
--- a/mastledge/recovery/fleet_snapshot.py
+++ b/mastledge/recovery/fleet_snapshot.py
@@ -51,7 +51,7 @@
 
     `state`: None where there is none; `snapshot`: that the state is from, None where it is the member's own;
     `fleet`, `known_state`: of the fleet that the member is of; `holds_lease`: it serves; `reachable`: members
-    that were heard lately and have not lost their data directories.
+    that answered lately and have not lost their data directories.
     """
 
     name: str
--- a/mastledge/recovery/newest_list.py
+++ b/mastledge/recovery/newest_list.py
@@ -1,4 +1,4 @@
-"""The newest endpoint list that was ever heard, and the workers that it keeps from new jobs.
+"""The newest endpoint list that was ever received, and the workers that it keeps from new jobs.
 
 A registry that has lost what it knew may come back with an older list. Such a list frees no worker that a
 newer one restricted.
@@ -8,19 +8,19 @@
 
 MAX_WORKERS = 4096
 START_TOLERANCE_US = 1000
-"""Start times of one incarnation may differ by this much, as some are told in milliseconds."""
+"""Start times of one incarnation may differ by this much, as some are given in milliseconds."""
 
 
 class NewestList:
     """Its generation, and {worker id: start of the worker in Unix microseconds} of the restricted ones."""
 
     def __init__(self):
-        """No list was heard."""
+        """No list was received."""
         self.generation = 0
         self.restricted: dict[str, int] = {}
 
     def restore(self, generation: int, restricted: Mapping[str, int]) -> None:
-        """Takes what the last run stored, unless a newer list was heard in this one."""
+        """Takes what the last run stored, unless a newer list was received in this one."""
         if self.generation <= generation:
             self.reset(generation, restricted)
 
@@ -36,7 +36,7 @@
         starts: Mapping[str, int],
         is_whole: bool,
     ) -> None:
-        """Discovery has told of a list: [(worker id, state)], of all workers or of those that changed.
+        """Discovery gave a list: [(worker id, state)], of all workers or of those that changed.
 
         `starts`: of the workers known before. An older list than the newest changes nothing.
         """
--- a/mastledge/recovery/startup_stages.py
+++ b/mastledge/recovery/startup_stages.py
@@ -34,7 +34,7 @@
     StartupStage.AWAITING_ENDPOINT_LIST: "by the list that was held before",
     StartupStage.POLLING_PEERS: "without the others' load",
 }
-"""What operators are told of a stage that was given up."""
+"""What operators are shown for a stage that was given up."""
 
 MANDATORY_STAGES = frozenset({StartupStage.AWAITING_LEASE})
 """Stages that are reported as degraded after their timeout but not passed: without a lease nothing may be
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -17,12 +17,12 @@
          "lifecycle": "ready", "weight": 1.0, "startedAtMs": 0}  # fmt: skip
 
 
-def program(tmp_path, logged=None, **told):
-    recovery = {"folder": str(tmp_path / "starts"), **told}
+def program(tmp_path, logged=None, **options):
+    recovery = {"folder": str(tmp_path / "starts"), **options}
     path = file(tmp_path, listen=f"{HERE}:7570", discovery=f"{HERE}:7571", recovery=recovery)
-    seen = logged if logged is not None else []
+    events = logged if logged is not None else []
     return lifecycle.Program(
-        load_configuration(path, {}), lambda event, **fields: seen.append((event, fields))
+        load_configuration(path, {}), lambda event, **fields: events.append((event, fields))
     )
 
 
@@ -33,21 +33,21 @@
         made.loop.run_once(10_000)
 
 
-def ended(made):
+def close(made):
     made.recovery.end()
     made.listening_socket.close()
 
 
-def lists(made, generation, *states):
-    """Discovery has told this."""
+def apply_list(made, generation, *states):
+    """Discovery gives a list of workers in these states."""
     made.discovery.answered = True
-    told = [{**ENTRY, "instanceId": f"w{n}", "lifecycle": state} for n, state in enumerate(states)]
-    made.discovery.apply({"generation": generation, "reset": True, "instances": told})
+    instances = [{**ENTRY, "instanceId": f"w{n}", "lifecycle": state} for n, state in enumerate(states)]
+    made.discovery.apply({"generation": generation, "reset": True, "instances": instances})
     run_loop(made, most=3)
 
 
-def started(tmp_path, logged=None, **told):
-    made = program(tmp_path, logged, **told)
+def started(tmp_path, logged=None, **options):
+    made = program(tmp_path, logged, **options)
     made.begin()
     run_loop(made, lambda: made.recovery.directory.is_read)
     return made
@@ -56,11 +56,11 @@
 def test_what_was_known_is_restored_by_the_next_process_and_a_second_process_is_refused(tmp_path):
     made = started(tmp_path)
     assert made.recovery.restored.rejected_parts == {"all": "nothing is kept"}
-    lists(made, 7, "ready", "draining")
+    apply_list(made, 7, "ready", "draining")
     run_loop(made, lambda: made.recovery.persistence.stored_list is not None)
     with pytest.raises(DataDirectoryError, match="held by another process"):
         program(tmp_path).recovery.begin()
-    ended(made)
+    close(made)
     logged = []
     again = started(tmp_path, logged)
     restored, newest = again.recovery.restored, again.recovery.exclusion.newest_list
@@ -72,27 +72,27 @@
     assert again.recovery.stages.degraded == {
         StartupStage.AWAITING_ENDPOINT_LIST: DEGRADED_SERVICE[StartupStage.AWAITING_ENDPOINT_LIST]
     }
-    lists(again, 6, "ready", "ready")
+    apply_list(again, 6, "ready", "ready")
     assert again.excluded.by_newer_list == {"w1"}
     assert again.router.out == {"w1"}
-    told = orjson.loads(again.recovery.figures(None).text)
-    assert told["kept_off"] == ["w1"]
-    assert told["believed"]["workers"] == 2
-    lists(again, 8, "ready", "ready")
+    figures = orjson.loads(again.recovery.figures(None).text)
+    assert figures["kept_off"] == ["w1"]
+    assert figures["believed"]["workers"] == 2
+    apply_list(again, 8, "ready", "ready")
     assert again.excluded.by_newer_list == frozenset()
     assert again.router.out == frozenset()
-    ended(again)
+    close(again)
 
 
 def test_an_older_list_counts_once_its_time_is_over(tmp_path):
     made = started(tmp_path, list_ms=100)
-    lists(made, 7, "ready", "draining")
-    lists(made, 6, "ready", "ready")
+    apply_list(made, 7, "ready", "draining")
+    apply_list(made, 6, "ready", "ready")
     assert made.excluded.by_newer_list == {"w1"}
     run_loop(made, lambda: not made.excluded.by_newer_list)
     assert not made.excluded.by_newer_list
     assert made.recovery.exclusion.newest_list.generation == 6
-    ended(made)
+    close(made)
 
 
 @pytest.mark.parametrize(
@@ -101,36 +101,36 @@
 )
 def test_a_spoilt_folder_is_begun_anew_and_nothing_of_it_restored(tmp_path, spoil, says):
     made = started(tmp_path)
-    lists(made, 7, "ready", "draining")
+    apply_list(made, 7, "ready", "draining")
     run_loop(made, lambda: made.recovery.persistence.stored_list is not None)
     run_loop(made, most=30)
-    ended(made)
+    close(made)
     path = tmp_path / "starts" / "recovery"
     path.write_bytes(spoil(path.read_bytes()))
     again = started(tmp_path)
     assert says in again.recovery.restored.rejected_parts["all"]
     assert not again.recovery.restored.workers
     assert says in orjson.loads(again.recovery.figures(None).text)["disk"]
-    lists(again, 9, "ready")
+    apply_list(again, 9, "ready")
     run_loop(again, lambda: again.recovery.persistence.stored_list is not None)
-    ended(again)
+    close(again)
     third = started(tmp_path)
     assert third.recovery.restored.generation == 9
-    ended(third)
+    close(third)
 
 
 def test_each_cut_of_the_file_is_the_state_before_or_after(tmp_path):
     made = started(tmp_path)
-    lists(made, 7, "ready")
+    apply_list(made, 7, "ready")
     run_loop(made, lambda: made.recovery.persistence.stored_list is not None)
-    ended(made)
+    close(made)
     path = tmp_path / "starts" / "recovery"
     raw = path.read_bytes()
     for at in range(0, len(raw), 7):
         path.write_bytes(raw[:at])
         again = started(tmp_path)
         assert again.recovery.restored.generation in (0, 7)
-        ended(again)
+        close(again)
 
 
 def test_a_folder_that_is_slow_is_done_without_and_said_so(tmp_path, monkeypatch):
@@ -155,4 +155,4 @@
     )
     assert StartupStage.READING_STATE not in made.recovery.stages.degraded
     assert made.recovery.persistence.writer is not None
-    ended(made)
+    close(made)
