--- a/mastledge/program/recovery_peer_poll.py
+++ b/mastledge/program/recovery_peer_poll.py
@@ -7,7 +7,7 @@
 from mastledge.recovery.messages import LoadQuery, LoadResponse, decode, encode
 
 if TYPE_CHECKING:
-    from mastledge.program.lifecycle import Program
+    from mastledge.program.dispatcher import Dispatcher
 
 MAX_POLLED = 5
 POLL_INTERVAL_US = 50_000
@@ -18,10 +18,10 @@
 class PeerLoadPoll:
     """Which dispatchers are asked, and what they have answered."""
 
-    def __init__(self, program: "Program", name: str, ramp: AdmissionRamp, draw: Callable[[], float]):
+    def __init__(self, dispatcher: "Dispatcher", name: str, ramp: AdmissionRamp, draw: Callable[[], float]):
         """`name`: of this dispatcher; `draw`: gives the next random number from 0 to 1."""
-        self._program, self._name, self._ramp, self._draw = program, name, ramp, draw
-        self._started_at = program.loop.now()
+        self._dispatcher, self._name, self._ramp, self._draw = dispatcher, name, ramp, draw
+        self._started_at = dispatcher.loop.now()
         self._next_poll_at = 0
         self._last_number = 0
         self._numbers: dict[str, int] = {}
@@ -41,7 +41,7 @@
 
     def poll(self, now: int) -> None:
         """Asks those that have not answered, again after an interval."""
-        fleet = self._program.fleet
+        fleet = self._dispatcher.fleet
         if fleet is None or fleet.member is None or fleet.links is None or self._next_poll_at > now:
             return
         self._next_poll_at = now + POLL_INTERVAL_US
@@ -69,6 +69,6 @@
             self._ramp.use_peer_loads(loads)
 
     def _respond(self, name: str, query: LoadQuery) -> None:
-        uptime_us = self._program.loop.now() - self._started_at
+        uptime_us = self._dispatcher.loop.now() - self._started_at
         response = LoadResponse(query.number, self._ramp.in_flight, not self._ramp.limited, uptime_us)
-        self._program.fleet.links.send(name, FRAME_MARK + encode(response))
+        self._dispatcher.fleet.links.send(name, FRAME_MARK + encode(response))
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -11,10 +11,10 @@
 from types import SimpleNamespace
 from typing import get_args
 
-from helpers import HERE, Rig, arrive, balancer, entry, pull
+from helpers import HERE, Rig, arrive, entry, pull, scheduler
 
-from mastledge.adapter import __main__ as adapter_main
 from mastledge.adapter import frames as adapter_frames
+from mastledge.adapter import host as adapter_host
 from mastledge.consensus import inputs, outputs, state_machine
 from mastledge.consensus import messages as consensus_messages
 from mastledge.consensus import persisted_state as consensus_persisted
@@ -44,12 +44,13 @@
 from mastledge.replication import persisted_state as replica_persisted
 from mastledge.replication.node import Node, NodeOptions
 from mastledge.replication.outputs import Persist
+from mastledge.scheduling.decisions import LaunchJob
 from mastledge.storage import frames, write_ahead_log
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.transport import descriptor_passing
 
 ADAPTER_MODULE = "mastledge.adapter"
-ENDINGS = adapter_main.ENDING
+ENDINGS = adapter_host.OUTCOMES
 RECOVERY_MESSAGE = recovery_messages.AnyMessage
 
 
@@ -199,12 +200,12 @@
 
 def decisions_that_learned():
     """Decisions that have set each of three workers aside for another reason, and have a job out."""
-    made = balancer(workers=0)
-    made.members(0, "whole", three_workers())
+    made = scheduler(workers=0)
+    made.update_endpoints(0, "whole", three_workers())
     for job, how in enumerate(("unreachable", "lost", "error"), 1):
         arrive(made, 1_000 * job, job)
-        (sent,) = [decision for decision in pull(made, 1_000 * job) if decision[0] == "launch"]
-        made.ended(1_000 * job + 500, job, 0, how, 500, True, [])
+        (sent,) = [decision for decision in pull(made, 1_000 * job) if isinstance(decision, LaunchJob)]
+        made.launch_ended(1_000 * job + 500, job, 0, how, 500, True, [])
     arrive(made, 900_000, 9)
     pull(made, 900_000)
     return made
@@ -212,15 +213,15 @@
 
 def learned_of_decisions():
     """What decisions hand to the process that takes over, as it stands in the file."""
-    return decisions_that_learned().learned()
+    return decisions_that_learned().learned_state()
 
 
 def learned_again(told):
     """The same by decisions that have been handed this."""
-    made = balancer(workers=0)
-    made.members(0, "whole", three_workers())
-    made.inherited(0, told)
-    return made.learned()
+    made = scheduler(workers=0)
+    made.update_endpoints(0, "whole", three_workers())
+    made.restore_learned(0, told)
+    return made.learned_state()
 
 
 def records_of_start():
@@ -228,7 +229,7 @@
     discovery = SimpleNamespace(
         answered=True, generation=42, zones={"a": 0}, kinds={"m": 0}, since=1_699_999_000_000_000
     )
-    router = SimpleNamespace(balancer=decisions_that_learned())
+    router = SimpleNamespace(scheduler=decisions_that_learned())
     saved = []
     loop = Rig().loop
     program = SimpleNamespace(
@@ -258,7 +259,7 @@
 
 def handover(directory):
     made = UpgradeState(str(directory), ("127.0.0.1", 8080), lambda event, **fields: None)
-    made.sit()
+    made.take_seat()
     return made
 
 
@@ -276,7 +277,7 @@
 def read_handover_state(directory):
     made = handover(directory)
     try:
-        assert made.look()
+        assert made.refresh()
         return made.shared
     finally:
         made.leave()
@@ -285,7 +286,7 @@
 def write_handover_learned(directory, learned):
     made = handover(directory)
     try:
-        made.teach(learned)
+        made.write_learned(learned)
     finally:
         made.leave()
 
@@ -293,7 +294,7 @@
 def read_handover_learned(directory):
     made = handover(directory)
     try:
-        return made.taught()
+        return made.read_learned()
     finally:
         made.leave()
 
@@ -352,10 +353,10 @@
     router = SimpleNamespace(jobs={1: one}, handed_on=lambda now, job, launch: None)
     loop = SimpleNamespace(unregister=lambda fd: None, now=lambda: 0, cancel=lambda task: None)
     made = connection_handoff.ConnectionHandoff(
-        loop, None, None, balancer().settings, lambda event, **fields: None
+        loop, None, None, scheduler().settings, lambda event, **fields: None
     )
     try:
-        assert made.hand_on(router, path) == 1
+        assert made.hand_off(router, path) == 1
         raw, socks = descriptor_passing.receive_sockets(inlet, 2)
         for sock in socks:
             sock.close()
@@ -369,18 +370,18 @@
     """The job as the process that takes it up has it, in the form that `handed_on` takes."""
     rig, jobs = Rig(), []
     door = SimpleNamespace(resumed=lambda conn, exchange: iter(()))
-    made = connection_handoff.ConnectionHandoff(rig.loop, rig.budget, door, balancer().settings, rig.log)
-    made.carried = lambda launch, exchange: jobs.append((launch, exchange)) or iter(())
+    made = connection_handoff.ConnectionHandoff(rig.loop, rig.budget, door, scheduler().settings, rig.log)
+    made.finish = lambda launch, exchange: jobs.append((launch, exchange)) or iter(())
     here = socket.create_server((HERE, 0))
     ends = [socket.create_connection(here.getsockname()) for _ in range(2)]
     try:
-        made.take_up(raw, ends)
+        made.take_over(raw, ends)
         (launch, exchange) = jobs[0]
         assert launch.name == exchange.name
         return {
             "name": exchange.name,
             "kind": exchange.kind,
-            "until": exchange.until + connection_handoff.EARLY,
+            "until": exchange.until + connection_handoff.ANSWER_MARGIN_US,
             "headed": launch.headed,
             "rest": launch.conn.buffer.peek(),
         }
@@ -421,18 +422,18 @@
     return load_messages.encoded(*load_messages.decoded(raw))
 
 
-EVENT_LAYOUTS, EVENT_RECORD_BYTES = adapter_frames.EVENTS, adapter_frames.RECORD
-ANSWER_HEAD, ACTION_BYTES = adapter_frames.REPLY, adapter_frames.ACTION
-EVENT_HEAD = adapter_frames.HEADER
+EVENT_LAYOUTS, EVENT_RECORD_BYTES = adapter_frames.EVENT_LAYOUTS, adapter_frames.EVENT_BYTES
+ANSWER_HEAD, ACTION_BYTES = adapter_frames.REPLY_HEADER, adapter_frames.ACTION_BYTES
+EVENT_HEAD = adapter_frames.EVENT_HEADER
 ACTION_LAYOUTS = {
-    1: adapter_frames.PASS_ON,
-    2: adapter_frames.BOUNCE,
-    3: adapter_frames.GIVE_UP,
-    4: adapter_frames.REVOKE,
-    5: adapter_frames.NOTIFY_ME,
-    8: adapter_frames.MEMO_TO,
-    10: adapter_frames.TEXT,
-    11: adapter_frames.TRACK,
+    1: adapter_frames.pack_launch,
+    2: adapter_frames.pack_reject,
+    3: adapter_frames.pack_kill,
+    4: adapter_frames.pack_revoke,
+    5: adapter_frames.pack_wake,
+    8: adapter_frames.pack_message,
+    10: adapter_frames.pack_text,
+    11: adapter_frames.pack_follow,
 }
 answer_of = adapter_frames.reply
 
@@ -441,7 +442,6 @@
     """(clock in milliseconds, records as (code, fields...), tail) of each frame of the input."""
     stream, out = io.BytesIO(raw), []
     while (frame := adapter_frames.frame_from(stream)) is not None:
-        clock, body, count = frame
-        records = [(code, *fields) for _, code, fields in adapter_frames.events(body, count)]
-        out.append((clock / 1000, records, bytes(body[count * EVENT_RECORD_BYTES :])))
+        records = [(code, *fields) for _, code, fields in frame.events()]
+        out.append((frame.now / 1000, records, bytes(frame.body[frame.count * EVENT_RECORD_BYTES :])))
     return out
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -19,7 +19,7 @@
 from mastledge.idempotency.persisted_keys import PersistedKeys
 from mastledge.idempotency.records import RECORD_OVERHEAD_BYTES, RecordState
 from mastledge.idempotency.verdicts import Verdict
-from mastledge.program import lifecycle
+from mastledge.program import serving
 from mastledge.program.configuration import ConfigurationError, load_configuration
 
 RETENTION_US = 1_000_000
@@ -217,7 +217,7 @@
 @pytest.fixture
 def keyed(tmp_path, monkeypatch):
     """A dispatcher that serves, and what starts it again with the same folder."""
-    monkeypatch.setattr(lifecycle, "FIRST_NEWS", 0)
+    monkeypatch.setattr(serving, "FIRST_LIST_TIMEOUT_US", 0)
     dispatchers = [Keyed(tmp_path).serving()]
 
     def restart():
