--- a/mastledge/program/excluded_workers.py
+++ b/mastledge/program/excluded_workers.py
@@ -10,16 +10,14 @@
 
     `committed` and `committed_included_at` (when a worker was included again, Unix time in microseconds) are
     what the dispatchers have agreed on; `restricted_by_fleet` are draining or gone by a newer list of another
-    dispatcher; `restricted_by_restored_list` by a list newer than today's that outlasted a restart.
+    dispatcher; `by_newer_list` by a newer list than that of now.
     """
 
     committed: frozenset[str] = frozenset()
     committed_included_at: dict[str, int] = field(default_factory=dict)
     restricted_by_fleet: frozenset[str] = frozenset()
-    restricted_by_restored_list: frozenset[str] = frozenset()
+    by_newer_list: frozenset[str] = frozenset()
 
     def with_shared(self, shared: Iterable[str]) -> frozenset[str]:
         """All excluded workers; `shared` are those of the upgrade state."""
-        return (
-            frozenset(shared) | self.committed | self.restricted_by_fleet | self.restricted_by_restored_list
-        )
+        return frozenset(shared) | self.committed | self.restricted_by_fleet | self.by_newer_list
--- a/mastledge/program/recovery_exclusion.py
+++ b/mastledge/program/recovery_exclusion.py
@@ -1,4 +1,4 @@
-"""Keeps workers from new jobs while the endpoint list is older than one that was heard before."""
+"""Keeps workers from new jobs while the endpoint list is older than one that was received before."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -7,46 +7,46 @@
 from mastledge.recovery.newest_list import NewestList
 
 if TYPE_CHECKING:
-    from mastledge.program.lifecycle import Program
+    from mastledge.program.dispatcher import Dispatcher
 
 
 class WorkerExclusion:
-    """Sets `program.excluded.restricted_by_restored_list`, by the newest list and the one of now."""
+    """Sets `dispatcher.excluded.by_newer_list`, by the newest list and the one of now."""
 
-    def __init__(self, program: "Program", list_validity_us: int, log: Callable[..., None]):
+    def __init__(self, dispatcher: "Dispatcher", list_validity_us: int, log: Callable[..., None]):
         """`list_validity_us`: after which an older list counts, as registries may count anew."""
         self.newest_list = NewestList()
-        self._program, self._list_validity_us, self._log = program, list_validity_us, log
+        self._dispatcher, self._list_validity_us, self._log = dispatcher, list_validity_us, log
         self._starts: dict[str, int] = {}
         self._older_since: int | None = None
 
     def list_changed(self, kind: str, entries: list) -> None:
-        """Discovery has told `entries` as the decisions take them; `kind`: "whole", "changes" or "cached"."""
-        generation = self._program.discovery.generation
+        """Discovery gave `entries`, as the decisions take them; `kind`: "whole", "changes" or "cached"."""
+        generation = self._dispatcher.discovery.generation
         if generation is None or kind not in ("whole", "changes"):
             return
         states = [(entry[0], entry[3]) for entry in entries]
         self.newest_list.observe(generation, states, self._starts, kind == "whole")
-        self._starts = worker_starts(self._program)
+        self._starts = worker_starts(self._dispatcher)
         self.update()
 
     def update(self) -> None:
         """Excludes workers or frees them."""
-        excluded = self._excluded() if self._program.discovery.answered else frozenset()
-        if excluded == self._program.excluded.restricted_by_restored_list:
+        excluded = self._excluded() if self._dispatcher.discovery.answered else frozenset()
+        if excluded == self._dispatcher.excluded.by_newer_list:
             return
         self._log(
             "workers_excluded_by_newer_list",
             out=sorted(excluded),
-            generation=self._program.discovery.generation,
+            generation=self._dispatcher.discovery.generation,
             newest=self.newest_list.generation,
         )
-        self._program.excluded.restricted_by_restored_list = excluded
-        self._program.refresh_excluded_workers()
+        self._dispatcher.excluded.by_newer_list = excluded
+        self._dispatcher.refresh_excluded_workers()
 
     def _excluded(self) -> frozenset[str]:
-        generation = self._program.discovery.generation
-        now = self._program.loop.now()
+        generation = self._dispatcher.discovery.generation
+        now = self._dispatcher.loop.now()
         excluded = self.newest_list.excluded(generation, self._starts)
         if not excluded:
             self._older_since = None
--- a/mastledge/program/recovery_records.py
+++ b/mastledge/program/recovery_records.py
@@ -41,10 +41,10 @@
     return endpoint.started_at + discovery.since if endpoint.started_at else 0
 
 
-def worker_starts(program: "Dispatcher") -> dict[str, int]:
+def worker_starts(dispatcher: "Dispatcher") -> dict[str, int]:
     """{worker id: start in Unix microseconds} of the workers of the list of now."""
-    endpoints = program.router.peers
-    return {id: start_of(endpoint, program.discovery) for id, endpoint in endpoints.items()}
+    endpoints = dispatcher.router.peers
+    return {id: start_of(endpoint, dispatcher.discovery) for id, endpoint in endpoints.items()}
 
 
 def stored_asides(asides: list, now: int) -> list:
@@ -75,13 +75,13 @@
 class RecordBuilder:
     """Makes records of the program's state of now."""
 
-    def __init__(self, program: "Dispatcher", newest_list: NewestList):
+    def __init__(self, dispatcher: "Dispatcher", newest_list: NewestList):
         """Only reads what it is given."""
-        self._program, self._newest_list = program, newest_list
+        self._dispatcher, self._newest_list = dispatcher, newest_list
 
     def endpoint_list(self, written_at: ClockReading) -> ListRecord | None:
-        """The list as this process heard it; None where what is stored is newer."""
-        discovery = self._program.discovery
+        """The list as this process received it; None where what is stored is newer."""
+        discovery = self._dispatcher.discovery
         generation = discovery.generation
         if not discovery.answered or generation is None or generation < self._newest_list.generation:
             return None
@@ -89,15 +89,15 @@
             id: RestrictedWorker("gone", start, ["", 0]) for id, start in self._newest_list.restricted.items()
         }
         workers.update(self._listed_workers())
-        registry = registry_name(self._program.configuration)
+        registry = registry_name(self._dispatcher.configuration)
         return ListRecord(*astuple(written_at), registry, generation, workers)
 
     def _listed_workers(self) -> dict[str, StoredWorker]:
-        discovery = self._program.discovery
+        discovery = self._dispatcher.discovery
         zones = {number: name for name, number in discovery.zones.items()}
         machine_types = {number: name for name, number in discovery.kinds.items()}
         workers = {}
-        for worker in list(self._program.router.scheduler.workers.values())[:MAX_WORKERS]:
+        for worker in list(self._dispatcher.router.scheduler.workers.values())[:MAX_WORKERS]:
             endpoint = worker.id
             if endpoint.address is not None:
                 workers[endpoint.id] = StoredWorker(
@@ -113,10 +113,10 @@
 
     def unfinished_loads(self, written_at: ClockReading) -> LoadRecord:
         """What is in flight at each worker, and until when that may be so."""
-        discovery = self._program.discovery
+        discovery = self._dispatcher.discovery
         unix_us, now = written_at.unix_us, written_at.monotonic_us
         loads = {}
-        for worker in self._program.router.scheduler.workers.values():
+        for worker in self._dispatcher.router.scheduler.workers.values():
             endpoint = worker.id
             if worker.load > 0 and endpoint.address is not None:
                 last = max((launch.job.deadline for launch in worker.in_flight.values()), default=now)
@@ -133,6 +133,6 @@
         """What the decisions learned of each worker."""
         workers = {
             id: LearnedWorker(slots, peak, slow, stored_asides(asides, written_at.monotonic_us))
-            for id, (slots, peak, slow, asides) in self._program.router.scheduler.learned_state().items()
+            for id, (slots, peak, slow, asides) in self._dispatcher.router.scheduler.learned_state().items()
         }
         return LearnedRecord(*astuple(written_at), workers)
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -54,23 +54,23 @@
 class RecoveryService:
     """Composes the parts of a start; what the program, the fleet and the operators' API call."""
 
-    def __init__(self, program: "Dispatcher", configuration: dict, log: Callable[..., None]):
+    def __init__(self, dispatcher: "Dispatcher", configuration: dict, log: Callable[..., None]):
         """`configuration`: of the program, with `recovery`; `log`: takes an event and its fields."""
         own, settings = configuration["recovery"], configuration["settings"]
-        now = program.loop.now()
+        now = dispatcher.loop.now()
         max_retry_after_us = settings["most_hold_off"] if settings["may_hold_off"] else 0
         self.stages = StartupStages(now, bool(configuration["peers"]))
         self.ramp = AdmissionRamp(configuration["seed"], now, own["open"], max_retry_after_us)
-        self.gate = AdmissionGate(program.loop, program.listener, self.ramp)
+        self.gate = AdmissionGate(dispatcher.loop, dispatcher.listener, self.ramp)
         self.restored = RestoredState.rejected("not read yet")
         self.directory = RecoveryDirectory(own["folder"], configuration["name"], log)
-        self.exclusion = WorkerExclusion(program, own["list"], log)
-        self._clock = RecoveryClock(program.loop, read_boot_id())
-        builder = RecordBuilder(program, self.exclusion.newest_list)
-        self.persistence = RecoveryPersistence(builder, self._clock, program.loop, log)
+        self.exclusion = WorkerExclusion(dispatcher, own["list"], log)
+        self._clock = RecoveryClock(dispatcher.loop, read_boot_id())
+        builder = RecordBuilder(dispatcher, self.exclusion.newest_list)
+        self.persistence = RecoveryPersistence(builder, self._clock, dispatcher.loop, log)
         self._random = StartupRandom(configuration["seed"], configuration["name"])
-        self.poll = PeerLoadPoll(program, configuration["name"], self.ramp, self._random.draw)
-        self._program, self._loop, self._log = program, program.loop, log
+        self.poll = PeerLoadPoll(dispatcher, configuration["name"], self.ramp, self._random.draw)
+        self._dispatcher, self._loop, self._log = dispatcher, dispatcher.loop, log
         self._list_validity_us = own["list"]
         self._started_at = now
         self._logged_stage: StartupStage | None = None
@@ -80,13 +80,13 @@
 
     def begin(self) -> None:
         """Opens the directory and starts the tasks; DataDirectoryError where another dispatcher has it."""
-        self.directory.open(other_process_runs=self._program.has_sibling_process)
-        vital, spawn = self._program.supervised, self._loop.spawn
+        self.directory.open(other_process_runs=self._dispatcher.has_sibling_process)
+        vital, spawn = self._dispatcher.supervised, self._loop.spawn
         store = self.persistence.run(self._take_over_directory)
         self._tasks = [spawn(vital(self._run()), first=True), spawn(vital(store), first=True)]
 
     def _take_over_directory(self) -> None:
-        if not self._program.listener.succeeded:
+        if not self._dispatcher.listener.succeeded:
             self.directory.take_over()
 
     def prepare(self) -> Generator:
@@ -98,10 +98,10 @@
         while not self.directory.is_read and self.stages.stage == StartupStage.READING_STATE:
             yield (-1, 0, self._loop.now() + STAGE_INTERVAL_US)
         if self.restored.workers:
-            self._program.discovery.apply(self._restored_list(), "cached")
-            # Changes are counted from a list that its registry has told to this process.
-            self._program.discovery.generation = None
-        dispatchers = self._program.configuration["settings"]["dispatchers"]
+            self._dispatcher.discovery.apply(self._restored_list(), "cached")
+            # Changes are counted from a list that its registry has given to this process.
+            self._dispatcher.discovery.generation = None
+        dispatchers = self._dispatcher.configuration["settings"]["dispatchers"]
         spread_us = min(MAX_DISCOVERY_SPREAD_US, DISCOVERY_SPREAD_US * dispatchers)
         yield (-1, 0, self._loop.now() + int(self._random.draw() * spread_us))
 
@@ -157,7 +157,7 @@
         if self.directory.trouble:
             self.restored = RestoredState.rejected(self.directory.trouble)
         else:
-            registry = registry_name(self._program.configuration)
+            registry = registry_name(self._dispatcher.configuration)
             self.restored = restore(record, self._clock.now(), registry, self._list_validity_us)
         self.exclusion.newest_list.restore(self.restored.generation, self.restored.restricted())
         self.persistence.start(self.directory.write_ahead_log)
@@ -171,10 +171,10 @@
         )
 
     def _resize_ramp(self, now: int) -> None:
-        scheduler = self._program.router.scheduler
+        scheduler = self._dispatcher.router.scheduler
         # Also those that are ejected here: that is this one's own view, and ends by jobs that are admitted.
         slots = scheduler.usable_slots(now)
-        self.ramp.resize(slots, self._program.configuration["settings"]["dispatchers"])
+        self.ramp.resize(slots, self._dispatcher.configuration["settings"]["dispatchers"])
 
     def _advance_stages(self, now: int) -> None:
         self._report_stages(now)
@@ -191,16 +191,16 @@
         )
         if stage == StartupStage.RAMPING_UP:
             self.ramp.start(now)
-        self._loop.wake(self._program.lifecycle_task)
+        self._loop.wake(self._dispatcher.lifecycle_task)
 
     def _report_stages(self, now: int) -> None:
-        discovery, fleet = self._program.discovery, self._program.fleet
+        discovery, fleet = self._dispatcher.discovery, self._dispatcher.fleet
         report = self.stages.report
         report(StartupStage.READING_STATE, self.directory.is_read, "its folder")
         if fleet is not None:
             report(StartupStage.AWAITING_LEASE, fleet.rule.may_act(now), fleet.why())
-        heard = discovery.answered or discovery.task is None and discovery.generation is not None
-        report(StartupStage.AWAITING_ENDPOINT_LIST, heard, discovery.trouble or "discovery")
+        has_list = discovery.answered or discovery.task is None and discovery.generation is not None
+        report(StartupStage.AWAITING_ENDPOINT_LIST, has_list, discovery.trouble or "discovery")
         if self.stages.stage == StartupStage.POLLING_PEERS:
             self.poll.poll(now)
         report(StartupStage.POLLING_PEERS, fleet is None or self.poll.is_complete(), "the others' load")
@@ -217,7 +217,7 @@
     # What the program and the fleet hand in and take
 
     def list_changed(self, kind: str, entries: list) -> None:
-        """Discovery has told of the workers, as the decisions are told of it."""
+        """Discovery gave a list of the workers or changes of it, as the decisions take them."""
         self.exclusion.list_changed(kind, entries)
 
     def receive(self, name: str, content: bytes) -> None:
@@ -226,10 +226,10 @@
 
     def inherited(self) -> dict[str, list]:
         """What the decisions begin with by worker id, as `Scheduler.restore_learned` takes it."""
-        unix_now, starts = self._clock.unix_now(), worker_starts(self._program)
+        unix_now, starts = self._clock.unix_now(), worker_starts(self._dispatcher)
         workers = {
             id: WorkerIdentity(starts[id], endpoint.address)
-            for id, endpoint in self._program.router.peers.items()
+            for id, endpoint in self._dispatcher.router.peers.items()
         }
         inherited = inherited_workers(self.restored, unix_now, workers)
         now = self._loop.now()
@@ -254,7 +254,7 @@
                 "learned": len(self.restored.learned),
                 "not": self.restored.rejected_parts,
             },
-            "kept_off": sorted(self._program.excluded.restricted_by_restored_list),
+            "kept_off": sorted(self._dispatcher.excluded.by_newer_list),
             "asked": self.poll.polled(),
             "answered": self.poll.answered(),
             "disk": "failing" if self.persistence.is_failing else self.directory.trouble or "good",
