--- a/mastledge/lab/scale/meter.py
+++ b/mastledge/lab/scale/meter.py
@@ -30,7 +30,10 @@
     "OutgoingLink": AGREEMENT,
     "LinkListener": AGREEMENT,
     "DelayedLinks": AGREEMENT,
-    "Fleet": AGREEMENT,
+    "ConsensusDriver": AGREEMENT,
+    "ChangeRequests": AGREEMENT,
+    "RestrictionExchange": AGREEMENT,
+    "SharedLeaseExchange": AGREEMENT,
     "Discovery": LIST,
     "Control": CALLS,
     "Program": UPKEEP,
@@ -162,9 +165,9 @@
 
 
 def meter_messages(meter):
-    from mastledge.program.fleet import Fleet
+    from mastledge.program.consensus_driver import ConsensusDriver
 
-    frame_received = Fleet.frame_received
+    frame_received = ConsensusDriver.frame_received
 
     def count(table, content, message):
         some = table[type(message).__struct_config__.tag if message is not None else "other"]
@@ -187,20 +190,20 @@
         meter.sent["read"][1] += READ_BYTE
         frame_received(self, name, life, content)
 
-    Fleet.do_send = metered_send
-    Fleet.frame_received = within(meter, AGREEMENT, metered_heard)
+    ConsensusDriver.send_message = metered_send
+    ConsensusDriver.frame_received = within(meter, AGREEMENT, metered_heard)
 
 
 def hold_voters():
     """The voters stay those that the run began with."""
     from mastledge.lab.sized import Sized
-    from mastledge.program import fleet
+    from mastledge.program import consensus_driver
 
-    fleet.Member = Sized
+    consensus_driver.Member = Sized
 
 
 def delay_links(path):
-    from mastledge.program import fleet
+    from mastledge.program import consensus_driver
 
     with open(path) as file:
         told = json.load(file)
@@ -208,7 +211,7 @@
     def made(*fields):
         return DelayedLinks(*fields, regions=told["regions"], round_trip=told["round_trip"])
 
-    fleet.Links = made
+    consensus_driver.Links = made
 
 
 def metered():
--- /dev/null
+++ b/mastledge/program/change_requests.py
@@ -0,0 +1,120 @@
+"""Changes that this dispatcher wants committed: operators wait for theirs, the program is called back.
+
+A change is a plain map, as it stands in the log and in messages (`consensus/changes.py`).
+"""
+
+import time
+from collections.abc import Callable, Generator
+
+from mastledge.consensus import inputs, outputs
+from mastledge.consensus.member import Member
+from mastledge.consensus.state_machine import ChangeResult
+from mastledge.program.consensus_driver import ConsensusDriver
+from mastledge.protocol.control import Answer, No
+
+CALLER_TIMEOUT_US = 700_000  # a caller waits for 1 s
+POLL_INTERVAL_US = 5_000
+MAX_RESULTS = 64  # that nobody has taken
+NS_PER_US = US_PER_MS = 1000
+OK, ACCEPTED, UNAVAILABLE = 200, 202, 503
+
+
+def unix_us() -> int:
+    """Unix time in microseconds."""
+    return time.time_ns() // NS_PER_US
+
+
+class ChangeRequests:
+    """Proposes changes by the member of this dispatcher, and has who wants them know what became of them."""
+
+    def __init__(self, driver: ConsensusDriver) -> None:
+        """Changes by the member that this driver has."""
+        self.driver, self.loop = driver, driver.loop
+        self.name, self.seed = driver.configuration.name, driver.configuration.seed
+        self.results: dict[str, outputs.Committed] = {}  # by the id of an operator's change
+        self.callbacks: dict[str, Callable[[ChangeResult], None] | None] = {}  # by the id of the program's
+        self.count = 0
+
+    def propose(self, id: str, change: dict, on_result: Callable[[ChangeResult], None] | None = None) -> None:
+        """Propose a change that the program itself wants; one with an `id` of before counts once.
+
+        `on_result` is called in a turn of its own, while there still is a member.
+        """
+        self.callbacks[id] = on_result
+        self.driver.step(inputs.Propose(id, {**change, "by": self.name, "at": 0}))
+
+    def commit(self, change: dict) -> Generator[tuple, object, Answer]:
+        """Coroutine: propose an operator's change and wait until it is in force, or as long as a caller does.
+
+        Gives 200 where it is in force and 202 where it is committed. Raises `No` with the status of a
+        refusal, or with 503 where nobody has committed it in time.
+        """
+        self.driver_member()
+        id = self._new_id()
+        change = {**change, "by": self.name, "at": change.get("at") or unix_us()}
+        deadline = self.loop.now() + CALLER_TIMEOUT_US
+        self.driver.step(inputs.Propose(id, change))
+        try:
+            committed = yield from self._wait_committed(id, deadline)
+            yield from self._wait_in_force(committed.index, deadline)
+        finally:
+            self.results.pop(id, None)
+            self.driver.step(inputs.ForgetProposal(id))
+        return self._answer(committed)
+
+    def driver_member(self) -> Member:
+        """Give the member; `No` where another process of this dispatcher has it."""
+        if self.driver.member is None:
+            raise No(UNAVAILABLE, "here only: the process beside this one speaks for this dispatcher")
+        return self.driver.member
+
+    def committed(self, committed: outputs.Committed) -> None:
+        """Take a result from the driver."""
+        if committed.id in self.callbacks:
+            self.loop.spawn(self._call_back(committed))
+            return
+        self.results[committed.id] = committed
+        while len(self.results) > MAX_RESULTS:
+            del self.results[next(iter(self.results))]
+
+    def _new_id(self) -> str:
+        self.count += 1
+        incarnation = self.driver.member.incarnation
+        return f"{self.name}.{incarnation}.{self.seed & 0xffff}.{time.time_ns()}.{self.count}"
+
+    def _wait_committed(self, id: str, deadline: int) -> Generator:
+        while id not in self.results:
+            member = self.driver_member()
+            if self.loop.now() >= deadline:
+                reason = member.no_lease_reason() or "no leader has answered"
+                raise No(UNAVAILABLE, f"here only: {reason}")
+            yield (-1, 0, self.loop.now() + POLL_INTERVAL_US)
+        committed = self.results[id]
+        if committed.result.reason and committed.result.status != OK:
+            raise No(committed.result.status, committed.result.reason)
+        return committed
+
+    def _wait_in_force(self, index: int, deadline: int) -> Generator:
+        while self.driver_member().lease.in_force_index < index and self.loop.now() < deadline:
+            yield (-1, 0, self.loop.now() + POLL_INTERVAL_US)
+
+    def _answer(self, committed: outputs.Committed) -> Answer:
+        member, result = self.driver.member, committed.result
+        text = f"version {result.version}" + (f": {result.reason}" if result.reason else "")
+        etag = (b"etag", b'"%d"' % result.version)
+        if member.lease.in_force_index >= committed.index:
+            return Answer(OK, text + " is in force", [etag])
+        left_ms = max(1, (member.lease.in_force_by - self.loop.now()) // US_PER_MS)
+        return Answer(
+            ACCEPTED,
+            f"{text} is in force in {left_ms} ms at the latest",
+            [etag, (b"in-force-in-ms", b"%d" % left_ms)],
+        )
+
+    def _call_back(self, committed: outputs.Committed) -> Generator:
+        """Coroutine without a wait: a step of the member must not begin within another one."""
+        yield from ()
+        on_result = self.callbacks.pop(committed.id, None)
+        self.driver.step(inputs.ForgetProposal(committed.id))
+        if on_result is not None and self.driver.member is not None:
+            on_result(committed.result)
--- /dev/null
+++ b/mastledge/program/consensus_driver.py
@@ -0,0 +1,213 @@
+"""Drives one member: hands it what happens, and carries out what follows, with a log, links and a timer."""
+
+import uuid
+from collections.abc import Callable, Generator
+from copy import deepcopy
+from typing import TYPE_CHECKING, Protocol
+
+from mastledge.consensus import inputs, messages, outputs
+from mastledge.consensus.changes import ChangeKind
+from mastledge.consensus.configuration import MemberConfiguration
+from mastledge.consensus.member import Member
+from mastledge.consensus.messages import WorkerRestrictions
+from mastledge.consensus.persisted_state import PersistedState
+from mastledge.peers.link_context import LinkIdentity
+from mastledge.peers.links import Links
+from mastledge.program.fleet_configuration import FleetConfiguration
+from mastledge.storage.data_directory import DataDirectory
+from mastledge.storage.errors import DataDirectoryError
+from mastledge.storage.write_ahead_log import WriteAheadLog
+from mastledge.storage.writer import Writer
+from mastledge.transport.connection import address_of
+from mastledge.transport.loop import READ, Task
+
+if TYPE_CHECKING:
+    from mastledge.program.lifecycle import Program
+
+LOG_FILE = "agreement"
+MIN_TICK_INTERVAL_US = 500
+SERVICE_FRAME_PREFIX = b"\xc1"  # of frames that are no message of a member's; MessagePack never uses it
+NAME_DIGITS = 16  # hexadecimal ones, of a new incarnation or fleet
+
+
+def new_name() -> str:
+    """A random name that no incarnation or fleet had before."""
+    return uuid.uuid4().hex[:NAME_DIGITS]
+
+
+class DriverHost(Protocol):
+    """What a driver tells of its member."""
+
+    def member_stepped(self, now: int) -> None:
+        """Look at the member after a step that began at `now`."""
+
+    def change_committed(self, committed: outputs.Committed) -> None:
+        """Take the result of a proposed change; must not step the member."""
+
+    def restrictions_received(self, restrictions: WorkerRestrictions) -> None:
+        """Take what another member's registry restricts."""
+
+    def service_frame_received(self, sender: str, content: bytes) -> None:
+        """Take a frame that is for another service; `ValueError` for one that cannot be read."""
+
+
+class ConsensusDriver:
+    """The member while this process is the active one of its dispatcher, and what it needs of the system."""
+
+    def __init__(
+        self,
+        program: "Program",
+        configuration: FleetConfiguration,
+        directory: DataDirectory,
+        host: DriverHost,
+        log: Callable[..., None],
+    ) -> None:
+        """Opens nothing yet. `program` has the loop and its tasks, `log` takes an event and its fields."""
+        self.program, self.loop, self.log = program, program.loop, log
+        self.configuration, self.directory, self.host = configuration, directory, host
+        self.member: Member | None = None  # None before the start, and once another process is active
+        self.writer: Writer | None = None
+        self.links: Links | None = None
+        self.timer: Task | None = None
+        self.tasks: list[Task] = []
+        self.longest_step_us = 0
+
+    def start(self, settings: dict, standby_index: int) -> None:
+        """Replay the log of the directory, whose lock this process has, and take part from here on.
+
+        `settings` are those of a fleet that begins here. `standby_index` is the entry up to which the process
+        before this one has applied: it goes by its last lease for a while, and until then nothing newer is
+        said to be in force here. Raises `DataDirectoryError`, and gives the lock back then.
+        """
+        persisted = PersistedState()
+        self.writer = Writer(self._open_log(persisted))
+        member_configuration = self._member_configuration(settings)
+        self.member = Member(member_configuration, deepcopy(persisted.value()), self.loop.now())
+        members = len(self.configuration.members)
+        self.links = Links(self.loop, self, members, self.configuration.seed, self.log)
+        if standby_index:
+            self.member.lease.standby_index = standby_index
+        self.links.start(self.configuration.listen)
+        vital, spawn = self.program.vital, self.loop.spawn
+        self.timer = spawn(vital(self._tick()), first=True)
+        self.tasks = [spawn(vital(self._take_write_results()), first=True), self.timer]
+
+    def _open_log(self, persisted: PersistedState) -> WriteAheadLog:
+        owner = {"name": self.configuration.name}
+        if self.configuration.fleet:
+            owner["fleet"] = self.configuration.fleet
+        try:
+            return WriteAheadLog(self.directory, LOG_FILE, owner, persisted, self.log).open()
+        except DataDirectoryError:
+            self.directory.release()
+            raise
+
+    def _member_configuration(self, settings: dict) -> MemberConfiguration:
+        return MemberConfiguration(
+            name=self.configuration.name,
+            members=self.configuration.members,
+            may_bootstrap=self.configuration.may_bootstrap,
+            settings=settings,
+            lease_us=self.configuration.lease_us,
+            new_incarnation=new_name(),
+            new_fleet=new_name(),
+            seed=self.configuration.seed,
+        )
+
+    def leave(self) -> None:
+        """Have another member lead; said at once, as nothing runs here any more in a moment."""
+        if self.member is not None:
+            self.step(inputs.Leave())
+            self.links.flush()
+
+    def close(self) -> None:
+        """End the tasks, the links and the log, and give the directory's lock back."""
+        for task in self.tasks:
+            self.loop.cancel(task)
+        self.tasks = []
+        if self.member is not None:
+            self.links.close()
+            self.loop.forget(self.writer.fd)
+            self.writer.close()
+            self.directory.release()
+
+    def retire(self) -> None:
+        """Close for good: another process is active from here on."""
+        self.close()
+        self.member = None
+
+    # Inputs
+
+    def step(self, input: inputs.Input) -> None:
+        """Hand the member one input and carry out what follows; nothing where there is no member."""
+        if self.member is None:
+            return
+        now = self.loop.now()
+        due = self.member.wake_at()
+        for output in self.member.step(now, input):
+            self._carry_out(output)
+        self.host.member_stepped(now)
+        if self.timer is not None and self.member.wake_at() < due and not isinstance(input, inputs.Tick):
+            self.loop.wake(self.timer)
+        self.longest_step_us = max(self.longest_step_us, self.loop.now() - now)
+
+    def _tick(self) -> Generator:
+        self.step(inputs.Tick())
+        while True:
+            yield (-1, 0, max(self.member.wake_at(), self.loop.now() + MIN_TICK_INTERVAL_US))
+            if self.loop.now() >= self.member.wake_at():
+                self.step(inputs.Tick())
+
+    def _take_write_results(self) -> Generator:
+        while True:
+            yield (self.writer.fd, READ, None)
+            for result in self.writer.completed():
+                if result.error is None:
+                    self.step(inputs.Persisted(result.token))
+                else:
+                    self.links.log.write("disk_failed", why=str(result.error))
+                    self.step(inputs.DiskFailed())
+
+    # Outputs
+
+    def _carry_out(self, output: outputs.Output) -> None:
+        match output:
+            case outputs.Send():
+                self.send_message(output)
+            case outputs.Persist(token, records):
+                self.writer.append(token, records)
+            case outputs.Rewrite(token, records):
+                self.writer.rewrite(token, records)
+            case outputs.Committed():
+                self.host.change_committed(output)
+            case outputs.RestrictionsReceived(restrictions):
+                self.host.restrictions_received(restrictions)
+            case outputs.LogEvent(name, fields):
+                self._log_event(name, fields)
+
+    def send_message(self, output: outputs.Send) -> None:
+        """Send a message to another member; it may be lost."""
+        self.links.send(output.to, messages.encode(output.message))
+
+    def _log_event(self, name: str, fields: dict) -> None:
+        if name == "entry_committed" and fields["kind"] == ChangeKind.NOOP:
+            return
+        self.log("fleet_" + name, **fields)
+
+    # What the links need
+
+    def link_identity(self) -> LinkIdentity:
+        """Give who this dispatcher is for the others."""
+        return LinkIdentity(self.member.fleet, self.configuration.name, self.member.incarnation)
+
+    def member_address(self, name: str) -> tuple[str, int] | None:
+        """Give where a member listens for links, or None where it is not known."""
+        address = self.member.address_of(name)
+        return None if address is None else address_of(address)
+
+    def frame_received(self, sender: str, incarnation: str, content: bytes) -> None:
+        """Take a frame of another dispatcher; `ValueError` for one that cannot be read."""
+        if content.startswith(SERVICE_FRAME_PREFIX):
+            self.host.service_frame_received(sender, content)
+            return
+        self.step(inputs.MessageReceived(sender, incarnation, messages.decode(content)))
--- a/mastledge/program/fleet_api.py
+++ b/mastledge/program/fleet_api.py
@@ -1,248 +1,252 @@
-"""What operators ask of one dispatcher among those that agree: the calls at its second address."""
+"""What operators ask of one dispatcher of a fleet: the calls at its second address.
 
-import time
-import uuid
+Each call takes a request and gives an answer or a text, or is a coroutine that does. `No` is a refusal, with
+its status and reason.
+"""
+
+from collections.abc import Callable, Generator, Iterable
+from typing import TYPE_CHECKING, Any
 
 import orjson
 
-from mastledge.consensus import inputs
-from mastledge.consensus.changes import MAX_FAN_OUT, MIN_FAN_OUT, is_valid_fan_out
+from mastledge.consensus.changes import MAX_FAN_OUT, MIN_FAN_OUT, ChangeKind, is_valid_fan_out
+from mastledge.consensus.member import Member
 from mastledge.consensus.roles import Role
 from mastledge.consensus.settings_patch import difference
+from mastledge.program.agreed_settings import shared_settings
+from mastledge.program.change_requests import OK, US_PER_MS, unix_us
+from mastledge.program.fleet_restore import BAD_REQUEST, CONFLICT, restore
 from mastledge.protocol.control import Answer, No
 from mastledge.recovery import fleet_snapshot
 from mastledge.transport.connection import address_of
 
-PATIENCE = 700_000  # of a caller, who waits for 1 s
-LOOK = 5_000
-MOST_NAMED = 5  # names in one message
+if TYPE_CHECKING:
+    from mastledge.program.fleet import Fleet
+
+MAX_NAMES_IN_MESSAGE = 5
+NOT_FOUND, PRECONDITION_FAILED, PRECONDITION_REQUIRED, UNAVAILABLE = 404, 412, 428, 503
+Call = Callable[..., Any]
+
+
+def json_answer(document: Any, headers: Iterable[tuple[bytes, bytes]] = ()) -> Answer:
+    """An answer with a document, in lines and with its keys in order."""
+    text = orjson.dumps(document, option=orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS).decode()
+    return Answer(OK, text, [*headers], "application/json")
 
 
 class FleetApi:
-    """The part of `Fleet` that answers operators."""
+    """Answers operators for one fleet."""
+
+    def __init__(self, fleet: "Fleet") -> None:
+        """Calls that ask, and change, what this dispatcher has of its fleet."""
+        self.fleet = fleet
 
-    def calls(self):
+    def calls(self) -> dict[str, dict[bytes, Call]]:
+        """The calls by path and method; a path that ends with a slash takes a further part."""
         return {
-            "/api/agreed": {b"GET": self.agreed},
-            "/api/history": {b"GET": self.history},
-            "/api/settings": {b"GET": self.settings, b"POST": self.change_settings},
-            "/api/settings/": {b"GET": self.settings_of},
+            "/api/agreed": {b"GET": self.show_agreed},
+            "/api/history": {b"GET": self.show_history},
+            "/api/settings": {b"GET": self.show_settings, b"POST": self.change_settings},
+            "/api/settings/": {b"GET": self.show_settings_version},
             "/api/members": {b"POST": self.change_members},
             "/api/relays": {b"POST": self.change_relays},
             "/api/snapshot": {b"GET": self.snapshot},
             "/api/restore": {b"POST": self.restore},
         }
 
-    def json(self, told, status=200, headers=()):
-        return Answer(
-            status,
-            orjson.dumps(told, option=orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS).decode(),
-            [*headers],
-            "application/json",
-        )
-
-    def speaking(self):
-        if self.member is None:
-            raise No(503, "here only: the process beside this one speaks for this dispatcher")
-        return self.member
+    # What is agreed
 
-    def agreed(self, request):
-        member, now = self.speaking(), self.loop.now()
-        state = member.state_machine.state if member.state_machine else None
-        left = max(0, member.lease.lease_until - now) if member.may_act(now) else 0
-        return self.json(
+    def show_agreed(self, request: Any) -> Answer:
+        """Versions, leadership, the lease, members, and figures of this process."""
+        member = self.fleet.changes.driver_member()
+        now = self.fleet.loop.now()
+        return json_answer(
             {
-                "name": self.name,
-                "fleet": member.fleet,
-                "life": member.incarnation,
-                "version": self.version(),
-                "settings_version": state["settings_version"] if state else 0,
-                "in_force": bool(state) and member.lease.in_force_index >= member.commit_index,
-                "term": member.term,
-                "leader": member.leader or "",
-                "leads": member.role == Role.LEADER,
-                "fan_out": member.fan_out,
-                "relay": member.relay_choice.relay or ""
-                if member.fan_out and not member.state.is_voter()
-                else "",
-                "heard_by": sorted(member.relay_children.children),
-                "lease_left_ms": left // 1000,
-                "lease_ms": member.lease_us // 1000,
-                "members": state["members"] if state else {},
-                "out": state["out"] if state else [],
-                "out_here": sorted(self.program.upgrade_state.told["out"]),
-                "heard_out": sorted(self.program.heard_out),
-                "why": self.unreadable or ("" if left else member.no_lease_reason()),
-                "served_without_lease_ms": self.rule.unbound(now) // 1000,
-                "disk": "failing" if member.persistence.failed else "good",
-                "longest_write_us": self.writer.longest_write_us,
-                "longest_step_us": self.longest,
-                "frames_sent": self.links.counters.frames_sent,
-                "frames_got": self.links.counters.frames_received,
-                "bytes_sent": self.links.counters.bytes_sent,
-                "bytes_got": self.links.counters.bytes_received,
+                **self._state_figures(member),
+                **self._member_figures(member),
+                **self._lease_figures(member, now),
+                **self._process_figures(member),
             }
         )
 
-    def state(self):
-        if self.speaking().state_machine is None:
-            raise No(503, f"nothing is agreed here yet: {self.member.no_lease_reason()}")
-        return self.member.state_machine.state
+    def _state_figures(self, member: Member) -> dict[str, Any]:
+        state = member.state_machine.state if member.state_machine else None
+        program = self.fleet.program
+        return {
+            "version": self.fleet.version(),
+            "settings_version": state["settings_version"] if state else 0,
+            "in_force": bool(state) and member.lease.in_force_index >= member.commit_index,
+            "members": state["members"] if state else {},
+            "out": state["out"] if state else [],
+            "out_here": sorted(program.upgrade_state.told["out"]),
+            "heard_out": sorted(program.heard_out),
+        }
+
+    def _member_figures(self, member: Member) -> dict[str, Any]:
+        by_relay = member.fan_out and not member.state.is_voter()
+        return {
+            "name": self.fleet.configuration.name,
+            "fleet": member.fleet,
+            "life": member.incarnation,
+            "term": member.term,
+            "leader": member.leader or "",
+            "leads": member.role == Role.LEADER,
+            "fan_out": member.fan_out,
+            "relay": member.relay_choice.relay or "" if by_relay else "",
+            "heard_by": sorted(member.relay_children.children),
+        }
+
+    def _lease_figures(self, member: Member, now: int) -> dict[str, Any]:
+        left_us = max(0, member.lease.lease_until - now) if member.may_act(now) else 0
+        reason = "" if left_us else member.no_lease_reason()
+        without_lease_us = self.fleet.lease_guard.served_without_lease_us(now)
+        return {
+            "lease_left_ms": left_us // US_PER_MS,
+            "lease_ms": member.lease_us // US_PER_MS,
+            "why": self.fleet.settings.unreadable_reason or reason,
+            "served_without_lease_ms": without_lease_us // US_PER_MS,
+        }
+
+    def _process_figures(self, member: Member) -> dict[str, Any]:
+        driver = self.fleet.driver
+        counters = driver.links.counters
+        return {
+            "disk": "failing" if member.persistence.failed else "good",
+            "longest_write_us": driver.writer.longest_write_us,
+            "longest_step_us": driver.longest_step_us,
+            "frames_sent": counters.frames_sent,
+            "frames_got": counters.frames_received,
+            "bytes_sent": counters.bytes_sent,
+            "bytes_got": counters.bytes_received,
+        }
+
+    def _state(self) -> dict[str, Any]:
+        member = self.fleet.changes.driver_member()
+        if member.state_machine is None:
+            raise No(UNAVAILABLE, f"nothing is agreed here yet: {member.no_lease_reason()}")
+        return member.state_machine.state
+
+    def show_history(self, request: Any) -> Answer:
+        """The last versions."""
+        return json_answer({"history": self._state()["history"]})
+
+    def snapshot(self, request: Any) -> Answer:
+        """What is agreed, as it is here; asked of one with a lease it is all that is in force."""
+        state = self._state()
+        name, fleet_name = self.fleet.configuration.name, self.fleet.member.fleet
+        return json_answer(fleet_snapshot.packed(state, fleet_name, name, unix_us()))
 
-    def history(self, request):
-        return self.json({"history": self.state()["history"]})
+    # Settings
 
-    def settings(self, request):
-        state = self.state()
-        return self.json(state["settings"], headers=[(b"etag", b'"%d"' % state["settings_version"])])
+    def show_settings(self, request: Any) -> Answer:
+        """The settings of now, with their version as the ETag."""
+        state = self._state()
+        return json_answer(state["settings"], [(b"etag", b'"%d"' % state["settings_version"])])
 
-    def settings_of(self, version, request):
-        document = self.state()["documents"].get(version)
+    def show_settings_version(self, version: str, request: Any) -> Answer:
+        """The settings of one of the last versions."""
+        document = self._state()["documents"].get(version)
         if document is None:
-            raise No(404, f"no settings of version {version} are kept")
-        return self.json(document, headers=[(b"etag", b'"%s"' % version.encode())])
-
-    def change_settings(self, request):
-        expects = request.headers.get(b"if-match", b"").decode("latin-1").strip('W/" ')
-        if not expects.isdecimal():
-            raise No(428, "If-Match has to name the version that is to be changed")
-        state = self.state()
-        if int(expects) != state["settings_version"]:
-            raise No(412, f"settings are of version {state['settings_version']}, not {expects}")
+            raise No(NOT_FOUND, f"no settings of version {version} are kept")
+        return json_answer(document, [(b"etag", b'"%s"' % version.encode())])
+
+    def change_settings(self, request: Any) -> Generator[tuple, object, Answer]:
+        """Coroutine: other settings, where those of now are of the version that If-Match names."""
+        expected = request.headers.get(b"if-match", b"").decode("latin-1").strip('W/" ')
+        if not expected.isdecimal():
+            raise No(PRECONDITION_REQUIRED, "If-Match has to name the version that is to be changed")
+        state = self._state()
+        if int(expected) != state["settings_version"]:
+            version = state["settings_version"]
+            raise No(PRECONDITION_FAILED, f"settings are of version {version}, not {expected}")
+        document = self._read_settings(request.body, state)
+        change = settings_change(state, document, int(expected))
+        return (yield from self.fleet.changes.commit(change))
+
+    def _read_settings(self, body: bytes, state: dict[str, Any]) -> dict[str, Any]:
         try:
-            document = orjson.loads(request.body)
+            document = orjson.loads(body)
             if not isinstance(document, dict):
                 raise ValueError("settings are one JSON object")
-            document = self.shared(document)
-            self.whole(document, state)
+            document = shared_settings(document)
+            self.fleet.settings.complete(document, state)
         except (ValueError, TypeError, AttributeError) as error:
-            raise No(400, str(error)) from None
-        result = yield from self.changed(self.settings_change(state, document, int(expects)))
-        return result
-
-    def settings_change(self, state, document, expects):
-        """The whole document, or only what differs where all members know that form."""
-        changes = difference(state["settings"], document) if state.get("fan_out") else None
-        if changes:
-            return {"kind": "patch", "changes": changes, "expects": expects}
-        return {"kind": "settings", "settings": document, "expects": expects}
-
-    def change_relays(self, request):
-        """How many dispatchers hear from one; 0: all from the leader."""
-        member = self.speaking()
-        try:
-            fan_out = orjson.loads(request.body)["fan_out"]
-            if fan_out != 0 and not is_valid_fan_out(fan_out):
-                raise ValueError(f"the fan-out is neither 0 nor from {MIN_FAN_OUT} to {MAX_FAN_OUT}")
-        except (ValueError, KeyError, TypeError) as error:
-            raise No(400, f"{type(error).__name__}: {error}") from None
+            raise No(BAD_REQUEST, str(error)) from None
+        return document
+
+    # Members and workers
+
+    def change_members(self, request: Any) -> Generator[tuple, object, Answer]:
+        """Coroutine: a member more or less."""
+        change = read_membership_change(request.body)
+        adds, name = change["kind"] == ChangeKind.ADD_MEMBER, change["name"]
+        # Refused at once where it is plain; what crosses another change is refused when it is applied.
+        if adds == (name in self._state()["members"]):
+            raise No(CONFLICT, f"{name} is {'a member already' if adds else 'no member'}")
+        return (yield from self.fleet.changes.commit(change))
+
+    def change_relays(self, request: Any) -> Generator[tuple, object, Answer]:
+        """Coroutine: how many dispatchers hear from one; 0: all from the leader."""
+        member = self.fleet.changes.driver_member()
+        fan_out = read_fan_out(request.body)
         if member.role != Role.LEADER:
-            raise No(409, f"ask the leader: {member.leader or 'nobody leads'}")
+            raise No(CONFLICT, f"ask the leader: {member.leader or 'nobody leads'}")
         if older := member.leadership.members_without_relays():
-            raise No(409, f"not heard, or of a version without relays: {', '.join(older[:MOST_NAMED])}")
-        return (yield from self.changed({"kind": "relays", "fan_out": fan_out}))
-
-    def change_members(self, request):
-        try:
-            change = orjson.loads(request.body)
-            kind, name = change["kind"], change["name"]
-            if kind not in ("add", "remove") or not isinstance(name, str) or not name:
-                raise ValueError(f"no change of members: {kind!r}")
-            if kind == "add":
-                address_of(change["address"])
-        except (ValueError, KeyError, TypeError) as error:
-            raise No(400, f"{type(error).__name__}: {error}") from None
-        # Refused at once where it is plain; what crosses another change is refused when it is agreed.
-        members = self.state()["members"]
-        if (kind == "add") == (name in members):
-            raise No(409, f"{name} is {'a member already' if kind == 'add' else 'no member'}")
-        return (
-            yield from self.changed(
-                {key: change[key] for key in ("kind", "name", "address") if key in change}
-            )
-        )
-
-    def snapshot(self, request):
-        """What is agreed, as it is here; asked of one with a lease it is all that is in force."""
-        state = self.state()
-        return self.json(fleet_snapshot.packed(state, self.member.fleet, self.name, time.time_ns() // 1000))
-
-    def restore(self, request):
-        """Begins a fleet with a snapshot, or with what is kept here; or leaves one that is no more."""
-        member, now = self.speaking(), self.loop.now()
-        known = member.state_machine.state if member.state_machine else None
-        why = {b"accept-loss": "formed, loss accepted", b"desert": ""}.get(bytes(request.body))
-        try:
-            told = fleet_snapshot.unpacked(request.body) if why is None else None
-        except fleet_snapshot.SnapshotError as error:
-            raise No(400, str(error)) from None
-        state = told["state"] if told else known
-        lease, heard = member.may_act(now) and not self.unreadable, member.discovery.present_members(now)
-        if why == "":
-            if lease:
-                raise No(409, "this fleet runs: its majority answers")
-            if known is None:
-                raise No(409, "nothing is kept here that could be left")
-            self.input(inputs.Abandon(uuid.uuid4().hex[:16]))
-            return f"{self.name} has left its fleet, and comes to the next one as new"
-        no = fleet_snapshot.refused(self.name, state, member.fleet, known, lease, heard, told)
-        if no:
-            raise No(409, no)
-        try:
-            self.whole(state["settings"], state)
-        except ValueError as error:
-            raise No(400, f"its settings can't be read: {error}") from None
-        life, holder = uuid.uuid4().hex[:16], ""
-        if self.copies is not None and self.copies.node is not None:
-            holder = self.copies.id
-        what = why or f"restored from version {state['version']}"
-        after = fleet_snapshot.succeeding(
-            state, self.name, life, holder, what, self.name, time.time_ns() // 1000
-        )
-        self.log("fleet_restored", version=after["version"], before=member.fleet, what=what)
-        self.applied = -1
-        self.input(inputs.Restore(uuid.uuid4().hex[:16], life, after))
-        return f"version {after['version']}: {what}; the others come with empty folders, or by fleet desert"
-
-    def exclude(self, worker):
-        return (yield from self.changed({"kind": "out", "worker": worker}))
-
-    def include(self, worker):
-        cold_for = self.program.told["settings"]["cold_for"]
-        return (
-            yield from self.changed(
-                {"kind": "back", "worker": worker, "at": time.time_ns() // 1000, "cold_for": cold_for}
-            )
-        )
-
-    def changed(self, change):
-        """Hands a change in and waits until it is in force, or for as long as a caller does."""
-        self.speaking()
-        self.count += 1
-        id = f"{self.name}.{self.member.incarnation}.{self.seed & 0xffff}.{time.time_ns()}.{self.count}"
-        change = {**change, "by": self.name, "at": change.get("at") or time.time_ns() // 1000}
-        last = self.loop.now() + PATIENCE
-        self.input(inputs.Propose(id, change))
-        try:
-            while id not in self.answers:
-                self.speaking()
-                if self.loop.now() >= last:
-                    raise No(503, f"here only: {self.member.no_lease_reason() or 'no leader has answered'}")
-                yield (-1, 0, self.loop.now() + LOOK)
-            index, result = self.answers[id]
-            if result.get("status", 200) != 200:
-                raise No(result["status"], result["why"])
-            while self.speaking().lease.in_force_index < index and self.loop.now() < last:
-                yield (-1, 0, self.loop.now() + LOOK)
-        finally:
-            self.answers.pop(id, None)
-            if self.member is not None:
-                self.input(inputs.ForgetProposal(id))
-        text = f"version {result['version']}" + (f": {result['why']}" if "why" in result else "")
-        etag = [(b"etag", b'"%d"' % result["version"])]
-        if self.member.lease.in_force_index >= index:
-            return Answer(200, text + " is in force", etag)
-        left = max(1, (self.member.lease.in_force_by - self.loop.now()) // 1000)
-        return Answer(
-            202, f"{text} is in force in {left} ms at the latest", [*etag, (b"in-force-in-ms", b"%d" % left)]
-        )
+            names = ", ".join(older[:MAX_NAMES_IN_MESSAGE])
+            raise No(CONFLICT, f"not heard, or of a version without relays: {names}")
+        return (yield from self.fleet.changes.commit({"kind": ChangeKind.FAN_OUT.value, "fan_out": fan_out}))
+
+    def exclude(self, worker: str) -> Generator[tuple, object, Answer]:
+        """Coroutine: keep a worker from new jobs, at all dispatchers."""
+        change = {"kind": ChangeKind.EXCLUDE_WORKER.value, "worker": worker}
+        return (yield from self.fleet.changes.commit(change))
+
+    def include(self, worker: str) -> Generator[tuple, object, Answer]:
+        """Coroutine: a worker that was excluded gets new jobs again, slowly at first."""
+        change = {
+            "kind": ChangeKind.INCLUDE_WORKER.value,
+            "worker": worker,
+            "at": unix_us(),
+            "cold_for": self.fleet.program.told["settings"]["cold_for"],
+        }
+        return (yield from self.fleet.changes.commit(change))
+
+    # After a majority is lost
+
+    def restore(self, request: Any) -> str:
+        """Begin a fleet with a snapshot, or with what is kept here; or leave one that is no more."""
+        return restore(self.fleet, bytes(request.body))
+
+
+def settings_change(state: dict[str, Any], document: dict[str, Any], expected: int) -> dict[str, Any]:
+    """The change to other settings: the whole document, or only what differs where all know that form."""
+    differences = difference(state["settings"], document) if state.get("fan_out") else None
+    if differences:
+        return {"kind": ChangeKind.SETTINGS_PATCH.value, "changes": differences, "expects": expected}
+    return {"kind": ChangeKind.SETTINGS.value, "settings": document, "expects": expected}
+
+
+def read_membership_change(body: bytes) -> dict[str, Any]:
+    """The change that an operator asks for; `No` where it is none of members."""
+    try:
+        change = orjson.loads(body)
+        kind, name = change["kind"], change["name"]
+        is_kind = kind in (ChangeKind.ADD_MEMBER, ChangeKind.REMOVE_MEMBER)
+        if not is_kind or not isinstance(name, str) or not name:
+            raise ValueError(f"no change of members: {kind!r}")
+        if kind == ChangeKind.ADD_MEMBER:
+            address_of(change["address"])
+    except (ValueError, KeyError, TypeError) as error:
+        raise No(BAD_REQUEST, f"{type(error).__name__}: {error}") from None
+    return {key: change[key] for key in ("kind", "name", "address") if key in change}
+
+
+def read_fan_out(body: bytes) -> int:
+    """The fan-out that an operator asks for; `No` where it is none."""
+    try:
+        fan_out = orjson.loads(body)["fan_out"]
+        if fan_out != 0 and not is_valid_fan_out(fan_out):
+            raise ValueError(f"the fan-out is neither 0 nor from {MIN_FAN_OUT} to {MAX_FAN_OUT}")
+    except (ValueError, KeyError, TypeError) as error:
+        raise No(BAD_REQUEST, f"{type(error).__name__}: {error}") from None
+    return fan_out
--- /dev/null
+++ b/mastledge/program/fleet_restore.py
@@ -0,0 +1,82 @@
+"""An operator's order to begin another fleet after a majority is lost, or to abandon one that is no more."""
+
+from typing import TYPE_CHECKING, Any
+
+from mastledge.consensus import inputs
+from mastledge.consensus.member import Member
+from mastledge.program.change_requests import unix_us
+from mastledge.program.consensus_driver import new_name
+from mastledge.protocol.control import No
+from mastledge.recovery import fleet_snapshot
+
+if TYPE_CHECKING:
+    from mastledge.program.fleet import Fleet
+
+ACCEPT_LOSS_BODY, ABANDON_BODY = b"accept-loss", b"desert"
+BAD_REQUEST, CONFLICT = 400, 409
+
+
+def restore(fleet: "Fleet", body: bytes) -> str:
+    """Begin a fleet with the snapshot in `body`, or with what is kept here where that says so.
+
+    Gives the line for the operator. Raises `No` with the reason where it is refused; nothing is changed then.
+    """
+    member = fleet.changes.driver_member()
+    if body == ABANDON_BODY:
+        return abandon(fleet, member)
+    snapshot = None if body == ACCEPT_LOSS_BODY else read_snapshot(body)
+    known = member.state_machine.state if member.state_machine else None
+    state = known if snapshot is None else snapshot["state"]
+    now = fleet.loop.now()
+    refusal = fleet_snapshot.refused(
+        fleet.configuration.name,
+        state,
+        member.fleet,
+        known,
+        has_lease(fleet, member),
+        member.discovery.present_members(now),
+        snapshot,
+    )
+    if refusal:
+        raise No(CONFLICT, refusal)
+    try:
+        fleet.settings.complete(state["settings"], state)
+    except ValueError as error:
+        raise No(BAD_REQUEST, f"its settings can't be read: {error}") from None
+    how = "formed, loss accepted" if snapshot is None else f"restored from version {state['version']}"
+    return begin_fleet(fleet, member, state, how)
+
+
+def read_snapshot(body: bytes) -> dict[str, Any]:
+    """The snapshot that an operator sent."""
+    try:
+        return fleet_snapshot.unpacked(body)
+    except fleet_snapshot.SnapshotError as error:
+        raise No(BAD_REQUEST, str(error)) from None
+
+
+def has_lease(fleet: "Fleet", member: Member) -> bool:
+    """Whether the fleet of now still runs, as far as this member knows."""
+    return member.may_act(fleet.loop.now()) and not fleet.settings.unreadable_reason
+
+
+def abandon(fleet: "Fleet", member: Member) -> str:
+    """Have the member leave a fleet that is no more."""
+    if has_lease(fleet, member):
+        raise No(CONFLICT, "this fleet runs: its majority answers")
+    if member.state_machine is None:
+        raise No(CONFLICT, "nothing is kept here that could be left")
+    fleet.driver.step(inputs.Abandon(new_name()))
+    return f"{fleet.configuration.name} has left its fleet, and comes to the next one as new"
+
+
+def begin_fleet(fleet: "Fleet", member: Member, state: dict[str, Any], how: str) -> str:
+    """Have the member begin a fleet with the state that follows this one; `how` stands in its history."""
+    incarnation, name = new_name(), fleet.configuration.name
+    replication = fleet.replication
+    replica = replication.id if replication is not None and replication.node is not None else ""
+    successor = fleet_snapshot.succeeding(state, name, incarnation, replica, how, name, unix_us())
+    fleet.log("fleet_restored", version=successor["version"], before=member.fleet, what=how)
+    fleet.forget_applied()
+    fleet.driver.step(inputs.Restore(new_name(), incarnation, successor))
+    return f"version {successor['version']}: {how}; the others come with empty folders, or by fleet desert"
--- a/mastledge/program/lifecycle.py
+++ b/mastledge/program/lifecycle.py
@@ -126,7 +126,7 @@
         from mastledge.program.fleet import Fleet  # what it needs is no need of a dispatcher alone
 
         self.fleet = fleet = Fleet(self, self.told, self.log)
-        self.router.rule = self.workers.rule = self.listener.rule = fleet.rule
+        self.router.rule = self.workers.rule = self.listener.rule = fleet.lease_guard
         self.router.listed = fleet.listed
         self.reserved = 2 * len(self.told["peers"]["members"]) + FILES
         self.share()
@@ -301,7 +301,7 @@
 
     def can_serve(self, impatient):
         """A worker is known, and the list is no older than it has to be: the one kept may be of long ago."""
-        if self.fleet is not None and not self.fleet.rule.may_act(self.loop.now()):
+        if self.fleet is not None and not self.fleet.lease_guard.may_act(self.loop.now()):
             return False
         if self.recovery is not None and not self.recovery.may_serve():
             return False
--- a/mastledge/program/operator_api.py
+++ b/mastledge/program/operator_api.py
@@ -14,7 +14,7 @@
 
     def calls(self):
         fleet = self.program.fleet
-        more = fleet.calls() if fleet is not None else {}
+        more = fleet.api.calls() if fleet is not None else {}
         if self.program.idempotency is not None:
             repeats = self.program.idempotency
             more["/api/copies"] = {b"GET": repeats.copies}
@@ -34,7 +34,7 @@
 
     def ready(self):
         if not self.program.listener.up():
-            why = self.program.fleet.why() if self.program.fleet is not None else ""
+            why = self.program.fleet.no_lease_reason() if self.program.fleet is not None else ""
             if self.program.recovery is not None and not why:
                 why = self.program.recovery.waiting()
             raise No(503, f"not ready: {self.program.phase}" + (f"; {why}" if why else ""))
@@ -61,7 +61,7 @@
         yield from self.changed(lambda told: told.update(out=sorted({*told["out"], worker})))
         if self.program.fleet is not None:
             # It holds here at once, whatever becomes of the word; once all agree the mark here is not needed.
-            answer = yield from self.program.fleet.exclude(worker)
+            answer = yield from self.program.fleet.api.exclude(worker)
             yield from self.changed(lambda told: told.update(out=sorted({*told["out"]} - {worker})))
             return answer
         return f"{worker} is left out"
@@ -78,7 +78,7 @@
 
         yield from self.changed(edit)
         if program.fleet is not None:
-            return (yield from program.fleet.include(worker))
+            return (yield from program.fleet.api.include(worker))
         return f"{worker} may serve"
 
     def changed(self, edit):
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -209,7 +209,7 @@
         discovery, fleet = program.discovery, program.fleet
         steps.told(s.READING, self.read, "its folder")
         if fleet is not None:
-            steps.told(s.AGREEING, fleet.rule.may_act(now), fleet.why())
+            steps.told(s.AGREEING, fleet.lease_guard.may_act(now), fleet.no_lease_reason())
         heard = discovery.answered or discovery.task is None and discovery.generation is not None
         steps.told(s.LISTING, heard, discovery.trouble or "discovery")
         if steps.step == s.TAKING:
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -47,7 +47,7 @@
     def __init__(self, program, told, log):
         super().__init__(program, told, log)
         self.fleet, self.seed = program.fleet, told["seed"]
-        self.fleet.copies = self
+        self.fleet.replication = self
         self.node, self.id, self.starts, self.proposed = None, "", 0, ""
         self.jobs, self.numbers, self.outbox, self.counts = {}, 0, {}, Counter()
         self.clients, self.going = {}, set()  # who waits for a job; jobs that the decisions have, or had
@@ -77,7 +77,7 @@
         self.join()
 
     def journal(self, kept):
-        fleet = {"fleet": self.fleet.told["fleet"]} if self.fleet.told["fleet"] else {}
+        fleet = {"fleet": self.fleet.configuration.fleet} if self.fleet.configuration.fleet else {}
         return self.opened(WriteAheadLog(self.folder, "copies", {"name": self.name, **fleet}, kept, self.log))
 
     def begins(self, now, kept, id_, starts):
@@ -95,19 +95,19 @@
         if self.lasts and self.node is None and self.proposed != name and self.fleet.member is not None:
             self.proposed = name
             change = {"kind": "holds", "name": self.name, "id": self.id, "starts": self.starts}
-            self.fleet.propose(name, {**change, "count": self.told["copies"]}, self.joined)
+            self.fleet.changes.propose(name, {**change, "count": self.told["copies"]}, self.joined)
 
     def joined(self, result):
         if self.writer is None or self.node is not None:
             return
-        if "why" in result and self.name in self.fleet.member.state_machine.members:
+        if result.reason and self.name in self.fleet.member.state_machine.members:
             # What others count on is not in it, so it comes as an empty one.
-            self.log("replica_directory_stale", why=result["why"])
+            self.log("replica_directory_stale", why=result.reason)
             kept = PersistedReplica(unix)
             self.begins(self.loop.now(), kept, uuid.uuid4().hex[:16], 1)
             self.token += 1
             self.writer.rewrite(self.token, head(self.id, self.starts, 0))
-        elif "why" in result:
+        elif result.reason:
             self.proposed = ""
 
     def placed(self, state):
@@ -121,7 +121,7 @@
                 self.join()
                 return
             # All that was promised before is over after that, by whatever clock.
-            patience = self.told["keep"] + 3 * self.program.walltime + 2 * self.fleet.told["lease"]
+            patience = self.told["keep"] + 3 * self.program.walltime + 2 * self.fleet.configuration.lease_us
             self.node = Node(
                 self.name,
                 self.id,
@@ -238,7 +238,7 @@
 
     def do_caught(self, epoch):
         change = {"kind": "caught", "name": self.name, "id": self.id, "epoch": epoch}
-        self.fleet.propose(f"caught.{self.name}.{self.id}.{epoch}", change)
+        self.fleet.changes.propose(f"caught.{self.name}.{self.id}.{epoch}", change)
 
     def flushed(self):
         """What was said in one turn of the loop goes out as one frame to each."""
@@ -356,7 +356,7 @@
                 raise ValueError(f"not from 1 to {COPIES}: {count!r}")
         except (ValueError, KeyError, TypeError) as error:
             raise No(400, f"count: {error}") from None
-        return (yield from self.fleet.changed({"kind": "copies", "count": count}))
+        return (yield from self.fleet.changes.commit({"kind": "copies", "count": count}))
 
     def copies(self, request):
         """What operators see."""
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -27,9 +27,9 @@
 from mastledge.peers import links
 from mastledge.peers.link_context import LinkIdentity
 from mastledge.program import connection_handoff, recovery_service, replication_service
-from mastledge.program.fleet import Fleet
-from mastledge.program.fleet_api import FleetApi
+from mastledge.program.fleet_api import json_answer
 from mastledge.program.shared_lease import LeaseNotice, SharedLease
+from mastledge.program.shared_lease_exchange import lent_state
 from mastledge.program.upgrade_state import UpgradeState
 from mastledge.protocol import load_messages
 from mastledge.protocol.worker_connections import WorkerEndpoint
@@ -239,7 +239,7 @@
 
 def fleet_snapshot(state, fleet, by, at):
     """The document that an operator is given."""
-    return FleetApi.json(None, snapshot_format.packed(state, fleet, by, at)).text.encode()
+    return json_answer(snapshot_format.packed(state, fleet, by, at)).text.encode()
 
 
 def fleet_snapshot_again(raw):
@@ -304,8 +304,7 @@
 
 def brief_of_fleet(state):
     """What of the agreed state is told to the process beside this one."""
-    rules = SimpleNamespace(state=state)
-    return Fleet.brief(SimpleNamespace(member=SimpleNamespace(state_machine=rules)))
+    return lent_state(state)
 
 
 def write_taken(directory, told):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -173,7 +173,8 @@
     )
     modules, links, absent = json.loads(done.stdout)
     parts = "consensus|storage|peers|lab|idempotency|replication|recovery"
-    parts += "|program\\.(fleet|fleet_api|shared_lease|fleet_command"
+    parts += "|program\\.(fleet|shared_lease|consensus_driver|change_requests|agreed_settings"
+    parts += "|restriction_exchange|lease_guard|operator_client"
     parts += "|idempotency_service|replication_service|recovery_service)"
     new = re.compile(rf"mastledge\.({parts})|msgspec|numpy")
     assert absent and not [name for name in modules if new.match(name)]
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -415,19 +415,17 @@
     assert known.since(2, "r") == m.WorkerRestrictions("r", 9, [("w1", "gone")])
 
 
-class Asked(FleetApi):
-    """The calls of a dispatcher whose member says what the test wants."""
-
-    def __init__(self, role, older=()):
-        self.member = SimpleNamespace(
-            role=role,
-            leader="n1",
-            leadership=SimpleNamespace(members_without_relays=lambda: list(older)),
-        )
+def asked(role, older=()):
+    """The calls of a dispatcher whose member says what the test wants; a change is given back as it is."""
+    leadership = SimpleNamespace(members_without_relays=lambda: list(older))
+    member = SimpleNamespace(role=role, leader="n1", leadership=leadership)
+    changes = SimpleNamespace(driver_member=lambda: member, commit=committed)
+    return FleetApi(SimpleNamespace(changes=changes))
+
 
-    def changed(self, change):
-        return change
-        yield
+def committed(change):
+    yield from ()
+    return change
 
 
 def answer(made, body):
@@ -438,20 +436,20 @@
 
 
 def test_an_operator_has_the_fleet_agree_on_relays():
-    assert answer(Asked("leader"), b'{"fan_out":4}') == {"kind": "relays", "fan_out": 4}
-    assert answer(Asked("leader"), b'{"fan_out":0}') == {"kind": "relays", "fan_out": 0}
+    assert answer(asked("leader"), b'{"fan_out":4}') == {"kind": "relays", "fan_out": 4}
+    assert answer(asked("leader"), b'{"fan_out":0}') == {"kind": "relays", "fan_out": 0}
 
 
 @pytest.mark.parametrize(
     ("made", "body", "status", "says"),
     [
-        (Asked("leader"), b'{"fan_out":1}', 400, "neither 0 nor from 2 to 64"),
-        (Asked("leader"), b'{"fan_out":true}', 400, "neither 0 nor from 2 to 64"),
-        (Asked("leader"), b'{"fan_out":65}', 400, "neither 0 nor from 2 to 64"),
-        (Asked("leader"), b"{}", 400, "fan_out"),
-        (Asked("leader"), b"[", 400, "JSON"),
-        (Asked("follower"), b'{"fan_out":4}', 409, "ask the leader: n1"),
-        (Asked("leader", ["n3"]), b'{"fan_out":4}', 409, "of a version without relays: n3"),
+        (asked("leader"), b'{"fan_out":1}', 400, "neither 0 nor from 2 to 64"),
+        (asked("leader"), b'{"fan_out":true}', 400, "neither 0 nor from 2 to 64"),
+        (asked("leader"), b'{"fan_out":65}', 400, "neither 0 nor from 2 to 64"),
+        (asked("leader"), b"{}", 400, "fan_out"),
+        (asked("leader"), b"[", 400, "JSON"),
+        (asked("follower"), b'{"fan_out":4}', 409, "ask the leader: n1"),
+        (asked("leader", ["n3"]), b'{"fan_out":4}', 409, "of a version without relays: n3"),
     ],
 )
 def test_relays_that_cannot_be_are_refused_in_one_line(made, body, status, says):
