--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -67,8 +67,8 @@
 
     # Clients that come again in crowds keep the rig itself busy: beside five others it is late, and a late
     # rig's tries come in heaps, which says nothing of the dispatchers. These run alone.
-    told = {name: read(RUNS[name][2]).clients for name in wanted if " " not in name}
-    crowds = [name for name, clients in sorted(told.items()) if clients.per_second * clients.retries > CROWD]
+    clients = {name: read(RUNS[name][2]).clients for name in wanted if " " not in name}
+    crowds = [name for name, some in sorted(clients.items()) if some.per_second * some.retries > CROWD]
     cores = len(os.sched_getaffinity(0))
     with ThreadPoolExecutor(max(2, min(6, cores + 1))) as pool:
         futures = {}
@@ -94,9 +94,9 @@
 @pytest.mark.parametrize(("run", "rule"), [(f"{build} {name}", rule) for build, name, _, rule in CAUGHT])
 def test_a_wrong_build_is_caught_by_its_rule(run, rule, runs):
     done = runs(run)
-    assert done.returncode == 1 and f"broken: {rule}" in done.stdout, (
-        done.stdout[-2000:] + done.stderr[-2000:]
-    )
+    output = done.stdout[-2000:] + done.stderr[-2000:]
+    assert done.returncode == 1, output
+    assert f"broken: {rule}" in done.stdout, output
 
 
 PEERS = {
@@ -177,11 +177,12 @@
     parts += "|restriction_exchange|lease_guard|operator_client"
     parts += "|idempotency_service|replication_service|recovery_service)"
     new = re.compile(rf"mastledge\.({parts})|msgspec|numpy")
-    assert absent and not [name for name in modules if new.match(name)]
+    assert absent
+    assert not [name for name in modules if new.match(name)]
     assert sum("socket" in link for link in links) == 2 + 1  # listen, control, the inlet for handed jobs
-    assert sorted(os.listdir(tmp_path))[0] == "config.json" and not [
-        n for n in os.listdir(tmp_path) if "kept" in n
-    ]
+    files = sorted(os.listdir(tmp_path))
+    assert files[0] == "config.json"
+    assert not [name for name in files if "kept" in name]
 
 
 def served(told, path):
@@ -209,123 +210,179 @@
 
 @pytest.mark.parametrize("name", ["n0", "n1", "n2"])
 def test_the_example_is_good(name):
-    told = configuration(f"deploy/fleet/{name}.json", {})
-    assert told["peers"]["members"][name] and told["peers"]["lease"] == 2_000_000
+    peers = configuration(f"deploy/fleet/{name}.json", {})["peers"]
+    assert peers["members"][name]
+    assert peers["lease"] == 2_000_000
 
 
-@pytest.mark.timeout(120)
-def test_operators_see_and_change_what_is_agreed(tmp_path):
-    """Three processes without faults, asked by the command line alone."""
-    folder = tmp_path / "fleet"
-    names = ("n0", "n1", "n2")
-    where = {
-        name: (f"{HERE}:{7100 + n}", f"{HERE}:{7200 + n}", f"{HERE}:{7300 + n}")
-        for n, name in enumerate(names)
-    }
-    processes = {}
-    env = {**os.environ, "PYTHONPATH": os.getcwd()}
+class ThreeDispatchers:
+    """Three processes of one fleet, without workers, discovery or faults, asked by the command line alone."""
 
-    def asked(who, *words):
-        done = subprocess.run(
-            [sys.executable, "-B", "-m", "mastledge", "fleet", *words, "--control", where[who][1]],
-            capture_output=True,
-            text=True,
-            timeout=20,
-            env=env,
-        )
-        return done.returncode, done.stdout + done.stderr
+    NAMES = ("n0", "n1", "n2")
 
-    def until(holds, seconds=20):
-        last = time.monotonic() + seconds
-        while not (got := holds()):
-            assert time.monotonic() < last
-            time.sleep(0.05)
-        return got
+    def __init__(self, folder):
+        self.folder, self.processes = folder, {}
+        self.env = {**os.environ, "PYTHONPATH": os.getcwd()}
+        self.addresses = {
+            name: {
+                "listen": f"{HERE}:{7100 + n}",
+                "control": f"{HERE}:{7200 + n}",
+                "links": f"{HERE}:{7300 + n}",
+            }
+            for n, name in enumerate(self.NAMES)
+        }
 
-    for name in names:
-        told = {
+    def path(self, name):
+        return self.folder / name
+
+    def configuration(self, name):
+        members = {other: addresses["links"] for other, addresses in self.addresses.items()}
+        addresses = self.addresses[name]
+        recovery = {"recovery": {"folder": str(self.folder / "fleet" / "starts")}} if name == "n0" else {}
+        return {
             **GOOD,
             "name": name,
-            "listen": where[name][0],
-            "control": where[name][1],
+            "listen": addresses["listen"],
+            "control": addresses["control"],
             "discovery": f"{HERE}:7400",
             "peers": {
-                "listen": where[name][2],
-                "folder": str(folder / name),
-                "members": {n: where[n][2] for n in names},
+                "listen": addresses["links"],
+                "folder": str(self.folder / "fleet" / name),
+                "members": members,
                 "form": True,
             },
-            **({"recovery": {"folder": str(folder / "starts")}} if name == "n0" else {}),
+            **recovery,
         }
-        (tmp_path / f"{name}.json").write_bytes(orjson.dumps(told))
-        with open(tmp_path / f"{name}.log", "wb") as log:
-            processes[name] = subprocess.Popen(
-                [
-                    sys.executable,
-                    "-B",
-                    "-m",
-                    "mastledge",
-                    "serve",
-                    "--config",
-                    str(tmp_path / f"{name}.json"),
-                ],
-                stderr=log,
-                env=env,
-            )
-    try:
-        for name in names:
-            until(lambda name=name: "lease for" in asked(name, "show")[1])
-        assert asked("n0", "history")[1].split()[0] == "1"
-        # Nobody answers as discovery: the start goes on with a lesser service, and says so.
-        until(lambda: "step: open" in asked("n0", "recovery")[1])
-        told = asked("n0", "recovery")[1]
-        assert "lesser service: by the list that was held before" in told and "nothing is kept" in told
-        assert asked("n1", "recovery") == (1, "mastledge: no such call\n")
-        changed = {**GOOD["settings"], "excessUtility": 0.25}
-        (tmp_path / "new.json").write_bytes(orjson.dumps(changed))
-        code, text = asked("n1", "settings", str(tmp_path / "new.json"))
-        assert code == 0 and "version 2 is in force" in text
-        assert '"excessUtility": 0.25' in asked("n2", "settings")[1]
-        (tmp_path / "new.json").write_bytes(orjson.dumps({**changed, "stepMs": "soon"}))
-        code, text = asked("n1", "settings", str(tmp_path / "new.json"))
-        assert code == 1 and text == "mastledge: setting stepMs cannot be read: 'soon'\n"
-        code, text = asked("n2", "rollback", "1")
-        assert code == 0 and "version 3" in text and "excessUtility" not in asked("n0", "settings")[1]
-        code, text = asked("n0", "rollback", "77")
-        assert code == 1 and "no settings of version 77" in text
-        assert asked("n0", "add", "n3", "nowhere")[0] == 2
-        assert asked("n0", "add", "n1", f"{HERE}:9999") == (1, "mastledge: n1 is a member already\n")
-        code, text = asked("n0", "remove", "n2")
-        assert code == 0 and "version 4" in text
-        until(lambda: "no lease: n2 is no member" in asked("n2", "show")[1])
-        # A file that differs changes nothing any more, and the log names what does.
-        told = orjson.loads((tmp_path / "n0.json").read_bytes())
-        told["settings"]["stepMs"] = 8.0
-        (tmp_path / "n0.json").write_bytes(orjson.dumps(told))
-        processes["n0"].send_signal(signal.SIGHUP)
-        line = until(
-            lambda: [
-                line for line in (tmp_path / "n0.log").read_text().splitlines() if "settings_ignored" in line
+
+    def start(self):
+        for name in self.NAMES:
+            self.write(f"{name}.json", self.configuration(name))
+            command = [
+                sys.executable,
+                "-B",
+                "-m",
+                "mastledge",
+                "serve",
+                "--config",
+                str(self.path(f"{name}.json")),
             ]
-        )
-        assert orjson.loads(line[0])["differs"] == ["stepMs"]
-        # Folders that another process holds, and members of another fleet.
+            with open(self.path(f"{name}.log"), "wb") as log:
+                self.processes[name] = subprocess.Popen(command, stderr=log, env=self.env)
+        for name in self.NAMES:
+            self.wait(lambda name=name: "lease for" in self.ask(name, "show")[1])
+
+    def stop(self):
+        """Ends all; gives the status of each."""
+        for process in self.processes.values():
+            process.terminate()
+        return [process.wait(10) for process in self.processes.values()]
+
+    def write(self, name, document):
+        self.path(name).write_bytes(orjson.dumps(document))
+        return str(self.path(name))
+
+    def run(self, *words, timeout=30, **environment):
         done = subprocess.run(
-            [sys.executable, "-B", "-m", "mastledge", "serve", "--config", str(tmp_path / "n1.json")],
+            [sys.executable, "-B", "-m", "mastledge", *words],
             capture_output=True,
             text=True,
-            timeout=30,
-            env={**env, "GW_LISTEN": f"{HERE}:7150", "GW_CONTROL": f"{HERE}:7151"},
+            timeout=timeout,
+            env={**self.env, **environment},
         )
-        assert done.returncode == 1 and "mastledge: cannot serve:" in done.stderr.splitlines()[-1]
-        code, text = asked("n2", "settings", str(tmp_path / "new.json"))
-        assert code == 1
+        return done.returncode, done.stdout + done.stderr
+
+    def ask(self, name, *words):
+        """Status and output of a command at one of them."""
+        return self.run("fleet", *words, "--control", self.addresses[name]["control"], timeout=20)
+
+    def wait(self, holds, seconds=20):
+        deadline = time.monotonic() + seconds
+        while not (got := holds()):
+            assert time.monotonic() < deadline
+            time.sleep(0.05)
+        return got
+
+    def logged(self, name, event):
+        lines = self.path(f"{name}.log").read_text().splitlines()
+        return [orjson.loads(line) for line in lines if event in line]
+
+
+@pytest.fixture
+def three(tmp_path):
+    made = ThreeDispatchers(tmp_path)
+    try:
+        made.start()
+        yield made
     finally:
-        for process in processes.values():
-            process.terminate()
-        codes = [process.wait(10) for process in processes.values()]
+        codes = made.stop()
     assert codes == [0, 0, 0]
-    assert asked("n0", "show") == (
+    assert made.ask("n0", "show") == (
         1,
-        f"mastledge: {where['n0'][1]} does not answer: " "[Errno 111] Connection refused\n",
+        f"mastledge: {made.addresses['n0']['control']} does not answer: [Errno 111] Connection refused\n",
+    )
+
+
+@pytest.mark.timeout(120)
+def test_operators_see_and_change_the_settings_that_are_agreed(three):
+    assert three.ask("n0", "history")[1].split()[0] == "1"
+    changed = {**GOOD["settings"], "excessUtility": 0.25}
+    status, text = three.ask("n1", "settings", three.write("new.json", changed))
+    assert status == 0
+    assert "version 2 is in force" in text
+    assert '"excessUtility": 0.25' in three.ask("n2", "settings")[1]
+    bad = three.write("new.json", {**changed, "stepMs": "soon"})
+    refusal = (1, "mastledge: setting stepMs cannot be read: 'soon'\n")
+    assert three.ask("n1", "settings", bad) == refusal
+    status, text = three.ask("n2", "rollback", "1")
+    assert status == 0
+    assert "version 3" in text
+    assert "excessUtility" not in three.ask("n0", "settings")[1]
+    status, text = three.ask("n0", "rollback", "77")
+    assert status == 1
+    assert "no settings of version 77" in text
+
+
+@pytest.mark.timeout(120)
+def test_operators_see_how_far_a_start_is(three):
+    # Nobody answers as discovery: the start goes on with a lesser service, and says so.
+    three.wait(lambda: "step: open" in three.ask("n0", "recovery")[1])
+    text = three.ask("n0", "recovery")[1]
+    assert "lesser service: by the list that was held before" in text
+    assert "nothing is kept" in text
+    assert three.ask("n1", "recovery") == (1, "mastledge: no such call\n")
+
+
+@pytest.mark.timeout(120)
+def test_operators_change_the_members(three):
+    assert three.ask("n0", "add", "n3", "nowhere")[0] == 2
+    assert three.ask("n0", "add", "n1", f"{HERE}:9999") == (1, "mastledge: n1 is a member already\n")
+    status, text = three.ask("n0", "remove", "n2")
+    assert status == 0
+    assert "version 2" in text
+    three.wait(lambda: "no lease: n2 is no member" in three.ask("n2", "show")[1])
+    new = three.write("new.json", {**GOOD["settings"], "stepMs": "soon"})
+    status, text = three.ask("n2", "settings", new)
+    assert status == 1
+
+
+@pytest.mark.timeout(120)
+def test_a_file_that_differs_changes_nothing_and_the_log_names_what_does(three):
+    configuration_of_n0 = three.configuration("n0")
+    settings = {**configuration_of_n0["settings"], "stepMs": 8.0}
+    three.write("n0.json", {**configuration_of_n0, "settings": settings})
+    three.processes["n0"].send_signal(signal.SIGHUP)
+    lines = three.wait(lambda: three.logged("n0", "settings_ignored"))
+    assert lines[0]["differs"] == ["stepMs"]
+
+
+@pytest.mark.timeout(120)
+def test_a_folder_that_another_process_holds_is_one_message_and_status_1(three):
+    status, text = three.run(
+        "serve",
+        "--config",
+        str(three.path("n1.json")),
+        GW_LISTEN=f"{HERE}:7150",
+        GW_CONTROL=f"{HERE}:7151",
     )
+    assert status == 1
+    assert "mastledge: cannot serve:" in text.splitlines()[-1]
