--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -13,16 +13,25 @@
 from copy import deepcopy
 from types import SimpleNamespace
 
-from mastledge.idempotency.records import RecordState
 from mastledge.lab import copying, faults, outages, policies, schedule
 from mastledge.lab.load import Clients
 from mastledge.lab.rig import document, limits
 from mastledge.lab.scenario import BadScenario
-from mastledge.program.settings import flat, plain_map
-from mastledge.recovery import restored_state as b
-from mastledge.recovery.admission_ramp import DONE, ELSE, TURNED, AdmissionRamp
-from mastledge.replication import coordinator as o
-from mastledge.replication import messages as m
+from mastledge.program.settings import flatten_settings, parse_settings
+from mastledge.recovery.admission_ramp import AdmissionRamp, AdmittedJobOutcome, PeerLoad
+from mastledge.recovery.newest_list import NewestList
+from mastledge.recovery.recovery_record import (
+    ClockReading,
+    LearnedWorker,
+    RecoveryRecord,
+    StoredWorker,
+    UnfinishedLoad,
+)
+from mastledge.recovery.restored_state import WorkerIdentity, inherited_workers, restore
+from mastledge.replication import inputs
+from mastledge.replication.inputs import JobOutcome
+from mastledge.replication.outputs import Verdict
+from mastledge.scheduling.decisions import FollowEndpoints, KillJob, LaunchJob, RejectJob, RevokeLaunch
 
 LINK = 100, 600  # microseconds on the way, least and most
 BOOT = 200_000, 320_000  # from the start of a process to its first step
@@ -39,6 +48,8 @@
 }  # fmt: skip
 CALLED = {"exclude", "include"}
 
+OUTCOME_BY_STATUS = {200: AdmittedJobOutcome.COMPLETED, 503: AdmittedJobOutcome.REJECTED}
+
 
 def entries_of(told):
     """(id, state, start) as the decisions take them: one zone, one kind, one size."""
@@ -123,7 +134,8 @@
         self.up = self.ready = False
         self.until, self.deferred = 0, []
         self.kept, self.late, self.silent = None, 0, False
-        self.jobs, self.balancer, self.opening, self.belief = {}, None, None, None
+        self.jobs, self.scheduler, self.ramp, self.restored = {}, None, None, None
+        self.newest_list = NewestList()
         self.claims, self.numbers = {}, 0
 
     def boot(self):
@@ -144,17 +156,20 @@
         seed = (world.seed * 64 + self.n) * 1000 + self.life
         self.jobs, self.count, self.wake_at, self.generation, self.listed = {}, 0, None, None, {}
         self.out, self.heard_restricted = frozenset(), {}
-        self.balancer = world.decisions(settings, seed, now)
+        self.scheduler = world.decisions(settings, seed, now)
         recovery = world.scenario.recovery
-        self.opening, self.belief = None, None
+        self.ramp, self.restored = None, None
         if recovery:
             bound = int(recovery.get("open_ms", 5_000)) * 1000
-            self.opening = AdmissionRamp(seed, now, bound, settings["most_hold_off"])
+            self.ramp = AdmissionRamp(seed, now, bound, settings["most_hold_off"])
             kept, self.kept = self.kept, None
-            self.belief = b.believed(kept, now, now, "", "lab", int(recovery.get("list_ms", 60_000)) * 1000)
-            if self.belief.workers:
-                some = [(id, one.state, one.born) for id, one in self.belief.workers.items()]
-                self.balancer.members(now, "cached", entries_of(some))
+            validity_us = int(recovery.get("list_ms", 60_000)) * 1000
+            self.restored = restore(kept or RecoveryRecord(), ClockReading(now, now, ""), "lab", validity_us)
+            self.newest_list = NewestList()
+            self.newest_list.restore(self.restored.generation, self.restored.restricted())
+            if self.restored.workers:
+                some = [(id, one.state, one.started_at) for id, one in self.restored.workers.items()]
+                self.scheduler.update_endpoints(now, "cached", entries_of(some))
         if world.keys is not None:
             world.keys.hosts[self.name].start()
         if world.agreeing:
@@ -165,13 +180,13 @@
     def crash(self):
         """All that it held is gone; connections break."""
         world = self.world
-        if world.scenario.recovery and self.balancer is not None:
+        if world.scenario.recovery and self.scheduler is not None:
             self.kept = self.keep()
         self.up = self.ready = False
         self.life += 1
         if world.agreeing and world.nodes[self.name].up:
             world.nodes[self.name].crash()
-        self.balancer = self.opening = self.belief = None
+        self.scheduler = self.ramp = self.restored = None
         if world.keys is not None:
             world.keys.hosts[self.name].crash()
         claims, self.claims = self.claims, {}
@@ -188,20 +203,20 @@
     def keep(self):
         """What its folder has of it, as `program.recovery` writes it down."""
         now, out, workers = self.world.now, {}, {}
-        for wkr in self.balancer.workers.values():
-            workers[wkr.id] = b.Worker(wkr.state, wkr.born, ["", 0])
-            known = [launch for launch in wkr.out.values() if launch.sent <= now - KEPT]
+        for wkr in self.scheduler.workers.values():
+            workers[wkr.id] = StoredWorker(wkr.state, wkr.born, ["", 0])
+            known = [launch for launch in wkr.in_flight.values() if launch.sent_at <= now - KEPT]
             if known:
-                last = max(launch.job.last for launch in known)
-                out[wkr.id] = b.Out(wkr.born, ["", 0], sum(launch.load for launch in known), last)
-        learned = {id: [*told[:3], []] for id, told in self.balancer.learned().items()}
-        return b.RecoveryRecord(
-            at=now,
+                last = max(launch.job.deadline for launch in known)
+                out[wkr.id] = UnfinishedLoad(wkr.born, ["", 0], sum(launch.load for launch in known), last)
+        learned = {id: LearnedWorker(*told[:3], []) for id, told in self.scheduler.learned_state().items()}
+        return RecoveryRecord(
+            unix_us=now,
             registry="lab",
             generation=self.generation or 0,
             listed_at=now,
             workers=workers,
-            out=out,
+            loads=out,
             learned_at=now,
             learned=learned,
         )
@@ -219,38 +234,39 @@
         if life != self.life or not self.up:
             return
         world, now = self.world, self.world.now
-        if self.opening is not None:
-            slots = sum(wkr.slots * self.balancer.warmth(wkr, now) for wkr in self.balancer.ready)
-            self.opening.sized(now, slots, world.settings["dispatchers"])
-            self.opening.look(now)
-        if not self.ready and self.may_act() and self.balancer.ready:
+        if self.ramp is not None:
+            slots = self.scheduler.usable_slots(now)
+            self.ramp.resize(slots, world.settings["dispatchers"])
+            self.ramp.update(now)
+        if not self.ready and self.may_act() and self.scheduler.ready:
             self.ready = True
-            if self.opening is not None:
+            if self.ramp is not None:
                 self.take_over(now)
-        if self.belief is not None and self.belief.restricted:
-            self.keep_off()
+        if self.restored is not None and self.newest_list.restricted:
+            self.exclude_by_newer_list()
         world.at(100_000 if self.ready else 10_000, self.look, life)
 
     def take_over(self, now):
-        workers = {wkr.id: (wkr.born, ["", 0]) for wkr in self.balancer.workers.values()}
-        told = b.taught(self.belief, now, workers)
-        self.balancer.inherited(now, {id: one for id, one in told.items()})
+        workers = {wkr.id: WorkerIdentity(wkr.born, ["", 0]) for wkr in self.scheduler.workers.values()}
+        inherited = inherited_workers(self.restored, now, workers)
+        self.scheduler.restore_learned(now, {id: one.fields() for id, one in inherited.items()})
         others = [one for one in self.world.dispatchers.values() if one is not self and one.up]
         some = [others[self.world.draw(len(others))] for _ in range(min(5, len(others)))]
-        self.opening.heard(now, [(one.opening.held, not one.opening.closed) for one in some if one.opening])
-        self.opening.begins(now)
-
-    def keep_off(self):
-        known = {wkr.id: wkr.born for wkr in self.balancer.workers.values()}
-        off = b.kept_off(self.belief, self.generation, known) if self.generation is not None else frozenset()
-        if self.generation is not None and not off:
-            self.belief.restricted = {}
-        self.by_hand(off)
-
-    def by_hand(self, kept_off=None):
+        loads = [PeerLoad(one.ramp.in_flight, not one.ramp.limited) for one in some if one.ramp]
+        self.ramp.use_peer_loads(loads)
+        self.ramp.start(now)
+
+    def exclude_by_newer_list(self):
+        known = {wkr.id: wkr.born for wkr in self.scheduler.workers.values()}
+        excluded = self.newest_list.excluded(self.generation, known)
+        if self.generation is not None and not excluded:
+            self.newest_list.restricted = {}
+        self.by_hand(excluded)
+
+    def by_hand(self, excluded_by_newer_list=None):
         world, now = self.world, self.world.now
-        if kept_off is not None:
-            self.kept_off = kept_off
+        if excluded_by_newer_list is not None:
+            self.excluded_by_newer_list = excluded_by_newer_list
         agreed, back = (), {}
         if (
             world.agreeing
@@ -259,16 +275,16 @@
         ):
             state = world.nodes[self.name].member.state_machine.state
             agreed = state["out"]
-        out = frozenset({*agreed, *self.kept_off})
+        out = frozenset({*agreed, *self.excluded_by_newer_list})
         if out != self.out:
             self.out = out
-            self.balancer.by_hand(now, out, back)
+            self.scheduler.set_excluded(now, out, back)
             for job in self.jobs.values():
                 for launch in job.launches:
                     if launch.wkr.name in out and not launch.sent and not launch.ended:
                         self.hear(launch, "unsent")
 
-    kept_off = frozenset()
+    excluded_by_newer_list = frozenset()
 
     # The list
 
@@ -288,12 +304,12 @@
         world = self.world
         self.generation = generation
         world.note("told", who=self.name, generation=generation)
-        self.balancer.members(world.now, kind, entries_of(entries))
+        self.scheduler.update_endpoints(world.now, kind, entries_of(entries))
         self.pull()
 
     def changed(self, life):
         """All that has become visible since the last time: a watch is in order."""
-        if life != self.life or self.balancer is None or self.generation is None:
+        if life != self.life or self.scheduler is None or self.generation is None:
             return
         if self.silent or self.world.list_down:
             self.world.at(50_000, self.changed, life)
@@ -318,7 +334,7 @@
 
     def arrive(self, job, life):
         world = self.world
-        if life != self.life or self.balancer is None:
+        if life != self.life or self.scheduler is None:
             world.client_lost(job, "ConnectionError")
             return
         if self.frozen(self.arrive, job, life):
@@ -329,8 +345,8 @@
         if not self.may_act():
             self.answer(job, 503, min(ROOM, world.settings["most_hold_off"]), door=True)
             return
-        if self.opening is not None:
-            hold_off = self.opening.admit(now, bool(job.attempt))
+        if self.ramp is not None:
+            hold_off = self.ramp.admit(now, bool(job.attempt))
             if hold_off is not None:
                 self.answer(job, 503, hold_off, door=True)
                 return
@@ -340,7 +356,7 @@
         self.numbers += 1
         job.claim = self.numbers
         self.claims[job.claim] = job
-        self.key_step("offer", job.claim, "", job.key.encode(), PRINT, job.until - now)
+        self.key_step(inputs.Offer(job.claim, "", job.key.encode(), PRINT, job.until - now))
         world.at(job.until - now, self.key_late, job, self.life)
 
     def take(self, job):
@@ -350,43 +366,43 @@
         job.n = self.count
         self.jobs[job.n] = job
         types = [one.name for one in world.scenario.clients.queue_types]
-        self.balancer.arrived(now, job.n, types.index(job.kind.name), 0, 0, 1.0, 0.0, 0, job.until - now)
+        self.scheduler.job_arrived(now, job.n, types.index(job.kind.name), 0, 0, 1.0, 0.0, 0, job.until - now)
         self.pull()
 
     # Keys
 
-    def key_step(self, what, *fields):
+    def key_step(self, input_):
         host = self.world.keys.hosts[self.name]
-        host.step(host.node, what, *fields)
+        host.step(host.node, input_)
 
-    def key_told(self, n, what, status, content):
+    def key_told(self, told):
         """What becomes of a keyed job, as its node says."""
-        job = self.claims.get(n)
+        job, verdict = self.claims.get(told.job_id), told.verdict
         if job is None:
-            if what == o.GO:
-                self.key_step("ended", n, m.DROPPED)
+            if verdict is Verdict.GRANTED:
+                self.key_step(inputs.JobEnded(told.job_id, JobOutcome.RELEASED))
             return
-        if what == o.GO:
+        if verdict is Verdict.GRANTED:
             self.take(job)
             return
-        del self.claims[n]
-        if what in (o.LASTING, o.SHORT):
+        del self.claims[told.job_id]
+        if verdict in (Verdict.REPLICATED, Verdict.NOT_REPLICATED):
             if job.reply is not None:
-                kept = what == o.LASTING or job.reply[0] != 200
+                kept = verdict is Verdict.REPLICATED or job.reply[0] != 200
                 self.say(job, *(job.reply if kept else (500, 0, "")))
-        elif what == o.ANSWER:
-            self.answer(job, status, 0, content.decode())
-        elif what == o.UNSURE:
+        elif verdict is Verdict.ANSWERED:
+            self.answer(job, told.status, 0, told.content.decode())
+        elif verdict is Verdict.UNSURE:
             self.answer(job, 409)
-        elif what == o.REFUSED:
-            self.answer(job, status)
+        elif verdict is Verdict.REFUSED:
+            self.answer(job, told.status)
         else:
             self.answer(job, 503, KEY_AGAIN)
 
     def key_late(self, job, life):
         if life == self.life and self.claims.get(job.claim) is job and job.n is None:
             del self.claims[job.claim]
-            self.key_step("left", job.claim)
+            self.key_step(inputs.ClientLeft(job.claim))
             self.answer(job, 500)
 
     def answer(self, job, status, hold_off=0, result="", door=False):
@@ -395,18 +411,18 @@
         job.open = False
         if job.n is not None and job.claim in self.claims:
             # What it came to has to be kept before it is told.
-            how = {200: RecordState.ANSWERED, 503: m.DROPPED}.get(status, RecordState.UNSURE)
+            how = {200: JobOutcome.ANSWERED, 503: JobOutcome.RELEASED}.get(status, JobOutcome.UNSURE)
             job.reply = status, hold_off, result
-            content = result.encode() if how == RecordState.ANSWERED else b""
-            self.key_step("ended", job.claim, how, status, content)
+            content = result.encode() if how is JobOutcome.ANSWERED else b""
+            self.key_step(inputs.JobEnded(job.claim, how, status, content))
             return
         self.say(job, status, hold_off, result, door)
 
     def say(self, job, status, hold_off=0, result="", door=False):
         world = self.world
-        if self.opening is not None and not door:
-            how = {200: DONE, 503: TURNED}.get(status, ELSE)
-            self.opening.ended(world.now, how, world.now - job.began)
+        if self.ramp is not None and not door:
+            outcome = OUTCOME_BY_STATUS.get(status, AdmittedJobOutcome.FAILED)
+            self.ramp.record_outcome(world.now, outcome, world.now - job.began)
         world.at(world.link(), world.replied, job, status, hold_off, result)
 
     def left(self, job):
@@ -414,34 +430,38 @@
         if job.claim and self.claims.get(job.claim) is job:
             if job.n is None:
                 del self.claims[job.claim]
-                self.key_step("left", job.claim)
+                self.key_step(inputs.ClientLeft(job.claim))
                 job.open = False
-                if self.opening is not None:
-                    self.opening.ended(self.world.now, ELSE, self.world.now - job.began)
+                if self.ramp is not None:
+                    self.ramp.record_outcome(
+                        self.world.now, AdmittedJobOutcome.FAILED, self.world.now - job.began
+                    )
             return
         if job.open and job.n is not None and self.jobs.get(job.n) is job:
             job.open = False
-            if self.opening is not None:
-                self.opening.ended(self.world.now, ELSE, self.world.now - job.began)
-            self.balancer.abandoned(self.world.now, job.n)
+            if self.ramp is not None:
+                self.ramp.record_outcome(
+                    self.world.now, AdmittedJobOutcome.FAILED, self.world.now - job.began
+                )
+            self.scheduler.job_abandoned(self.world.now, job.n)
             self.pull()
 
     def hear(self, launch, what):
         """News of a launch from its worker, or of its connection."""
         world, job = self.world, launch.job
-        if launch.life != self.life or launch.ended or self.balancer is None:
+        if launch.life != self.life or launch.ended or self.scheduler is None:
             return
         if self.frozen(self.hear, launch, what):
             return
         now = world.now
         if what == "started":
             launch.began = now
-            self.balancer.started(now, job.n, launch.n)
+            self.scheduler.launch_started(now, job.n, launch.n)
         else:
             launch.ended = True
             if what == "completed":
                 self.answer(job, 200, 0, f"{launch.wkr.name} {job.name}")
-            self.balancer.ended(now, job.n, launch.n, what, now - launch.at, not job.open, ())
+            self.scheduler.launch_ended(now, job.n, launch.n, what, now - launch.at, not job.open, ())
             if not job.open and all(one.ended for one in job.launches):
                 self.jobs.pop(job.n, None)
         self.pull()
@@ -449,16 +469,30 @@
     def pull(self):
         world = self.world
         now = world.now
-        while (decision := self.balancer.decide(now)) is not None:
-            what, *fields = decision
-            getattr(self, "do_" + what)(now, *fields)
-        at = self.balancer.wake_at()
+        while (decision := self.scheduler.decide(now)) is not None:
+            self.carry_out(now, decision)
+        at = self.scheduler.wake_at()
         if at is not None:
             at = max(at, now + 1)
             if self.wake_at is None or at < self.wake_at or self.wake_at <= now:
                 self.wake_at = at
                 world.at(at - now, self.wake, self.life, at)
 
+    def carry_out(self, now, decision):
+        match decision:
+            case LaunchJob(job, worker, within):
+                self.do_launch(now, job, worker, within)
+            case RejectJob(job, retry_after):
+                self.do_reject(now, job, retry_after)
+            case KillJob(job):
+                self.do_kill(now, job)
+            case RevokeLaunch(job, number):
+                self.do_revoke(now, job, number)
+            case FollowEndpoints():
+                pass  # every change of the list reaches the dispatchers of the emulation
+            case _:
+                raise TypeError(f"no such decision: {decision}")
+
     def wake(self, life, at):
         if life != self.life or not self.up or self.wake_at != at:
             return
@@ -510,9 +544,6 @@
         if launch is not None and not launch.ended:
             self.world.at(0, self.hear, launch, "revoked" if launch.sent else "unsent")
 
-    def do_follow(self, now, on):
-        pass
-
 
 class Keys(copying.Fleet):
     """Copies of keys on the emulation's clock: their links, disks, and when each hears who holds them."""
@@ -535,8 +566,8 @@
     def at(self, wait, call, *fields):
         self.world.at(wait, call, *fields)
 
-    def told(self, host, n, what, status, content):
-        self.world.dispatchers[host.name].key_told(n, what, status, content)
+    def told(self, host, told):
+        self.world.dispatchers[host.name].key_told(told)
 
 
 class Member(schedule.Node):
@@ -546,7 +577,7 @@
         super().step(member, input)
         world = self.fleet
         dispatcher = world.dispatchers.get(self.name)
-        if self.up and dispatcher is not None and dispatcher.balancer is not None:
+        if self.up and dispatcher is not None and dispatcher.scheduler is not None:
             dispatcher.by_hand()
 
 
@@ -559,7 +590,7 @@
         self.nodes = {name: Member(self, name, 1.0) for name in (names if self.agreeing else [])}
         self.scenario, self.seed, self.show = scenario, seed, show
         self.decisions = policies.named(policy)
-        self.settings = plain_map(flat(document(scenario)))
+        self.settings = parse_settings(flatten_settings(document(scenario)))
         self.settings["may_message"] = False
         self.events, self.spells, self.late, self.lag = [], [], 0.0, 0.0
         self.workers = {
--- a/mastledge/peers/descriptor_budget.py
+++ b/mastledge/peers/descriptor_budget.py
@@ -19,14 +19,14 @@
         """Make room for links with so many members; the room never shrinks."""
         self.limit = max(self.limit, DESCRIPTORS_PER_MEMBER * members + SPARE_DESCRIPTORS)
 
-    def take(self, kind: str) -> bool:
+    def acquire(self, kind: str) -> bool:
         """Whether one more may be opened; it is counted then."""
         if self.used >= self.limit:
             return False
         self.used += 1
         return True
 
-    def give(self, kind: str) -> None:
+    def release(self, kind: str) -> None:
         """One has been closed."""
         self.used -= 1
 
--- a/mastledge/peers/frames.py
+++ b/mastledge/peers/frames.py
@@ -58,8 +58,8 @@
 ) -> Generator[tuple, int, bytes]:
     """Coroutine: the content of the next frame; bytes beyond it stay in `received`.
 
-    `deadline` is a time of the loop. Raises `TimedOut` at it, `EOFError` where the other side has closed, and
-    `OversizedFrameError`.
+    `deadline` is a time of the loop. Raises `WaitTimeoutError` at it, `EOFError` where the other side has
+    closed, and `OversizedFrameError`.
     """
     while (content := take_frame(received, max_bytes)) is None:
         part = yield from connection.receive(deadline)
--- a/mastledge/peers/link_listener.py
+++ b/mastledge/peers/link_listener.py
@@ -8,7 +8,9 @@
 from mastledge.peers import frames
 from mastledge.peers.errors import HandshakeError
 from mastledge.peers.link_context import DESCRIPTOR_KIND, LinkContext
-from mastledge.transport.connection import Connection, TimedOut, accept, bound
+from mastledge.transport.connection import Connection
+from mastledge.transport.errors import WaitTimeoutError
+from mastledge.transport.listening import accept, bind_socket
 from mastledge.transport.loop import READ, Task
 
 ACCEPT_BACKLOG = 64
@@ -33,7 +35,7 @@
 
     def start(self, address: tuple[str, int]) -> None:
         """Listen at that address; `OSError` where it cannot be had."""
-        self.sock = bound(address)
+        self.sock = bind_socket(address)
         self.sock.listen(ACCEPT_BACKLOG)
         self.task = self.context.loop.spawn(self._listen(), first=True)
 
@@ -73,14 +75,14 @@
     def _take_descriptor(self) -> bool:
         """Whether there is one for a further connection; the oldest unidentified one is closed for it."""
         budget = self.context.budget
-        if budget.take(DESCRIPTOR_KIND):
+        if budget.acquire(DESCRIPTOR_KIND):
             return True
         if not self.unidentified:
             return False
         oldest = next(iter(self.unidentified))
         self.context.loop.cancel(oldest.owner)
         self._close(oldest)  # a coroutine that has not run yet doesn't close it when it is cancelled
-        return budget.take(DESCRIPTOR_KIND)
+        return budget.acquire(DESCRIPTOR_KIND)
 
     def _adopt(self, sock: socket.socket) -> None:
         context = self.context
@@ -88,7 +90,7 @@
             connection = Connection(context.loop, sock, context.budget, DESCRIPTOR_KIND)
         except OSError:
             sock.close()
-            context.budget.give(DESCRIPTOR_KIND)
+            context.budget.release(DESCRIPTOR_KIND)
             return
         self.unidentified[connection] = None
         self.connections.add(connection)
@@ -108,7 +110,7 @@
             yield from self._receive_frames(connection, received, hello)
         except (ValueError, msgspec.MsgspecError) as error:
             self.context.log.write("peer_refused", why=str(error)[:MAX_REASON_CHARACTERS])
-        except TimedOut:
+        except WaitTimeoutError:
             self.context.log.write("peer_refused", why="a frame was not whole in time")
         except (OSError, EOFError):
             return
--- a/mastledge/peers/outgoing_link.py
+++ b/mastledge/peers/outgoing_link.py
@@ -12,7 +12,8 @@
 
 from mastledge.peers import frames
 from mastledge.peers.link_context import DESCRIPTOR_KIND, LinkContext, LinkIdentity
-from mastledge.transport.connection import Connection, NoSocket, TimedOut, connect
+from mastledge.transport.connection import Connection, connect
+from mastledge.transport.errors import OutOfDescriptorsError, WaitTimeoutError
 from mastledge.transport.loop import READ, WRITE, Task
 
 MAX_QUEUED_FRAMES = 256  # beyond it all are dropped: what is said here is said again where it got lost
@@ -98,7 +99,7 @@
                 try:
                     yield from self._carry(address)
                     self.failures = 0
-                except (OSError, TimedOut, NoSocket) as error:
+                except (OSError, WaitTimeoutError, OutOfDescriptorsError) as error:
                     yield from self._back_off(error)
         finally:
             self.is_up = False
@@ -166,7 +167,7 @@
             if self.context.host.link_identity() != identity:
                 return  # it is another one now, and says so on another link
             if unacknowledged and loop.now() >= unacknowledged[0] + ACKNOWLEDGEMENT_TIMEOUT_US:
-                raise TimedOut
+                raise WaitTimeoutError
             has_work = unacknowledged or self.unsent or self.queue
             if not has_work and loop.now() >= busy_at + IDLE_TIMEOUT_US:
                 return
--- a/mastledge/program/agreed_settings.py
+++ b/mastledge/program/agreed_settings.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from mastledge.program.settings import flat, plain_map
+from mastledge.program.settings import flatten_settings, parse_settings
 
 if TYPE_CHECKING:
     from mastledge.program.lifecycle import Program
@@ -30,9 +30,9 @@
         # A member more takes its part before it may act, one less gives it up later: parts never sum to more
         # than all.
         members = len(state["members"]) + len(state["gone"]) if state else 0
-        pairs = flat({**document, **self.own})
+        pairs = flatten_settings({**document, **self.own})
         pairs["balancers"] = max(int(pairs.get("balancers", 1)), members)
-        return plain_map(pairs)
+        return parse_settings(pairs)
 
     def apply(self, state: dict[str, Any]) -> bool:
         """Put an agreed state in force here; whether that could be done."""
@@ -44,8 +44,8 @@
             version = state["settings_version"]
             self.unreadable_reason = f"cannot read settings of version {version}: {error}"
             self.log("fleet_settings_unreadable", why=self.unreadable_reason)
-            self.program.lapse()
+            self.program.lease_lapsed()
             return False
         self.unreadable_reason = ""
-        self.program.agreed(settings, state)
+        self.program.apply_committed(settings, state)
         return True
--- a/mastledge/program/consensus_driver.py
+++ b/mastledge/program/consensus_driver.py
@@ -88,9 +88,9 @@
         if standby_index:
             self.member.lease.standby_index = standby_index
         self.links.start(self.configuration.listen)
-        vital, spawn = self.program.vital, self.loop.spawn
-        self.timer = spawn(vital(self._tick()), first=True)
-        self.tasks = [spawn(vital(self._take_write_results()), first=True), self.timer]
+        supervised, spawn = self.program.supervised, self.loop.spawn
+        self.timer = spawn(supervised(self._tick()), first=True)
+        self.tasks = [spawn(supervised(self._take_write_results()), first=True), self.timer]
 
     def _open_log(self, persisted: PersistedState) -> WriteAheadLog:
         owner = {"name": self.configuration.name}
--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -35,8 +35,8 @@
 class Fleet:
     """What the program has of its fleet.
 
-    `program` is told of agreed settings by `agreed(settings, state)`, and by `heard_out` and `recompose()` of
-    workers that the lists of others restrict.
+    `program` gets agreed settings by `apply_committed`, workers that the lists of others restrict by
+    `excluded.restricted_by_fleet` and `refresh_excluded_workers`, and a lost lease by `lease_lapsed`.
     """
 
     def __init__(self, program: "Program", configuration: dict[str, Any], log: Callable[..., None]) -> None:
@@ -77,10 +77,10 @@
         try:
             self.directory.acquire()
         except DataDirectoryError:
-            if not self.program.beside:
+            if not self.program.has_sibling_process:
                 raise
             self.log("fleet_standby", folder=self.configuration.directory)
-            self.tasks = [self.loop.spawn(self.program.vital(self.lease_exchange.follow()), first=True)]
+            self.tasks = [self.loop.spawn(self.program.supervised(self.lease_exchange.follow()), first=True)]
             return
         self.become_active()
 
@@ -88,10 +88,10 @@
         """Take part as a member; this process has the lock of the data directory."""
         settings = shared_settings(self.configuration.document)
         self.driver.start(settings, self.lease_exchange.index)
-        vital, spawn = self.program.vital, self.loop.spawn
+        supervised, spawn = self.program.supervised, self.loop.spawn
         self.tasks = [
-            spawn(vital(self.restrictions.share_repeatedly())),
-            spawn(vital(self.lease_exchange.lend(self.loop.now())), first=True),
+            spawn(supervised(self.restrictions.share_repeatedly())),
+            spawn(supervised(self.lease_exchange.lend(self.loop.now())), first=True),
         ]
 
     def hand_over(self) -> None:
@@ -149,8 +149,8 @@
         self.lease_held = held
         self.log("lease", held=held, why="" if held else self.no_lease_reason(), version=self.version())
         if not held and not self.lease_guard.serves_without_lease:
-            self.program.lapse()
-        self.loop.wake(self.program.life)
+            self.program.lease_lapsed()
+        self.loop.wake(self.program.lifecycle_task)
 
     # What is agreed
 
@@ -163,7 +163,7 @@
         """Put an agreed state in force here."""
         applied = self.settings.apply(state)
         if applied and self.replication is not None and self.member is not None:
-            self.replication.placed(state)
+            self.replication.on_committed_state(state)
 
     def listed(self, kind: str, entries: list[tuple]) -> None:
         """Take what this dispatcher's own registry has told."""
@@ -197,6 +197,6 @@
         """Hand a frame to the service that it is for; one of a service that is not used here is ignored."""
         if content.startswith(RECOVERY_FRAME_PREFIX):
             if self.program.recovery is not None:
-                self.program.recovery.heard(sender, content[len(RECOVERY_FRAME_PREFIX) :])
+                self.program.recovery.receive(sender, content[len(RECOVERY_FRAME_PREFIX) :])
         elif self.replication is not None:
-            self.replication.heard(sender, content[len(SERVICE_FRAME_PREFIX) :])
+            self.replication.on_frame(sender, content[len(SERVICE_FRAME_PREFIX) :])
--- a/mastledge/program/fleet_api.py
+++ b/mastledge/program/fleet_api.py
@@ -78,8 +78,8 @@
             "in_force": bool(state) and member.lease.in_force_index >= member.commit_index,
             "members": state["members"] if state else {},
             "out": state["out"] if state else [],
-            "out_here": sorted(program.upgrade_state.told["out"]),
-            "heard_out": sorted(program.heard_out),
+            "out_here": sorted(program.upgrade_state.shared["out"]),
+            "heard_out": sorted(program.excluded.restricted_by_fleet),
         }
 
     def _member_figures(self, member: Member) -> dict[str, Any]:
@@ -134,7 +134,7 @@
         """What is agreed, as it is here; asked of one with a lease it is all that is in force."""
         state = self._state()
         name, fleet_name = self.fleet.configuration.name, self.fleet.member.fleet
-        return json_answer(fleet_snapshot.packed(state, fleet_name, name, unix_us()))
+        return json_answer(fleet_snapshot.pack_snapshot(state, fleet_name, name, unix_us()))
 
     # Settings
 
@@ -207,7 +207,7 @@
             "kind": ChangeKind.INCLUDE_WORKER.value,
             "worker": worker,
             "at": unix_us(),
-            "cold_for": self.fleet.program.told["settings"]["cold_for"],
+            "cold_for": self.fleet.program.configuration["settings"]["cold_for"],
         }
         return (yield from self.fleet.changes.commit(change))
 
--- a/mastledge/program/fleet_command.py
+++ b/mastledge/program/fleet_command.py
@@ -1,7 +1,7 @@
 """`mastledge fleet`: what operators ask of dispatchers that agree, at the second address of any of them.
 
 Each command gives the lines that it prints. It raises `CallError` where the dispatcher refuses or does not
-answer (status 1), and `BadConfiguration` where the call itself is bad (status 2).
+answer (status 1), and `ConfigurationError` where the call itself is bad (status 2).
 """
 
 import os
@@ -15,7 +15,7 @@
 import orjson
 
 from mastledge.program import fleet_reports
-from mastledge.program.configuration import BadConfiguration
+from mastledge.program.configuration import ConfigurationError
 from mastledge.program.operator_client import CallError, OperatorClient, control_address
 from mastledge.transport.connection import address_of
 
@@ -33,7 +33,7 @@
     if arguments.count is None:
         return report(arguments, client.get_json("/api/copies"), fleet_reports.copies_report)
     if not arguments.count.isdecimal():
-        raise BadConfiguration(f"no count of copies: {arguments.count}")
+        raise ConfigurationError(f"no count of copies: {arguments.count}")
     return [client.post("/api/copies", orjson.dumps({"count": int(arguments.count)}))]
 
 
@@ -68,7 +68,7 @@
     try:
         address_of(arguments.address)
     except ValueError as error:
-        raise BadConfiguration(str(error)) from None
+        raise ConfigurationError(str(error)) from None
     change = {"kind": "add", "name": arguments.name, "address": arguments.address}
     return [client.post("/api/members", orjson.dumps(change))]
 
@@ -81,7 +81,7 @@
 def relays(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
     """Set how many hear from one dispatcher; the leader alone takes it."""
     if not arguments.fan_out.isdecimal():
-        raise BadConfiguration(f"no fan-out: {arguments.fan_out}")
+        raise ConfigurationError(f"no fan-out: {arguments.fan_out}")
     return [client.post("/api/relays", orjson.dumps({"fan_out": int(arguments.fan_out)}))]
 
 
@@ -100,7 +100,7 @@
 def form(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
     """Begin a fleet with what one dispatcher keeps."""
     if not arguments.accept_loss:
-        raise BadConfiguration("fleet form begins anew with what this one dispatcher keeps: --accept-loss")
+        raise ConfigurationError("fleet form begins anew with what this one dispatcher keeps: --accept-loss")
     return [client.post("/api/restore", ACCEPT_LOSS)]
 
 
@@ -124,7 +124,7 @@
         with open(path, "rb") as file:
             return file.read()
     except OSError as error:
-        raise BadConfiguration(f"{path}: {error.strerror}") from None
+        raise ConfigurationError(f"{path}: {error.strerror}") from None
 
 
 def settings_document(path: str) -> Any:
@@ -132,7 +132,7 @@
     try:
         document = orjson.loads(read_file(path))
     except orjson.JSONDecodeError as error:
-        raise BadConfiguration(f"{path} is no JSON: {error}") from None
+        raise ConfigurationError(f"{path} is no JSON: {error}") from None
     if isinstance(document, dict) and "settings" in document:
         return document["settings"]
     return document
@@ -148,7 +148,7 @@
             os.fsync(file.fileno())
         os.replace(replacement, path)
     except OSError as error:
-        raise BadConfiguration(f"{path}: {error.strerror}") from None
+        raise ConfigurationError(f"{path}: {error.strerror}") from None
 
 
 @dataclass(frozen=True, slots=True)
--- a/mastledge/program/fleet_restore.py
+++ b/mastledge/program/fleet_restore.py
@@ -8,6 +8,7 @@
 from mastledge.program.consensus_driver import new_name
 from mastledge.protocol.control import No
 from mastledge.recovery import fleet_snapshot
+from mastledge.recovery.errors import FleetStartRefusedError, SnapshotError
 
 if TYPE_CHECKING:
     from mastledge.program.fleet import Fleet
@@ -27,18 +28,19 @@
     snapshot = None if body == ACCEPT_LOSS_BODY else read_snapshot(body)
     known = member.state_machine.state if member.state_machine else None
     state = known if snapshot is None else snapshot["state"]
-    now = fleet.loop.now()
-    refusal = fleet_snapshot.refused(
-        fleet.configuration.name,
-        state,
-        member.fleet,
-        known,
-        has_lease(fleet, member),
-        member.discovery.present_members(now),
-        snapshot,
+    start = fleet_snapshot.FleetStart(
+        name=fleet.configuration.name,
+        state=state,
+        snapshot=snapshot,
+        fleet=member.fleet,
+        known_state=known,
+        holds_lease=has_lease(fleet, member),
+        reachable=member.discovery.present_members(fleet.loop.now()),
     )
-    if refusal:
-        raise No(CONFLICT, refusal)
+    try:
+        fleet_snapshot.check_fleet_start(start)
+    except FleetStartRefusedError as error:
+        raise No(CONFLICT, str(error)) from None
     try:
         fleet.settings.complete(state["settings"], state)
     except ValueError as error:
@@ -50,8 +52,8 @@
 def read_snapshot(body: bytes) -> dict[str, Any]:
     """The snapshot that an operator sent."""
     try:
-        return fleet_snapshot.unpacked(body)
-    except fleet_snapshot.SnapshotError as error:
+        return fleet_snapshot.unpack_snapshot(body)
+    except SnapshotError as error:
         raise No(BAD_REQUEST, str(error)) from None
 
 
@@ -74,8 +76,9 @@
     """Have the member begin a fleet with the state that follows this one; `how` stands in its history."""
     incarnation, name = new_name(), fleet.configuration.name
     replication = fleet.replication
-    replica = replication.id if replication is not None and replication.node is not None else ""
-    successor = fleet_snapshot.succeeding(state, name, incarnation, replica, how, name, unix_us())
+    replica = replication.directory_id if replication is not None and replication.node is not None else ""
+    entry = fleet_snapshot.FormationEntry(how, name, unix_us())
+    successor = fleet_snapshot.successor_state(state, name, incarnation, replica, entry)
     fleet.log("fleet_restored", version=successor["version"], before=member.fleet, what=how)
     fleet.forget_applied()
     fleet.driver.step(inputs.Restore(new_name(), incarnation, successor))
--- a/mastledge/program/operator_client.py
+++ b/mastledge/program/operator_client.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from mastledge.program.configuration import BadConfiguration, configuration
+from mastledge.program.configuration import ConfigurationError, load_configuration
 from mastledge.transport.connection import address_of
 
 CALL_TIMEOUT_S = 3.0
@@ -77,16 +77,16 @@
 def control_address(arguments: Namespace) -> tuple[str, int]:
     """The second address that --control, the environment or the configuration names, in this order.
 
-    Raises `BadConfiguration` where none does.
+    Raises `ConfigurationError` where none does.
     """
     text = arguments.control or os.environ.get(ADDRESS_VARIABLE)
     if text:
         try:
             return address_of(text)
         except ValueError as error:
-            raise BadConfiguration(f"--control: {error}") from None
+            raise ConfigurationError(f"--control: {error}") from None
     if arguments.config:
-        address = configuration(arguments.config, os.environ)["control"]
+        address = load_configuration(arguments.config, os.environ)["control"]
         if address:
             return address
-    raise BadConfiguration("no second address: give --control, --config or set GW_CONTROL")
+    raise ConfigurationError("no second address: give --control, --config or set GW_CONTROL")
--- a/mastledge/program/restriction_exchange.py
+++ b/mastledge/program/restriction_exchange.py
@@ -31,7 +31,7 @@
 
     def registry(self) -> str:
         """The name under which dispatchers know that they go by the same list."""
-        host, port = self.program.told["discovery"]
+        host, port = self.program.configuration["discovery"]
         return self.configured_registry or f"{host}:{port}"
 
     def list_updated(self, kind: str, entries: Iterable[tuple]) -> None:
@@ -64,7 +64,7 @@
     def _apply(self) -> None:
         """Another's newer list keeps off whom it restricts, until one's own is as new."""
         kept_off = self.own.kept_off_by(self.received)
-        if kept_off == self.program.heard_out:
+        if kept_off == self.program.excluded.restricted_by_fleet:
             return
         self.log(
             "workers_restricted_by_peers",
@@ -72,5 +72,5 @@
             generation=self.received and self.received.generation,
             own=self.own.generation,
         )
-        self.program.heard_out = kept_off
-        self.program.recompose()
+        self.program.excluded.restricted_by_fleet = kept_off
+        self.program.refresh_excluded_workers()
--- a/mastledge/program/shared_lease_exchange.py
+++ b/mastledge/program/shared_lease_exchange.py
@@ -91,7 +91,7 @@
             except DataDirectoryError:
                 continue
             self.log("fleet_active", index=self.index)
-            self.loop.spawn(self.program.vital(self._take_over()), first=True)
+            self.loop.spawn(self.program.supervised(self._take_over()), first=True)
             return
 
     def _take_notice(self, is_first: bool) -> None:
@@ -114,13 +114,13 @@
         self.active_since, self.standby = active_since, None
         while True:
             member, now = self.host.member, self.loop.now()
-            if self.program.beside and member.state_machine is not None:
+            if self.program.has_sibling_process and member.state_machine is not None:
                 self._lend_to_standby(member)
-            elif not self.program.beside:
+            elif not self.program.has_sibling_process:
                 self.standby = None
                 self.shared_lease.withdraw()
             self._release_standby(member, now)
-            busy = self.program.beside or member.lease.standby_index is not None
+            busy = self.program.has_sibling_process or member.lease.standby_index is not None
             yield (-1, 0, now + (LEND_INTERVAL_US if busy else IDLE_INTERVAL_US))
 
     def _lend_to_standby(self, member: Member) -> None:
@@ -138,5 +138,7 @@
         """One that has handed over acts by its last lease; a process that has gone acts by none."""
         if member.lease.standby_index is None or self.standby is not None:
             return
-        if not self.program.beside or now > self.active_since + longest_lease_us(member.lease_us):
+        if not self.program.has_sibling_process or now > self.active_since + longest_lease_us(
+            member.lease_us
+        ):
             member.lease.standby_index = None
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -11,10 +11,10 @@
 from types import SimpleNamespace
 from typing import get_args
 
-from helpers import HERE, Rig, arrive, balancer, entry, pull
+from helpers import HERE, Rig, arrive, entry, pull, scheduler
 
-from mastledge.adapter import __main__ as adapter_main
 from mastledge.adapter import frames as adapter_frames
+from mastledge.adapter import host as adapter_host
 from mastledge.consensus import inputs, outputs, state_machine
 from mastledge.consensus import messages as consensus_messages
 from mastledge.consensus import persisted_state as consensus_persisted
@@ -26,8 +26,11 @@
 from mastledge.peers import frames as link_frames
 from mastledge.peers import links
 from mastledge.peers.link_context import LinkIdentity
-from mastledge.program import connection_handoff, recovery_service, replication_service
+from mastledge.program import connection_handoff, recovery_peer_poll, replication_frames
 from mastledge.program.fleet_api import json_answer
+from mastledge.program.recovery_clock import RecoveryClock
+from mastledge.program.recovery_persistence import RecoveryPersistence
+from mastledge.program.recovery_records import RecordBuilder
 from mastledge.program.shared_lease import LeaseNotice, SharedLease
 from mastledge.program.shared_lease_exchange import lent_state
 from mastledge.program.upgrade_state import UpgradeState
@@ -35,17 +38,20 @@
 from mastledge.protocol.worker_connections import WorkerEndpoint
 from mastledge.recovery import fleet_snapshot as snapshot_format
 from mastledge.recovery import messages as recovery_messages
-from mastledge.recovery import restored_state
+from mastledge.recovery import recovery_record
+from mastledge.replication import inputs as replication_inputs
 from mastledge.replication import messages as replication_messages
 from mastledge.replication import persisted_state as replica_persisted
-from mastledge.replication.node import Node
+from mastledge.replication.node import Node, NodeOptions
+from mastledge.replication.outputs import Persist
+from mastledge.scheduling.decisions import LaunchJob
 from mastledge.storage import frames, write_ahead_log
 from mastledge.storage.data_directory import DataDirectory
-from mastledge.transport import passing
+from mastledge.transport import descriptor_passing
 
 ADAPTER_MODULE = "mastledge.adapter"
-ENDINGS = adapter_main.ENDING
-RECOVERY_MESSAGE = recovery_messages.Ask | recovery_messages.Load
+ENDINGS = adapter_host.OUTCOMES
+RECOVERY_MESSAGE = recovery_messages.AnyMessage
 
 
 class MessageFamily:
@@ -75,14 +81,14 @@
         replication_messages.AnyMessage, replication_messages.decode, replication_messages.encode
     ),
     "recovery": MessageFamily(
-        RECOVERY_MESSAGE, recovery_messages.decode, recovery_messages.encode, recovery_service.FRAME
+        RECOVERY_MESSAGE, recovery_messages.decode, recovery_messages.encode, recovery_peer_poll.FRAME_MARK
     ),
 }
 COPIES_FRAME = MessageFamily(
     replication_messages.AnyMessage,
-    replication_service.decode,
-    replication_service.encode,
-    replication_service.MARK,
+    replication_frames.decode,
+    replication_frames.encode,
+    replication_frames.MARK,
 )
 COPIES_LIST = MessageFamily(
     replication_messages.AnyMessage, replication_messages.decode_all, replication_messages.encode_all
@@ -102,7 +108,7 @@
     "agreement": consensus_persisted.PersistedState,
     "repeats": lambda: PersistedKeys(lambda: JOURNAL_NOW),
     "copies": lambda: replica_persisted.PersistedReplica(lambda: JOURNAL_NOW),
-    "recovery": restored_state.PersistedRecovery,
+    "recovery": recovery_record.PersistedRecovery,
 }
 
 
@@ -171,14 +177,17 @@
 
 def records_of_holder(copies, heard):
     """What a holder of copies has written that is told its placement and then hears (name, id, message)."""
-    node = Node("n0", "holder-0", "run-1", book_of_keys(), 0, 1, 1_000_000, 0)
-    steps = [("placed", copies)]
-    steps += [("heard", name, id_, replication_messages.decode(content)) for name, id_, content in heard]
-    records = replica_persisted.head("holder-0", 2, 1)
+    node = Node(NodeOptions("n0", "holder-0", "run-1", 0, 1, 1_000_000), book_of_keys(), 0)
+    steps = [replication_inputs.PlacementChanged(copies)]
+    steps += [
+        replication_inputs.MessageReceived(name, id_, replication_messages.decode(content))
+        for name, id_, content in heard
+    ]
+    records = replica_persisted.head_records("holder-0", 2, 1)
     for now, step in enumerate(steps, 10_000):
-        for what, *fields in node.step(now, *step):
-            if what == "save":
-                records += fields[1]
+        for output in node.step(now, step):
+            if isinstance(output, Persist):
+                records += output.records
     return records
 
 
@@ -191,12 +200,12 @@
 
 def decisions_that_learned():
     """Decisions that have set each of three workers aside for another reason, and have a job out."""
-    made = balancer(workers=0)
-    made.members(0, "whole", three_workers())
+    made = scheduler(workers=0)
+    made.update_endpoints(0, "whole", three_workers())
     for job, how in enumerate(("unreachable", "lost", "error"), 1):
         arrive(made, 1_000 * job, job)
-        (sent,) = [decision for decision in pull(made, 1_000 * job) if decision[0] == "launch"]
-        made.ended(1_000 * job + 500, job, 0, how, 500, True, [])
+        (sent,) = [decision for decision in pull(made, 1_000 * job) if isinstance(decision, LaunchJob)]
+        made.launch_ended(1_000 * job + 500, job, 0, how, 500, True, [])
     arrive(made, 900_000, 9)
     pull(made, 900_000)
     return made
@@ -204,32 +213,33 @@
 
 def learned_of_decisions():
     """What decisions hand to the process that takes over, as it stands in the file."""
-    return decisions_that_learned().learned()
+    return decisions_that_learned().learned_state()
 
 
 def learned_again(told):
     """The same by decisions that have been handed this."""
-    made = balancer(workers=0)
-    made.members(0, "whole", three_workers())
-    made.inherited(0, told)
-    return made.learned()
+    made = scheduler(workers=0)
+    made.update_endpoints(0, "whole", three_workers())
+    made.restore_learned(0, told)
+    return made.learned_state()
 
 
 def records_of_start():
     """What a dispatcher keeps of its list, of what is out and of what it has learned."""
-    made = recovery_service.RecoveryService.__new__(recovery_service.RecoveryService)
     discovery = SimpleNamespace(
         answered=True, generation=42, zones={"a": 0}, kinds={"m": 0}, since=1_699_999_000_000_000
     )
-    router = SimpleNamespace(balancer=decisions_that_learned())
+    router = SimpleNamespace(scheduler=decisions_that_learned())
     saved = []
-    made.loop, made.boot, made.last, made.failing, made.token = Rig().loop, "boot-1", {}, False, 0
-    made.program = SimpleNamespace(
-        discovery=discovery, router=router, told={"discovery": ("127.0.0.1", 9000), "peers": None}
+    loop = Rig().loop
+    program = SimpleNamespace(
+        discovery=discovery, router=router, configuration={"discovery": ("127.0.0.1", 9000), "peers": None}
     )
-    made.belief = SimpleNamespace(generation=0, restricted={"s-9": 5})
+    newest_list = SimpleNamespace(generation=0, restricted={"s-9": 5})
+    builder, clock = RecordBuilder(program, newest_list), RecoveryClock(loop, "boot-1")
+    made = RecoveryPersistence(builder, clock, loop, None)
     made.writer = SimpleNamespace(append=lambda token, records: saved.extend(records))
-    made.keep(True)
+    made.store(True)
     return saved
 
 
@@ -239,11 +249,11 @@
 
 def fleet_snapshot(state, fleet, by, at):
     """The document that an operator is given."""
-    return json_answer(snapshot_format.packed(state, fleet, by, at)).text.encode()
+    return json_answer(snapshot_format.pack_snapshot(state, fleet, by, at)).text.encode()
 
 
 def fleet_snapshot_again(raw):
-    told = snapshot_format.unpacked(raw)
+    told = snapshot_format.unpack_snapshot(raw)
     return fleet_snapshot(told["state"], told["fleet"], told["by"], told["at"])
 
 
@@ -268,7 +278,7 @@
     made = handover(directory)
     try:
         assert made.look()
-        return made.told
+        return made.shared
     finally:
         made.leave()
 
@@ -319,11 +329,17 @@
 def handed_on(directory, job):
     """The datagram by which a job is handed to another process: {name, kind, until, headed, rest}."""
     path = str(Path(directory) / "inlet")
-    inlet, client, worker = passing.inlet(path), *socket.socketpair()
+    inlet, client, worker = descriptor_passing.open_receiver(path), *socket.socketpair()
     quiet = SimpleNamespace(trailing_data=(b"", False))
     ends = [
         SimpleNamespace(
-            sock=sock, fd=sock.fileno(), http=quiet, whole=True, owner=None, quiet=lambda: True, buffer=None
+            sock=sock,
+            fd=sock.fileno(),
+            http=quiet,
+            at_chunk_end=True,
+            owner=None,
+            is_quiet=lambda: True,
+            buffer=None,
         )
         for sock in (client, worker)
     ]
@@ -334,13 +350,13 @@
     launch = SimpleNamespace(ended=False, sent=True, conn=ends[1], headed=job["headed"])
     one = SimpleNamespace(exchange=exchange, launches=[launch])
     router = SimpleNamespace(jobs={1: one}, handed_on=lambda now, job, launch: None)
-    loop = SimpleNamespace(let_go=lambda fd: None, now=lambda: 0, cancel=lambda task: None)
+    loop = SimpleNamespace(unregister=lambda fd: None, now=lambda: 0, cancel=lambda task: None)
     made = connection_handoff.ConnectionHandoff(
-        loop, None, None, balancer().settings, lambda event, **fields: None
+        loop, None, None, scheduler().settings, lambda event, **fields: None
     )
     try:
         assert made.hand_on(router, path) == 1
-        raw, socks = passing.taken(inlet, 2)
+        raw, socks = descriptor_passing.receive_sockets(inlet, 2)
         for sock in socks:
             sock.close()
         return raw
@@ -353,7 +369,7 @@
     """The job as the process that takes it up has it, in the form that `handed_on` takes."""
     rig, jobs = Rig(), []
     door = SimpleNamespace(resumed=lambda conn, exchange: iter(()))
-    made = connection_handoff.ConnectionHandoff(rig.loop, rig.budget, door, balancer().settings, rig.log)
+    made = connection_handoff.ConnectionHandoff(rig.loop, rig.budget, door, scheduler().settings, rig.log)
     made.carried = lambda launch, exchange: jobs.append((launch, exchange)) or iter(())
     here = socket.create_server((HERE, 0))
     ends = [socket.create_connection(here.getsockname()) for _ in range(2)]
@@ -405,18 +421,18 @@
     return load_messages.encoded(*load_messages.decoded(raw))
 
 
-EVENT_LAYOUTS, EVENT_RECORD_BYTES = adapter_frames.EVENTS, adapter_frames.RECORD
-ANSWER_HEAD, ACTION_BYTES = adapter_frames.REPLY, adapter_frames.ACTION
-EVENT_HEAD = adapter_frames.HEADER
+EVENT_LAYOUTS, EVENT_RECORD_BYTES = adapter_frames.EVENT_LAYOUTS, adapter_frames.EVENT_BYTES
+ANSWER_HEAD, ACTION_BYTES = adapter_frames.REPLY_HEADER, adapter_frames.ACTION_BYTES
+EVENT_HEAD = adapter_frames.EVENT_HEADER
 ACTION_LAYOUTS = {
-    1: adapter_frames.PASS_ON,
-    2: adapter_frames.BOUNCE,
-    3: adapter_frames.GIVE_UP,
-    4: adapter_frames.REVOKE,
-    5: adapter_frames.NOTIFY_ME,
-    8: adapter_frames.MEMO_TO,
-    10: adapter_frames.TEXT,
-    11: adapter_frames.TRACK,
+    1: adapter_frames.pack_launch,
+    2: adapter_frames.pack_reject,
+    3: adapter_frames.pack_kill,
+    4: adapter_frames.pack_revoke,
+    5: adapter_frames.pack_wake,
+    8: adapter_frames.pack_message,
+    10: adapter_frames.pack_text,
+    11: adapter_frames.pack_follow,
 }
 answer_of = adapter_frames.reply
 
@@ -425,7 +441,6 @@
     """(clock in milliseconds, records as (code, fields...), tail) of each frame of the input."""
     stream, out = io.BytesIO(raw), []
     while (frame := adapter_frames.frame_from(stream)) is not None:
-        clock, body, count = frame
-        records = [(code, *fields) for _, code, fields in adapter_frames.events(body, count)]
-        out.append((clock / 1000, records, bytes(body[count * EVENT_RECORD_BYTES :])))
+        records = [(code, *fields) for _, code, fields in frame.events()]
+        out.append((frame.now / 1000, records, bytes(frame.body[frame.count * EVENT_RECORD_BYTES :])))
     return out
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,12 +5,13 @@
 
 import h11
 
-from mastledge.balance import Balancer
 from mastledge.protocol import http
 from mastledge.protocol.client_listener import ClientListener
 from mastledge.protocol.worker_connections import WorkerConnections, WorkerEndpoint
+from mastledge.scheduling.scheduler import Scheduler
 from mastledge.transport.budget import Budget
-from mastledge.transport.connection import Connection, listen
+from mastledge.transport.connection import Connection
+from mastledge.transport.listening import listen
 from mastledge.transport.loop import Loop, Queue
 
 STEP = 4_000
@@ -34,7 +35,7 @@
     }
 
 
-def balancer(types=None, workers=4, seed=7, **other):
+def scheduler(types=None, workers=4, seed=7, **other):
     settings = {
         "dispatchers": 2,
         "me": 0,
@@ -75,10 +76,10 @@
         "queue_types": types or [queue_type()],
         **other,
     }
-    for n, qt in enumerate(settings["queue_types"]):
-        qt.setdefault("name", n)
-    made = Balancer(settings, seed, 0)
-    made.members(0, "whole", [entry(i) for i in range(workers)])
+    for n, terms in enumerate(settings["queue_types"]):
+        terms.setdefault("name", n)
+    made = Scheduler(settings, seed, 0)
+    made.update_endpoints(0, "whole", [entry(i) for i in range(workers)])
     return made
 
 
@@ -86,8 +87,8 @@
     return (i % 2 if zone is None else zone, i, state, born, 0, 0, 1.0)
 
 
-def arrive(made, now=0, job=1, qtype=0, hint=100_000, patience=5_000_000, width=1.0, tenant=0):
-    made.arrived(now, job, qtype, hint, 0, width, 0.0, tenant, patience)
+def arrive(made, now=0, job=1, queue_number=0, hint=100_000, patience=5_000_000, width=1.0, tenant=0):
+    made.job_arrived(now, job, queue_number, hint, 0, width, 0.0, tenant, patience)
 
 
 def pull(made, now):
@@ -112,7 +113,7 @@
         """Lets everything run until something holds, for a while at the most."""
         last = self.loop.now() + longest
         while not until() and self.loop.now() < last:
-            self.loop.once(10_000)
+            self.loop.run_once(10_000)
         return until()
 
     def called(self, sock):
@@ -147,7 +148,7 @@
 
         self.turn(heard)
         for _ in range(5):
-            self.loop.once(2_000)
+            self.loop.run_once(2_000)
             heard()
         return b"".join(got)
 
@@ -158,7 +159,7 @@
         door.setblocking(True)
         ours, _ = door.accept()
         door.close()
-        self.budget.take(kind)
+        self.budget.acquire(kind)
         return http.attach(Connection(self.loop, ours, self.budget, kind), role), theirs
 
 
@@ -196,10 +197,10 @@
     return WorkerConnections(rig.loop, rig.budget, rig.inbox, settings, rig.log)
 
 
-def peer_at(wkr_id="s-1"):
+def peer_at(worker_id="s-1"):
     """A worker and the socket on which it listens."""
     sock = listen((HERE, 0))
-    peer = WorkerEndpoint(wkr_id)
+    peer = WorkerEndpoint(worker_id)
     peer.address = sock.getsockname()
     sock.settimeout(2)
     return peer, sock
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -88,8 +88,8 @@
         return theirs
 
     def ends(self):
-        self.made.signalled = True
-        self.made.loop.wake(self.made.life)
+        self.made.stop_requested = True
+        self.made.loop.wake(self.made.lifecycle_task)
 
     def jumps(self, seconds):
         """So much later, all at once: what is due by then is due, and a full machine changes nothing."""
@@ -149,7 +149,7 @@
         try:
             left -= client.send(bytes(min(left, 1 << 16)))
         except BlockingIOError:
-            made.rig.loop.once(0)
+            made.rig.loop.run_once(0)
     client.close()
 
 
@@ -253,12 +253,12 @@
 def test_the_last_byte_of_a_run_once_job_does_not_follow_a_client_that_left(leaves, serving, monkeypatch):
     looking = [True]
 
-    def alive(self, least):
+    def stays_quiet(self, margin_us):
         while looking:
             yield (-1, 0, self.loop.now() + 1_000)
         return True
 
-    monkeypatch.setattr(Connection, "alive", alive)
+    monkeypatch.setattr(Connection, "stays_quiet", stays_quiet)
     made = serving("run-once").serving()
     client = made.taken()
     theirs, request = made.rig.called(made.sock)
@@ -321,11 +321,11 @@
     made = serving(repeats=keeps(tmp_path)).serving()
     disk = Stalled(made.made.idempotency, monkeypatch)
     client = made.asked(Idempotency_Key="k1")
-    assert made.turn(lambda: made.made.idempotency.first)
+    assert made.turn(lambda: made.made.idempotency.first_jobs)
     leaves(made, client)
     assert made.turn(lambda: not made.made.listener.clients)
     disk.goes_on.set()
-    assert made.turn(lambda: not made.made.idempotency.keeping)
+    assert made.turn(lambda: not made.made.idempotency.jobs_under_way)
     assert not made.made.idempotency.key_table.records and not made.made.router.count
     made.asked("a2", Idempotency_Key="k1")
     made.only("a2")
@@ -347,7 +347,8 @@
         assert made.rig.reply(second).endswith(b"\r\n\r\nr")
         return
     assert (
-        made.turn(lambda: not made.made.idempotency.keeping) and not made.made.idempotency.key_table.records
+        made.turn(lambda: not made.made.idempotency.jobs_under_way)
+        and not made.made.idempotency.key_table.records
     )
     made.lists()
     made.asked("a3", Idempotency_Key="k1")
@@ -375,7 +376,7 @@
         theirs.sendall(b"HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
     else:
         theirs.close()
-    assert made.turn(lambda: not made.made.idempotency.keeping) and not made.made.router.jobs
+    assert made.turn(lambda: not made.made.idempotency.jobs_under_way) and not made.made.router.jobs
     made.lists(name="s-2")
     assert made.turn(lambda: "s-1" not in made.made.router.peers)
     second = made.asked("a2", Idempotency_Key="k1")
@@ -421,12 +422,12 @@
     other = made.taken("b1")
     conn = made.job("b1").exchange.conn
     other.setblocking(False)
-    while not conn.dropped:
+    while not conn.discards_input:
         try:
             other.send(bytes(1 << 14))
         except BlockingIOError:
             pass
-        made.rig.loop.once(0)
+        made.rig.loop.run_once(0)
     assert made.turn(lambda: made.job("b1").launches[0].sent)
     answers(theirs, b"b1")
     reply = made.rig.reply(other)
@@ -617,7 +618,7 @@
         yield (second.fd, READ, None)
 
     task, other = rig.loop.spawn(frees()), rig.loop.spawn(waits())
-    rig.loop.once(0)
+    rig.loop.run_once(0)
     its_peer.send(b"x")
     second_peer.send(b"x")
     assert rig.turn(lambda: task.ended) and got == [0]
@@ -632,8 +633,8 @@
         yield (conn.fd, READ, None)
 
     task = rig.loop.spawn(waits())
-    rig.loop.once(0)
-    rig.loop.let_go(conn.fd)
+    rig.loop.run_once(0)
+    rig.loop.unregister(conn.fd)
     rig.loop.cancel(task)
     conn.close()
     theirs.send(b"x")
@@ -663,7 +664,7 @@
     made = agreed(ready=False)
     client = made.taken("a1", Idempotency_Key="k1")
     leaves(made, client)
-    assert made.turn(lambda: not made.made.idempotency.keeping) and not made.made.router.jobs
+    assert made.turn(lambda: not made.made.idempotency.jobs_under_way) and not made.made.router.jobs
     made.lists()
     made.asked("a2", Idempotency_Key="k1")
     made.only("a2")
@@ -674,7 +675,7 @@
     made = agreed(ready=False)
     client = made.taken("a1", Idempotency_Key="k1")
     second = made.asked("a2", Idempotency_Key="k1")
-    assert made.turn(lambda: made.made.idempotency.keeping == 2)
+    assert made.turn(lambda: made.made.idempotency.jobs_under_way == 2)
     leaves(made, client)
     assert made.turn(lambda: made.job("a2"))
     made.lists()
@@ -695,7 +696,9 @@
     raw = helpers.job(X_Txn="a1", X_Remaining_Ms=4000)
     client = made.connect()
     client.sendall(raw[:cut])
-    assert made.turn(lambda: any(conn.turn >= 0 and conn.quiet() for conn in made.made.listener.clients))
+    assert made.turn(
+        lambda: any(conn.read_iteration >= 0 and conn.is_quiet() for conn in made.made.listener.clients)
+    )
     made.ends()
     assert made.turn(lambda: made.made.phase == "leaving")
     if phase == "finishing":
@@ -796,7 +799,7 @@
     last = made.job("a1").exchange.until
     for _ in range(signals - 1):
         made.ends()
-        made.rig.loop.once(0)
+        made.rig.loop.run_once(0)
     assert made.made.phase == "leaving" and made.job("a1").exchange.until == last
     late.held = False
     if waits == "worker":
@@ -815,7 +818,7 @@
     made = serving().serving()
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    client.connect(made.made.told["listen"])
+    client.connect(made.made.configuration["listen"])
     made.theirs.append(client)
     client.sendall(helpers.job(X_Txn="a1", X_Remaining_Ms=4000))
     assert made.turn(lambda: made.job("a1"))
@@ -828,12 +831,12 @@
     )
     sender.start()
     conn = next(iter(made.made.listener.clients))
-    assert made.turn(lambda: conn.left > 0)
+    assert made.turn(lambda: conn.unsent_bytes > 0)
     sender.join()
     made.ends()
     assert made.turn(lambda: made.made.phase == "leaving")
     made.jumps(40)
-    assert made.turn(lambda: made.made.phase == "finishing") and conn.left > 0
+    assert made.turn(lambda: made.made.phase == "finishing") and conn.unsent_bytes > 0
     got = []
     client.setblocking(False)
 
@@ -856,10 +859,10 @@
     client = made.taken()
     theirs, _ = made.rig.called(made.sock)
     assert made.turn(lambda: made.job("a1").launches[0].sent)
-    balancer, now = made.made.router.balancer, made.rig.loop.now()
-    job = balancer.jobs[made.job("a1").id]
-    job.last = now  # its time is over from here on
-    balancer.remind(now, job)
+    scheduler, now = made.made.router.scheduler, made.rig.loop.now()
+    job = scheduler.jobs[made.job("a1").id]
+    job.deadline = now  # its time is over from here on
+    scheduler.timers.set(now, job)
     made.made.inbox.put("sharing", 1.0)
     reply = made.rig.reply(client)
     assert reply.startswith(b"HTTP/1.1 503" if effect == "restartable" else b"HTTP/1.1 500")
@@ -1080,7 +1083,7 @@
         while budget.evict(*budget.idle):
             pass
     elif short == "memory":
-        assert not budget.hold(budget.most_bytes + 1)
+        assert not budget.reserve_memory(budget.max_request_bytes + 1)
     elif short == "idle":
         made.made.listener.close_all_idle()
     else:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -141,16 +141,16 @@
 
 def test_descriptors_of_links_are_counted_and_their_room_only_grows():
     budget = DescriptorBudget(1)
-    assert [budget.take("peers") for _ in range(SPARE_DESCRIPTORS + 3)] == [True] * (
+    assert [budget.acquire("peers") for _ in range(SPARE_DESCRIPTORS + 3)] == [True] * (
         SPARE_DESCRIPTORS + 2
     ) + [False]
-    budget.give("peers")
-    assert budget.take("peers")
+    budget.release("peers")
+    assert budget.acquire("peers")
     budget.grow(2)
-    assert budget.take("peers")
+    assert budget.acquire("peers")
     budget.grow(1)
-    assert budget.take("peers")
-    assert not budget.take("peers")
+    assert budget.acquire("peers")
+    assert not budget.acquire("peers")
 
 
 def test_the_same_event_is_one_line_a_minute_and_tells_how_many_there_were():
@@ -267,7 +267,7 @@
     conn = ends.accepted(theirs)
     ends.read(conn, len(hello_bytes(OWN)) + 7)
     assert ends.rig.turn(lambda: ends.logged("peer_lost_n1"))
-    assert ends.logged("peer_lost_n1") == [{"why": "TimedOut"}]
+    assert ends.logged("peer_lost_n1") == [{"why": "WaitTimeoutError"}]
     ends.links.send("n1", b"two")
     again = ends.accepted(theirs)
     expected = hello_bytes(OWN) + frames.encode_frame(b"two")
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -17,12 +17,12 @@
 
 def deaf():
     """Agrees on who is out by hand and launches there all the same."""
-    from mastledge.balance import Balancer
+    from mastledge.scheduling.scheduler import Scheduler
 
     def by_hand(self, now, out, back):
-        self.sort_out()
+        self.fleet_changed()
 
-    Balancer.by_hand = by_hand
+    Scheduler.set_excluded = by_hand
     from mastledge.protocol.worker_connections import WorkerConnections
 
     sent = WorkerConnections.sent_lawfully
@@ -36,40 +36,41 @@
 
 def twice():
     """Launches run-once jobs again that may have run."""
-    from mastledge.balance import Balancer
+    from mastledge.scheduling.decisions import LaunchJob
+    from mastledge.scheduling.scheduler import Scheduler
 
-    settle = Balancer.settle
+    settle = Scheduler.decide_job
 
     def again(self, job, now):
-        if job.launches and not job.out and not job.ended:
+        if job.launches and not job.in_flight and not job.ended:
             for launch in job.launches:
                 launch.may_have_run = False
-        elif len(job.launches) == 1 and job.qt["effect"] == "run-once" and not job.launches[0].ended:
-            job.launches[0].ended, job.out = True, 0
+        elif len(job.launches) == 1 and job.queue_type.effect == "run-once" and not job.launches[0].ended:
+            job.launches[0].ended, job.in_flight = True, 0
             job.launches[0].may_have_run = False
             decision = settle(self, job, now)
-            job.launches[0].ended, job.out = False, 1 + (len(job.launches) > 1)
+            job.launches[0].ended, job.in_flight = False, 1 + (len(job.launches) > 1)
             return decision
         decision = settle(self, job, now)
-        if decision and decision[0] == "launch" and job.qt["effect"] == "run-once":
-            self.remind(now + 1000, job)
+        if isinstance(decision, LaunchJob) and job.queue_type.effect == "run-once":
+            self.timers.set(now + 1000, job)
         return decision
 
-    Balancer.settle = again
+    Scheduler.decide_job = again
 
 
 def late():
     """Forgets to give jobs up: they are answered when it is too late, or by the last resort."""
-    from mastledge.balance import Balancer
+    from mastledge.scheduling.scheduler import Scheduler
 
-    arrived = Balancer.arrived
+    arrived = Scheduler.job_arrived
 
     def kept(self, now, job_id, *fields):
         arrived(self, now, job_id, *fields)
         if job_id % 10 == 0:
             self.jobs[job_id].ended = True
 
-    Balancer.arrived = kept
+    Scheduler.job_arrived = kept
     from mastledge.protocol import client_listener
 
     outcome = client_listener.ClientListener.outcome
@@ -102,55 +103,57 @@
 
 def cold():
     """Takes cold workers for warm ones."""
-    from mastledge.balance import Balancer
+    from mastledge.scheduling.selection import WorkerSelector
 
-    pick = Balancer.pick
+    pick = WorkerSelector.pick
 
-    def coldest(self, job, now, group):
-        for wkr in self.ready:
-            if wkr.cold and self.settings["cold_for"] > now - wkr.born and not job.launches:
-                return wkr, 0.0
-        return pick(self, job, now, group)
+    def coldest(self, job, now, group_of):
+        for worker in self._fleet.ready:
+            if worker.warming_up and self._settings["cold_for"] > now - worker.born and not job.launches:
+                return worker, 0.0
+        return pick(self, job, now, group_of)
 
-    Balancer.pick = coldest
+    WorkerSelector.pick = coldest
 
 
 def refusing():
     """Rejects what has been launched and may have run."""
-    from mastledge.balance import Balancer
+    from mastledge.scheduling.decisions import RejectJob
+    from mastledge.scheduling.scheduler import Scheduler
 
-    launch = Balancer.launch
+    launch = Scheduler.launch
 
     def doubting(self, job, wkr, now, until=None):
         decision = launch(self, job, wkr, now, until)
-        if job.id % 7 == 0 and job.qt["effect"] == "run-once":
-            job.last = now + 5_000
-            self.remind(job.last, job)
+        if job.id % 7 == 0 and job.queue_type.effect == "run-once":
+            job.deadline = now + 5_000
+            self.timers.set(job.deadline, job)
         return decision
 
     def give_up(self, job, hold_off):
-        self.close(job)
-        return ("reject", job.id, 0)
+        self.close_job(job)
+        return RejectJob(job.id, 0)
 
-    Balancer.launch = doubting
-    Balancer.give_up = give_up
-    settle = Balancer.settle
+    Scheduler.launch = doubting
+    Scheduler.reject_or_kill = give_up
+    settle = Scheduler.decide_job
 
     def early(self, job, now):
-        if job.launches and now >= job.last:
-            return self.give_up(job, 0)
+        if job.launches and now >= job.deadline:
+            return self.reject_or_kill(job, 0)
         return settle(self, job, now)
 
-    Balancer.settle = early
+    Scheduler.decide_job = early
 
 
 def claimless():
     """Writes its claim on a key down with the outcome, after the launch."""
     from mastledge.program.idempotency_service import IdempotencyService
 
-    lasting = IdempotencyService.lasting
+    persist = IdempotencyService.persist
 
-    def later(self, record):
+    def later(self, job):
+        record = job.record
         if record.state == "claimed":
             self.later = [
                 *getattr(self, "later", ()),
@@ -161,80 +164,86 @@
         self.key_table.changes = [
             r for r in self.later if r[1:3] == record.scoped_key
         ] + self.key_table.changes
-        return (yield from lasting(self, record))
+        return (yield from persist(self, job))
 
-    IdempotencyService.lasting = later
+    IdempotencyService.persist = later
 
 
 def boastful():
     """Launches without a claim, and tells the holders of a key only what came of it."""
-    from mastledge.replication import coordinator as o
-    from mastledge.replication import messages as m
+    from mastledge.replication.claims import Claims
+    from mastledge.replication.jobs import JobPhase
 
-    def claim(self, now, job):
-        job.tries, job.phase, job.claim = 1, o.HELD, m.named(self.name, self.run, self.number())
-        self.claims[job.claim] = self.places[job.place] = job
-        self.tell(job, o.GO)
+    def make(self, now, job):
+        job.claim_count, job.phase, job.claim_name = 1, JobPhase.CLAIMED, self._names.next()
+        self._jobs.add_claim(job)
+        self._jobs.grant(job)
 
-    o.Coordinator.claim = claim
+    Claims.make = make
 
 
 def amnesic():
     """Says that an answer is kept, and keeps only that the job may have run."""
+    from mastledge.idempotency.key_table import RecordState
+    from mastledge.replication.messages import ReplicaResult
     from mastledge.replication.replica import Replica
 
-    raise_to = Replica.raise_to
+    raise_to = Replica._raise_to
 
-    def forgets(self, now, record, known, status, content, left):
-        raise_to(self, now, record, False, 0, b"", left)
-        record.state = "answered" if known else record.state
-        self.book.mark_unsure(now, record)
+    def forgets(self, now, record, known, answered):
+        raise_to(self, now, record, known, False)
+        record.state = RecordState.ANSWERED if answered else record.state
+        self.table.mark_unsure(now, record)
 
-    Replica.raise_to = forgets
-    end = Replica.end
+    Replica._raise_to = forgets
+    complete = Replica.complete
 
-    def says_so(self, now, told):
-        had = end(self, now, told)
-        had.what = "done"
-        return had
+    def acknowledges(self, now, request):
+        response = complete(self, now, request)
+        response.result = ReplicaResult.DONE
+        return response
 
-    Replica.end = says_so
+    Replica.complete = acknowledges
 
 
 def grudging():
     """Never gives a claim back: a job that was rejected may have run, for all that is known."""
-    from mastledge.replication import coordinator as o
+    from mastledge.replication.claims import Claims
+    from mastledge.replication.listeners import ClaimListeners
+    from mastledge.replication.messages import ClaimStatus, OwnerResponse
+    from mastledge.replication.quorum import ReleaseCall
 
-    def give_back(self, now, job, done=None):
-        op = o.QuorumCall(0, o.m.ReleaseClaim, job.place, (), now, done)
-        self.at(now, lambda now: done and done(now, op))
-        return op
+    def release(self, now, job, on_end=None):
+        call = ReleaseCall(job, now, on_end)
+        if on_end is not None:
+            self._timers.at(now, on_end, call)
+        return call
 
-    def on_ask(self, now, sender, ask):
-        self.host.say(sender, o.m.OwnerResponse(ask.op, ask.claim, o.m.UNKNOWN))
+    def on_query(self, now, sender, query):
+        self._send(sender, OwnerResponse(query.call_id, query.claim_name, ClaimStatus.UNKNOWN))
 
-    o.Coordinator.give_back, o.Coordinator.on_OwnerQuery = give_back, on_ask
+    Claims.release, ClaimListeners.on_query = release, on_query
 
 
 def reckless():
     """Begins a fleet anew whenever it is told to."""
     from mastledge.recovery import fleet_snapshot
 
-    fleet_snapshot.refused = lambda *fields: ""
+    fleet_snapshot.check_fleet_start = lambda start: None
 
 
 def ajar():
     """A door that lets in all that come, whatever becomes of them."""
     from mastledge.recovery.admission_ramp import AdmissionRamp
 
-    def admit(self, now, further):
-        self.held += 1
+    def admit(self, now, is_retry):
+        self.in_flight += 1
 
     AdmissionRamp.admit = admit
 
 
 def credulous():
     """Believes a list that is older than what it has heard."""
-    from mastledge.recovery import restored_state
+    from mastledge.recovery.newest_list import NewestList
 
-    restored_state.kept_off = lambda *fields: frozenset()
+    NewestList.excluded = lambda self, *fields: frozenset()
