--- a/mastledge/program/agreed_settings.py
+++ b/mastledge/program/agreed_settings.py
@@ -6,7 +6,7 @@
 from mastledge.program.settings import flatten_settings, parse_settings
 
 if TYPE_CHECKING:
-    from mastledge.program.lifecycle import Program
+    from mastledge.program.dispatcher import Dispatcher
 
 OWN_SETTINGS = ("me", "locality")  # that stand in each dispatcher's file
 
@@ -19,7 +19,7 @@
 class AgreedSettings:
     """Reads the settings of an agreed state, and has the program go by them."""
 
-    def __init__(self, program: "Program", document: dict[str, Any], log: Callable[..., None]) -> None:
+    def __init__(self, program: "Dispatcher", document: dict[str, Any], log: Callable[..., None]) -> None:
         """`document` has this dispatcher's own settings, `log` takes an event and its fields."""
         self.program, self.log = program, log
         self.own = {name: document[name] for name in OWN_SETTINGS if name in document}
--- a/mastledge/program/consensus_driver.py
+++ b/mastledge/program/consensus_driver.py
@@ -22,7 +22,7 @@
 from mastledge.transport.loop import READ, Task
 
 if TYPE_CHECKING:
-    from mastledge.program.lifecycle import Program
+    from mastledge.program.dispatcher import Dispatcher
 
 LOG_FILE = "agreement"
 MIN_TICK_INTERVAL_US = 500
@@ -56,7 +56,7 @@
 
     def __init__(
         self,
-        program: "Program",
+        program: "Dispatcher",
         configuration: FleetConfiguration,
         directory: DataDirectory,
         host: DriverHost,
--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -25,7 +25,7 @@
 from mastledge.transport.loop import Task
 
 if TYPE_CHECKING:
-    from mastledge.program.lifecycle import Program
+    from mastledge.program.dispatcher import Dispatcher
     from mastledge.program.replication_service import ReplicationService
 
 RECOVERY_FRAME_PREFIX = SERVICE_FRAME_PREFIX + b"R"  # of what a dispatcher that starts asks, and the answers
@@ -39,7 +39,9 @@
     `excluded.restricted_by_fleet` and `refresh_excluded_workers`, and a lost lease by `lease_lapsed`.
     """
 
-    def __init__(self, program: "Program", configuration: dict[str, Any], log: Callable[..., None]) -> None:
+    def __init__(
+        self, program: "Dispatcher", configuration: dict[str, Any], log: Callable[..., None]
+    ) -> None:
         """`configuration` is the whole one of the program; `log` takes an event and its fields."""
         self.program, self.log, self.loop = program, log, program.loop
         self.configuration = FleetConfiguration.from_configuration(configuration)
--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -25,13 +25,13 @@
 from mastledge.transport.loop import READ, Coroutine, Task
 
 if TYPE_CHECKING:
-    from mastledge.program.lifecycle import Program
+    from mastledge.program.dispatcher import Dispatcher
 
 
 class IdempotencyService(KeyedService):
     """Keys of which this dispatcher alone has the records."""
 
-    def __init__(self, program: "Program", configuration: Mapping, log: Callable[..., None]) -> None:
+    def __init__(self, program: "Dispatcher", configuration: Mapping, log: Callable[..., None]) -> None:
         """As of `KeyedService`."""
         super().__init__(program, configuration, log)
         self.first_jobs: dict[ScopedKey, KeyedJob] = {}  # the job that is under way for a key
--- a/mastledge/program/keyed_service.py
+++ b/mastledge/program/keyed_service.py
@@ -19,7 +19,7 @@
 from mastledge.transport.loop import Coroutine, Task
 
 if TYPE_CHECKING:
-    from mastledge.program.lifecycle import Program
+    from mastledge.program.dispatcher import Dispatcher
 
 DIRECTORY_POLL_US = 20_000  # between two tries of a directory that the process before still holds
 DIRECTORY_PATIENCE_US = 1_000_000  # of a job that comes meanwhile
@@ -38,7 +38,7 @@
     A subclass opens the log (`open`) and says what becomes of a job (`offer`).
     """
 
-    def __init__(self, program: "Program", configuration: Mapping, log: Callable[..., None]) -> None:
+    def __init__(self, program: "Dispatcher", configuration: Mapping, log: Callable[..., None]) -> None:
         """`configuration`: all of it; `log(event, **fields)` writes a line of the program's log."""
         self.program, self.loop, self.inbox, self.log = program, program.loop, program.inbox, log
         self.name, self.settings = configuration["name"], configuration["repeats"]
--- a/mastledge/program/recovery_exclusion.py
+++ b/mastledge/program/recovery_exclusion.py
@@ -7,13 +7,13 @@
 from mastledge.recovery.newest_list import NewestList
 
 if TYPE_CHECKING:
-    from mastledge.program.lifecycle import Program
+    from mastledge.program.dispatcher import Dispatcher
 
 
 class WorkerExclusion:
     """Sets `program.excluded.restricted_by_restored_list`, by the newest list and the one of now."""
 
-    def __init__(self, program: "Program", list_validity_us: int, log: Callable[..., None]):
+    def __init__(self, program: "Dispatcher", list_validity_us: int, log: Callable[..., None]):
         """`list_validity_us`: after which an older list counts, as registries may count anew."""
         self.newest_list = NewestList()
         self._program, self._list_validity_us, self._log = program, list_validity_us, log
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -28,7 +28,7 @@
 from mastledge.recovery.startup_stages import StartupStage, StartupStages
 
 if TYPE_CHECKING:
-    from mastledge.program.lifecycle import Program
+    from mastledge.program.dispatcher import Dispatcher
 
 STAGE_INTERVAL_US = 10_000
 """Between two looks at the stages."""
@@ -54,7 +54,7 @@
 class RecoveryService:
     """Composes the parts of a start; what the program, the fleet and the operators' API call."""
 
-    def __init__(self, program: "Program", configuration: dict, log: Callable[..., None]):
+    def __init__(self, program: "Dispatcher", configuration: dict, log: Callable[..., None]):
         """`configuration`: of the program, with `recovery`; `log`: takes an event and its fields."""
         own, settings = configuration["recovery"], configuration["settings"]
         now = program.loop.now()
--- a/mastledge/program/restriction_exchange.py
+++ b/mastledge/program/restriction_exchange.py
@@ -8,7 +8,7 @@
 from mastledge.consensus.worker_restrictions import OwnRestrictions
 
 if TYPE_CHECKING:
-    from mastledge.program.lifecycle import Program
+    from mastledge.program.dispatcher import Dispatcher
 
 SHARE_INTERVAL_US = 2_500_000  # between two times that the same restrictions are told
 
@@ -18,7 +18,7 @@
 
     def __init__(
         self,
-        program: "Program",
+        program: "Dispatcher",
         registry: str,
         step: Callable[[inputs.Input], None],
         log: Callable[..., None],
--- a/mastledge/program/shared_lease_exchange.py
+++ b/mastledge/program/shared_lease_exchange.py
@@ -14,7 +14,7 @@
 from mastledge.storage.errors import DataDirectoryError
 
 if TYPE_CHECKING:
-    from mastledge.program.lifecycle import Program
+    from mastledge.program.dispatcher import Dispatcher
 
 POLL_INTERVAL_US = 5_000
 LEND_INTERVAL_US = 4 * POLL_INTERVAL_US  # while there are two processes
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        program: "Program",
+        program: "Dispatcher",
         shared_lease: SharedLease,
         directory: DataDirectory,
         host: ExchangeHost,
