--- a/mastledge/program/dispatcher.py
+++ b/mastledge/program/dispatcher.py
@@ -117,7 +117,7 @@
         from mastledge.program.fleet import Fleet
 
         self.fleet = fleet = Fleet(self, configuration, self.log)
-        self.router.rule = self.workers.rule = self.listener.rule = fleet.rule
+        self.router.rule = self.workers.rule = self.listener.rule = fleet.lease_guard
         self.router.listed = fleet.listed
         self.resources.reserve(2 * len(configuration["peers"]["members"]) + FILE_DESCRIPTORS)
 
--- a/mastledge/program/operator_api.py
+++ b/mastledge/program/operator_api.py
@@ -30,7 +30,7 @@
 
     def _calls_of_parts(self):
         fleet, idempotency, recovery = self._program.fleet, self._program.idempotency, self._program.recovery
-        calls = fleet.calls() if fleet is not None else {}
+        calls = fleet.api.calls() if fleet is not None else {}
         if idempotency is not None:
             calls["/api/copies"] = {b"GET": idempotency.copies}
             if hasattr(idempotency, "recount"):
@@ -48,7 +48,7 @@
 
     def _why_not_ready(self):
         fleet, recovery = self._program.fleet, self._program.recovery
-        why = fleet.why() if fleet is not None else ""
+        why = fleet.no_lease_reason() if fleet is not None else ""
         if not why and recovery is not None:
             why = recovery.waiting_for()
         return why
@@ -77,7 +77,7 @@
             return f"{worker} is left out"
         # It holds here at once, whatever becomes of the proposal; once that is committed the mark here is not
         # needed.
-        answer = yield from self._program.fleet.exclude(worker)
+        answer = yield from self._program.fleet.api.exclude(worker)
         yield from self._change(lambda shared: shared.update(out=sorted({*shared["out"]} - {worker})))
         return answer
 
@@ -95,7 +95,7 @@
 
         yield from self._change(edit)
         if self._program.fleet is not None:
-            return (yield from self._program.fleet.include(worker))
+            return (yield from self._program.fleet.api.include(worker))
         return f"{worker} may serve"
 
     def evacuate(self):
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -198,7 +198,7 @@
         report = self.stages.report
         report(StartupStage.READING_STATE, self.directory.is_read, "its folder")
         if fleet is not None:
-            report(StartupStage.AWAITING_LEASE, fleet.rule.may_act(now), fleet.why())
+            report(StartupStage.AWAITING_LEASE, fleet.lease_guard.may_act(now), fleet.no_lease_reason())
         has_list = discovery.answered or discovery.task is None and discovery.generation is not None
         report(StartupStage.AWAITING_ENDPOINT_LIST, has_list, discovery.trouble or "discovery")
         if self.stages.stage == StartupStage.POLLING_PEERS:
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -7,6 +7,7 @@
 import uuid
 from collections.abc import Callable, Generator, Mapping
 
+from mastledge.consensus.state_machine import ChangeResult
 from mastledge.idempotency.key_table import KeyTable
 from mastledge.idempotency.verdicts import Verdict
 from mastledge.program.keyed_job import Reply, rejection
@@ -41,7 +42,7 @@
         """As of `KeyedService`; the program's fleet is there already."""
         super().__init__(program, configuration, log)
         self._fleet, self._seed = program.fleet, configuration["seed"]
-        self._fleet.copies = self
+        self._fleet.replication = self
         self.directory_id, self._start_count, self._fence = "", 0, 0
         self._proposed_start = ""
         self._first_token = 0  # of the records that say which data directory this is
@@ -86,8 +87,8 @@
 
     def _open_log(self, persisted: PersistedReplica) -> WriteAheadLog:
         owner = {"name": self.name}
-        if self._fleet.told["fleet"]:
-            owner["fleet"] = self._fleet.told["fleet"]
+        if self._fleet.configuration.fleet:
+            owner["fleet"] = self._fleet.configuration.fleet
         return self.open_log(WriteAheadLog(self.directory, "copies", owner, persisted, self.log))
 
     def _begin_with(self, now: int, persisted: PersistedReplica, directory_id: str, start_count: int) -> None:
@@ -196,16 +197,16 @@
             "starts": self._start_count,
             "count": self.settings["copies"],
         }
-        self._fleet.propose(name, change, self._on_start_proposed)
+        self._fleet.changes.propose(name, change, self._on_start_proposed)
 
-    def _on_start_proposed(self, result: Mapping) -> None:
-        if self.writer is None or self.node is not None or "why" not in result:
+    def _on_start_proposed(self, result: ChangeResult) -> None:
+        if self.writer is None or self.node is not None or not result.reason:
             return
         if self.name not in self._fleet.member.state_machine.members:
             self._proposed_start = ""
             return
         # The directory has been opened less often than was committed, so it lacks what others count on.
-        self.log("replica_directory_stale", why=result["why"])
+        self.log("replica_directory_stale", why=result.reason)
         self._begin_with(self.loop.now(), PersistedReplica(unix_now_us), _new_directory_id(), 1)
         self.last_token += 1
         self.writer.rewrite(self.last_token, self._head_records())
@@ -228,7 +229,9 @@
 
     def _start_node(self, committed_count: int) -> None:
         # After that all that was promised before is over, by whatever clock.
-        promise_us = self.settings["keep"] + 3 * self.program.longest_walltime + 2 * self._fleet.told["lease"]
+        promise_us = (
+            self.settings["keep"] + 3 * self.program.longest_walltime + 2 * self._fleet.configuration.lease_us
+        )
         options = NodeOptions(
             name=self.name,
             directory_id=self.directory_id,
@@ -270,7 +273,7 @@
     def _propose_caught_up(self, caught_up: CaughtUp) -> None:
         epoch = caught_up.epoch
         change = {"kind": "caught", "name": self.name, "id": self.directory_id, "epoch": epoch}
-        self._fleet.propose(f"caught.{self.name}.{self.directory_id}.{epoch}", change)
+        self._fleet.changes.propose(f"caught.{self.name}.{self.directory_id}.{epoch}", change)
 
     # Jobs
 
@@ -296,7 +299,7 @@
     def recount(self, request: Request) -> Generator[tuple, object, object]:
         """What `POST /api/copies` does: another count of replicas, for the whole fleet and under load."""
         count = requested_count(request)
-        return (yield from self._fleet.changed({"kind": "copies", "count": count}))
+        return (yield from self._fleet.changes.commit({"kind": "copies", "count": count}))
 
     def copies(self, request: Request) -> Answer:
         """What `GET /api/copies` tells."""
--- a/mastledge/program/serving.py
+++ b/mastledge/program/serving.py
@@ -10,7 +10,7 @@
 
 def can_serve(dispatcher, impatient: bool) -> bool:
     """Whether a worker is known, by a list that is no older than it has to be: a cached one may be old."""
-    if dispatcher.fleet is not None and not dispatcher.fleet.rule.may_act(dispatcher.loop.now()):
+    if dispatcher.fleet is not None and not dispatcher.fleet.lease_guard.may_act(dispatcher.loop.now()):
         return False
     if dispatcher.recovery is not None and not dispatcher.recovery.may_serve():
         return False
