--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -214,7 +214,7 @@
     def release(self, now, job, on_end=None):
         call = ReleaseCall(job, now, on_end)
         if on_end is not None:
-            self._timers.at(now, on_end, call)
+            self._calls._timers.at(now, on_end, call)
         return call
 
     def on_query(self, now, sender, query):
