--- a/mastledge/program/replica_node.py
+++ b/mastledge/program/replica_node.py
@@ -33,7 +33,7 @@
         self._timer = timer
 
     def handle(self, input_: Input) -> None:
-        """Does what follows from an input; ValueError where a message makes no sense."""
+        """Does what follows from an input; ClaimNameError where a message makes no sense."""
         node = self.node
         if node is None:
             return
--- a/mastledge/program/replicated_jobs.py
+++ b/mastledge/program/replicated_jobs.py
@@ -55,12 +55,12 @@
         self._last_id = 0
         self.verdict_counts: Counter[Verdict] = Counter()
 
-    def on_verdict(self, told: JobVerdict) -> None:
-        """What the node says of a job."""
-        self.verdict_counts[told.verdict] += 1
-        job = self._jobs.get(told.job_id)
+    def on_verdict(self, job_verdict: JobVerdict) -> None:
+        """The node has decided on a job."""
+        self.verdict_counts[job_verdict.verdict] += 1
+        job = self._jobs.get(job_verdict.job_id)
         if job is not None:
-            self._loop.wake(job.task, told)
+            self._loop.wake(job.task, job_verdict)
 
     def run(
         self, conn: Connection, exchange: Exchange, arrival: tuple
@@ -105,12 +105,12 @@
         remaining_us = exchange.until - self._loop.now()
         fingerprint = request_fingerprint(exchange.target, exchange.body)
         self._handle(Offer(job.job_id, exchange.tenant, exchange.key, fingerprint, remaining_us))
-        told = yield (-1, 0, exchange.until + ANSWER_MARGIN_US)
-        if not isinstance(told, JobVerdict):
+        job_verdict = yield (-1, 0, exchange.until + ANSWER_MARGIN_US)
+        if not isinstance(job_verdict, JobVerdict):
             self._handle(ClientLeft(job.job_id))
             return KILLED_REPLY
-        if told.verdict is not Verdict.GRANTED:
-            return _reply_without_launch(told)
+        if job_verdict.verdict is not Verdict.GRANTED:
+            return _reply_without_launch(job_verdict)
         if self._loop.now() >= exchange.until or exchange.left():
             self._handle(JobEnded(job.job_id, JobOutcome.RELEASED))
             return REJECTED_REPLY
@@ -123,20 +123,20 @@
         outcome = OUTCOME_OF_STATUS.get(reply.status, JobOutcome.UNSURE)
         is_answered = outcome is JobOutcome.ANSWERED
         self._handle(JobEnded(job.job_id, outcome, reply.status, reply.content if is_answered else b""))
-        told = yield (-1, 0, max(exchange.until, self._loop.now()) + ANSWER_MARGIN_US)
-        is_replicated = isinstance(told, JobVerdict) and told.verdict is Verdict.REPLICATED
+        job_verdict = yield (-1, 0, max(exchange.until, self._loop.now()) + ANSWER_MARGIN_US)
+        is_replicated = isinstance(job_verdict, JobVerdict) and job_verdict.verdict is Verdict.REPLICATED
         if is_answered and not is_replicated:
-            # No quorum has the answer, so a repeat could be told otherwise: the job may have run.
+            # No quorum has the answer, so a repeat could be answered otherwise: the job may have run.
             return KILLED_REPLY
         return reply
 
 
-def _reply_without_launch(told: JobVerdict) -> Reply:
+def _reply_without_launch(job_verdict: JobVerdict) -> Reply:
     """What the client of a job hears that was not granted its key."""
-    if told.verdict is Verdict.ANSWERED:
-        return replay(told.status, told.content)
-    if told.verdict is Verdict.UNSURE:
+    if job_verdict.verdict is Verdict.ANSWERED:
+        return replay(job_verdict.status, job_verdict.content)
+    if job_verdict.verdict is Verdict.UNSURE:
         return rejection(verdicts.Verdict.MAY_HAVE_RUN)
-    if told.verdict is Verdict.REFUSED:
-        return Reply(told.status, [], told.content)
+    if job_verdict.verdict is Verdict.REFUSED:
+        return Reply(job_verdict.status, [], job_verdict.content)
     return rejection(verdicts.Verdict.FULL)
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -245,7 +245,9 @@
             self.log("replica_count_differs", agreed=committed_count, here=self.settings["copies"])
 
     def on_frame(self, sender: str, content: bytes) -> None:
-        """A frame of another dispatcher without its mark; ValueError where it can't be read."""
+        """A frame of another dispatcher without its mark; msgspec.DecodeError or ClaimNameError, both of them
+        ValueErrors, where it makes no sense.
+        """
         frame = decode(content)
         for message in frame.messages:
             self._replica.handle(MessageReceived(sender, frame.id, message))
@@ -264,8 +266,8 @@
         self.last_token = persist.token
         self.writer.append(persist.token, persist.records)
 
-    def _tell_job(self, told: JobVerdict) -> None:
-        self._jobs.on_verdict(told)
+    def _tell_job(self, job_verdict: JobVerdict) -> None:
+        self._jobs.on_verdict(job_verdict)
 
     def _propose_caught_up(self, caught_up: CaughtUp) -> None:
         epoch = caught_up.epoch
@@ -279,7 +281,7 @@
     ) -> Generator[tuple, object, Reply | None]:
         """The answer to a job with a key, or None where its client has gone.
 
-        `arrival`: what the decisions are told of the job.
+        `arrival`: what the decisions get of the job.
         """
         yield from self.wait_until_open(exchange.until, conn)
         if http.left(conn):
--- a/mastledge/replication/listeners.py
+++ b/mastledge/replication/listeners.py
@@ -4,6 +4,7 @@
 
 import msgspec
 
+from mastledge.replication.errors import ClaimNameError
 from mastledge.replication.jobs import (
     OUTCOME_IS_OPEN,
     KeyedJob,
@@ -53,7 +54,7 @@
         """Another dispatcher asks; a question for what is no claim is ignored."""
         try:
             owner, incarnation = parse_claim_name(query.claim_name)
-        except ValueError:
+        except ClaimNameError:
             return
         listener = RemoteListener(sender, query.call_id, query.claim_name)
         job = self._jobs.with_claim(query.claim_name)
--- a/mastledge/replication/messages.py
+++ b/mastledge/replication/messages.py
@@ -8,6 +8,10 @@
 
 import msgspec
 
+from mastledge.replication.errors import ClaimNameError
+
+CLAIM_NAME_PARTS = 3  # number, incarnation, owner
+
 
 class ReplicaResult(StrEnum):
     """What a replica answers about a key. The values go over the wire."""
@@ -179,6 +183,9 @@
 
 
 def parse_claim_name(claim_name: str) -> tuple[str, str]:
-    """(owner, incarnation) of a claim; ValueError where it is no name of one."""
-    _, incarnation, owner = claim_name.split(".", 2)
+    """(owner, incarnation) of a claim; ClaimNameError where it is no name of one."""
+    parts = claim_name.split(".", 2)
+    if len(parts) != CLAIM_NAME_PARTS:
+        raise ClaimNameError(claim_name)
+    _, incarnation, owner = parts
     return owner, incarnation
--- a/mastledge/replication/node.py
+++ b/mastledge/replication/node.py
@@ -101,7 +101,7 @@
         }
 
     def step(self, now: int, input_: Input) -> list[Output]:
-        """What follows from an input; ValueError, and no change, where a message makes no sense."""
+        """What follows from an input; ClaimNameError, and no change, where a message makes no sense."""
         self._input_handlers[type(input_)](now, input_)
         self.replica.expire(now)
         self.coordinator.timers.run_due(now)
@@ -161,7 +161,7 @@
         self.coordinator.on_placement(now, placement)
 
     def on_message_received(self, now: int, received: MessageReceived) -> None:
-        """ValueError where the message makes no sense."""
+        """ClaimNameError, and nothing is taken up, where the message names no claim."""
         _check_claim_names(received.message)
         self.directory_ids[received.sender] = received.directory_id
         self._handle(now, received.sender, received.directory_id, received.message)
@@ -238,7 +238,7 @@
 
 
 def _check_claim_names(message: AnyMessage) -> None:
-    """ValueError where one is no name of a claim; a record may be of none."""
+    """ClaimNameError where one is no name of a claim; a record may be of none."""
     if isinstance(message, ScanResponse):
         for record in message.records:
             if record.claim_name:
--- a/mastledge/replication/replica.py
+++ b/mastledge/replication/replica.py
@@ -51,7 +51,8 @@
     def __init__(self, table: KeyTable, now: int):
         """`table` is as it was restored from the disk."""
         self.table = table
-        self._claim_ends: list[tuple[int, int, records.Record]] = []  # a heap by time
+        # A heap by time. Plain tuples, as heapq compares them without running Python code.
+        self._claim_ends: list[tuple[int, int, records.Record]] = []
         self._claim_count = 0
         for record in table.records.values():
             if record.state == RecordState.CLAIMED:
--- a/mastledge/replication/timers.py
+++ b/mastledge/replication/timers.py
@@ -10,7 +10,9 @@
 
     def __init__(self):
         """Begins without any."""
-        self._heap: list[tuple] = []
+        # (time, number, callback, arguments): plain tuples, as heapq compares them without running Python
+        # code; there are some of them for each job.
+        self._heap: list[tuple[int, int, Callable, tuple]] = []
         self._count = 0
 
     def at(self, when: int, callback: Callable, *arguments) -> None:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -16,6 +16,7 @@
 from mastledge.lab.copying import KEEP, PATIENCE, WALLTIME, Broken, Fleet, Host, Schedule
 from mastledge.replication.claims import QUORUM_TIMEOUT_US
 from mastledge.replication.coordinator import Coordinator
+from mastledge.replication.errors import ClaimNameError
 from mastledge.replication.inputs import JobEnded, JobOutcome, MessageReceived, Offer
 from mastledge.replication.listeners import RELEASED
 from mastledge.replication.messages import (
@@ -203,7 +204,7 @@
 # Placement
 
 
-def test_each_key_has_its_holders_and_few_move_when_one_goes():
+def test_each_key_has_its_replicas_and_few_move_when_one_goes():
     names = {f"n{n}": "i" for n in range(5)}
     keys = [b"k%d" % n for n in range(600)]
     before = {key: set(heaviest(names, "t", key, 3)) for key in keys}
@@ -215,7 +216,7 @@
         assert before[key] - {"n2"} <= after and len(after) == 3
 
 
-def test_while_holders_change_a_majority_of_both_is_wanted():
+def test_while_replicas_change_a_majority_of_both_is_wanted():
     ids = {"a": "1", "b": "1", "c": "1"}
     state = {"epoch": 2, "count": 3, "now": ids, "next": {**ids, "c": "2"}, "caught": []}
     placement = Placement(state)
@@ -235,7 +236,7 @@
     return rules.apply(rules.applied + 1, Entry(1, f"c{rules.applied}", change))
 
 
-def test_the_fleet_agrees_on_holders_and_switches_once_each_has_its_copies():
+def test_the_fleet_agrees_on_replicas_and_switches_once_each_has_its_copies():
     rules = StateMachine(genesis({}, 1, {f"n{n}": (f"127.0.0.1:{n + 1}", f"l{n}") for n in range(3)}), 0)
 
     def holds(name, id_, starts=1):
@@ -308,7 +309,9 @@
 def offers(fleet, name, job_id, key=b"k", fingerprint=FINGERPRINT):
     """Offers a job; the verdicts of all jobs that follow, as (job id, verdict, content)."""
     verdicts = []
-    fleet.told = lambda host, told: verdicts.append((told.job_id, told.verdict, told.content))
+    fleet.told = lambda host, job_verdict: verdicts.append(
+        (job_verdict.job_id, job_verdict.verdict, job_verdict.content)
+    )
     step(fleet, name, Offer(job_id, "t", key, fingerprint, WALLTIME))
     return verdicts
 
@@ -335,8 +338,8 @@
         self.verdicts.append(verdict.verdict)
 
 
-def test_a_grant_of_a_new_holder_from_before_it_had_its_copies_is_none():
-    # Seed 2443 of the schedules, before: two new holders had granted what an old one had granted.
+def test_a_grant_of_a_new_replica_from_before_it_had_its_copies_is_none():
+    # Seed 2443 of the schedules, before: two new replicas had granted what an old one had granted.
     host, old, new = RecordingHost(), {"a": "1", "b": "1", "c": "1"}, {"a": "1", "d": "1", "c": "1"}
     coordinator = Coordinator(host, "x", "r", KEEP, 1)
     state = {"epoch": 2, "count": 3, "now": old, "next": new, "caught": []}
@@ -370,7 +373,7 @@
     ],
 )
 def test_what_a_minority_knows_of_a_key_decides_nothing(results, verdict):
-    # Found by outages of most dispatchers: one holder's claim that never held was told to a client
+    # Found by outages of most dispatchers: one replica's claim that never held was passed to a client
     # whose job had its answer.
     host = RecordingHost()
     coordinator = Coordinator(host, "x", "r", KEEP, 1)
@@ -393,7 +396,7 @@
     second, other = offers(fleet, "n1", 2), offers(fleet, "n2", 3, fingerprint=b"q" * 16)
     assert waited(fleet, other) == [Verdict.REFUSED]
     ends(fleet, "n0", 1)
-    fleet.told = lambda host, told: second.append(told)
+    fleet.told = lambda host, job_verdict: second.append(job_verdict)
     fleet.run(fleet.now + 500_000)
     assert JobVerdict(1, Verdict.REPLICATED, 200, b"r") in second
     assert JobVerdict(2, Verdict.ANSWERED, 200, b"r") in second
@@ -404,30 +407,30 @@
 def test_two_that_claim_at_once_do_not_both_go():
     for seed in range(20):
         fleet = three(seed)
-        told = offers(fleet, "n0", 1)
+        verdicts = offers(fleet, "n0", 1)
         for host, n in (("n1", 2), ("n2", 3)):
             step(fleet, host, Offer(n, "t", b"k", FINGERPRINT, WALLTIME))
         fleet.run(fleet.now + 1_000_000)
-        assert [what for _, what, _ in told] == [Verdict.GRANTED]
+        assert [verdict for _, verdict, _ in verdicts] == [Verdict.GRANTED]
 
 
 def test_the_owner_lost_with_its_disk_leaves_what_may_have_run():
     fleet = three()
     assert waited(fleet, offers(fleet, "n0", 1)) == [Verdict.GRANTED]
     fleet.hosts["n0"].crash()
-    told = offers(fleet, "n1", 2)
-    assert waited(fleet, told) == [Verdict.UNSURE]
+    verdicts = offers(fleet, "n1", 2)
+    assert waited(fleet, verdicts) == [Verdict.UNSURE]
     assert fleet.now >= WALLTIME  # it might still have been answered
 
 
 def test_a_rejection_at_once_makes_room_for_a_first_one_elsewhere():
     fleet = three()
     assert waited(fleet, offers(fleet, "n0", 1)) == [Verdict.GRANTED]
-    told = offers(fleet, "n1", 2)
+    verdicts = offers(fleet, "n1", 2)
     fleet.run(fleet.now + 50_000)
     ends(fleet, "n0", 1, JobOutcome.RELEASED)
     fleet.run(fleet.now + 300_000)
-    assert (2, Verdict.GRANTED, b"") in told and (1, Verdict.REPLICATED, b"") in told
+    assert (2, Verdict.GRANTED, b"") in verdicts and (1, Verdict.REPLICATED, b"") in verdicts
 
 
 def test_a_source_with_nothing_to_give_for_long_is_read_to_its_end():
@@ -435,9 +438,9 @@
     fleet = Fleet(["n0", "n1", "n2", "n3"], 1).start()
     fleet.run(1_500_000)
 
-    def end_at_once(host, told):
-        if told.verdict is Verdict.GRANTED:
-            ends(fleet, host.name, told.job_id)
+    def end_at_once(host, job_verdict):
+        if job_verdict.verdict is Verdict.GRANTED:
+            ends(fleet, host.name, job_verdict.job_id)
 
     for n in range(1200):
         offers(fleet, "n0", n, b"k%d" % n)
@@ -450,7 +453,7 @@
     assert len(host.node.replica.table.records) > 500
 
 
-def test_without_a_majority_of_its_holders_a_key_is_turned_away_at_once():
+def test_without_a_majority_of_its_replicas_a_key_is_turned_away_at_once():
     fleet = three()
     for name in ("n1", "n2"):
         fleet.hosts[name].crash()
@@ -464,10 +467,10 @@
     assert waited(fleet, offers(fleet, "n0", 1)) == [Verdict.GRANTED]
     for name in ("n1", "n2"):
         fleet.hosts[name].crash()
-    told = []
-    fleet.told = lambda host, verdict: told.append((verdict.job_id, verdict.verdict))
+    verdicts = []
+    fleet.told = lambda host, job_verdict: verdicts.append((job_verdict.job_id, job_verdict.verdict))
     ends(fleet, "n0", 1)
-    assert waited(fleet, told) == [Verdict.NOT_REPLICATED]
+    assert waited(fleet, verdicts) == [Verdict.NOT_REPLICATED]
 
 
 def test_who_is_lost_with_its_disk_has_its_copies_again_within_a_second():
@@ -487,8 +490,8 @@
     # Now one of the others may go as well.
     fleet.hosts["n0"].crash()
     fleet.run(fleet.now + 300_000)
-    told = offers(fleet, "n2", 1000, b"k7")
-    assert waited(fleet, told) == [Verdict.ANSWERED] and told[0][2] == b"7"
+    verdicts = offers(fleet, "n2", 1000, b"k7")
+    assert waited(fleet, verdicts) == [Verdict.ANSWERED] and verdicts[0][2] == b"7"
 
 
 def test_a_majority_lost_for_good_serves_again_once_all_promises_are_over():
@@ -513,7 +516,7 @@
 
 
 class Lonely(Node):
-    """A claim holds as soon as one holder has granted it."""
+    """A claim holds as soon as one replica has granted it."""
 
     def on_placement_changed(self, now, changed):
         super().on_placement_changed(now, changed)
@@ -532,7 +535,7 @@
 
 
 class Blank(Node):
-    """A new holder says that it has its copies before it has any."""
+    """A new replica says that it has its copies before it has any."""
 
     def on_placement_changed(self, now, changed):
         self.catch_up.run = lambda now: None
@@ -555,8 +558,8 @@
 @pytest.mark.parametrize(("build", "second"), [(Node, Verdict.UNSURE), (Hasty, Verdict.GRANTED)])
 def test_power_lost_everywhere_right_behind_the_claim_loses_only_what_was_not_on_disk(build, second):
     fleet = three(make=build)
-    told = offers(fleet, "n0", 1)
-    assert waited(fleet, told) == [Verdict.GRANTED]
+    verdicts = offers(fleet, "n0", 1)
+    assert waited(fleet, verdicts) == [Verdict.GRANTED]
     for host in fleet.hosts.values():
         host.crash()
     for host in fleet.hosts.values():
@@ -613,6 +616,6 @@
     record = Record("t", b"k", FINGERPRINT, claim_name, RecordState.CLAIMED, 5)
     for message in (claim_request(claim_name), ScanResponse(0, 0, 1, [record], True)):
         received = MessageReceived("n1", "i", message)
-        with pytest.raises(ValueError, match="not enough values to unpack"):
+        with pytest.raises(ClaimNameError, match="no name of a claim"):
             node.step(1, received)
     assert not node.replica.table.records
