--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -5,6 +5,7 @@
 """
 
 from collections.abc import Callable, Generator, Mapping
+from typing import TYPE_CHECKING
 
 import orjson
 
@@ -14,20 +15,23 @@
 from mastledge.idempotency.records import Record
 from mastledge.idempotency.verdicts import Verdict
 from mastledge.program.keyed_job import KILLED_REPLY, REJECTED_REPLY, KeyedJob, Reply, rejection, replay
-from mastledge.program.keyed_service import DISK_RETRY_US, KeyedService, Steps, unix_now_us
+from mastledge.program.keyed_service import DISK_RETRY_US, KeyedService, unix_now_us
 from mastledge.protocol import http
 from mastledge.protocol.control import Answer, Request
 from mastledge.protocol.requests import COMPLETED, REJECTED, Exchange
 from mastledge.storage.write_ahead_log import WriteAheadLog
 from mastledge.storage.writer import Writer
 from mastledge.transport.connection import Connection
-from mastledge.transport.loop import READ, Task
+from mastledge.transport.loop import READ, Coroutine, Task
+
+if TYPE_CHECKING:
+    from mastledge.program.lifecycle import Program
 
 
 class IdempotencyService(KeyedService):
     """Keys of which this dispatcher alone has the records."""
 
-    def __init__(self, program, configuration: Mapping, log: Callable[..., None]) -> None:
+    def __init__(self, program: "Program", configuration: Mapping, log: Callable[..., None]) -> None:
         """As of `KeyedService`."""
         super().__init__(program, configuration, log)
         self.first_jobs: dict[ScopedKey, KeyedJob] = {}  # the job that is under way for a key
@@ -46,7 +50,7 @@
         key_table.restore(now, persisted.entries)
         self.log("idempotency_keys_loaded", held=len(key_table.records), bytes=log.size)
         self.writer, self.key_table = Writer(log), key_table
-        self.tasks = [self.loop.spawn(self.program.vital(self._take_writer_results()), first=True)]
+        self.tasks = [self.loop.spawn(self.program.supervised(self._take_writer_results()), first=True)]
 
     def save(self) -> int:
         """Hands the table's changes to the writer; the token under which they are on the disk."""
@@ -62,7 +66,7 @@
         self.save_waiters[token] = job.task
         return (yield (-1, 0, None)) is True
 
-    def _take_writer_results(self) -> Steps:
+    def _take_writer_results(self) -> Coroutine:
         while True:
             yield (self.writer.fd, READ, None)
             for result in self.writer.completed():
@@ -75,10 +79,10 @@
     def _begin_rewriting(self, error: Exception) -> None:
         self.log("idempotency_disk_failed", why=str(error))
         self.disk_failing = True
-        self.rewriting = self.loop.spawn(self.program.vital(self._rewrite()))
+        self.rewriting = self.loop.spawn(self.program.supervised(self._rewrite()))
         self.tasks.append(self.rewriting)
 
-    def _rewrite(self) -> Steps:
+    def _rewrite(self) -> Coroutine:
         """Writes all of the table anew, again and again until that goes well."""
         while True:
             yield (-1, 0, self.loop.now() + DISK_RETRY_US)
@@ -98,7 +102,7 @@
     ) -> Generator[tuple, object, Reply | None]:
         """The answer to a job with a key, or None where its client has gone.
 
-        `arrival`: what the decisions are told of the job.
+        `arrival`: fields of the job as the decisions take them.
         """
         yield from self.wait_until_open(exchange.until, conn)
         if http.left(conn):
@@ -108,12 +112,13 @@
         fingerprint = request_fingerprint(exchange.target, exchange.body)
         request = KeyedRequest(exchange.tenant, exchange.key, fingerprint, exchange.until)
         verdict, record = self.key_table.claim(self.loop.now(), request)
-        if verdict == Verdict.ANSWER:
-            return replay(record.status, record.content)
         if verdict == Verdict.NEW:
             self._start_job(record, exchange, arrival)
-        elif verdict != Verdict.JOIN:
+        elif verdict == Verdict.ANSWER and record.scoped_key not in self.first_jobs:
+            return replay(record.status, record.content)
+        elif verdict not in (Verdict.JOIN, Verdict.ANSWER):
             return rejection(verdict)
+        # An answer that is not on the disk yet is waited for like one that is not there yet.
         return (yield from self._wait_for_job(self.first_jobs[record.scoped_key], conn, exchange.until))
 
     def _start_job(self, record: Record, exchange: Exchange, arrival: tuple) -> None:
@@ -132,7 +137,7 @@
             if not job.waiters and self.first_jobs.get(job.record.scoped_key) is job:
                 self.inbox.put("left", job.exchange)
 
-    def _run_job(self, job: KeyedJob, arrival: tuple) -> Steps:
+    def _run_job(self, job: KeyedJob, arrival: tuple) -> Coroutine:
         """Sees a first job through, whoever of its clients stays: all of them are promised its outcome."""
         self.jobs_under_way += 1
         try:
@@ -157,7 +162,7 @@
         self._note_outcome(key_table, record, reply)
         persisted = yield from self.persist(job)
         if not persisted and reply.status == COMPLETED:
-            # It could not be told again after a crash, so it is not told now.
+            # It could not be given again after a crash, so it is not given now.
             key_table.mark_unsure(self.loop.now(), record)
             return KILLED_REPLY
         return reply
--- a/mastledge/program/keyed_service.py
+++ b/mastledge/program/keyed_service.py
@@ -5,6 +5,7 @@
 
 import time
 from collections.abc import Callable, Generator, Mapping
+from typing import TYPE_CHECKING
 
 from mastledge.idempotency.key_table import KeyTable
 from mastledge.program.keyed_job import KILLED_REPLY, Reply
@@ -15,15 +16,16 @@
 from mastledge.storage.write_ahead_log import WriteAheadLog
 from mastledge.storage.writer import Writer
 from mastledge.transport.connection import Connection
-from mastledge.transport.loop import Task
+from mastledge.transport.loop import Coroutine, Task
+
+if TYPE_CHECKING:
+    from mastledge.program.lifecycle import Program
 
 DIRECTORY_POLL_US = 20_000  # between two tries of a directory that the process before still holds
 DIRECTORY_PATIENCE_US = 1_000_000  # of a job that comes meanwhile
 ANSWER_MARGIN_US = 50_000  # after the decisions must have ended a job
 DISK_RETRY_US = 1_000_000  # between two tries of a disk that has failed
 
-Steps = Generator[tuple, object, None]  # a coroutine of the loop that gives nothing back
-
 
 def unix_now_us() -> int:
     """Unix time in microseconds."""
@@ -36,7 +38,7 @@
     A subclass opens the log (`open`) and says what becomes of a job (`offer`).
     """
 
-    def __init__(self, program, configuration: Mapping, log: Callable[..., None]) -> None:
+    def __init__(self, program: "Program", configuration: Mapping, log: Callable[..., None]) -> None:
         """`configuration`: all of it; `log(event, **fields)` writes a line of the program's log."""
         self.program, self.loop, self.inbox, self.log = program, program.loop, program.inbox, log
         self.name, self.settings = configuration["name"], configuration["repeats"]
@@ -59,14 +61,14 @@
         try:
             self.directory.acquire()
         except DataDirectoryError:
-            if not self.program.beside:
+            if not self.program.has_sibling_process:
                 raise
             self.log("idempotency_waiting", folder=self.settings["folder"])
-            self.tasks = [self.loop.spawn(self.program.vital(self._wait_for_directory()))]
+            self.tasks = [self.loop.spawn(self.program.supervised(self._wait_for_directory()))]
             return
         self.open()
 
-    def _wait_for_directory(self) -> Steps:
+    def _wait_for_directory(self) -> Coroutine:
         while True:
             yield (-1, 0, self.loop.now() + DIRECTORY_POLL_US)
             try:
@@ -105,7 +107,7 @@
 
     # Jobs
 
-    def wait_until_open(self, until: int, conn: Connection) -> Steps:
+    def wait_until_open(self, until: int, conn: Connection) -> Coroutine:
         """Waits while the process before is about to leave the directory, and as long as the client does.
 
         `until`: end of the job's walltime.
@@ -117,12 +119,12 @@
     def _may_open(self) -> bool:
         # A process that hands over itself does not get the directory back.
         program = self.program
-        return program.beside and self.key_table is None and not program.listener.succeeded
+        return program.has_sibling_process and self.key_table is None and not program.listener.succeeded
 
     def decide(self, task: Task, exchange: Exchange, arrival: tuple) -> Generator[tuple, object, Reply]:
         """Hands a job to the decisions and waits for its answer; `task` is the coroutine that runs this.
 
-        `arrival`: what the decisions are told of the job.
+        `arrival`: fields of the job as the decisions take them.
         """
         exchange.answer = lambda *answer: self.loop.wake(task, Reply(*answer))
         self.inbox.put("arrived", exchange, *arrival)
--- a/mastledge/program/replica_node.py
+++ b/mastledge/program/replica_node.py
@@ -1,11 +1,11 @@
 """Drives a replication node: hands it inputs and ticks, and carries out its outputs."""
 
-from collections.abc import Callable, Generator, Mapping
+from collections.abc import Callable, Mapping
 
 from mastledge.replication.inputs import Input, Tick
 from mastledge.replication.node import Node
 from mastledge.replication.outputs import Output
-from mastledge.transport.loop import Task
+from mastledge.transport.loop import Coroutine, Task
 
 MIN_TICK_US = 500  # between two ticks
 
@@ -45,7 +45,7 @@
             self._loop.wake(self._timer)
         self.longest_step_us = max(self.longest_step_us, self._loop.now() - began)
 
-    def tick(self) -> Generator[tuple, object, None]:
+    def tick(self) -> Coroutine:
         """A coroutine that gives the node a tick whenever one is due."""
         while True:
             due = self._due()
--- a/mastledge/program/replication_api.py
+++ b/mastledge/program/replication_api.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from mastledge.program.configuration import COPIES
+from mastledge.program.configuration import MAX_COPIES
 from mastledge.protocol.control import Answer, No, Request
 from mastledge.replication.node import Node
 from mastledge.replication.outputs import Verdict
@@ -18,8 +18,8 @@
     """How many replicas a call asks for; `No` with 400 where it says no such number."""
     try:
         count = orjson.loads(request.body)["count"]
-        if not isinstance(count, int) or not 1 <= count <= COPIES:
-            raise ValueError(f"not from 1 to {COPIES}: {count!r}")
+        if not isinstance(count, int) or not 1 <= count <= MAX_COPIES:
+            raise ValueError(f"not from 1 to {MAX_COPIES}: {count!r}")
     except (ValueError, KeyError, TypeError) as error:
         raise No(400, f"count: {error}") from None
     return count
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -10,7 +10,7 @@
 from mastledge.idempotency.key_table import KeyTable
 from mastledge.idempotency.verdicts import Verdict
 from mastledge.program.keyed_job import Reply, rejection
-from mastledge.program.keyed_service import DISK_RETRY_US, KeyedService, Steps, unix_now_us
+from mastledge.program.keyed_service import DISK_RETRY_US, KeyedService, unix_now_us
 from mastledge.program.replica_node import ReplicaNode
 from mastledge.program.replicated_jobs import ReplicatedJobs
 from mastledge.program.replication_api import json_answer, node_figures, requested_count
@@ -31,7 +31,7 @@
 from mastledge.storage.write_ahead_log import WriteAheadLog
 from mastledge.storage.writer import Writer
 from mastledge.transport.connection import Connection
-from mastledge.transport.loop import READ, Task
+from mastledge.transport.loop import READ, Coroutine, Task
 
 
 class ReplicationService(KeyedService):
@@ -110,12 +110,12 @@
         return head_records(self.directory_id, self._start_count, fence)
 
     def _spawn_tasks(self) -> None:
-        vital, spawn = self.program.vital, self.loop.spawn
-        timer = spawn(vital(self._replica.tick()), first=True)
+        supervised, spawn = self.program.supervised, self.loop.spawn
+        timer = spawn(supervised(self._replica.tick()), first=True)
         self._replica.wake_on(timer)
-        flush = spawn(vital(self._flush_frames()))
+        flush = spawn(supervised(self._flush_frames()))
         self._frames.flush_on(flush)
-        self.tasks = [spawn(vital(self._take_writer_results()), first=True), timer, flush]
+        self.tasks = [spawn(supervised(self._take_writer_results()), first=True), timer, flush]
 
     def end(self) -> None:
         """Sends and writes what is left, and gives the directory free."""
@@ -128,7 +128,7 @@
 
     # The log
 
-    def _take_writer_results(self) -> Steps:
+    def _take_writer_results(self) -> Coroutine:
         while True:
             yield (self.writer.fd, READ, None)
             for result in self.writer.completed():
@@ -151,10 +151,10 @@
         self.log("replication_disk_failed", why=str(error))
         self.disk_failing = True
         self._replica.handle(DiskFailed())
-        self._rewrite_task = self.loop.spawn(self.program.vital(self._rewrite()))
+        self._rewrite_task = self.loop.spawn(self.program.supervised(self._rewrite()))
         self.tasks.append(self._rewrite_task)
 
-    def _rewrite(self) -> Steps:
+    def _rewrite(self) -> Coroutine:
         """Writes all records anew, again and again until that goes well."""
         while self.disk_failing:
             yield (-1, 0, self.loop.now() + DISK_RETRY_US)
@@ -201,7 +201,7 @@
     def _on_start_proposed(self, result: Mapping) -> None:
         if self.writer is None or self.node is not None or "why" not in result:
             return
-        if self.name not in self._fleet.member.rules.members:
+        if self.name not in self._fleet.member.state_machine.members:
             self._proposed_start = ""
             return
         # The directory has been opened less often than was committed, so it lacks what others count on.
@@ -228,7 +228,7 @@
 
     def _start_node(self, committed_count: int) -> None:
         # After that all that was promised before is over, by whatever clock.
-        promise_us = self.settings["keep"] + 3 * self.program.walltime + 2 * self._fleet.told["lease"]
+        promise_us = self.settings["keep"] + 3 * self.program.longest_walltime + 2 * self._fleet.told["lease"]
         options = NodeOptions(
             name=self.name,
             directory_id=self.directory_id,
@@ -252,7 +252,7 @@
         for message in frame.messages:
             self._replica.handle(MessageReceived(sender, frame.id, message))
 
-    def _flush_frames(self) -> Steps:
+    def _flush_frames(self) -> Coroutine:
         while True:
             self._frames.flush(self.directory_id)
             yield (-1, 0, None)
