--- a/mastledge/program/change_requests.py
+++ b/mastledge/program/change_requests.py
@@ -47,7 +47,8 @@
     def commit(self, change: dict) -> Generator[tuple, object, Answer]:
         """Coroutine: propose an operator's change and wait until it is in force, or as long as a caller does.
 
-        Gives 200 where it is in force and 202 where it is committed. Raises `CallRefusedError` with the status of a
+        Gives 200 where it is in force and 202 where it is committed. Raises `CallRefusedError`
+        with the status of a
         refusal, or with 503 where nobody has committed it in time.
         """
         self.driver_member()
--- a/mastledge/program/fleet_restore.py
+++ b/mastledge/program/fleet_restore.py
@@ -20,7 +20,8 @@
 def restore(fleet: "Fleet", body: bytes) -> str:
     """Begin a fleet with the snapshot in `body`, or with what is kept here where that says so.
 
-    Gives the line for the operator. Raises `CallRefusedError` with the reason where it is refused; nothing is changed then.
+    Gives the line for the operator. Raises `CallRefusedError` with the reason where it is refused;
+    nothing is changed then.
     """
     member = fleet.changes.driver_member()
     if body == ABANDON_BODY:
