--- a/mastledge/program/fleet_api.py
+++ b/mastledge/program/fleet_api.py
@@ -1,8 +1,7 @@
 """What operators ask of one dispatcher of a fleet: the calls at its second address.
 
-Each call takes a request and gives an answer or a text, or is a coroutine that does. `CallRefusedError` is a refusal,
-with
-its status and reason.
+Each call takes a request and gives an answer or a text, or is a coroutine that does. `CallRefusedError`
+is a refusal, with its status and reason.
 """
 
 from collections.abc import Callable, Generator, Iterable
