--- a/mastledge/program/recovery_persistence.py
+++ b/mastledge/program/recovery_persistence.py
@@ -47,8 +47,9 @@
             error = result.error
             if (error is not None) != self.is_failing:
                 self.is_failing = error is not None
-                event = "recovery_disk_failed" if error else "recovery_disk_mended"
-                self._log(event, why=str(error or ""))
+                self._log(
+                    "recovery_disk_failed" if error else "recovery_disk_recovered", why=str(error or "")
+                )
 
     def store(self, with_learned: bool) -> None:
         """Hands in the records of what changed since the last time."""
