--- a/mastledge/idempotency/key_table.py
+++ b/mastledge/idempotency/key_table.py
@@ -84,10 +84,6 @@
         self.verdict_counts[result.verdict] += 1
         return result
 
-    def try_claim(self, now: int, *fields) -> ClaimResult:
-        """`claim` by the fields of a KeyedRequest, for callers that do not make one yet."""
-        return self.claim(now, KeyedRequest(*fields))
-
     def _decide(self, request: KeyedRequest) -> ClaimResult:
         if not is_valid_key(request.key):
             return ClaimResult(Verdict.INVALID_KEY, None)
