--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,6 +20,7 @@
 from mastledge.program import operator_api, process_seats, serving, sibling_watch
 from mastledge.program.lifecycle import Phase
 from mastledge.program.upgrade_state import UpgradeState, empty_shared
+from mastledge.protocol.client_connection import ClientConnection
 from mastledge.scheduling.decisions import LaunchJob
 from mastledge.scheduling.slow_start import least_warmth
 from mastledge.transport.listening import bind_socket, select_listener
@@ -322,7 +323,7 @@
     pair.old.made.listener.succeeded, pair.old.made.listener.leaving = True, 1
     conn, theirs = pair.old.rig.pair()
     conn.loop = pair.old.made.loop
-    conn.owner = pair.old.made.loop.spawn(pair.old.made.listener.serve(conn, False))
+    conn.owner = pair.old.made.loop.spawn(ClientConnection(pair.old.made.listener, conn).serve())
     theirs.sendall(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
     assert pair.old.rig.reply(theirs).startswith(b"HTTP/1.1 200")
     assert pair.old.call("/api/ready")[0] == 503
