--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -323,7 +323,7 @@
     pair.old.made.listener.succeeded, pair.old.made.listener.leaving = True, 1
     conn, theirs = pair.old.rig.pair()
     conn.loop = pair.old.made.loop
-    conn.owner = pair.old.made.loop.spawn(ClientConnection(pair.old.made.listener, conn).serve())
+    conn.owner = pair.old.made.loop.spawn(ClientConnection(pair.old.made.listener, conn, False).serve())
     theirs.sendall(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
     assert pair.old.rig.reply(theirs).startswith(b"HTTP/1.1 200")
     assert pair.old.call("/api/ready")[0] == 503
