--- a/mastledge/adapter/host.py
+++ b/mastledge/adapter/host.py
@@ -34,6 +34,8 @@
 }
 STARTED_TOPIC, PROGRESS_TOPIC = 1, 2  # of a note
 HINTED = 1  # the bit of a new job that says that its hint counts
+# Looked up for each event, where a member of an enum costs more than a plain number.
+POOL, POWER_ON, TEARDOWN = int(EventCode.POOL), int(EventCode.POWER_ON), int(EventCode.TEARDOWN)
 LONGEST_SPAN_MS = 1e12
 
 
@@ -82,12 +84,12 @@
 
     def _take(self, frame, position, code, fields, touched):  # noqa: PLR0913 - one record of a frame
         instance = fields[0]
-        if code == EventCode.POOL:
+        if code == POOL:
             self._take_pool(frame, position, fields)
-        elif code == EventCode.POWER_ON:
+        elif code == POWER_ON:
             self._power_on(frame, position, fields)
             touched[instance] = True
-        elif code == EventCode.TEARDOWN:
+        elif code == TEARDOWN:
             self.instances.pop(instance, None)
             self._timers.pop(instance, None)
             touched.pop(instance, None)
--- a/mastledge/scheduling/other_load.py
+++ b/mastledge/scheduling/other_load.py
@@ -29,8 +29,13 @@
             return max(0.0, worker.gossiped_load)
         usual, age = worker.usual_other_load, now - worker.other_load_at
         load = usual + (worker.other_load - usual) / (1 + age / self._estimates.running_time.mean)
-        if worker.running < worker.load and self._oldest_waits(worker, now):
-            return max(load, worker.slots - worker.running)
+        if worker.running < worker.load:
+            # The oldest launch that has not started; written out here, as this runs for each worker and job.
+            for launch in worker.in_flight.values():
+                if not launch.started_at:
+                    if now - launch.sent_at > free_start_lag(worker, self._settings):
+                        return max(load, worker.slots - worker.running)
+                    break
         return load
 
     def is_told(self) -> bool:
@@ -66,13 +71,6 @@
         """The worker rejected a job for want of room."""
         worker.other_load, worker.other_load_at = REFUSED_SLOTS * worker.slots, now
 
-    def _oldest_waits(self, worker, now: int) -> bool:
-        """Whether the oldest launch that has not started there has waited longer than on a free worker."""
-        for launch in worker.in_flight.values():
-            if not launch.started_at:
-                return now - launch.sent_at > free_start_lag(worker, self._settings)
-        return False
-
     def _observe_wait(self, worker, wait: int, now: int) -> None:
         """The total of slots moves toward what was running when a start had to wait."""
         if wait > 0:
--- a/mastledge/scheduling/outliers.py
+++ b/mastledge/scheduling/outliers.py
@@ -85,13 +85,16 @@
 
     def keeps_out(self, worker: Worker, job: Job, now: int) -> bool:
         """Whether the job must not go there now."""
-        ejections, queue_type = worker.ejections, job.queue_type
+        ejections, queue_type, ready = worker.ejections, job.queue_type, len(self._fleet.ready)
         own = (LOST_OR_SILENT, CONNECTION_REFUSED, queue_type.name)
         is_run_once = queue_type.effect == RUN_ONCE
         # Where one queue type fails the others may, and jobs that may run again find that out at less cost.
         for reason in ejections if is_run_once else own:
             ejection = ejections.get(reason)
-            if ejection is None or self._is_shared_by_most(reason):
+            # A trouble that most of the fleet shares is no reason to eject workers. But no connection is no
+            # slowness: with a zone cut off, those that are left carry the jobs.
+            most = ready - 1 if reason == CONNECTION_REFUSED else ready / 2
+            if ejection is None or self.counts[reason] > most:
                 continue
             is_own = reason in own
             pause = _extra_pause_us(reason, is_own, ejection) if is_run_once else 0
@@ -101,14 +104,6 @@
                 return True
         return False
 
-    def _is_shared_by_most(self, reason) -> bool:
-        """A trouble that most of the fleet shares is no reason to eject workers.
-
-        But no connection is no slowness: with a zone cut off, those that are left carry the jobs.
-        """
-        ready = len(self._fleet.ready)
-        return self.counts[reason] > (ready - 1 if reason == CONNECTION_REFUSED else ready / 2)
-
 
 def _extra_pause_us(reason, is_own: bool, ejection: Ejection) -> int:
     """How much longer a run-once job waits for its trial."""
--- a/mastledge/scheduling/prediction.py
+++ b/mastledge/scheduling/prediction.py
@@ -88,13 +88,14 @@
         remove_from_curve(launch)
 
 
-def contention(worker: Worker, now: int, span: int, job: Job, other_load: float) -> tuple[float, float]:
+def contention(  # noqa: PLR0913 - plain figures: looking them up again for each worker costs too much
+    worker: Worker, now: int, span: int, load: float, late: int, other_load: float
+) -> tuple[float, float]:
     """Load above the slots and load as such, both integrated from now over the span (load x microseconds).
 
-    A launch past its estimated end counts until now plus the job's variation. The results are a plain tuple
-    and the loop has no calls but `min`, as this runs for each worker and job.
+    `load`: of the new job. A launch past its estimated end counts until now plus `late`, the job's variation.
+    The results are a plain tuple and the loop has no calls but `min`, as this runs for each worker and job.
     """
-    load, late = job.load, int(job.variation)
     above = worker.load + load + other_load - (worker.slots if worker.slots > load else load)
     over, at, area = 0.0, 0, (load + other_load) * span
     ends = [(min(end - now if end > now else late, span), width) for end, _, width in worker.load_curve]
--- a/mastledge/scheduling/selection.py
+++ b/mastledge/scheduling/selection.py
@@ -64,7 +64,8 @@
         settings, subset = self._settings, self._subset
         is_eligible, other_load_at = self._eligibility.allows, self._other_load.at
         fetch_time = self._affinity.fetch_time
-        load, upper_bound, key = job.load, job.mean + job.variation, job.key
+        load, late, key = job.load, int(job.variation), job.key
+        upper_bound = job.mean + job.variation
         is_told = self._other_load.is_told()
         candidates, homes = self._candidates(special), self._affinity.homes_of(key)
         fewest, most = max(FEWEST_LOOKED_AT, len(subset.members)), subset.most_looked_at
@@ -84,7 +85,7 @@
             fetch = fetch_time(key, worker, homes) if homes else 0.0
             span = int(upper_bound * slow + fetch)
             if worker.load_curve or other_load:
-                rank = contention(worker, now, span, job, other_load)
+                rank = contention(worker, now, span, load, late, other_load)
             else:
                 rank = 0.0, load * span
             if fetch or (is_told and worker.last_report):
