--- a/mastledge/lab/crossing.py
+++ b/mastledge/lab/crossing.py
@@ -678,7 +678,7 @@
             out.append(f"nothing_left: {len(program.router.scheduler.jobs)} jobs of the decisions")
         if program.budget.used["clients"]:
             out.append(f"nothing_left: {program.budget.used['clients']} clients' descriptors")
-        idle = sum(len(peer.idle) for peer in program.router.peers.values())
+        idle = sum(len(peer.idle) for peer in program.router.endpoints.values())
         timers = sum(wait_number == task.wait_number for _, _, task, wait_number in self.loop.timers)
         if timers > idle + OWN:
             out.append(f"nothing_left: {timers - idle} timers")
@@ -702,7 +702,7 @@
                 self.loop.cancel(task)
         for conn in list(program.listener.clients):
             self.loop.cancel(conn.owner)
-        for peer in program.router.peers.values():
+        for peer in program.router.endpoints.values():
             program.workers.close_idle(peer)
         program.listening_socket.close()
         self.loop.epoll.close()
--- a/mastledge/lab/scale/hollow.py
+++ b/mastledge/lab/scale/hollow.py
@@ -132,7 +132,7 @@
         inbox.reader = task
         while True:
             while inbox.items:
-                _, kind, entries = inbox.items.popleft()
+                kind, entries = inbox.items.popleft()
                 brief = [(entry[0], entry[3]) for entry in entries]
                 for one in hosted:
                     one.listed(kind, brief, discovery.generation)
--- a/mastledge/lab/scale/meter.py
+++ b/mastledge/lab/scale/meter.py
@@ -226,7 +226,7 @@
     hold_voters()
     if os.environ.get(SCALE):
         delay_links(os.environ[SCALE])
-    Router.on_members = within(meter, LIST, Router.on_members)
+    Router.on_endpoints_changed = within(meter, LIST, Router.on_endpoints_changed)
     begin, path = Dispatcher.begin, os.environ[FILE]
 
     def metered_begin(self):
--- a/mastledge/program/connection_handoff.py
+++ b/mastledge/program/connection_handoff.py
@@ -77,7 +77,7 @@
 class DiscardingInbox:
     """In place of the queue of the decisions, which know nothing of these jobs."""
 
-    def put(self, *item) -> None:
+    def put(self, event) -> None:
         """Drops an input."""
 
 
@@ -119,7 +119,7 @@
     def _let_go(self, router, job, launch):
         for conn in (job.exchange.conn, launch.conn):
             self.loop.unregister(conn.fd)
-        router.handed_on(self.loop.now(), job, launch)
+        router.job_handed_off(self.loop.now(), job, launch)
         self.loop.cancel(job.exchange.conn.owner)
 
     # In the process that goes on
--- a/mastledge/program/dispatcher.py
+++ b/mastledge/program/dispatcher.py
@@ -20,6 +20,7 @@
 from mastledge.protocol.control import Control
 from mastledge.protocol.discovery import Discovery
 from mastledge.protocol.worker_connections import WorkerConnections
+from mastledge.routing.events import LeaseLapsed
 from mastledge.routing.router import Router
 from mastledge.scheduling.scheduler import Scheduler
 from mastledge.transport.budget import Budget
@@ -118,7 +119,7 @@
 
         self.fleet = fleet = Fleet(self, configuration, self.log)
         self.router.rule = self.workers.rule = self.listener.rule = fleet.lease_guard
-        self.router.listed = fleet.listed
+        self.router.on_endpoint_list = fleet.listed
         self.resources.reserve(2 * len(configuration["peers"]["members"]) + FILE_DESCRIPTORS)
 
     def _add_idempotency(self, configuration):
@@ -135,7 +136,7 @@
 
         self.recovery = RecoveryService(self, configuration, self.log)
         self.listener.gate = self.recovery.gate
-        self.router.listed = self._on_endpoint_list
+        self.router.on_endpoint_list = self._on_endpoint_list
         self.resources.reserve(FILE_DESCRIPTORS)
 
     def _on_endpoint_list(self, kind, entries):
@@ -281,4 +282,4 @@
 
     def lease_lapsed(self) -> None:
         """Without a lease nothing may be launched: waiting jobs are rejected."""
-        self.inbox.put("lapsed")
+        self.inbox.put(LeaseLapsed())
--- a/mastledge/program/graceful_shutdown.py
+++ b/mastledge/program/graceful_shutdown.py
@@ -2,6 +2,7 @@
 
 from mastledge.program import sibling_watch
 from mastledge.program.lifecycle import Phase
+from mastledge.routing.events import ShutdownDue, ShutdownScheduled
 
 ACCEPT_FOR_US = 500_000  # after the signal: new connections go on coming for 0.4 s
 LONGEST_WAIT_US = 3_000_000  # of the walltime that the end waits for
@@ -38,7 +39,7 @@
         self._accept_until = max(now + ACCEPT_FOR_US, (now + self._end_at) // 2)
         dispatcher.listener.leaving = now
         dispatcher.sibling.announce(ready=False)
-        dispatcher.inbox.put("leaving", self._end_at)
+        dispatcher.inbox.put(ShutdownScheduled(self._end_at))
         dispatcher.enter(Phase.LEAVING)
         if dispatcher.fleet is not None:
             dispatcher.fleet.leave()
@@ -87,7 +88,7 @@
 
     def _send_last_answers(self):
         dispatcher, loop, listener = self._dispatcher, self._dispatcher.loop, self._dispatcher.listener
-        dispatcher.inbox.put("over")
+        dispatcher.inbox.put(ShutdownDue())
         dispatcher.handoff.kill_jobs()
         while listener.clients and loop.now() < self._end_at + EXIT_MARGIN_US // 5:
             listener.close_all_idle()
@@ -96,7 +97,7 @@
     def _end(self):
         dispatcher = self._dispatcher
         dispatcher.enter(Phase.ENDED)
-        dispatcher.log("totals", faults=dispatcher.router.faults, **dispatcher.router.totals)
+        dispatcher.log("totals", faults=dispatcher.router.faults, **dispatcher.router.job_table.totals)
         if dispatcher.idempotency is not None:
             dispatcher.idempotency.end()
         if dispatcher.fleet is not None:
--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -18,6 +18,7 @@
 from mastledge.program.keyed_service import DISK_RETRY_US, KeyedService, unix_now_us
 from mastledge.protocol import http
 from mastledge.protocol.control import Answer, Request
+from mastledge.protocol.events import ClientLeft
 from mastledge.protocol.requests import COMPLETED, REJECTED, Exchange
 from mastledge.storage.write_ahead_log import WriteAheadLog
 from mastledge.storage.writer import Writer
@@ -135,7 +136,7 @@
         finally:
             job.waiters.discard(conn)
             if not job.waiters and self.first_jobs.get(job.record.scoped_key) is job:
-                self.inbox.put("left", job.exchange)
+                self.inbox.put(ClientLeft(job.exchange))
 
     def _run_job(self, job: KeyedJob, arrival: tuple) -> Coroutine:
         """Sees a first job through, whoever of its clients stays: all of them are promised its outcome."""
--- a/mastledge/program/keyed_service.py
+++ b/mastledge/program/keyed_service.py
@@ -10,6 +10,7 @@
 from mastledge.idempotency.key_table import KeyTable
 from mastledge.program.keyed_job import KILLED_REPLY, Reply
 from mastledge.protocol import http
+from mastledge.protocol.events import JobAbandoned, JobArrived
 from mastledge.protocol.requests import Exchange
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.storage.errors import DataDirectoryError
@@ -127,11 +128,11 @@
         `arrival`: fields of the job as the decisions take them.
         """
         exchange.answer = lambda *answer: self.loop.wake(task, Reply(*answer))
-        self.inbox.put("arrived", exchange, *arrival)
+        self.inbox.put(JobArrived(exchange, arrival))
         reply = yield (-1, 0, exchange.until + ANSWER_MARGIN_US)
         if not isinstance(reply, Reply):
             self.log("answer_late", job=exchange.name)
             exchange.open = False
-            self.inbox.put("abandoned", exchange)
+            self.inbox.put(JobAbandoned(exchange))
             return KILLED_REPLY
         return reply
--- a/mastledge/program/operator_api.py
+++ b/mastledge/program/operator_api.py
@@ -64,7 +64,7 @@
         figures |= {
             "upstream_tries": workers.sent_launches,
             "in_progress": listener.jobs.in_hand,
-            "known_workers": len(router.peers),
+            "known_workers": len(router.endpoints),
             "skipped_workers": router.scheduler.count_skipped_workers(self._program.loop.now()),
         }
         return "".join(f"svc.{name}={figure}\n" for name, figure in figures.items())
@@ -112,7 +112,7 @@
         return "serving again"
 
     def _require_known(self, worker):
-        if worker not in self._program.router.peers and worker not in self._program.excluded_workers():
+        if worker not in self._program.router.endpoints and worker not in self._program.excluded_workers():
             raise CallRefusedError(404, f"nobody has this id: {worker}")
 
     def _change(self, edit):
--- a/mastledge/program/reconfiguration.py
+++ b/mastledge/program/reconfiguration.py
@@ -2,6 +2,7 @@
 
 from mastledge.program.resource_limits import allowed_descriptors
 from mastledge.program.settings_views import settings_for_decisions, settings_for_edges
+from mastledge.routing.events import SettingsChanged
 
 NEEDS_RESTART = ("name", "listen", "control")
 
@@ -68,7 +69,7 @@
         dispatcher.listener.configure(edges)
         dispatcher.workers.configure(settings)
         dispatcher.handoff.workers.configure(settings)
-        dispatcher.inbox.put("configured", settings)
+        dispatcher.inbox.put(SettingsChanged(settings))
         if settings["follow"] == "pushed":
             dispatcher.discovery.follow()
 
--- a/mastledge/program/recovery_records.py
+++ b/mastledge/program/recovery_records.py
@@ -43,7 +43,7 @@
 
 def worker_starts(dispatcher: "Dispatcher") -> dict[str, int]:
     """{worker id: start in Unix microseconds} of the workers of the list of now."""
-    endpoints = dispatcher.router.peers
+    endpoints = dispatcher.router.endpoints
     return {id: start_of(endpoint, dispatcher.discovery) for id, endpoint in endpoints.items()}
 
 
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -229,7 +229,7 @@
         unix_now, starts = self._clock.unix_now(), worker_starts(self._dispatcher)
         workers = {
             id: WorkerIdentity(starts[id], endpoint.address)
-            for id, endpoint in self._dispatcher.router.peers.items()
+            for id, endpoint in self._dispatcher.router.endpoints.items()
         }
         inherited = inherited_workers(self.restored, unix_now, workers)
         now = self._loop.now()
--- a/mastledge/program/replicated_jobs.py
+++ b/mastledge/program/replicated_jobs.py
@@ -11,7 +11,7 @@
 from mastledge.idempotency.keyed_request import request_fingerprint
 from mastledge.program.keyed_job import KILLED_REPLY, REJECTED_REPLY, Reply, rejection, replay
 from mastledge.program.keyed_service import ANSWER_MARGIN_US, KeyedService
-from mastledge.protocol import http
+from mastledge.protocol import events, http
 from mastledge.protocol.requests import COMPLETED, REJECTED, Exchange
 from mastledge.replication.inputs import ClientLeft, Input, JobEnded, JobOutcome, Offer
 from mastledge.replication.outputs import JobVerdict, Verdict
@@ -83,7 +83,7 @@
         """Nobody waits for the job any more."""
         if job.is_launched:
             # Who waits for its claim, here or elsewhere, claims the key anew where it comes to nothing.
-            self._service.inbox.put("left", exchange)
+            self._service.inbox.put(events.ClientLeft(exchange))
         elif job.job_id in self._jobs:
             # Nothing of it is under way yet.
             self._handle(ClientLeft(job.job_id))
--- a/mastledge/program/serving.py
+++ b/mastledge/program/serving.py
@@ -2,6 +2,7 @@
 
 from mastledge.program.lifecycle import Phase
 from mastledge.protocol.errors import EndpointListError
+from mastledge.routing.events import LearnedStateRestored
 
 FIRST_LIST_TIMEOUT_US = 250_000  # what discovery is waited for where workers are known already
 READY_POLL_US = 2_000
@@ -16,7 +17,7 @@
         return False
     discovery = dispatcher.discovery
     has_list = impatient or discovery.task is None or discovery.answered
-    return has_list and any(worker.state == "ready" for worker in dispatcher.router.peers.values())
+    return has_list and any(worker.state == "ready" for worker in dispatcher.router.endpoints.values())
 
 
 class Serving:
@@ -61,9 +62,9 @@
             return
         dispatcher.listener.ready = True
         if dispatcher.has_sibling_process:
-            dispatcher.inbox.put("inherited", dispatcher.upgrade_state.read_learned())
+            dispatcher.inbox.put(LearnedStateRestored(dispatcher.upgrade_state.read_learned()))
         elif dispatcher.recovery is not None:
-            dispatcher.inbox.put("inherited", dispatcher.recovery.inherited())
+            dispatcher.inbox.put(LearnedStateRestored(dispatcher.recovery.inherited()))
 
     def _next_wait(self):
         """Enters the phase that is due; what the loop is to wait for until the next look."""
--- a/mastledge/program/sibling_watch.py
+++ b/mastledge/program/sibling_watch.py
@@ -1,6 +1,7 @@
 """A second process of the same dispatcher: watches what both share and divides what both use."""
 
 from mastledge.program.lifecycle import Phase
+from mastledge.routing.events import TrafficShareChanged, WorkersExcluded
 
 POLL_US = 100_000  # between two looks at what another process may have changed
 POLL_WITH_SIBLING_US = 20_000
@@ -66,7 +67,7 @@
         share = self._share_of_slow_start_budget()
         if share != self._slow_start_share:
             self._slow_start_share = share
-            self._dispatcher.inbox.put("sharing", share)
+            self._dispatcher.inbox.put(TrafficShareChanged(share))
 
     def _share_of_slow_start_budget(self):
         """One that hands over needs little more of it."""
@@ -93,7 +94,7 @@
         included_at = {**shared["back"], **dispatcher.excluded.committed_included_at}
         warming = {worker: min(at - since, now) for worker, at in included_at.items()}
         excluded = frozenset(dispatcher.excluded_workers())
-        dispatcher.inbox.put("by_hand", excluded, warming, lambda: self._decided(serial))
+        dispatcher.inbox.put(WorkersExcluded(excluded, warming, lambda: self._decided(serial)))
 
     def _drain(self, wanted):
         """Ready says no from this very call on, or yes again; the phase follows."""
--- a/mastledge/protocol/client_jobs.py
+++ b/mastledge/protocol/client_jobs.py
@@ -4,6 +4,7 @@
 from collections.abc import Callable
 
 from mastledge.protocol import http
+from mastledge.protocol.events import JobAbandoned, JobArrived
 from mastledge.protocol.requests import COMPLETED, KILLED, REJECTED, Exchange
 from mastledge.transport.connection import Connection
 from mastledge.transport.loop import CONNECTION_ENDED, READ, Coroutine, Loop, Queue
@@ -19,7 +20,7 @@
     """
 
     def __init__(self, loop: Loop, inbox: Queue, log: Callable) -> None:
-        """`inbox` takes ("arrived", exchange, ...), and ("abandoned", exchange) for who has left."""
+        """`inbox` takes `JobArrived`, and `JobAbandoned` for who has left."""
         self.loop, self.inbox, self.log = loop, inbox, log
         self.in_hand = 0
         self.ended = {what: {} for what in ("passed", "dropped", "bad_gateway")}
@@ -57,14 +58,14 @@
         exchange.conn, exchange.answer = conn, lambda *answer: self.loop.wake(conn.owner, answer)
         exchange.check_left = lambda: http.has_left(conn)
         try:
-            self.inbox.put("arrived", exchange, *arrival)
+            self.inbox.put(JobArrived(exchange, arrival))
             reply = yield from self.answer(conn, exchange)
             return self._counted(exchange, reply)
         finally:
             self.in_hand -= 1
             if exchange.open:
                 exchange.open = False
-                self.inbox.put("abandoned", exchange)
+                self.inbox.put(JobAbandoned(exchange))
 
     def resume(self, conn: Connection, exchange: Exchange) -> Coroutine:
         """The answer of a job that another process has handed on, or None where its client has gone."""
--- a/mastledge/protocol/discovery.py
+++ b/mastledge/protocol/discovery.py
@@ -8,6 +8,7 @@
 
 from mastledge.protocol import http
 from mastledge.protocol.errors import BodyTooLargeError, EndpointListError
+from mastledge.protocol.events import EndpointsChanged
 from mastledge.transport.budget import Budget
 from mastledge.transport.connection import address_of, connect
 from mastledge.transport.errors import OutOfDescriptorsError, WaitTimeoutError
@@ -35,9 +36,7 @@
 class Discovery:
     """Keeps the endpoint list up to date and puts its changes into the queue of the decisions.
 
-    `inbox` takes ("members", kind, entries), where the kind is "whole", "changes", "failed" or the name that
-    a caller of apply() gives. An entry is (id, address, zone, state, start, machine type, cell, weight), the
-    start in microseconds of the monotonic clock, 0 for none.
+    `inbox` takes `EndpointsChanged`.
     """
 
     def __init__(  # noqa: PLR0913 - the program wires it once, each part is another owner's
@@ -100,7 +99,7 @@
             raise EndpointListError(f"{type(error).__name__}: {error}") from None
         self.generation = generation
         if entries or reset or whole:
-            self.inbox.put("members", whole or ("whole" if reset else "changes"), entries)
+            self.inbox.put(EndpointsChanged(whole or ("whole" if reset else "changes"), entries))
 
     def follow(self) -> None:
         """Starts the watch unless it is kept up already."""
@@ -163,7 +162,7 @@
             # Taken up again several times a second, it must not fill the log while it is down.
             self.trouble = why
             self.log("discovery_watch_failed", why=why, generation=self.generation)
-        self.inbox.put("members", "failed", ())
+        self.inbox.put(EndpointsChanged("failed", ()))
 
     def _open(self, target):
         """A connection on which a call has been answered by 200."""
@@ -189,7 +188,7 @@
             self.trouble, self.answered = None, True
             self.log("discovery_watch_started", generation=self.generation)
             # That it answers is news as well: it ends a failure.
-            self.inbox.put("members", "changes", ())
+            self.inbox.put(EndpointsChanged("changes", ()))
             while (change := (yield from self._next_change(conn))) is not None:
                 if change:
                     self.apply(change)
@@ -242,7 +241,7 @@
             except MALFORMED:
                 continue
             if entries := [entry for entry in entries if entry[STATE] != "ready"]:
-                self.inbox.put("members", "changes", entries)
+                self.inbox.put(EndpointsChanged("changes", entries))
 
 
 def parse_message(raw: bytes) -> dict:
--- a/mastledge/protocol/worker_answers.py
+++ b/mastledge/protocol/worker_answers.py
@@ -5,8 +5,10 @@
 import h11
 
 from mastledge.protocol import http
+from mastledge.protocol.events import LaunchProgressed, LaunchSilent, LaunchStarted
 from mastledge.protocol.idle_connections import ReuseRate
 from mastledge.protocol.load_report import NO_REPORT, report_of_header, report_of_object
+from mastledge.scheduling.outcomes import COMPLETED, Outcome
 from mastledge.transport.connection import Connection
 from mastledge.transport.errors import WaitTimeoutError
 from mastledge.transport.loop import Coroutine, Loop, Queue
@@ -15,12 +17,12 @@
 MIN_PATIENCE_US = 100_000
 # A worker says that a job never ran, by its head or by a line: no outcome yet, as it takes a proof.
 HEAD_SAYS_REJECTED, LINE_SAYS_REJECTED = "turned away", "returned"
-OUTCOME_OF_STATE = {"failed": "error", "returned": LINE_SAYS_REJECTED, "lost": "lost"}
+OUTCOME_OF_STATE = {"failed": Outcome.ERROR, "returned": LINE_SAYS_REJECTED, "lost": Outcome.LOST}
 ENDING_STATES = tuple(OUTCOME_OF_STATE)  # a state may be anything, also what no dict can look up
 
 
 class LaunchAnswer(NamedTuple):
-    """How a launch ended, by the names that the decisions know, with its result and load report."""
+    """How a launch ended (an `Outcome`, or one of the two that still take a proof), its result and load."""
 
     outcome: str
     result: bytes | None = None
@@ -34,7 +36,7 @@
     """
 
     def __init__(self, loop: Loop, inbox: Queue, reuse: ReuseRate) -> None:
-        """`inbox` takes ("silent" | "started" | "progress", launch, ...)."""
+        """`inbox` takes `LaunchSilent`, `LaunchStarted` and `LaunchProgressed`."""
         self.loop, self.inbox, self.reuse = loop, inbox, reuse
 
     def configure(self, settings: dict) -> None:
@@ -62,7 +64,7 @@
             if head.status_code != 200:
                 says = [value for name, value in head.headers if name == b"x-turned-away"]
                 rejected = head.status_code in (503, 504) and says == [b"1"]
-                return LaunchAnswer(HEAD_SAYS_REJECTED if rejected else "error", None, report)
+                return LaunchAnswer(HEAD_SAYS_REJECTED if rejected else Outcome.ERROR, None, report)
         return (yield from self._read_lines(conn, launch, until, report))
 
     def is_whole_and_alone(self, conn: Connection, names_job: bool, until: int) -> Coroutine:
@@ -98,7 +100,7 @@
                 # A worker tells at once that it has taken a job, also where that has to wait there.
                 if self.loop.now() >= until:
                     raise
-                self.inbox.put("silent", launch)
+                self.inbox.put(LaunchSilent(launch))
                 continue
             self.reuse.record(conn, broke=False)
             return head
@@ -108,7 +110,7 @@
         while True:
             line = yield from http.next_line(conn, until)
             if line is None:
-                return LaunchAnswer("lost", None, report)
+                return LaunchAnswer(Outcome.LOST, None, report)
             if not line.strip():
                 continue
             message = http.parse_object(line)
@@ -119,7 +121,7 @@
                 begun = True
                 self._pass_on(launch, state, message)
             elif state == "done":
-                return LaunchAnswer("completed", result_of(message, line), self._report(message, report))
+                return LaunchAnswer(COMPLETED, result_of(message, line), self._report(message, report))
             elif state not in ENDING_STATES:
                 raise ValueError(f"unknown state: {line[:80]!r}")
             elif state == "returned" and begun:
@@ -129,9 +131,9 @@
 
     def _pass_on(self, launch, state, message):
         if state == "started":
-            self.inbox.put("started", launch)
+            self.inbox.put(LaunchStarted(launch))
         elif isinstance(share := message.get("share"), int | float):
-            self.inbox.put("progress", launch, share)
+            self.inbox.put(LaunchProgressed(launch, share))
 
     def _report(self, message, report):
         load = message.get("load")
--- a/mastledge/protocol/worker_connections.py
+++ b/mastledge/protocol/worker_connections.py
@@ -7,6 +7,7 @@
 
 from mastledge.protocol import http
 from mastledge.protocol.errors import BodyTooLargeError, ClientLeftError, LaunchWithheldError
+from mastledge.protocol.events import ClientLeft, LaunchEnded
 from mastledge.protocol.idle_connections import IdleConnections
 from mastledge.protocol.worker_answers import (
     HEAD_SAYS_REJECTED,
@@ -15,6 +16,7 @@
     WorkerAnswers,
 )
 from mastledge.protocol.worker_endpoint import WorkerEndpoint
+from mastledge.scheduling.outcomes import COMPLETED, Outcome
 from mastledge.transport.budget import Budget
 from mastledge.transport.connection import Connection, connect
 from mastledge.transport.errors import OutOfDescriptorsError, WaitTimeoutError
@@ -23,14 +25,14 @@
 REFUSAL_US = (
     2_000  # beside a round trip, in which a connection that is dead already breaks at what is written
 )
-REUSABLE_AFTER = ("completed", "error", "full")
+REUSABLE_AFTER = (COMPLETED, Outcome.ERROR, Outcome.FULL)
 
 
 class WorkerConnections:
     """Sends launches on new or idle connections. `rule` may forbid it where dispatchers agree (consensus)."""
 
     def __init__(self, loop: Loop, budget: Budget, inbox: Queue, settings: dict, log: Callable) -> None:
-        """`inbox` takes one ("ended", launch, outcome, result, report) a launch, and what comes before."""
+        """`inbox` takes one `LaunchEnded` a launch, and what comes before."""
         self.loop, self.budget, self.inbox, self.log = loop, budget, inbox, log
         self.idle = IdleConnections(loop, budget)
         self.answers = WorkerAnswers(loop, inbox, self.idle.reuse)
@@ -51,7 +53,7 @@
     def launch(self, endpoint: WorkerEndpoint, launch: Any, exchange: Any, until: int) -> Coroutine:
         """Runs a launch, of which it uses `name`, `sent` and `send_by`, the last time for its last byte.
 
-        Tells what is heard of it, and one `ended`.
+        Tells what is heard of it, and one `LaunchEnded`.
         """
         conn = None
         incarnation = endpoint.incarnation()
@@ -66,7 +68,7 @@
             if conn is not None and not reusable:
                 # Still out for its worker until the connection ends, and the job may go elsewhere at once.
                 conn.close()
-            self.inbox.put("ended", launch, *answer)
+            self.inbox.put(LaunchEnded(launch, *answer))
             if reusable and (yield from self.answers.read_to_end(conn)):
                 kept, conn = conn, None
                 self.idle.keep(endpoint, kept, incarnation)
@@ -94,14 +96,14 @@
             self.sent_launches += 1
             return conn, None
         except LaunchWithheldError:
-            return None, "unsent"
+            return None, Outcome.UNSENT
         except ClientLeftError:
             # Its connection tells that as well, but where the loop is busy not before this one is up.
-            self.inbox.put("left", exchange)
-            return None, "unsent"
+            self.inbox.put(ClientLeft(exchange))
+            return None, Outcome.UNSENT
         except OutOfDescriptorsError:
             self.log("out_of_descriptors", worker=endpoint.id)
-            return None, "unsent"
+            return None, Outcome.UNSENT
         except (OSError, WaitTimeoutError) as error:
             return None, self._not_sent(endpoint, conn, is_new, launch.send_by, error)
         finally:
@@ -161,10 +163,10 @@
         if conn is not None and in_time:
             self.idle.reuse.record(conn, broke=True)
         if not is_new or self.loop.now() >= send_by:
-            return "unsent"
+            return Outcome.UNSENT
         # What stands idle to a machine that takes no connection would only swallow the next launch.
         self.close_idle(endpoint)
-        return "unreachable"
+        return Outcome.UNREACHABLE
 
     def _answer(self, conn, endpoint, launch, until):
         reused = conn.reused
@@ -174,10 +176,10 @@
                 answer = yield from self._prove_rejection(conn, endpoint, answer, reused, until)
             return answer
         except WaitTimeoutError:
-            return LaunchAnswer("timeout")
+            return LaunchAnswer(Outcome.TIMEOUT)
         except (OSError, h11.RemoteProtocolError) as error:
             # One that stood idle may long have ended at the other side, in good health or not.
-            outcome = "dropped" if conn.reused else "lost"
+            outcome = Outcome.DROPPED if conn.reused else Outcome.LOST
             self.idle.reuse.record(conn, broke=True)
             why = str(error) or type(error).__name__
             self.log("worker_connection_broken", worker=endpoint.id, how=outcome, why=why)
@@ -185,7 +187,7 @@
         except (ValueError, BodyTooLargeError) as error:
             self.log("worker_answer_malformed", worker=endpoint.id, why=str(error))
             conn.close()  # what follows cannot be trusted, unlike behind an error that was told in order
-            return LaunchAnswer("error")
+            return LaunchAnswer(Outcome.ERROR)
 
     def _prove_rejection(self, conn, endpoint, answer, reused, until):
         names_job = answer.outcome == LINE_SAYS_REJECTED
@@ -194,4 +196,4 @@
         )
         if not proof:
             self.log("rejection_doubted", worker=endpoint.id, kept=reused)
-        return answer._replace(outcome="full" if proof else "doubted")
+        return answer._replace(outcome=Outcome.FULL if proof else Outcome.DOUBTED)
--- a/mastledge/routing/__init__.py
+++ b/mastledge/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Between the sockets and the decisions: the one task that owns the module, its jobs and launches."""
+"""Between the sockets and the decisions: the one task that owns the scheduler, its jobs and launches."""
--- a/mastledge/routing/router.py
+++ b/mastledge/routing/router.py
@@ -1,69 +1,133 @@
 """The task that owns the decisions: reports what came in, carries out what is decided, keeps their timers."""
 
 import traceback
-
+from collections.abc import Callable
+
+from mastledge.protocol.discovery import Discovery
+from mastledge.protocol.events import (
+    ClientLeft,
+    EndpointsChanged,
+    JobAbandoned,
+    JobArrived,
+    LaunchEnded,
+    LaunchProgressed,
+    LaunchSilent,
+    LaunchStarted,
+)
+from mastledge.protocol.worker_connections import WorkerConnections
 from mastledge.protocol.worker_endpoint import WorkerEndpoint
-from mastledge.scheduling.decisions import FollowEndpoints, KillJob, LaunchJob, RejectJob, RevokeLaunch
-
-AGAIN = 250_000  # after which who was turned away for want of rules may come again: elsewhere there are some
-
-
-class Job:
-    __slots__ = ("id", "exchange", "launches", "out", "began")
-
-    def __init__(self, job_id, exchange, now):
-        self.id, self.exchange, self.launches, self.out, self.began = job_id, exchange, [], 0, now
-
-
-class Launch:
-    """What a launch is to the host; the decisions name it by its job and its number among that job's."""
-
-    __slots__ = (
-        "job",
-        "n",
-        "peer",
-        "task",
-        "name",
-        "sent",
-        "at",
-        "began",
-        "ended",
-        "conn",
-        "headed",
-        "send_by",
-    )
-
-    def __init__(self, job, peer, name, now):
-        self.job, self.n, self.peer, self.name, self.at = job, len(job.launches), peer, name, now
-        self.send_by = job.exchange.until
-        self.task, self.sent, self.began, self.ended = None, False, None, False
-        self.conn, self.headed = None, False
+from mastledge.routing.endpoints import EndpointTable
+from mastledge.routing.events import (
+    LearnedStateRestored,
+    LeaseLapsed,
+    SettingsChanged,
+    ShutdownDue,
+    ShutdownScheduled,
+    TrafficShareChanged,
+    WorkersExcluded,
+)
+from mastledge.routing.jobs import Job, JobEnd, JobTable, Launch
+from mastledge.scheduling.decisions import (
+    Decision,
+    FollowEndpoints,
+    KillJob,
+    LaunchJob,
+    RejectJob,
+    RevokeLaunch,
+)
+from mastledge.scheduling.outcomes import COMPLETED, Outcome
+from mastledge.scheduling.scheduler import Scheduler
+from mastledge.transport.loop import Coroutine, Loop, Queue
+
+# After which who was rejected for want of a lease may come again: elsewhere there is one.
+RETRY_WITHOUT_LEASE_US = 250_000
+LOGGED_ENTRIES = 12  # of a change of the endpoint list
 
 
 class Router:
-    def __init__(self, loop, inbox, scheduler, workers, discovery, log):
+    """Takes the entries of the queue one by one into the decisions, and does what these say.
+
+    Where dispatchers agree (consensus), `rule` says whether this one may act now; `on_endpoint_list(kind,
+    entries)` is called with each change of the list. Both are None elsewhere.
+    """
+
+    def __init__(  # noqa: PLR0913 - the program wires it once, each part is another owner's
+        self,
+        loop: Loop,
+        inbox: Queue,
+        scheduler: Scheduler,
+        workers: WorkerConnections,
+        discovery: Discovery,
+        log: Callable[..., None],
+    ) -> None:
+        """`inbox` brings what `protocol.events` and `routing.events` define."""
         self.loop, self.inbox, self.scheduler = loop, inbox, scheduler
         self.workers, self.discovery, self.log = workers, discovery, log
-        self.jobs, self.peers, self.count, self.faults = {}, {}, 0, 0
-        self.out = frozenset()
-        self.rule, self.listed = None, None  # where dispatchers agree: may it act, and who hears of lists
-        self.totals = {"completed": 0, "rejected": 0, "killed": 0, "abandoned": 0, "handed_on": 0}
-
-    def run(self):
-        inbox = self.inbox
+        self.job_table = JobTable(log)
+        self.endpoint_table = EndpointTable(workers)
+        self.faults = 0  # errors that ended nothing but the call they came from
+        self.rule = None
+        self.on_endpoint_list = None
+        self.handlers = {
+            EndpointsChanged: self.on_endpoints_changed,
+            JobArrived: self.on_job_arrived,
+            JobAbandoned: self.on_job_abandoned,
+            ClientLeft: self.on_client_left,
+            LaunchStarted: self.on_launch_started,
+            LaunchSilent: self.on_launch_silent,
+            LaunchProgressed: self.on_launch_progressed,
+            LaunchEnded: self.on_launch_ended,
+            WorkersExcluded: self.on_workers_excluded,
+            LeaseLapsed: self.on_lease_lapsed,
+            LearnedStateRestored: self.on_learned_state_restored,
+            TrafficShareChanged: self.on_traffic_share_changed,
+            SettingsChanged: self.on_settings_changed,
+            ShutdownScheduled: self.on_shutdown_scheduled,
+            ShutdownDue: self.on_shutdown_due,
+        }
+        self.carriers = {
+            LaunchJob: self.launch_job,
+            RejectJob: self.reject_job,
+            KillJob: self.kill_job,
+            RevokeLaunch: self.revoke_launch,
+            FollowEndpoints: self.follow_endpoints,
+        }
+
+    # What the program may read.
+
+    @property
+    def jobs(self) -> dict[int, Job]:
+        """All jobs that are open or have a launch under way, by id."""
+        return self.job_table.by_id
+
+    @property
+    def endpoints(self) -> dict[str, WorkerEndpoint]:
+        """All workers of the endpoint list, by id."""
+        return self.endpoint_table.by_id
+
+    @property
+    def excluded(self) -> frozenset[str]:
+        """The workers that get nothing new by an operator's word, as it is in force here."""
+        return self.endpoint_table.excluded
+
+    # The task
+
+    def run(self) -> Coroutine:
+        """Takes entries, carries out decisions and waits for the next entry or timer, without end."""
+        inbox, handlers = self.inbox, self.handlers
         while True:
             now = self.loop.now()
             while inbox.items:
-                what, *fields = inbox.items.popleft()
-                self.guarded(getattr(self, "on_" + what), now, *fields)
-            self.guarded(self.pull, now)
-            wake = self.scheduler.wake_at()
-            yield from inbox.wait(None if wake is None else max(wake, now + 1))
+                event = inbox.items.popleft()
+                self.call_guarded(handlers[event.__class__], now, event)
+            self.call_guarded(self.carry_out_decisions, now)
+            wake_at = self.scheduler.wake_at()
+            yield from inbox.wait(None if wake_at is None else max(wake_at, now + 1))
 
-    def guarded(self, call, *fields):
+    def call_guarded(self, call: Callable[..., None], *arguments: object) -> None:
         """A fault over one job must not end the others; its client is answered when its time is over."""
         try:
-            call(*fields)
+            call(*arguments)
         except Exception as error:
             self.faults += 1
             self.log(
@@ -73,249 +137,239 @@
                 trace=traceback.format_exc(limit=-4),
             )
 
-    # Inputs
-
-    def on_members(self, now, kind, entries):
-        told = []
-        for wkr_id, address, zone, state, born, cls, cell, units in entries:
-            peer = self.peers.get(wkr_id)
-            if peer is None:
-                peer = self.peers[wkr_id] = WorkerEndpoint(wkr_id, wkr_id in self.out)
-            if state != "ready" or born > peer.started_at or (peer.address and address != peer.address):
-                # Nothing new goes there, or its connections died with its former life.
-                self.workers.close_idle(peer)
-            peer.address, peer.started_at, peer.state = address, max(born, peer.started_at), state
-            told.append((zone, peer, state, born, cls, cell, units))
-        if kind in ("whole", "cached"):
-            named = {entry[0] for entry in entries}
-            for peer in self.peers.values():
-                if peer.id not in named:
-                    peer.state = "gone"
-                    self.workers.close_idle(peer)
-        self.scheduler.update_endpoints(now, kind, told)
-        # Launches under way hold what they need of it.
-        self.peers = {peer.id: peer for peer in self.peers.values() if peer.state != "gone"}
+    # Inputs from the sockets
+
+    def on_endpoints_changed(self, now: int, change: EndpointsChanged) -> None:
+        """The endpoint list was read or has changed."""
+        kind, entries = change
+        self.scheduler.update_endpoints(now, kind, self.endpoint_table.update(change))
+        self.endpoint_table.remove_gone()
         if entries:
-            brief = [(e[0], e[3], e[4] and (now - e[4]) / 1e6) for e in entries[:12]]
+            brief = [(e[0], e[3], e[4] and (now - e[4]) / 1e6) for e in entries[:LOGGED_ENTRIES]]
             generation = self.discovery.generation
             self.log("endpoint_list", kind=kind, generation=generation, count=len(entries), first=brief)
-        if self.listed is not None:
-            self.listed(kind, entries)
-
-    def on_arrived(self, now, exchange, *fields):
-        self.count += 1
-        job = exchange.job = Job(self.count, exchange, now)
-        self.jobs[job.id] = job
-        self.scheduler.job_arrived(now, job.id, *fields)
-
-    def on_abandoned(self, now, exchange):
-        job = exchange.job
-        if job is not None and job.id in self.jobs:
-            self.closed(now, job, "abandoned")
-            self.scheduler.job_abandoned(now, job.id)
-
-    def on_left(self, now, exchange):
-        """Nobody waits for its answer, unless somebody has joined since: nothing new is sent for it.
-
-        What may be running goes on where its key is kept, as what it comes to is promised to who asks again.
-        """
-        job = exchange.job
-        if job is None or job.id not in self.jobs or not exchange.open or not exchange.client_has_left():
-            return
-        if exchange.conn is not None:
-            exchange.open = False
-            self.on_abandoned(now, exchange)
-            return
-        self.withdraw(now, job)
-        if exchange.open and not job.out:
-            self.given_up(now, job)
-
-    def on_started(self, now, launch):
-        launch.began = now
-        self.scheduler.launch_started(now, launch.job.id, launch.n)
-
-    def on_silent(self, now, launch):
-        self.scheduler.launch_silent(now, launch.job.id, launch.n)
-
-    def on_progress(self, now, launch, share):
-        self.scheduler.launch_progressed(now, launch.job.id, launch.n, share)
-
-    def on_ended(self, now, launch, how, result, report):
+        if self.on_endpoint_list is not None:
+            self.on_endpoint_list(kind, entries)
+
+    def on_job_arrived(self, now: int, event: JobArrived) -> None:
+        """A job was let in."""
+        job = self.job_table.add(event.exchange, now)
+        self.scheduler.job_arrived(now, job.id, *event.terms)
+
+    def on_job_abandoned(self, now: int, event: JobAbandoned) -> None:
+        """Nobody waits for a job's answer, and it is not to go on."""
+        job = self.job_table.find(event.exchange)
+        if job is not None:
+            self._abandon(now, job)
+
+    def on_client_left(self, now: int, event: ClientLeft) -> None:
+        """A client has gone; others may wait for the same answer."""
+        self._stop_if_clients_left(now, self.job_table.find(event.exchange))
+
+    def on_launch_started(self, now: int, event: LaunchStarted) -> None:
+        """A worker tells that it has begun."""
+        launch = event.launch
+        launch.started_at = now
+        self.scheduler.launch_started(now, launch.job.id, launch.number)
+
+    def on_launch_silent(self, now: int, event: LaunchSilent) -> None:
+        """A worker has not told in time that it has a launch."""
+        launch = event.launch
+        self.scheduler.launch_silent(now, launch.job.id, launch.number)
+
+    def on_launch_progressed(self, now: int, event: LaunchProgressed) -> None:
+        """A worker tells the share that is done."""
+        launch = event.launch
+        self.scheduler.launch_progressed(now, launch.job.id, launch.number, event.share)
+
+    def on_launch_ended(self, now: int, event: LaunchEnded) -> None:
+        """A launch ended; only its first end counts."""
+        launch, outcome, result, report = event
         if launch.ended:
             return
         launch.ended = True
         job = launch.job
-        job.out -= 1
-        first = how == "completed" and job.exchange.open
-        if first:
+        job.in_flight -= 1
+        answers_job = outcome == COMPLETED and job.exchange.open
+        if answers_job:
             job.exchange.completed(result)
         self.scheduler.launch_ended(
-            now, job.id, launch.n, how, now - launch.at, not job.exchange.open, report
+            now, job.id, launch.number, outcome, now - launch.created_at, not job.exchange.open, report
         )
-        if first:
-            self.closed(now, job, "completed")
-        elif how != "completed":
+        if answers_job:
+            self._close_job(now, job, JobEnd.COMPLETED)
+        elif outcome != COMPLETED:
             self.log(
                 "launch_ended",
                 job=launch.name,
-                n=launch.n,
-                worker=launch.peer.id,
-                how=how,
-                ms=(now - launch.at) / 1000,
+                n=launch.number,
+                worker=launch.endpoint.id,
+                how=outcome,
+                ms=(now - launch.created_at) / 1000,
             )
-            if not job.out:
-                self.on_left(now, job.exchange)
-        self.forget(job)
-
-    def on_by_hand(self, now, out, back, held):
-        """Nothing new goes to who is out from here on, also what was decided and is not written yet."""
-        if out != self.out:
-            self.log("workers_excluded", out=sorted(out))
-        self.out = out
-        self.scheduler.set_excluded(now, out, back)
-        for peer in self.peers.values():
-            was, peer.excluded = peer.excluded, peer.id in out
-            if peer.excluded and not was:
-                self.workers.close_idle(peer)
+            if not job.in_flight:
+                self._stop_if_clients_left(now, self.job_table.find(job.exchange))
+        self.job_table.discard_if_over(job)
+
+    # Inputs from the program
+
+    def on_workers_excluded(self, now: int, event: WorkersExcluded) -> None:
+        """Nothing new goes to who is excluded, also what was decided and is not written yet."""
+        excluded = event.excluded
+        if excluded != self.excluded:
+            self.log("workers_excluded", out=sorted(excluded))
+        self.scheduler.set_excluded(now, excluded, event.included_at)
+        self.endpoint_table.exclude(excluded)
         for job in self.jobs.values():
             for launch in job.launches:
-                if launch.peer.id in out and not launch.sent:
-                    self.do_revoke(now, job.id, launch.n)
-        held()
+                if launch.endpoint.id in excluded and not launch.sent:
+                    self._revoke(launch)
+        event.on_applied()
 
-    def on_lapsed(self, now):
+    def on_lease_lapsed(self, now: int, event: LeaseLapsed) -> None:
         """What is in force is not known here any more: who waits for a worker is told to come again."""
         for job in list(self.jobs.values()):
-            if not job.out and job.exchange.open:
-                self.given_up(now, job)
-
-    def given_up(self, now, job):
-        self.carry_out(now, self.scheduler.reject_or_kill(self.scheduler.jobs[job.id], AGAIN))
+            if not job.in_flight and job.exchange.open:
+                self._reject_or_kill(now, job)
 
-    def on_inherited(self, now, told):
-        self.scheduler.restore_learned(now, told)
+    def on_learned_state_restored(self, now: int, event: LearnedStateRestored) -> None:
+        """The process before, or the one beside this, has learned that."""
+        self.scheduler.restore_learned(now, event.learned)
 
-    def on_sharing(self, now, share):
-        self.scheduler.set_traffic_share(now, share)
+    def on_traffic_share_changed(self, now: int, event: TrafficShareChanged) -> None:
+        """Another process takes a part of the jobs, or none any more."""
+        self.scheduler.set_traffic_share(now, event.share)
 
-    def on_configured(self, now, settings):
-        self.scheduler.reconfigure(now, settings)
+    def on_settings_changed(self, now: int, event: SettingsChanged) -> None:
+        """Other settings are in force."""
+        self.scheduler.reconfigure(now, event.settings)
 
-    def on_leaving(self, now, last):
-        self.scheduler.shut_down_at(now, last)
+    def on_shutdown_scheduled(self, now: int, event: ShutdownScheduled) -> None:
+        """The program has to end at a time that is known."""
+        self.scheduler.shut_down_at(now, event.end_at)
 
-    def on_over(self, now):
+    def on_shutdown_due(self, now: int, event: ShutdownDue) -> None:
         """The program has to end: what is still open gets the answer that promises nothing."""
         for job in list(self.jobs.values()):
             if job.exchange.open:
                 job.exchange.killed()
                 self.scheduler.job_abandoned(now, job.id)
-                self.closed(now, job, "killed")
+                self._close_job(now, job, JobEnd.KILLED)
 
-    def handed_on(self, now, job, launch):
-        """Another process goes on with it, and with its connections."""
+    def job_handed_off(self, now: int, job: Job, launch: Launch) -> None:
+        """Another process goes on with a job and its one launch, and with their connections."""
         launch.ended, job.exchange.open = True, False
-        job.out -= 1
+        job.in_flight -= 1
         self.loop.cancel(launch.task)
         self.scheduler.job_abandoned(now, job.id)
-        self.closed(now, job, "handed_on")
+        self._close_job(now, job, JobEnd.HANDED_OFF)
 
     # Decisions
 
-    def pull(self, now):
+    def carry_out_decisions(self, now: int) -> None:
+        """Asks for decisions and does what they say, until there is none."""
         decide = self.scheduler.decide
         while (decision := decide(now)) is not None:
             self.carry_out(now, decision)
 
-    def carry_out(self, now, decision):
+    def carry_out(self, now: int, decision: Decision) -> None:
         """Does what was decided; TypeError for what is no decision of a dispatcher without load messages."""
-        kind = decision.__class__
-        if kind is LaunchJob:
-            self.do_launch(now, decision.job, decision.worker, decision.within)
-        elif kind is RejectJob:
-            self.do_reject(now, decision.job, decision.retry_after)
-        elif kind is KillJob:
-            self.do_kill(now, decision.job)
-        elif kind is RevokeLaunch:
-            self.do_revoke(now, decision.job, decision.number)
-        elif kind is FollowEndpoints:
-            self.do_follow(now, True)
-        else:
+        carrier = self.carriers.get(decision.__class__)
+        if carrier is None:
             raise TypeError(f"no such decision: {decision}")
+        carrier(now, decision)
 
-    def do_launch(self, now, job_id, peer, within):
-        job = self.jobs[job_id]
+    def launch_job(self, now: int, decision: LaunchJob) -> None:
+        """Starts a launch, which tells its end through the queue."""
+        job = self.jobs[decision.job]
+        launch = Launch(job, decision.worker, now)
+        job.launches.append(launch)
         if self.rule is not None and not self.rule.may_act(now):
-            # It was decided by rules that may no longer hold. Nothing of it is sent, as the decisions hear at
-            # once.
-            launch = Launch(job, peer, job.exchange.name, now)
-            launch.ended = True
-            job.launches.append(launch)
-            self.scheduler.launch_ended(now, job_id, launch.n, "unsent", 0, False, ())
-            if not job.out:
-                self.given_up(now, job)
+            self._withhold(now, launch)
             return
-        name = job.exchange.name
-        launch = Launch(job, peer, name, now)
-        job.launches.append(launch)
-        job.out += 1
-        launch.send_by = min(job.exchange.until, now + within) if within else job.exchange.until
-        launch.task = self.loop.spawn(self.carried_out(launch, job.exchange.until))
+        job.in_flight += 1
+        if decision.within:
+            launch.send_by = min(job.exchange.until, now + decision.within)
+        launch.task = self.loop.spawn(self.run_launch(launch, job.exchange.until))
 
-    def carried_out(self, launch, until):
+    def run_launch(self, launch: Launch, until: int) -> Coroutine:
+        """Runs a launch on a connection, up to the end of the walltime."""
         try:
-            yield from self.workers.launch(launch.peer, launch, launch.job.exchange, until)
+            yield from self.workers.launch(launch.endpoint, launch, launch.job.exchange, until)
         except Exception as error:
             # Whatever went wrong here, the decisions have to hear of one end of each launch.
             self.faults += 1
             self.log("internal_error", call="launch", why=f"{type(error).__name__}: {error}")
-            self.inbox.put("ended", launch, "error" if launch.sent else "unsent", None, ())
+            outcome = Outcome.ERROR if launch.sent else Outcome.UNSENT
+            self.inbox.put(LaunchEnded(launch, outcome, None, ()))
+
+    def reject_job(self, now: int, decision: RejectJob) -> None:
+        """Answers that a retry is harmless."""
+        job = self.jobs[decision.job]
+        job.exchange.rejected(decision.retry_after)
+        self._close_job(now, job, JobEnd.REJECTED)
+
+    def kill_job(self, now: int, decision: KillJob) -> None:
+        """Answers that the job may have run."""
+        job = self.jobs[decision.job]
+        job.exchange.killed()
+        self._close_job(now, job, JobEnd.KILLED)
 
-    def do_reject(self, now, job_id, hold_off):
-        job = self.jobs[job_id]
-        job.exchange.rejected(hold_off)
-        self.closed(now, job, "rejected")
+    def revoke_launch(self, now: int, decision: RevokeLaunch) -> None:
+        """Ends a launch, wherever it is."""
+        self._revoke(self.jobs[decision.job].launches[decision.number])
 
-    def do_kill(self, now, job_id):
-        job = self.jobs[job_id]
-        job.exchange.killed()
-        self.closed(now, job, "killed")
+    def follow_endpoints(self, now: int, decision: FollowEndpoints) -> None:
+        """Starts the watch of the endpoint list unless it is kept up already."""
+        self.discovery.follow()
+
+    # The ends of jobs and launches
+
+    def _withhold(self, now: int, launch: Launch) -> None:
+        # It was decided by rules that may no longer hold. Nothing is sent, as the decisions hear at once.
+        job, launch.ended = launch.job, True
+        self.scheduler.launch_ended(now, job.id, launch.number, Outcome.UNSENT, 0, False, ())
+        if not job.in_flight:
+            self._reject_or_kill(now, job)
 
-    def do_revoke(self, now, job_id, n):
-        launch = self.jobs[job_id].launches[n]
+    def _revoke(self, launch: Launch) -> None:
         if not launch.ended:
             self.loop.cancel(launch.task)
             # Without its last byte a worker does not begin it.
-            self.inbox.put("ended", launch, "revoked" if launch.sent else "unsent", None, ())
+            outcome = Outcome.REVOKED if launch.sent else Outcome.UNSENT
+            self.inbox.put(LaunchEnded(launch, outcome, None, ()))
 
-    def withdraw(self, now, job):
+    def _stop_if_clients_left(self, now: int, job: Job | None) -> None:
+        """Nobody waits for its answer, unless somebody has joined since: nothing new is sent for it.
+
+        What may be running goes on where its key is kept, as its outcome is promised to who asks again.
+        """
+        if job is None or not job.exchange.open or not job.exchange.client_has_left():
+            return
+        if job.exchange.conn is not None:
+            job.exchange.open = False
+            self._abandon(now, job)
+            return
+        self._cancel_unsent_launches(now, job)
+        if job.exchange.open and not job.in_flight:
+            self._reject_or_kill(now, job)
+
+    def _cancel_unsent_launches(self, now: int, job: Job) -> None:
         """Ends launches whose last byte has not gone out: it would go out behind the job's answer."""
         for launch in job.launches:
             if not launch.ended and not launch.sent:
                 self.loop.cancel(launch.task)
-                self.on_ended(now, launch, "unsent", None, ())
+                self.on_launch_ended(now, LaunchEnded(launch, Outcome.UNSENT, None, ()))
 
-    def do_follow(self, now, on):
-        self.discovery.follow()
+    def _reject_or_kill(self, now: int, job: Job) -> None:
+        scheduled = self.scheduler.jobs[job.id]
+        self.carry_out(now, self.scheduler.reject_or_kill(scheduled, RETRY_WITHOUT_LEASE_US))
 
-    # Jobs
-
-    def closed(self, now, job, how):
-        self.totals[how] += 1
-        last = job.launches[-1] if job.launches else None
-        self.log(
-            "job_finished",
-            job=job.exchange.name,
-            type=job.exchange.kind,
-            how=how,
-            ms=(now - job.began) / 1000,
-            launches=len(job.launches),
-            worker=last and last.peer.id,
-            waited=last and last.began and (last.began - job.began) / 1000,
-        )
-        self.withdraw(now, job)
-        self.forget(job)
+    def _abandon(self, now: int, job: Job) -> None:
+        self._close_job(now, job, JobEnd.ABANDONED)
+        self.scheduler.job_abandoned(now, job.id)
 
-    def forget(self, job):
-        if not job.out and not job.exchange.open:
-            self.jobs.pop(job.id, None)
+    def _close_job(self, now: int, job: Job, end: JobEnd) -> None:
+        self.job_table.record_end(job, end, now)
+        self._cancel_unsent_launches(now, job)
+        self.job_table.discard_if_over(job)
--- a/mastledge/transport/loop.py
+++ b/mastledge/transport/loop.py
@@ -220,7 +220,7 @@
 class Queue:
     """Many put, one coroutine takes; the only way from sockets to the decisions.
 
-    An entry is a tuple that begins with its name, and no object of its own: some are made at each launch.
+    An entry is of a class of its own for each kind of news; who takes it goes by the class.
     """
 
     def __init__(self, loop: Loop) -> None:
@@ -228,9 +228,9 @@
         self.loop, self.items, self.reader = loop, deque(), None
         self.reader_woken = False
 
-    def put(self, *item: Any) -> None:
+    def put(self, entry: Any) -> None:
         """Adds an entry and wakes the reader."""
-        self.items.append(item)
+        self.items.append(entry)
         if self.reader is not None and not self.reader_woken:
             self.reader_woken = True
             self.loop.wake(self.reader)
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -349,7 +349,7 @@
     )
     launch = SimpleNamespace(ended=False, sent=True, conn=ends[1], headed=job["headed"])
     one = SimpleNamespace(exchange=exchange, launches=[launch])
-    router = SimpleNamespace(jobs={1: one}, handed_on=lambda now, job, launch: None)
+    router = SimpleNamespace(jobs={1: one}, job_handed_off=lambda now, job, launch: None)
     loop = SimpleNamespace(unregister=lambda fd: None, now=lambda: 0, cancel=lambda task: None)
     made = connection_handoff.ConnectionHandoff(
         loop, None, None, scheduler().settings, lambda event, **fields: None
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -6,6 +6,7 @@
 from helpers import HERE, Rig, client, door, job, queue_type
 
 from mastledge.protocol import client_connection
+from mastledge.protocol.events import JobAbandoned, JobArrived
 from mastledge.transport.budget import CLIENT_EVICTION_ORDER
 from mastledge.transport.listening import listen
 
@@ -85,8 +86,9 @@
     theirs = client(rig, door(rig, [queue_type(name="other"), queue_type(name=name)]))
     theirs.sendall(job(path, X_Lane=lane).decode().encode("latin-1"))
     assert rig.turn(lambda: rig.inbox.items)
-    what, exchange, queue, *_ = rig.inbox.items[0]
-    assert (what, exchange.kind, queue, exchange.target) == ("arrived", name, 1, path.encode())
+    event = rig.inbox.items[0]
+    exchange, queue = event.exchange, event.terms[0]
+    assert (type(event), exchange.kind, queue, exchange.target) == (JobArrived, name, 1, path.encode())
 
 
 @pytest.mark.parametrize(
@@ -112,8 +114,9 @@
     theirs = client(rig, door(rig))
     theirs.sendall(job(**headers))
     assert rig.turn(lambda: rig.inbox.items)
-    what, exchange, *fields = rig.inbox.items[0]
-    assert what == "arrived" and tuple(fields) == says and exchange.body == b"x"
+    event = rig.inbox.items[0]
+    exchange = event.exchange
+    assert type(event) is JobArrived and event.terms == says and exchange.body == b"x"
     assert all(name != b"x-remaining-ms" for name, _ in exchange.headers)
 
 
@@ -130,7 +133,7 @@
     theirs = client(rig, door(rig))
     theirs.sendall(job())
     rig.turn(lambda: rig.inbox.items)
-    exchange = rig.inbox.items.popleft()[1]
+    exchange = rig.inbox.items.popleft().exchange
     answer(exchange)
     exchange.killed()
     reply = rig.reply(theirs)
@@ -145,7 +148,7 @@
     rig.turn(lambda: rig.inbox.items)
     theirs.close()
     assert rig.turn(lambda: not made.clients)
-    assert [item[0] for item in rig.inbox.items] == ["arrived", "abandoned"]
+    assert [type(item) for item in rig.inbox.items] == [JobArrived, JobAbandoned]
     assert rig.budget.used["clients"] == 0
 
 
@@ -153,7 +156,7 @@
     rig = Rig()
     theirs = client(rig, door(rig))
     theirs.sendall(job(X_Remaining_Ms=20))
-    assert rig.turn(lambda: len(rig.inbox.items) == 2) and rig.inbox.items[1][0] == "abandoned"
+    assert rig.turn(lambda: len(rig.inbox.items) == 2) and isinstance(rig.inbox.items[1], JobAbandoned)
     assert rig.reply(theirs).startswith(b"HTTP/1.1 500 ")
 
 
@@ -181,7 +184,7 @@
     late = client(rig, made)
     late.sendall(job(body=b"z" * 60_000, X_Txn="9b20"))
     assert rig.reply(late).startswith(b"HTTP/1.1 503 ")
-    rig.inbox.items[0][1].killed()
+    rig.inbox.items[0].exchange.killed()
     assert rig.reply(usual).startswith(b"HTTP/1.1 500 ") and rig.budget.request_bytes == 0 and not rig.errors
 
 
@@ -276,7 +279,7 @@
     first, second = client(rig, made), client(rig, made)
     first.sendall(job())
     rig.turn(lambda: rig.inbox.items)
-    exchange = rig.inbox.items.popleft()[1]
+    exchange = rig.inbox.items.popleft().exchange
     if answered:
         getattr(exchange, answered)(b"r" if answered == "completed" else 0)
         rig.reply(first)
@@ -309,7 +312,7 @@
     rig = Rig()
     theirs = client(rig, door(rig))
     theirs.sendall(job(X_Remaining_Ms=10**11))
-    assert rig.turn(lambda: rig.inbox.items) and rig.inbox.items[0][-1] == queue_type()["walltime"]
+    assert rig.turn(lambda: rig.inbox.items) and rig.inbox.items[0].terms[-1] == queue_type()["walltime"]
 
 
 @pytest.mark.parametrize("waiting", [0, 3])
--- a/tests/test_crossing_search.py
+++ b/tests/test_crossing_search.py
@@ -1,6 +1,7 @@
 """The search for orders that break a rule: all pairs, what it catches, and scripts that broke one once."""
 
 import os
+from dataclasses import replace
 
 import pytest
 
@@ -15,7 +16,7 @@
 from mastledge.protocol.worker_connections import WorkerConnections
 from mastledge.protocol.worker_endpoint import WorkerEndpoint
 from mastledge.routing.router import Router
-from mastledge.scheduling.decisions import RejectJob
+from mastledge.scheduling.decisions import LaunchJob, RejectJob
 from mastledge.scheduling.scheduler import Scheduler
 from mastledge.transport.budget import Budget
 
@@ -47,20 +48,20 @@
 
 
 def a_job_is_launched_behind_its_answer(patch):
-    on_ended = Router.on_ended
+    on_launch_ended = Router.on_launch_ended
 
-    def again(self, now, launch, how, *more):
-        on_ended(self, now, launch, how, *more)
-        if how == "completed" and launch.n == 0:
-            self.loop.spawn(later(self, launch))
+    def again(self, now, event):
+        on_launch_ended(self, now, event)
+        if event.outcome == "completed" and event.launch.number == 0:
+            self.loop.spawn(later(self, event.launch))
 
-    patch(Router, "on_ended", again)
+    patch(Router, "on_launch_ended", again)
 
 
 def later(router, launch):
     yield (-1, 0, router.loop.now() + 100_000)
     router.jobs[launch.job.id] = launch.job
-    router.do_launch(router.loop.now(), launch.job.id, launch.peer, 0)
+    router.launch_job(router.loop.now(), LaunchJob(launch.job.id, launch.endpoint, 0))
 
 
 def launches_hold_to_what_they_were_decided_for(patch):
@@ -103,8 +104,10 @@
 
 
 def the_window_is_looked_at_where_it_is_decided_only(patch):
-    do_launch = Router.do_launch
-    patch(Router, "do_launch", lambda self, now, job, peer, within: do_launch(self, now, job, peer, 0))
+    launch_job = Router.launch_job
+    patch(
+        Router, "launch_job", lambda self, now, decision: launch_job(self, now, replace(decision, within=0))
+    )
 
 
 def what_may_have_run_is_rejected(patch):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,6 +18,8 @@
 from mastledge.program.upgrade_state import UpgradeState
 from mastledge.protocol import client_connection, client_listener, worker_answers
 from mastledge.protocol import worker_connections as protocol_workers
+from mastledge.protocol.events import LaunchEnded
+from mastledge.routing.events import ShutdownDue, TrafficShareChanged
 from mastledge.storage.data_directory import DataDirectory
 from mastledge.transport.connection import Connection
 from mastledge.transport.loop import READ
@@ -189,7 +191,7 @@
     leaves(made, client)
     ended_at(conn)
     made.turn(lambda: not made.made.listener.clients)
-    assert not made.made.router.totals["completed"] and not made.made.router.jobs
+    assert not made.made.router.job_table.totals["completed"] and not made.made.router.jobs
     made.taken("a2")
     made.only("a2")
 
@@ -245,7 +247,7 @@
     if how == "left":
         client.close()
     else:
-        made.made.inbox.put("over")
+        made.made.inbox.put(ShutdownDue())
         assert b" 500 " in made.rig.reply(client)
     assert made.turn(lambda: late.up[0].fd < 0) and not made.made.router.jobs
 
@@ -280,7 +282,7 @@
     assert made.turn(lambda: made.job("a1").launches[0].sent)
     assert effect != "run-once" or theirs.recv(1) == b"x"  # its last byte comes by itself
     router, conn = made.made.router, made.job("a1").exchange.conn
-    ended, router_ended = router.on_ended, []
+    ended, router_ended = router.on_launch_ended, []
 
     def on_ended(*told):
         # Between the worker's answer and the decision over it: no turn of the loop tells of the client.
@@ -290,11 +292,11 @@
             ended_at(conn)
         ended(*told)
 
-    router.on_ended = on_ended
+    router.on_launch_ended = router.handlers[LaunchEnded] = on_ended
     theirs.sendall(b"HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
     assert made.turn(lambda: not router.jobs) and len(router_ended) == 1
     made.lists(name="s-2")  # and with the worker its idle connection goes, on which nothing more came
-    assert made.turn(lambda: "s-1" not in made.made.router.peers) and theirs.recv(4096) == b""
+    assert made.turn(lambda: "s-1" not in made.made.router.endpoints) and theirs.recv(4096) == b""
 
 
 # The same where keys are kept
@@ -327,7 +329,7 @@
     assert made.turn(lambda: not made.made.listener.clients)
     disk.goes_on.set()
     assert made.turn(lambda: not made.made.idempotency.jobs_under_way)
-    assert not made.made.idempotency.key_table.records and not made.made.router.count
+    assert not made.made.idempotency.key_table.records and not made.made.router.job_table.count
     made.asked("a2", Idempotency_Key="k1")
     made.only("a2")
 
@@ -379,7 +381,7 @@
         theirs.close()
     assert made.turn(lambda: not made.made.idempotency.jobs_under_way) and not made.made.router.jobs
     made.lists(name="s-2")
-    assert made.turn(lambda: "s-1" not in made.made.router.peers)
+    assert made.turn(lambda: "s-1" not in made.made.router.endpoints)
     second = made.asked("a2", Idempotency_Key="k1")
     if again == b" 200 ":
         assert theirs.recv(4096) == b""
@@ -453,7 +455,7 @@
         at = made.made.discovery.since // 1000 + made.rig.loop.now() // 1000
         made.lists(state, started=at if news == "born" else 0, reset=False)
         made.lists(sock=sock, name="s-2", reset=False)
-    assert made.turn(lambda: made.made.router.peers and not made.made.inbox.items)
+    assert made.turn(lambda: made.made.router.endpoints and not made.made.inbox.items)
     late.held = False
     old, _ = made.sock.accept()
     theirs, request = made.rig.called(sock)
@@ -472,7 +474,7 @@
     other, sock = peer_at("s-2")
     at = made.made.discovery.since // 1000 + made.rig.loop.now() // 1000
     made.lists(started=at if news == "born" else 0, sock=sock if news == "moved" else None)
-    peers = made.made.router.peers
+    peers = made.made.router.endpoints
     assert made.turn(lambda: peers["s-1"].started_at or peers["s-1"].address == sock.getsockname())
     answers(theirs, b"a1")
     assert b" 200 " in made.rig.reply(client) and theirs.recv(1) == b"" and not peers["s-1"].idle
@@ -508,8 +510,8 @@
 def test_an_answer_that_never_ends_is_ended_by_the_clock(part, answered, serving, monkeypatch):
     monkeypatch.setattr(worker_answers, "ANSWER_TAIL_US", 50_000)
     made = serving("restartable", {"cancel": False}).serving()
-    launches, carried_out = [], made.made.router.carried_out
-    made.made.router.carried_out = lambda launch, until: launches.append(launch) or carried_out(launch, until)
+    launches, run_launch = [], made.made.router.run_launch
+    made.made.router.run_launch = lambda launch, until: launches.append(launch) or run_launch(launch, until)
     client = made.connect()
     client.sendall(helpers.job(X_Txn="a1", X_Remaining_Ms=4000 if answered else 300))
     theirs, _ = made.rig.called(made.sock)
@@ -536,7 +538,7 @@
     theirs, _ = rig.called(sock)
     theirs.sendall(CHUNKED)
     assert streams(rig, theirs, chunk(part * 100), lambda: rig.inbox.items)
-    assert rig.inbox.items[0][1] == "failed" and made.generation is None
+    assert rig.inbox.items[0].kind == "failed" and made.generation is None
     rig.loop.cancel(made.task)
     sock.close()
 
@@ -569,7 +571,7 @@
     theirs.sendall(CHUNKED + b"".join(chunk(raw) for raw in lines))
     theirs, asked = rig.called(sock)
     assert b"follow" not in asked and b"GET /registry/instances " in asked
-    assert [item[1] for item in rig.inbox.items] == ["changes", "changes", "failed"]
+    assert [item.kind for item in rig.inbox.items] == ["changes", "changes", "failed"]
     rig.loop.cancel(made.task)
     sock.close()
 
@@ -864,7 +866,7 @@
     job = scheduler.jobs[made.job("a1").id]
     job.deadline = now  # its time is over from here on
     scheduler.timers.set(now, job)
-    made.made.inbox.put("sharing", 1.0)
+    made.made.inbox.put(TrafficShareChanged(1.0))
     reply = made.rig.reply(client)
     assert reply.startswith(b"HTTP/1.1 503" if effect == "restartable" else b"HTTP/1.1 500")
     try:
@@ -903,7 +905,7 @@
     second = CHUNKED + chunk(again) + b"0\r\n\r\n"
     theirs.sendall(first + (second if when == "with the last chunk" else b""))
     assert made.rig.reply(client).endswith(b"\r\n\r\nr")
-    peer = made.made.router.peers["s-1"]
+    peer = made.made.router.endpoints["s-1"]
     if when == "later":
         assert peer.idle
         theirs.sendall(second)
@@ -926,14 +928,14 @@
     client = made.taken()
     theirs = made.only("a1")
     assert b" 200 " in made.rig.reply(client)
-    peer = made.made.router.peers["s-1"]
+    peer = made.made.router.endpoints["s-1"]
     assert made.turn(lambda: peer.idle)
     conn = peer.idle[0][0]
     (resets if resets_ else closes)(made, theirs)
     ended_at(conn)
     made.taken("a2")  # no turn of the loop has told of the end
     made.only("a2")
-    assert made.made.router.totals["killed"] == 0
+    assert made.made.router.job_table.totals["killed"] == 0
 
 
 # What proves that a launch never ran
@@ -948,7 +950,7 @@
     assert made.turn(lambda: made.job("a0").launches[-1].sent)
     answers(theirs, b"a0")
     assert made.rig.reply(client).endswith(b"r")
-    assert made.turn(lambda: made.made.router.peers["s-1"].idle)
+    assert made.turn(lambda: made.made.router.endpoints["s-1"].idle)
     return theirs
 
 
@@ -956,7 +958,7 @@
     """One more worker, known to the decisions."""
     other = peer_at("s-2")[1]
     made.lists(name="s-2", sock=other, reset=False, zone=zone)
-    assert made.turn(lambda: "s-2" in made.made.router.peers)
+    assert made.turn(lambda: "s-2" in made.made.router.endpoints)
     made.theirs.append(other)
     return other
 
@@ -970,7 +972,7 @@
 
 def goes_nowhere(made, other, client):
     """It may have run, and the other worker would run it again."""
-    assert made.turn(lambda: made.job("a1") is None or made.job("a1").out == 0)
+    assert made.turn(lambda: made.job("a1") is None or made.job("a1").in_flight == 0)
     made.jumps(4)
     assert b" 500 " in made.rig.reply(client)
     assert not select.select([other], [], [], 0)[0]
@@ -1089,7 +1091,7 @@
         made.made.listener.close_all_idle()
     else:
         made.ends()
-        made.made.inbox.put("over")
+        made.made.inbox.put(ShutdownDue())
         assert b" 500 " in made.rig.reply(client)
         return
     answers(theirs, b"a1")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -22,8 +22,11 @@
 from mastledge.program.settings import flatten_settings
 from mastledge.program.settings_views import settings_for_decisions
 from mastledge.program.signals import watch_signals
+from mastledge.protocol.events import EndpointsChanged, JobAbandoned, JobArrived, LaunchEnded
 from mastledge.protocol.requests import Exchange
+from mastledge.routing.events import SettingsChanged, ShutdownDue
 from mastledge.routing.router import Router
+from mastledge.scheduling.decisions import LaunchJob, RevokeLaunch
 from mastledge.transport.listening import listen
 
 
@@ -37,7 +40,7 @@
         peer, sock = peer_at(f"s-{n}")
         socks.append(sock)
         entries.append((peer.id, peer.address, 0, "ready", 0, 0, 0, 1.0))
-    made.on_members(now, "whole", entries)
+    made.on_endpoints_changed(now, EndpointsChanged("whole", entries))
     return made, socks
 
 
@@ -46,9 +49,10 @@
     exchange.answer, exchange.name, exchange.kind = lambda *answer: given.append(answer), "9b1f", "render"
     exchange.until = rig.loop.now() + patience
     exchange.method, exchange.target, exchange.headers, exchange.body = b"POST", b"/render", [], b""
-    made.on_arrived(rig.loop.now(), exchange, 0, 100_000, 0, 1.0, 0.0, 0, patience)
-    made.guarded(made.pull, rig.loop.now())
-    return made.jobs[made.count], given
+    terms = (0, 100_000, 0, 1.0, 0.0, 0, patience)
+    made.on_job_arrived(rig.loop.now(), JobArrived(exchange, terms))
+    made.call_guarded(made.carry_out_decisions, rig.loop.now())
+    return made.jobs[made.job_table.count], given
 
 
 @pytest.mark.parametrize(
@@ -65,8 +69,9 @@
     made, _ = router(rig, listed=3)
     job, given = arrived(rig, made)
     for how in hows:
-        made.on_ended(rig.loop.now(), job.launches[-1], how, b"r" if how == "completed" else None, ())
-        made.guarded(made.pull, rig.loop.now())
+        result = b"r" if how == "completed" else None
+        made.on_launch_ended(rig.loop.now(), LaunchEnded(job.launches[-1], how, result, ()))
+        made.call_guarded(made.carry_out_decisions, rig.loop.now())
     assert [answer[0] for answer in given] == answers and not made.faults
 
 
@@ -76,8 +81,8 @@
     made, _ = router(rig)
     job, _ = arrived(rig, made)
     job.launches[0].sent = sent
-    made.do_revoke(rig.loop.now(), job.id, 0)
-    assert rig.inbox.items[-1][2] == how and job.launches[0].task.ended
+    made.revoke_launch(rig.loop.now(), RevokeLaunch(job.id, 0))
+    assert rig.inbox.items[-1].outcome == how and job.launches[0].task.ended
 
 
 @pytest.mark.parametrize("how", ["completed", "error", "lost", "timeout"])
@@ -86,10 +91,10 @@
     made, _ = router(rig)
     job, given = arrived(rig, made)
     job.exchange.open = False
-    made.on_abandoned(rig.loop.now(), job.exchange)
-    made.guarded(made.pull, rig.loop.now())
-    made.on_ended(rig.loop.now(), job.launches[0], how, b"r", ())
-    made.guarded(made.pull, rig.loop.now())
+    made.on_job_abandoned(rig.loop.now(), JobAbandoned(job.exchange))
+    made.call_guarded(made.carry_out_decisions, rig.loop.now())
+    made.on_launch_ended(rig.loop.now(), LaunchEnded(job.launches[0], how, b"r", ()))
+    made.call_guarded(made.carry_out_decisions, rig.loop.now())
     assert not given and not made.jobs and len(job.launches) == 1 and not made.faults
 
 
@@ -97,9 +102,9 @@
     rig = Rig()
     made, _ = router(rig, "run-once")
     job, given = arrived(rig, made)
-    made.on_over(rig.loop.now())
-    made.guarded(made.pull, rig.loop.now())
-    assert [answer[0] for answer in given] == [500] and made.totals["killed"] == 1
+    made.on_shutdown_due(rig.loop.now(), ShutdownDue())
+    made.call_guarded(made.carry_out_decisions, rig.loop.now())
+    assert [answer[0] for answer in given] == [500] and made.job_table.totals["killed"] == 1
     assert job.launches[0].task.ended
 
 
@@ -107,10 +112,11 @@
 def test_idle_connections_to_a_leaving_or_restarted_worker_are_closed(state, born):
     rig = Rig()
     made, _ = router(rig)
-    (peer,) = made.peers.values()
+    (peer,) = made.endpoints.values()
     hung = []
     made.workers.close_idle = hung.append
-    made.on_members(rig.loop.now(), "changes", [(peer.id, peer.address, 0, state, born, 0, 0, 1.0)])
+    changes = [(peer.id, peer.address, 0, state, born, 0, 0, 1.0)]
+    made.on_endpoints_changed(rig.loop.now(), EndpointsChanged("changes", changes))
     known = made.scheduler.workers.get(peer)
     assert hung == [peer] and (known.state if known else "gone") == state
 
@@ -118,8 +124,9 @@
 def test_a_worker_missing_from_a_whole_list_gets_no_idle_connections():
     rig = Rig()
     made, _ = router(rig, listed=2)
-    first, second = made.peers.values()
-    made.on_members(rig.loop.now(), "whole", [(second.id, second.address, 0, "ready", 0, 0, 0, 1.0)])
+    first, second = made.endpoints.values()
+    entries = [(second.id, second.address, 0, "ready", 0, 0, 0, 1.0)]
+    made.on_endpoints_changed(rig.loop.now(), EndpointsChanged("whole", entries))
     assert (first.state, second.state) == ("gone", "ready")
 
 
@@ -128,22 +135,22 @@
     # Each release brings new ids, and the records of all former ones were kept for good.
     rig = Rig()
     made, _ = router(rig)
-    (peer,) = made.peers.values()
+    (peer,) = made.endpoints.values()
     if out:
         job, given = arrived(rig, made)
     gone = [(peer.id, peer.address, 0, "gone", 0, 0, 0, 1.0)]
-    made.on_members(rig.loop.now(), "changes", gone)
-    assert not made.peers and (peer in made.scheduler.workers) == out
+    made.on_endpoints_changed(rig.loop.now(), EndpointsChanged("changes", gone))
+    assert not made.endpoints and (peer in made.scheduler.workers) == out
     if out:
-        made.on_ended(rig.loop.now(), job.launches[0], "completed", b"r", ())
-        made.on_members(rig.loop.now(), "changes", [])
+        made.on_launch_ended(rig.loop.now(), LaunchEnded(job.launches[0], "completed", b"r", ()))
+        made.on_endpoints_changed(rig.loop.now(), EndpointsChanged("changes", []))
         assert given[0][0] == 200 and not made.scheduler.workers and not made.faults
 
 
 def test_a_fault_over_one_job_is_logged_and_passed():
     rig = Rig()
     made, _ = router(rig)
-    made.guarded(made.do_launch, 0, 99, None, 0)
+    made.call_guarded(made.launch_job, 0, LaunchJob(99, None, 0))
     assert made.faults == 1 and rig.logged[-1][0] == "internal_error"
 
 
@@ -258,7 +265,7 @@
 def test_ready_is_who_knows_a_worker_and_asked_for_news(answered, impatient, state, can):
     rig = Rig()
     made, _ = router(rig)
-    next(iter(made.peers.values())).state = state
+    next(iter(made.endpoints.values())).state = state
     discovery = SimpleNamespace(task=object(), answered=answered)
     dispatcher = SimpleNamespace(router=made, discovery=discovery, fleet=None, recovery=None)
     assert can_serve(dispatcher, impatient) == can
@@ -308,10 +315,11 @@
     made, _ = router(rig)
     job, _ = arrived(rig, made)
     launch = job.launches[0]
-    launch.sent, launch.peer.address = sent, None
+    launch.sent, launch.endpoint.address = sent, None
     rig.inbox.items.clear()
-    assert list(made.carried_out(launch, launch.at)) == []
-    assert rig.inbox.items[-1][:3] == ("ended", launch, "error" if sent else "unsent")
+    assert list(made.run_launch(launch, launch.created_at)) == []
+    ended = rig.inbox.items[-1]
+    assert type(ended) is LaunchEnded and ended[:2] == (launch, "error" if sent else "unsent")
 
 
 @pytest.mark.parametrize(
@@ -461,9 +469,10 @@
         True,
         True,
     ]
-    assert made.router.totals["completed"] == 2 and not made.router.jobs and not made.router.faults
+    assert made.router.job_table.totals["completed"] == 2 and not made.router.jobs and not made.router.faults
     assert (
-        made.router.count == 2 and made.configuration["settings"] == load_configuration(path, {})["settings"]
+        made.router.job_table.count == 2
+        and made.configuration["settings"] == load_configuration(path, {})["settings"]
     )
     for one in (*clients, open_before, open_between, sock, made.listening_socket):
         one.close()
@@ -489,7 +498,7 @@
     ((what, fields),) = rig.logged
     assert what == "configuration_rejected" and says in fields["why"] and "\n" not in fields["why"]
     assert made.configuration["settings"] is before and not any(
-        item[0] == "configured" for item in made.inbox.items
+        isinstance(item, SettingsChanged) for item in made.inbox.items
     )
 
 
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -73,13 +73,13 @@
     }
     apply_list(again, 6, "ready", "ready")
     assert again.excluded.by_newer_list == {"w1"}
-    assert again.router.out == {"w1"}
+    assert again.router.excluded == {"w1"}
     figures = orjson.loads(again.recovery.figures(None).text)
     assert figures["kept_off"] == ["w1"]
     assert figures["believed"]["workers"] == 2
     apply_list(again, 8, "ready", "ready")
     assert again.excluded.by_newer_list == frozenset()
-    assert again.router.out == frozenset()
+    assert again.router.excluded == frozenset()
     close(again)
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -35,7 +35,7 @@
             agent.goes_on(500_000)
             agent.becomes("up")
             agent.goes_on(1_000_000)
-            lists = [item[2] for item in agent.rig.inbox.items if len(item[2]) == WORKERS]
+            lists = [item.entries for item in agent.rig.inbox.items if len(item.entries) == WORKERS]
             assert lists and {one[3] for one in lists[-1]} == {state}
     agent.over()
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -83,7 +83,7 @@
         self.state, self.since = "draining", self.clock.at
 
     def heard(self):
-        return any(entry[3] == "draining" for item in self.rig.inbox.items for entry in item[2])
+        return any(entry[3] == "draining" for item in self.rig.inbox.items for entry in item.entries)
 
     def serves(self):
         """What it does between two steps of the other side; whether it did anything."""
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -21,6 +21,8 @@
 from mastledge.program.lifecycle import Phase
 from mastledge.program.upgrade_state import UpgradeState, empty_shared
 from mastledge.protocol.client_connection import ClientConnection
+from mastledge.protocol.events import LaunchEnded
+from mastledge.routing.events import WorkersExcluded
 from mastledge.scheduling.decisions import LaunchJob
 from mastledge.scheduling.slow_start import least_warmth
 from mastledge.transport.listening import bind_socket, select_listener
@@ -194,13 +196,16 @@
 def test_what_was_decided_and_not_written_when_the_call_came_is_called_off(sent, revoked):
     rig = Rig()
     made, _ = router(rig)
-    (peer,) = made.peers.values()
+    (peer,) = made.endpoints.values()
     task, _ = arrived(rig, made)
     task.launches[0].sent = sent
     held = []
-    made.on_by_hand(rig.loop.now(), frozenset({peer.id}), {}, lambda: held.append(True))
+    event = WorkersExcluded(frozenset({peer.id}), {}, lambda: held.append(True))
+    made.on_workers_excluded(rig.loop.now(), event)
     assert held and peer.excluded and task.launches[0].task.ended == revoked
-    assert [item[2] for item in rig.inbox.items if item[0] == "ended"] == (["unsent"] if revoked else [])
+    assert [item.outcome for item in rig.inbox.items if isinstance(item, LaunchEnded)] == (
+        ["unsent"] if revoked else []
+    )
 
 
 # Calls
@@ -236,7 +241,7 @@
 def test_workers_are_excluded_and_included_by_calls(steps, answers, out, tmp_path, folder):
     served = begun(tmp_path, folder).serving()
     assert calls(served, *steps) == answers and served.made.upgrade_state.shared["out"] == out
-    assert served.made.router.out == frozenset(out)
+    assert served.made.router.excluded == frozenset(out)
     assert [wkr.id.id for wkr in served.made.router.scheduler.ready] == ([] if out else ["s-1"])
     figures = served.figures()
     assert (figures["svc.known_workers"], figures["svc.skipped_workers"]) == (1, len(out))
@@ -338,7 +343,7 @@
     old.close()
     new = begun(tmp_path, folder, listen="{}:{}".format(*old.made.configuration["listen"]))
     assert new.turn(lambda: new.made.phase == Phase.SERVING)
-    assert new.made.router.out == {"s-1"} and not new.made.listener.draining
+    assert new.made.router.excluded == {"s-1"} and not new.made.listener.draining
     new.close()
 
 
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -10,6 +10,7 @@
 from mastledge.protocol import worker_connections as protocol_workers
 from mastledge.protocol.discovery import Discovery
 from mastledge.protocol.errors import EndpointListError, LaunchWithheldError
+from mastledge.protocol.events import LaunchEnded, LaunchSilent
 from mastledge.protocol.idle_connections import MAX_BREAK_RATE
 from mastledge.protocol.requests import Exchange
 from mastledge.protocol.worker_endpoint import WorkerEndpoint
@@ -51,8 +52,8 @@
 
 
 def outcome(rig):
-    assert rig.turn(lambda: any(item[0] == "ended" for item in rig.inbox.items))
-    return [item[2:] for item in rig.inbox.items if item[0] == "ended"][0]
+    assert rig.turn(lambda: any(isinstance(item, LaunchEnded) for item in rig.inbox.items))
+    return [item[1:] for item in rig.inbox.items if isinstance(item, LaunchEnded)][0]
 
 
 @pytest.mark.parametrize(
@@ -100,7 +101,7 @@
             theirs.close()
     assert outcome(rig)[0] == how
     rig.turn(lambda: bool(peer.idle) == bool(kept) == bool(rig.budget.used["workers"]))
-    assert [item[0] for item in rig.inbox.items].count("ended") == 1
+    assert [type(item) for item in rig.inbox.items].count(LaunchEnded) == 1
     assert len(peer.idle) == bool(kept) == rig.budget.used["workers"] and not rig.errors
 
 
@@ -113,7 +114,7 @@
     launch = launched(rig, made, peer)
     theirs, _ = rig.called(sock)
     assert rig.turn(lambda: len(rig.inbox.items) > 1)
-    assert {tuple(item) for item in rig.inbox.items} == {("silent", launch)}
+    assert {(type(item), *item) for item in rig.inbox.items} == {(LaunchSilent, launch)}
     theirs.sendall(CHUNKED + line("done", result="r") + b"0\r\n\r\n")
     assert outcome(rig)[0] == "completed"
 
@@ -312,7 +313,7 @@
         assert not rig.inbox.items and made.generation is None
     else:
         made.apply(list_, whole)
-        assert [entry[0] for entry in rig.inbox.items[0][2]] == ["s-2"]
+        assert [entry[0] for entry in rig.inbox.items[0].entries] == ["s-2"]
 
 
 @pytest.mark.parametrize(
@@ -354,8 +355,8 @@
         theirs.sendall(answer)
         if answer != CHUNKED:
             theirs.close()
-    rig.turn(lambda: len([item for item in rig.inbox.items if item[1] in kinds]) >= len(kinds), 500_000)
-    assert [item[1] for item in rig.inbox.items][: len(kinds)] == kinds
+    rig.turn(lambda: len([item for item in rig.inbox.items if item.kind in kinds]) >= len(kinds), 500_000)
+    assert [item.kind for item in rig.inbox.items][: len(kinds)] == kinds
 
 
 def test_idle_connections_to_an_unreachable_worker_are_not_kept():
