--- a/mastledge/routing/router.py
+++ b/mastledge/routing/router.py
@@ -68,7 +68,11 @@
         self.faults = 0  # errors that ended nothing but the call they came from
         self.rule = None
         self.on_endpoint_list = None
-        self.handlers = {
+        self.handlers = self._handlers_by_class()
+        self.carriers = self._carriers_by_class()
+
+    def _handlers_by_class(self) -> dict[type, Callable[..., None]]:
+        return {
             EndpointsChanged: self.on_endpoints_changed,
             JobArrived: self.on_job_arrived,
             JobAbandoned: self.on_job_abandoned,
@@ -85,7 +89,9 @@
             ShutdownScheduled: self.on_shutdown_scheduled,
             ShutdownDue: self.on_shutdown_due,
         }
-        self.carriers = {
+
+    def _carriers_by_class(self) -> dict[type, Callable[..., None]]:
+        return {
             LaunchJob: self.launch_job,
             RejectJob: self.reject_job,
             KillJob: self.kill_job,
@@ -350,11 +356,11 @@
             job.exchange.open = False
             self._abandon(now, job)
             return
-        self._cancel_unsent_launches(now, job)
+        self.cancel_unsent_launches(now, job)
         if job.exchange.open and not job.in_flight:
             self._reject_or_kill(now, job)
 
-    def _cancel_unsent_launches(self, now: int, job: Job) -> None:
+    def cancel_unsent_launches(self, now: int, job: Job) -> None:
         """Ends launches whose last byte has not gone out: it would go out behind the job's answer."""
         for launch in job.launches:
             if not launch.ended and not launch.sent:
@@ -371,5 +377,5 @@
 
     def _close_job(self, now: int, job: Job, end: JobEnd) -> None:
         self.job_table.record_end(job, end, now)
-        self._cancel_unsent_launches(now, job)
+        self.cancel_unsent_launches(now, job)
         self.job_table.discard_if_over(job)
