--- a/mastledge/lab/scale/__init__.py
+++ b/mastledge/lab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale runs: real dispatchers beside hollow ones, measured at the size that the fleet is designed for."""
+"""Scale runs: real dispatchers beside lightweight ones, measured at the size of the designed fleet."""
--- a/mastledge/lab/scale/hollow.py
+++ b/mastledge/lab/scale/lightweight_dispatcher.py
@@ -1,7 +1,8 @@
-"""Hollow dispatchers: the program's own agreement and links, without clients, decisions or a disk.
+"""Lightweight dispatchers: the program's own consensus and links, without clients, scheduling or a disk.
 
-`python -m mastledge.lab.scale.hollow FILE` hosts those that the file names, all on one loop, and ends
-when its standard input does. A line `leave NAME` has the one of them that leads hand the lead to that member.
+`python -m mastledge.lab.scale.lightweight_dispatcher FILE` hosts those that the file names,
+all on one loop, and ends when its standard input does. A line `leave NAME` has the leader, if it is hosted
+here, transfer the leadership to that member.
 """
 
 import json
@@ -28,7 +29,7 @@
 SOCKETS, MEMORY = 64, 1 << 24  # of the watch that all of a process share
 
 
-class HollowDispatcher:
+class LightweightDispatcher:
     """One member on the loop of its process. Its disk is memory: what it saves is there at once."""
 
     def __init__(self, loop, name, told):
@@ -63,7 +64,7 @@
         self.timer = loop.spawn(self.timed(), first=True)
 
     def log(self, event, **fields):
-        """Nobody reads the log of a hollow dispatcher."""
+        """Nobody reads the log of a lightweight dispatcher."""
 
     def link_identity(self):
         return LinkIdentity(self.member.fleet, self.name, self.member.incarnation)
@@ -147,7 +148,7 @@
         told = json.load(file)
     errors = []
     loop = Loop(errors.append)
-    hosted = [HollowDispatcher(loop, name, told) for name in told["hosted"]]
+    hosted = [LightweightDispatcher(loop, name, told) for name in told["hosted"]]
     loop.spawn(commands(loop, hosted))
     followed(loop, told["discovery"], hosted)
     print(json.dumps({"hosted": len(hosted)}), flush=True)
--- a/mastledge/lab/scale/workers.py
+++ b/mastledge/lab/scale/lightweight_workers.py
@@ -1,7 +1,7 @@
-"""Hollow workers: each answers the workers' protocol on a socket of its own; many share one process.
+"""Lightweight workers: each answers the workers' protocol on a socket of its own; many share one process.
 
-`python -m mastledge.lab.scale.workers FILE` prints the address of each as one JSON object, then carries out
-what its standard input says, a JSON list `["restart", NAME]` a line, and ends when that does.
+`python -m mastledge.lab.scale.lightweight_workers FILE` prints the address of each as one JSON object,
+then carries out what its standard input says, a JSON list `["restart", NAME]` a line, and ends with it.
 """
 
 import asyncio
--- a/mastledge/lab/scale/run.py
+++ b/mastledge/lab/scale/run.py
@@ -153,7 +153,7 @@
                 "cold_ms": COLD_MS,
             }
             path = write_json(os.path.join(self.folder, f"workers-{number}.json"), told)
-            self.workers.append(Host("workers", path))
+            self.workers.append(Host("lightweight_workers", path))
             addresses.update(await self.workers[-1].begin())
         self.discovery = await ScaleDiscovery(addresses, self.options.zones).begin(self.fleet[0].host)
 
@@ -219,7 +219,7 @@
                 "discovery": self.discovery.address,
             }
             path = write_json(os.path.join(self.folder, f"hollow-{at}.json"), host)
-            self.hollow.append(Host("hollow", path))
+            self.hollow.append(Host("lightweight_dispatcher", path))
             await self.hollow[-1].begin()
 
     async def until(self, holds, seconds, what):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -207,7 +207,7 @@
     monkeypatch.setattr(processes, "ANSWERS", 0.5)
 
     async def begin():
-        host = processes.Host("hollow", "none")
+        host = processes.Host("lightweight_dispatcher", "none")
         host.command = words
         with pytest.raises(processes.HostSilent, match=says):
             await host.begin()
