--- /dev/null
+++ b/mastledge/lab/bench/__init__.py
@@ -0,0 +1,1 @@
+"""Measurements of the fleet: of processes, and of the decisions alone in simulated time."""
--- a/mastledge/lab/command.py
+++ b/mastledge/lab/command.py
@@ -11,7 +11,7 @@
 
 from mastledge.lab import crossing, figures
 from mastledge.lab import experiment as experiments
-from mastledge.lab.bench import add as add_bench
+from mastledge.lab.bench.command import add as add_bench
 from mastledge.lab.builds import BUILDS
 from mastledge.lab.emulator import Emulation
 from mastledge.lab.judge import judged
