--- a/mastledge/lab/scale/command.py
+++ b/mastledge/lab/scale/command.py
@@ -7,7 +7,7 @@
 from dataclasses import fields
 
 from mastledge.lab.scale import slopes
-from mastledge.lab.scale.options import BadOptions, ScaleOptions, check
+from mastledge.lab.scale.options import InvalidOptionsError, ScaleOptions, check
 from mastledge.lab.scale.run import ScaleRun
 
 FIGURES, PLOT = "scale.json", "scale.png"
@@ -61,7 +61,7 @@
     try:
         options = check(ScaleOptions(**{one.name: getattr(args, one.name) for one in fields(ScaleOptions)}))
         os.makedirs(options.out, exist_ok=True)
-    except BadOptions as error:
+    except InvalidOptionsError as error:
         print(f"mastledge: {error}", file=sys.stderr)
         return 2
     except OSError as error:
--- a/mastledge/lab/scale/discovery.py
+++ b/mastledge/lab/scale/discovery.py
@@ -1,26 +1,22 @@
-"""The stand-in discovery of a scale run: the whole list, watches on it, and what befalls the workers."""
+"""The stub discovery of a scale run: the whole list, and watches on it."""
 
 import asyncio
-import time
+from contextlib import suppress
 
 import h11
 import orjson
 
 from mastledge.lab.wire import request, whole
 
-HEARTBEAT = 2.0  # seconds between two empty lines of a watch while nothing changes
-DRAIN = 0.5  # seconds from draining to gone
-DOWN = 0.5  # seconds from gone to the next start
-RACKS = 40
-RACK_DOWN, ZONE_DOWN = 3.0, 5.0  # seconds
-REPLACED = 10  # one of so many restarts comes back under another id
+HEARTBEAT_SECONDS = 2.0  # between two empty lines of a watch while nothing changes
 READY, DRAINING, GONE = "ready", "draining", "gone"
 
 
 class ScaleDiscovery:
     """Holds the list, and serves it to any number of dispatchers at one address."""
 
-    def __init__(self, addresses, zones):
+    def __init__(self, addresses: dict[str, str], zones: int) -> None:
+        """Lists these workers as ready, in the zones by turns."""
         self.instances = {
             name: {
                 "instanceId": name,
@@ -34,24 +30,29 @@
             }
             for number, (name, address) in enumerate(addresses.items())
         }
-        self.generation, self.changes, self.changed = 1, [], asyncio.Event()
+        self.generation = 1
+        self.changes: list[tuple[int, list[dict]]] = []  # entries by the generation that they came with
+        self.changed = asyncio.Event()
         self.counts = {"changes": 0, "restarts": 0, "watches": 0, "bytes": 0}
-        self.server = self.address = None
+        self.server: asyncio.Server | None = None
+        self.address = ""
 
-    async def begin(self, host):
+    async def begin(self, host: str) -> "ScaleDiscovery":
+        """Listens at a port of that host; itself."""
         self.server = await asyncio.start_server(self.serve, host, 0)
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname()[:2])
         return self
 
-    def end(self):
+    def end(self) -> None:
+        """Accepts no more."""
         if self.server is not None:
             self.server.close()
 
-    def a_ready_one(self):
+    def any_ready_worker(self) -> str:
         """The id of a worker that is ready, as it is listed now."""
-        return next(one["instanceId"] for one in self.instances.values() if one["lifecycle"] == READY)
+        return next(entry["instanceId"] for entry in self.instances.values() if entry["lifecycle"] == READY)
 
-    def change(self, entries):
+    def change(self, entries: list[dict]) -> None:
         """One change of the list, with all these entries."""
         self.generation += 1
         self.counts["changes"] += 1
@@ -59,134 +60,57 @@
         changed, self.changed = self.changed, asyncio.Event()
         changed.set()
 
-    def whole_list(self):
-        there = [one for one in self.instances.values() if one["lifecycle"] != GONE]
+    def whole_list(self) -> bytes:
+        """All workers that are there, as one object."""
+        there = [entry for entry in self.instances.values() if entry["lifecycle"] != GONE]
         return self.encoded(True, there)
 
-    def since(self, generation):
+    def changes_since(self, generation: int) -> bytes:
         """What has changed after a generation, as one object."""
         entries = {}
-        for at, some in reversed(self.changes):
-            if at <= generation:
+        for changed_in, changed in reversed(self.changes):
+            if changed_in <= generation:
                 break
-            for entry in some:
+            for entry in changed:
                 entries.setdefault(entry["instanceId"], entry)
         return self.encoded(False, list(entries.values()))
 
-    def encoded(self, reset, entries):
+    def encoded(self, reset: bool, entries: list[dict]) -> bytes:
+        """One line of a watch, or the list."""
         return orjson.dumps({"generation": self.generation, "reset": reset, "instances": entries})
 
-    async def serve(self, reader, writer):
-        conn = h11.Connection(h11.SERVER)
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """One connection: a call of the list, or a watch on it."""
+        connection = h11.Connection(h11.SERVER)
         try:
-            head, _ = await request(conn, reader)
+            head, _ = await request(connection, reader)
             if head is None:
                 return
             path = head.target.decode()
             if "follow=1" in path:
-                await self.watch(conn, writer, int(path.rpartition("since=")[2]))
+                await self.watch(connection, writer, int(path.rpartition("since=")[2]))
                 return
-            await self.write(writer, whole(conn, 200, self.whole_list()))
+            await self.write(writer, whole(connection, 200, self.whole_list()))
         except (OSError, h11.ProtocolError, asyncio.CancelledError):
             return
         finally:
             writer.close()
 
-    async def watch(self, conn, writer, known):
+    async def watch(self, connection: h11.Connection, writer: asyncio.StreamWriter, known: int) -> None:
+        """Writes each change after the `known` generation, until the connection ends."""
         self.counts["watches"] += 1
         head = h11.Response(status_code=200, headers=[("transfer-encoding", "chunked")])
-        await self.write(writer, conn.send(head))
+        await self.write(writer, connection.send(head))
         while True:
             changed, line = self.changed, b""
             if known < self.generation:
-                line, known = self.since(known), self.generation
-            await self.write(writer, conn.send(h11.Data(data=line + b"\n")))
-            try:
-                await asyncio.wait_for(changed.wait(), HEARTBEAT)
-            except TimeoutError:
-                pass
-
-    async def write(self, writer, raw):
+                line, known = self.changes_since(known), self.generation
+            await self.write(writer, connection.send(h11.Data(data=line + b"\n")))
+            with suppress(TimeoutError):
+                await asyncio.wait_for(changed.wait(), HEARTBEAT_SECONDS)
+
+    async def write(self, writer: asyncio.StreamWriter, raw: bytes) -> None:
+        """Writes bytes, and counts them."""
         self.counts["bytes"] += len(raw)
         writer.write(raw)
         await writer.drain()
-
-
-class Events:
-    """What befalls the workers: restarts at a rate, a rack and a zone that go and come back.
-
-    `restart` is a coroutine function that gives a worker's next address.
-    """
-
-    def __init__(self, discovery, options, restart):
-        self.discovery, self.options, self.restart = discovery, options, restart
-        self.names, self.next, self.busy = list(discovery.instances), 0, set()
-
-    async def play(self):
-        """Until it is cancelled."""
-        tasks = [asyncio.create_task(self.restarts())]
-        for at, some, down in (
-            (self.options.rack_at, self.names[::RACKS], RACK_DOWN),
-            (self.options.zone_at, self.names[:: self.options.zones], ZONE_DOWN),
-        ):
-            if at >= 0:
-                tasks.append(asyncio.create_task(self.outage(at, some, down)))
-        try:
-            await asyncio.gather(*tasks)
-        finally:
-            for task in tasks:
-                task.cancel()
-
-    async def restarts(self):
-        rate, began, count, tasks = self.options.restarts_per_second, time.monotonic(), 0, set()
-        if not rate:
-            return
-        try:
-            while True:
-                count += 1
-                await asyncio.sleep(max(0, began + count / rate - time.monotonic()))
-                name = self.names[self.next % len(self.names)]
-                self.next += 1
-                task = asyncio.create_task(self.one(name, count % REPLACED == 0))
-                tasks.add(task)
-                task.add_done_callback(tasks.discard)
-        finally:
-            for task in tasks:
-                task.cancel()
-
-    async def one(self, name, replaced):
-        """Drains, goes, and starts anew: three changes of the list."""
-        if name in self.busy:
-            return
-        self.busy.add(name)
-        entry = self.discovery.instances[name]
-        self.becomes([entry], DRAINING)
-        await asyncio.sleep(DRAIN)
-        self.becomes([entry], GONE)
-        entry["hostPort"] = await self.restart(name)
-        await asyncio.sleep(DOWN)
-        if replaced:
-            entry["instanceId"] = f"{name}-{self.discovery.generation}"
-        self.starts([entry])
-        self.discovery.counts["restarts"] += 1
-        self.busy.discard(name)
-
-    async def outage(self, at, names, down):
-        """Many go at once, and start at once."""
-        await asyncio.sleep(at)
-        entries = [self.discovery.instances[name] for name in names if name not in self.busy]
-        self.busy.update(names)
-        self.becomes(entries, GONE)
-        await asyncio.sleep(down)
-        self.starts(entries)
-        self.busy.difference_update(names)
-
-    def becomes(self, entries, state):
-        for entry in entries:
-            entry["lifecycle"] = state
-        self.discovery.change(entries)
-
-    def starts(self, entries):
-        for entry in entries:
-            entry["startedAtMs"] = int(time.time() * 1000)
-        self.becomes(entries, READY)
--- a/mastledge/lab/scale/lightweight_workers.py
+++ b/mastledge/lab/scale/lightweight_workers.py
@@ -7,45 +7,66 @@
 import asyncio
 import json
 import sys
+from collections import Counter
 
+import msgspec
 import numpy
 
+from mastledge.lab.scale.host_plans import WorkerHostPlan
 from mastledge.lab.scenario import Workers
 from mastledge.lab.stands import Worker
 
+RESTART = "restart"
 
-class Counts:
-    """What stands in for a rig: it counts what happens and keeps no record of it."""
 
-    def __init__(self, host):
-        self.host, self.counts = host, {}
+class EventCounts:
+    """What a worker needs of a rig: it counts events by their kind and keeps no record of them."""
 
-    def note(self, kind, at=None, **fields):
-        self.counts[kind] = self.counts.get(kind, 0) + 1
+    def __init__(self, host: str) -> None:
+        """`host` is the address that the workers listen at."""
+        self.host = host
+        self.counts: Counter[str] = Counter()
 
+    def note(self, kind: str, at: int | None = None, **fields) -> None:
+        """One more event of the kind."""
+        self.counts[kind] += 1
 
-async def serve(told):
-    counts = Counts(told["host"])
-    random = numpy.random.Generator(numpy.random.PCG64(told["seed"]))
-    how = Workers(slots=told["slots"], run_ms=tuple(told["run_ms"]), cold_ms=told["cold_ms"], drops=True)
-    workers = {name: await Worker(counts, name, how, random).begin() for name in told["names"]}
-    print(json.dumps({name: one.address for name, one in workers.items()}), flush=True)
+
+async def serve(plan: WorkerHostPlan) -> None:
+    """Starts the workers, and restarts those that standard input names, until its end."""
+    events = EventCounts(plan.host)
+    random = numpy.random.Generator(numpy.random.PCG64(plan.seed))
+    configuration = Workers(slots=plan.slots, run_ms=plan.run_ms, cold_ms=plan.cold_ms, drops=True)
+    workers = {name: await Worker(events, name, configuration, random).begin() for name in plan.names}
+    say({name: worker.address for name, worker in workers.items()})
+    commands = await standard_input()
+    while line := await commands.readline():
+        command, name = json.loads(line)
+        if command == RESTART:
+            await workers[name].restart()
+            say({name: workers[name].address})
+    say(events.counts)
+
+
+def say(message: dict[str, str] | dict[str, int]) -> None:
+    """One line on standard output, at once."""
+    print(json.dumps(message), flush=True)
+
+
+async def standard_input() -> asyncio.StreamReader:
+    """Standard input, to be read beside the workers."""
     reader = asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
     )
-    while line := await reader.readline():
-        what, name = json.loads(line)
-        if what == "restart":
-            await workers[name].restart()
-            print(json.dumps({name: workers[name].address}), flush=True)
-    print(json.dumps(counts.counts), flush=True)
+    return reader
 
 
-def main(path):
-    with open(path) as file:
-        told = json.load(file)
-    asyncio.run(serve(told))
+def main(path: str) -> int:
+    """Hosts the workers of the plan in that file; the process's status."""
+    with open(path, "rb") as file:
+        plan = msgspec.json.decode(file.read(), type=WorkerHostPlan)
+    asyncio.run(serve(plan))
     return 0
 
 
--- a/mastledge/lab/scale/meter.py
+++ b/mastledge/lab/scale/meter.py
@@ -8,24 +8,29 @@
 shared out by the number of steps. Other threads (the one that writes the journal) count as agreement.
 """
 
-import json
 import os
+import select
 import time
 from collections import defaultdict, deque
+from collections.abc import Callable, Generator, Iterator
+from typing import Any
 
-from mastledge.consensus.messages import encode
+import msgspec
+
+from mastledge.consensus.messages import decode, encode
 from mastledge.lab.scale.delay import DelayedLinks
+from mastledge.lab.scale.host_plans import LinkRegions
+from mastledge.lab.scale.meter_readings import AGREEMENT, CALLS, JOBS, LIST, METER, UPKEEP, MeterReading
 from mastledge.transport.loop import Loop
 
-FILE = "MASTLEDGE_METER"
-SCALE = "MASTLEDGE_SCALE"  # a file: regions of the members, and the round trip between two of them
-PERIOD = 250_000  # microseconds between two writes
-TURNS = 400  # longest turns of as many periods that are kept
-FRAME_HEAD = 4  # bytes of a frame before its content
-READ_BYTE = 1  # sent back for each frame
+FILE_VARIABLE = "MASTLEDGE_METER"
+REGIONS_VARIABLE = "MASTLEDGE_SCALE"  # a file with `LinkRegions`
+PERIOD_US = 250_000  # between two writes
+MAX_TURNS = 400  # longest turns of as many periods that are kept
+FRAME_HEAD_BYTES = 4  # of a frame before its content
+ACKNOWLEDGEMENT, ACKNOWLEDGEMENT_BYTES = "read", 1  # sent back for each frame
+UNKNOWN_MESSAGE = "other"
 
-AGREEMENT, LIST, CALLS, JOBS, UPKEEP, METER = "agreement", "list", "calls", "jobs", "upkeep", "meter"
-CONTROL = (AGREEMENT, LIST, CALLS, UPKEEP)
 PURPOSES = {
     "OutgoingLink": AGREEMENT,
     "LinkListener": AGREEMENT,
@@ -44,70 +49,83 @@
 
 
 class Meter:
-    """The counts of this process."""
-
-    def __init__(self):
-        self.spent, self.steps = defaultdict(int), defaultdict(int)  # nanoseconds, steps by purpose
-        self.sent, self.received = defaultdict(lambda: [0, 0]), defaultdict(lambda: [0, 0])
-        self.stack, self.turn, self.turns = [], 0, deque((), TURNS)
-        self.returned = None
-
-    def enter(self, purpose):
-        now = time.thread_time_ns()
-        if self.stack:
-            self.spent[self.stack[-1][0]] += now - self.stack[-1][1]
-        self.stack.append([purpose, now])
-
-    def leave(self):
-        now = time.thread_time_ns()
-        purpose, since = self.stack.pop()
-        self.spent[purpose] += now - since
-        if self.stack:
-            self.stack[-1][1] = now
-
-    def told(self):
-        main = time.thread_time_ns()
-        return {
-            "at": time.monotonic_ns() // 1000,
-            "process_us": time.process_time_ns() // 1000,
-            "thread_us": main // 1000,
-            "spent_us": {purpose: ns // 1000 for purpose, ns in self.spent.items()},
-            "steps": dict(self.steps),
-            "sent": {kind: list(some) for kind, some in self.sent.items()},
-            "received": {kind: list(some) for kind, some in self.received.items()},
-            "turns": list(self.turns),
-        }
-
-    def write(self, path):
+    """The counts of this process. Called at each step of the loop: lists and dicts, and no objects."""
+
+    def __init__(self) -> None:
+        """Begins with nothing counted."""
+        self.spent_ns: dict[str, int] = defaultdict(int)  # by purpose
+        self.steps: dict[str, int] = defaultdict(int)  # by purpose
+        # Messages and bytes by the kind of message.
+        self.sent: dict[str, list[int]] = defaultdict(lambda: [0, 0])
+        self.received: dict[str, list[int]] = defaultdict(lambda: [0, 0])
+        self.running: list[list] = []  # purposes that are on the stack, with the time since which they run
+        self.longest_turn_us = 0  # of this period
+        self.turns: deque[tuple[int, int]] = deque((), MAX_TURNS)
+
+    def enter(self, purpose: str) -> None:
+        """From now on time counts for this purpose, until `leave`."""
+        now_ns = time.thread_time_ns()
+        if self.running:
+            self.spent_ns[self.running[-1][0]] += now_ns - self.running[-1][1]
+        self.running.append([purpose, now_ns])
+
+    def leave(self) -> None:
+        """From now on time counts for the purpose before the last `enter`."""
+        now_ns = time.thread_time_ns()
+        purpose, since_ns = self.running.pop()
+        self.spent_ns[purpose] += now_ns - since_ns
+        if self.running:
+            self.running[-1][1] = now_ns
+
+    def reading(self) -> MeterReading:
+        """All counts as they are now."""
+        thread_ns = time.thread_time_ns()
+        return MeterReading(
+            at=time.monotonic_ns() // 1000,
+            process_us=time.process_time_ns() // 1000,
+            thread_us=thread_ns // 1000,
+            spent_us={purpose: spent_ns // 1000 for purpose, spent_ns in self.spent_ns.items()},
+            steps=dict(self.steps),
+            sent={kind: tuple(counts) for kind, counts in self.sent.items()},
+            received={kind: tuple(counts) for kind, counts in self.received.items()},
+            turns=list(self.turns),
+        )
+
+    def write(self, path: str) -> Iterator[tuple[int, int, int]]:
+        """The coroutine that writes all counts to a file, period after period."""
         while True:
             # The longest turn of each period, with the time of its end.
-            self.turns.append((time.monotonic_ns() // 1000, self.turn))
-            self.turn = 0
-            with open(path + ".new", "w") as file:
-                json.dump(self.told(), file)
+            self.turns.append((time.monotonic_ns() // 1000, self.longest_turn_us))
+            self.longest_turn_us = 0
+            with open(path + ".new", "wb") as file:
+                file.write(msgspec.json.encode(self.reading()))
             os.replace(path + ".new", path)
-            yield (-1, 0, Loop.now() + PERIOD)
+            yield (-1, 0, Loop.now() + PERIOD_US)
 
 
 class TimedPoll:
-    """An epoll that tells how long the loop was away from it."""
+    """An epoll that tells the meter how long the loop was away from it."""
 
-    def __init__(self, epoll, meter):
+    def __init__(self, epoll: select.epoll, meter: Meter) -> None:
+        """Stands in place of that epoll."""
         self.epoll, self.meter = epoll, meter
-
-    def poll(self, *how):
-        meter, now = self.meter, time.monotonic_ns()
-        if meter.returned is not None:
-            meter.turn = max(meter.turn, (now - meter.returned) // 1000)
-        got = self.epoll.poll(*how)
-        meter.returned = time.monotonic_ns()
-        return got
-
-    def __getattr__(self, name):
+        self.returned_ns: int | None = None
+
+    def poll(self, *limits: float) -> list[tuple[int, int]]:
+        """As `epoll.poll`."""
+        if self.returned_ns is not None:
+            turn_us = (time.monotonic_ns() - self.returned_ns) // 1000
+            self.meter.longest_turn_us = max(self.meter.longest_turn_us, turn_us)
+        events = self.epoll.poll(*limits)
+        self.returned_ns = time.monotonic_ns()
+        return events
+
+    def __getattr__(self, name: str) -> Any:
+        """All else is that of the epoll."""
         return getattr(self.epoll, name)
 
 
-def purpose_of(generator):
+def purpose_of(generator: Generator) -> str:
     """What a coroutine is for, by the class of its function; what is wrapped counts as what it wraps."""
     if generator.__qualname__ == "Dispatcher.supervised" and generator.gi_frame is not None:
         inner = generator.gi_frame.f_locals.get("steps")
@@ -115,20 +133,21 @@
     return PURPOSES.get(generator.__qualname__.partition(".")[0], JOBS)
 
 
-def within(meter, purpose, call):
-    """The same call, its time told apart."""
+def within(meter: Meter, purpose: str, call: Callable) -> Callable:
+    """The same call, its time counted for a purpose."""
 
-    def told(*fields, **named):
+    def counted(*fields, **named):
         meter.enter(purpose)
         try:
             return call(*fields, **named)
         finally:
             meter.leave()
 
-    return told
+    return counted
 
 
-def meter_loop(meter):
+def meter_loop(meter: Meter) -> None:
+    """Has each step of the loop counted."""
     spawn, step, made = Loop.spawn, Loop.step, Loop.__init__
 
     def metered_init(self, *fields):
@@ -165,37 +184,37 @@
     )
 
 
-def meter_messages(meter):
-    from mastledge.program.consensus_driver import ConsensusDriver
+def meter_messages(meter: Meter) -> None:
+    """Has the messages between members counted."""
+    from mastledge.program.consensus_driver import SERVICE_FRAME_PREFIX, ConsensusDriver
 
     frame_received = ConsensusDriver.frame_received
 
     def count(table, content, message):
-        some = table[type(message).__struct_config__.tag if message is not None else "other"]
-        some[0] += 1
-        some[1] += FRAME_HEAD + len(content)
+        kind = type(message).__struct_config__.tag if message is not None else UNKNOWN_MESSAGE
+        add(table[kind], FRAME_HEAD_BYTES + len(content))
+
+    def add(counts, size_bytes):
+        counts[0] += 1
+        counts[1] += size_bytes
 
     def metered_send(self, output):
         content = encode(output.message)
         count(meter.sent, content, output.message)
-        meter.received["read"][0] += 1
-        meter.received["read"][1] += READ_BYTE
+        add(meter.received[ACKNOWLEDGEMENT], ACKNOWLEDGEMENT_BYTES)
         self.links.send(output.to, content)
 
-    def metered_heard(self, name, life, content):
-        from mastledge.consensus import messages
-
-        message = None if content[:1] == b"\xc1" else messages.decode(content)
+    def metered_receive(self, name, incarnation, content):
+        message = None if content.startswith(SERVICE_FRAME_PREFIX) else decode(content)
         count(meter.received, content, message)
-        meter.sent["read"][0] += 1
-        meter.sent["read"][1] += READ_BYTE
-        frame_received(self, name, life, content)
+        add(meter.sent[ACKNOWLEDGEMENT], ACKNOWLEDGEMENT_BYTES)
+        frame_received(self, name, incarnation, content)
 
     ConsensusDriver.send_message = metered_send
-    ConsensusDriver.frame_received = within(meter, AGREEMENT, metered_heard)
+    ConsensusDriver.frame_received = within(meter, AGREEMENT, metered_receive)
 
 
-def hold_voters():
+def hold_voters() -> None:
     """The voters stay those that the run began with."""
     from mastledge.lab.sized import Sized
     from mastledge.program import consensus_driver
@@ -203,19 +222,20 @@
     consensus_driver.Member = Sized
 
 
-def delay_links(path):
+def delay_links(path: str) -> None:
+    """The links to other dispatchers go by the regions in that file."""
     from mastledge.program import consensus_driver
 
-    with open(path) as file:
-        told = json.load(file)
+    with open(path, "rb") as file:
+        links = msgspec.json.decode(file.read(), type=LinkRegions)
 
-    def made(*fields):
-        return DelayedLinks(*fields, regions=told["regions"], round_trip=told["round_trip"])
+    def delayed_links(*fields):
+        return DelayedLinks(*fields, regions=links.regions, round_trip_us=links.round_trip_us)
 
-    consensus_driver.Links = made
+    consensus_driver.Links = delayed_links
 
 
-def metered():
+def metered() -> None:
     """The build: it counts, and goes by the regions of its run."""
     from mastledge.program.dispatcher import Dispatcher
     from mastledge.routing.router import Router
@@ -224,52 +244,13 @@
     meter_loop(meter)
     meter_messages(meter)
     hold_voters()
-    if os.environ.get(SCALE):
-        delay_links(os.environ[SCALE])
+    if os.environ.get(REGIONS_VARIABLE):
+        delay_links(os.environ[REGIONS_VARIABLE])
     Router.on_members = within(meter, LIST, Router.on_members)
-    begin, path = Dispatcher.begin, os.environ[FILE]
+    begin, path = Dispatcher.begin, os.environ[FILE_VARIABLE]
 
     def metered_begin(self):
         begin(self)
         self.loop.spawn(meter.write(path))
 
     Dispatcher.begin = metered_begin
-
-
-def share(before, after):
-    """Processor time by purpose between two tellings, in microseconds a second, and the control's sum.
-
-    What no step had is shared out by the steps of each purpose; other threads count as agreement.
-    """
-    seconds = (after["at"] - before["at"]) / 1e6
-    purposes = set(after["spent_us"]) | set(after["steps"])
-
-    def grown(what, name):
-        return after[what].get(name, 0) - before[what].get(name, 0)
-
-    spent = {purpose: grown("spent_us", purpose) for purpose in purposes}
-    steps = {purpose: grown("steps", purpose) for purpose in purposes}
-    thread = after["thread_us"] - before["thread_us"]
-    process = after["process_us"] - before["process_us"]
-    between = max(0, thread - sum(spent.values()))
-    total = max(1, sum(steps.values()))
-    out = {purpose: spent[purpose] + between * steps[purpose] / total for purpose in purposes}
-    out[AGREEMENT] = out.get(AGREEMENT, 0) + max(0, process - thread)
-    rates = {purpose: used / seconds for purpose, used in out.items()}
-    return {**rates, "control": sum(rates.get(purpose, 0) for purpose in CONTROL)}
-
-
-def traffic(before, after, table):
-    """{kind: [messages a second, bytes a second]} between two tellings, and their sum as "all"."""
-    seconds = (after["at"] - before["at"]) / 1e6
-    out = {}
-    for kind, (count, size) in after[table].items():
-        count_before, size_before = before[table].get(kind, (0, 0))
-        out[kind] = [(count - count_before) / seconds, (size - size_before) / seconds]
-    out["all"] = [sum(some[n] for some in out.values()) for n in (0, 1)]
-    return out
-
-
-def longest_turn(before, after):
-    """Microseconds of the longest turn of the loop that ended between two tellings."""
-    return max((turn for at, turn in after["turns"] if before["at"] < at <= after["at"]), default=0)
--- a/mastledge/lab/scale/topology.py
+++ b/mastledge/lab/scale/topology.py
@@ -33,18 +33,22 @@
 
     @property
     def peers(self) -> str:
+        """Where it listens for other dispatchers."""
         return f"{self.host}:{self.port + PEERS_PORT}"
 
     @property
     def listen(self) -> str:
+        """Where it listens for clients."""
         return f"{self.host}:{self.port + JOBS_PORT}"
 
     @property
     def control(self) -> str:
+        """Where it listens for operators."""
         return f"{self.host}:{self.port + CONTROL_PORT}"
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
+        """The incarnation that the first state names."""
         return f"{self.name}.0"
 
 
@@ -74,7 +78,7 @@
 
 def first_state(options: ScaleOptions, fleet: list[Dispatcher], settings: dict) -> dict:
     """The agreed state from which all begin, as if the fleet had been formed."""
-    members = {one.name: (one.peers, one.life) for one in fleet}
+    members = {one.name: (one.peers, one.incarnation) for one in fleet}
     state = initial_state(settings, options.lease_ms * 1000, members)
     for one in fleet:
         state["members"][one.name]["votes"] = one.votes
@@ -84,17 +88,17 @@
 
 
 def first_records(one: Dispatcher, state: dict) -> list[tuple]:
-    """What the disk of one member holds at the start."""
-    member = PersistedMember(FLEET, one.life, 1, "", 1, 1, state, [])
+    """The records of one member's log at the start."""
+    member = PersistedMember(FLEET, one.incarnation, 1, "", 1, 1, state, [])
     return encoded_records(member)
 
 
 def write_folder(one: Dispatcher, path: str, state: dict) -> None:
-    """The folder of a real dispatcher, with its journal."""
+    """The folder of a real dispatcher, with its write-ahead log."""
     folder = DataDirectory(path).acquire()
-    journal = WriteAheadLog(folder, "agreement", {"name": one.name}, PersistedState()).open()
-    journal.append(first_records(one, state))
-    journal.close()
+    log = WriteAheadLog(folder, "agreement", {"name": one.name}, PersistedState()).open()
+    log.append(first_records(one, state))
+    log.close()
     folder.release()
 
 
@@ -133,6 +137,7 @@
 
 
 def folder_of(root: str, one: Dispatcher) -> str:
+    """The folder of a real dispatcher in that of the run; it is made."""
     path = os.path.join(root, one.name)
     os.makedirs(os.path.join(path, "tmp"), exist_ok=True)
     return path
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from mastledge.lab.scale import meter, processes, slopes, topology
-from mastledge.lab.scale.options import BadOptions, ScaleOptions, check
+from mastledge.lab.scale import meter_readings, processes, slopes, topology
+from mastledge.lab.scale.options import InvalidOptionsError, ScaleOptions, check
 
 CALL = [sys.executable, "-B", "-m", "mastledge", "lab", "scale"]
 SMALL = [
@@ -67,7 +67,7 @@
 )
 def test_an_impossible_figure_is_one_line_that_names_it(changed, says):
     memory = changed.pop("memory", 64 << 30)
-    with pytest.raises(BadOptions) as error:
+    with pytest.raises(InvalidOptionsError) as error:
         check(ScaleOptions(**{"out": "x", **changed}), memory)
     assert says in str(error.value) and "\n" not in str(error.value)
 
@@ -166,15 +166,15 @@
 
 
 def test_processor_time_is_told_apart_by_purpose():
-    before = {"at": 0, "process_us": 0, "thread_us": 0, "spent_us": {}, "steps": {}}
-    after = {
-        "at": 1_000_000,
-        "process_us": 12_000,
-        "thread_us": 10_000,
-        "spent_us": {"agreement": 3_000, "jobs": 5_000},
-        "steps": {"agreement": 10, "jobs": 30},
-    }
-    told = meter.share(before, after)
+    before = meter_readings.MeterReading(at=0, process_us=0, thread_us=0, spent_us={}, steps={})
+    after = meter_readings.MeterReading(
+        at=1_000_000,
+        process_us=12_000,
+        thread_us=10_000,
+        spent_us={"agreement": 3_000, "jobs": 5_000},
+        steps={"agreement": 10, "jobs": 30},
+    )
+    told = meter_readings.share(before, after)
     # 2,000 us of the loop by steps, and 2,000 of another thread.
     assert told["agreement"] == 3_000 + 500 + 2_000 and told["jobs"] == 5_000 + 1_500
     assert told["control"] == told["agreement"]
@@ -204,12 +204,12 @@
 
 @pytest.mark.parametrize(("words", "says"), [(["sleep", "60"], "has said nothing"), (["true"], "has ended")])
 def test_a_host_that_says_nothing_is_not_waited_for_without_end(words, says, monkeypatch):
-    monkeypatch.setattr(processes, "ANSWERS", 0.5)
+    monkeypatch.setattr(processes, "ANSWER_TIMEOUT_SECONDS", 0.5)
 
     async def begin():
         host = processes.Host("lightweight_dispatcher", "none")
         host.command = words
-        with pytest.raises(processes.HostSilent, match=says):
+        with pytest.raises(processes.HostSilentError, match=says):
             await host.begin()
         if host.process.returncode is None:
             host.process.kill()
