--- a/mastledge/lab/bench.py
+++ b/mastledge/lab/bench.py
@@ -14,8 +14,8 @@
 from mastledge.idempotency.key_table import KeyTable
 from mastledge.idempotency.keyed_request import KeyedRequest
 from mastledge.lab import outages
-from mastledge.lab.judge import judged
-from mastledge.lab.rig import LOOK, Rig
+from mastledge.lab.invariant_checker import judged
+from mastledge.lab.process_harness import LOOK, Rig
 from mastledge.lab.scenario import Clients, QueueType, Scenario, Workers
 from mastledge.lab.sized import grown
 from mastledge.lab.sized import measured as measured_size
--- a/mastledge/lab/builds.py
+++ b/mastledge/lab/build_variants.py
@@ -1,7 +1,7 @@
 """Builds of the program that differ from it, or run on a clock of their own: another version, a slow disk, a
 baseline, and any that a file of Python makes.
 
-`python -m mastledge.lab.builds [--rate R] [--build NAME | --build FILE.py:NAME] serve --config FILE`
+`python -m mastledge.lab.build_variants [--rate R] [--build NAME | --build FILE.py:NAME] serve --config FILE`
 """
 
 import argparse
@@ -81,7 +81,7 @@
 
 
 def main():
-    parser = argparse.ArgumentParser(prog="mastledge.lab.builds")
+    parser = argparse.ArgumentParser(prog="mastledge.lab.build_variants")
     parser.add_argument("--rate", type=float, default=1.0)
     parser.add_argument("--ahead", type=float, default=0.0)
     parser.add_argument("--build")
--- a/mastledge/lab/command.py
+++ b/mastledge/lab/command.py
@@ -12,11 +12,11 @@
 from mastledge.lab import crossing, figures
 from mastledge.lab import experiment as experiments
 from mastledge.lab.bench import add as add_bench
-from mastledge.lab.builds import BUILDS
+from mastledge.lab.build_variants import BUILDS
 from mastledge.lab.emulator import Emulation
-from mastledge.lab.judge import judged
+from mastledge.lab.invariant_checker import judged
 from mastledge.lab.policies import POLICIES
-from mastledge.lab.rig import Rig
+from mastledge.lab.process_harness import Rig
 from mastledge.lab.scale.command import add as add_scale
 from mastledge.lab.scenario import BadScenario, known, read
 from mastledge.lab.scenario import check as check_scenario
--- a/mastledge/lab/crossing.py
+++ b/mastledge/lab/crossing.py
@@ -16,7 +16,7 @@
 
 import orjson
 
-from mastledge.lab.judge import SLACK, judged, nothing_to_the_drained, of
+from mastledge.lab.invariant_checker import SLACK, judged, nothing_to_the_drained, of
 from mastledge.lab.steered import Readiness, Restless, Steered
 from mastledge.program.configuration import load_configuration
 from mastledge.program.dispatcher import Dispatcher
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -2,11 +2,11 @@
 models of all that is round them.
 
 `Emulation(scenario, seed).play()` gives a record of the same shape as `Rig.run()`, so the judge, reports and
-experiments read both. One seed replays all of it. What is a model here: sockets (a link takes 0.1 to 0.6 ms),
-workers (as `stands.Worker`), discovery (as `stands.Agent`), disks, the start of a process (`BOOT`), and
-clients (as `load.Clients`, drawn from the same seed, so the same jobs come at the same times). Copies of keys
-are played by `copies` on the links and disks of `copying`, which also has when each hears who holds them; one
-copy alone is refused. CPU costs nothing.
+experiments read both. One seed replays all of it. What is a model here: sockets (a link takes 0.1 to 0.6
+ms), workers (as `stub_servers.Worker`), discovery (as `stub_servers.Agent`), disks, the start of a process
+(`BOOT`), and clients (as `load.Clients`, drawn from the same seed, so the same jobs come at the same times).
+Copies of keys are played by `copies` on the links and disks of `copying`, which also has when each hears who
+holds them; one copy alone is refused. CPU costs nothing.
 """
 
 from collections import deque
@@ -15,7 +15,7 @@
 
 from mastledge.lab import copying, faults, outages, policies, schedule
 from mastledge.lab.load import Clients
-from mastledge.lab.rig import document, limits
+from mastledge.lab.process_harness import document, limits
 from mastledge.lab.scenario import BadScenario
 from mastledge.program.settings import flatten_settings, parse_settings
 from mastledge.recovery.admission_ramp import AdmissionRamp, AdmittedJobOutcome, PeerLoad
--- a/mastledge/lab/experiment.py
+++ b/mastledge/lab/experiment.py
@@ -16,11 +16,11 @@
 import numpy
 
 from mastledge.lab import figures
-from mastledge.lab.builds import BUILDS
+from mastledge.lab.build_variants import BUILDS
 from mastledge.lab.emulator import Emulation
-from mastledge.lab.judge import judged
+from mastledge.lab.invariant_checker import judged
 from mastledge.lab.policies import POLICIES
-from mastledge.lab.rig import Rig
+from mastledge.lab.process_harness import Rig
 from mastledge.lab.scenario import BadScenario, Scenario, Strict, find
 from mastledge.lab.scenario import check as check_scenario
 
--- a/mastledge/lab/outages.py
+++ b/mastledge/lab/outages.py
@@ -117,7 +117,7 @@
 async def play(rig, count):
     """So many outages under load; each begins once the copies of the one before are whole."""
     from mastledge.lab.load import Clients as Load
-    from mastledge.lab.rig import UP, Failed
+    from mastledge.lab.process_harness import UP, Failed
 
     clients = Load(rig, rig.scenario.clients, rig.seed, rig.scenario.seconds)
     look = asyncio.create_task(clients.front.look())
--- a/mastledge/lab/rig.py
+++ b/mastledge/lab/process_harness.py
@@ -21,10 +21,10 @@
 import numpy
 
 from mastledge.lab import outages
+from mastledge.lab.link_proxy import Relay
 from mastledge.lab.load import Clients
-from mastledge.lab.relays import Relay
 from mastledge.lab.scenario import PROCESSES, BadScenario
-from mastledge.lab.stands import Registry, Worker
+from mastledge.lab.stub_servers import Registry, Worker
 from mastledge.lab.wire import call, now
 
 MEMORY = "/dev/shm"
@@ -208,7 +208,7 @@
                 sys.executable,
                 "-B",
                 "-m",
-                "mastledge.lab.builds",
+                "mastledge.lab.build_variants",
                 "--rate",
                 str(rate),
                 "--ahead",
--- a/mastledge/lab/scale/meter.py
+++ b/mastledge/lab/scale/meter.py
@@ -1,6 +1,6 @@
 """A build of the program that counts what it does: processor time by purpose, messages, the loop's turns.
 
-Installed by `--build metered` (`lab/builds.py`). It writes its counts several times a second as one
+Installed by `--build metered` (`lab/build_variants.py`). It writes its counts several times a second as one
 JSON object to the file that `$MASTLEDGE_METER` names. What it costs itself is a purpose of its own.
 
 Processor time is that of the loop's thread, taken round each step of a coroutine and told by the coroutine's
--- a/mastledge/lab/scale/processes.py
+++ b/mastledge/lab/scale/processes.py
@@ -94,7 +94,7 @@
             meter.FILE: self.meter,
             meter.SCALE: scale,
         }
-        command = [sys.executable, "-B", "-m", "mastledge.lab.builds", "--build", "metered"]
+        command = [sys.executable, "-B", "-m", "mastledge.lab.build_variants", "--build", "metered"]
         with open(os.path.join(self.folder, "log"), "ab") as log:
             self.process = subprocess.Popen(
                 [*command, "serve", "--log", "brief", "--config", path],
--- a/mastledge/lab/scale/workers.py
+++ b/mastledge/lab/scale/workers.py
@@ -11,7 +11,7 @@
 import numpy
 
 from mastledge.lab.scenario import Workers
-from mastledge.lab.stands import Worker
+from mastledge.lab.stub_servers import Worker
 
 
 class Counts:
--- a/mastledge/lab/scenario.py
+++ b/mastledge/lab/scenario.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from mastledge.lab import builds
+from mastledge.lab import build_variants
 from mastledge.lab.faults import KINDS
 
 MOST = 400  # dispatchers; of processes no machine carries more than `PROCESSES`
@@ -244,7 +244,7 @@
         if not 0 <= (share := getattr(scenario.clients, key)) <= 1:
             raise BadScenario(f"clients.{key}: not from 0 to 1: {share}")
     for key, build in scenario.builds.items():
-        if builds.found(build) is None:
+        if build_variants.found(build) is None:
             raise BadScenario(f"builds.{key}: unknown: {build}")
     if scenario.goals.back_s < 0 or scenario.goals.most_out < 0 or scenario.goals.within_s <= 0:
         raise BadScenario("goals: none may be below 0")
@@ -259,7 +259,7 @@
             raise BadScenario(f"{where}.at: not within the run: {step.at}")
         if step.seconds < 0:
             raise BadScenario(f"{where}.seconds: ends before it begins: {step.seconds}")
-        if step.build and step.build != "none" and builds.found(step.build) is None:
+        if step.build and step.build != "none" and build_variants.found(step.build) is None:
             raise BadScenario(f"{where}.build: unknown: {step.build}")
         if bool(step.fault) == bool(step.call):
             raise BadScenario(f"{where}: either fault or call")
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -5,7 +5,7 @@
 
 from mastledge.lab.emulator import Emulation
 from mastledge.lab.faults import Troubles
-from mastledge.lab.judge import judged
+from mastledge.lab.invariant_checker import judged
 from mastledge.lab.policies import POLICIES
 from mastledge.lab.scenario import BadScenario, Clients, QueueType, Scenario, Step, Workers, known, read
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -7,9 +7,9 @@
 import pytest
 
 from mastledge.lab import scenario
-from mastledge.lab.judge import RULES, judged
+from mastledge.lab.invariant_checker import RULES, judged
 from mastledge.lab.load import Clients
-from mastledge.lab.rig import Rig
+from mastledge.lab.process_harness import Rig
 from mastledge.lab.scenario import BadScenario, known, read
 
 
