--- a/mastledge/lab/bench.py
+++ b/mastledge/lab/bench.py
@@ -15,7 +15,7 @@
 from mastledge.idempotency.keyed_request import KeyedRequest
 from mastledge.lab import outages
 from mastledge.lab.invariant_checker import judged
-from mastledge.lab.process_harness import LOOK, Rig
+from mastledge.lab.process_harness import LOOK, ProcessHarness
 from mastledge.lab.scenario import Clients, QueueType, Scenario, Workers
 from mastledge.lab.sized import grown
 from mastledge.lab.sized import measured as measured_size
@@ -36,7 +36,7 @@
     return {"count": len(some), **at, "most": round(some[-1], 1)}
 
 
-class Bench(Rig):
+class Bench(ProcessHarness):
     """The rig, played by a measurement instead of by steps."""
 
     def __init__(self, scenario, seed, play, program=None, disk=None):
--- a/mastledge/lab/command.py
+++ b/mastledge/lab/command.py
@@ -16,9 +16,9 @@
 from mastledge.lab.emulator import Emulation
 from mastledge.lab.invariant_checker import judged
 from mastledge.lab.policies import POLICIES
-from mastledge.lab.process_harness import Rig
+from mastledge.lab.process_harness import ProcessHarness
 from mastledge.lab.scale.command import add as add_scale
-from mastledge.lab.scenario import BadScenario, known, read
+from mastledge.lab.scenario import ScenarioError, known, read
 from mastledge.lab.scenario import check as check_scenario
 
 MOST = 5  # lines a rule
@@ -45,8 +45,10 @@
             names = [f"n{n}" for n in range(scenario.dispatchers)] if who == "all" else [who]
             scenario.builds.update(dict.fromkeys(names, build))
         check_scenario(scenario)
-        rig = Rig(scenario, args.seed, args.out, None if args.quiet else lambda text: print(text, flush=True))
-    except BadScenario as error:
+        rig = ProcessHarness(
+            scenario, args.seed, args.out, None if args.quiet else lambda text: print(text, flush=True)
+        )
+    except ScenarioError as error:
         print(f"mastledge: {error}", file=sys.stderr)
         return 2
     return told_of(scenario.name, args.seed, asyncio.run(rig.run()))
@@ -79,7 +81,7 @@
 def check(args):
     try:
         scenario = read(args.file)
-    except BadScenario as error:
+    except ScenarioError as error:
         print(f"mastledge: {error}", file=sys.stderr)
         return 2
     print(f"{scenario.name}: good; {len(scenario.steps)} steps in {scenario.seconds:g} s")
@@ -91,7 +93,7 @@
     try:
         scenario = read(args.file)
         emulation = Emulation(scenario, args.seed, args.policy, None if args.quiet else print)
-    except BadScenario as error:
+    except ScenarioError as error:
         print(f"mastledge: {error}", file=sys.stderr)
         return 2
     record = emulation.play()
@@ -105,7 +107,7 @@
 def experiment(args):
     try:
         told = experiments.read(args.file)
-    except BadScenario as error:
+    except ScenarioError as error:
         print(f"mastledge: {error}", file=sys.stderr)
         return 2
     show = None if args.quiet else lambda text: print(text, flush=True)
@@ -130,7 +132,7 @@
         else:
             whole = reports.report(*told)
             lines, good = list(reports.text(whole)), whole["complete"] and not whole["breaches"]
-    except BadScenario as error:
+    except ScenarioError as error:
         print(f"mastledge: {error}", file=sys.stderr)
         return 2
     print("\n".join(lines))
@@ -174,7 +176,7 @@
     try:
         base = read(args.file)
         Emulation.check_played(base)
-    except BadScenario as error:
+    except ScenarioError as error:
         print(f"mastledge: {error}", file=sys.stderr)
         return 2
     show = None if args.quiet else lambda text: print(text, flush=True)
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -1,12 +1,12 @@
 """The fleet in simulated time: the very decisions of the program (`balance`, `consensus`, `recovery`), and
 models of all that is round them.
 
-`Emulation(scenario, seed).play()` gives a record of the same shape as `Rig.run()`, so the judge, reports and
-experiments read both. One seed replays all of it. What is a model here: sockets (a link takes 0.1 to 0.6
-ms), workers (as `stub_servers.Worker`), discovery (as `stub_servers.Agent`), disks, the start of a process
-(`BOOT`), and clients (as `load.Clients`, drawn from the same seed, so the same jobs come at the same times).
-Copies of keys are played by `copies` on the links and disks of `copying`, which also has when each hears who
-holds them; one copy alone is refused. CPU costs nothing.
+`Emulation(scenario, seed).play()` gives a record of the same shape as `ProcessHarness.run()`, so the judge,
+reports and experiments read both. One seed replays all of it. What is a model here: sockets (a link takes 0.1
+to 0.6 ms), workers (as `stub_servers.Worker`), discovery (as `stub_servers.Agent`), disks, the start of a
+process (`BOOT`), and clients (as `load.Clients`, drawn from the same seed, so the same jobs come at the same
+times). Copies of keys are played by `copies` on the links and disks of `copying`, which also has when each
+hears who holds them; one copy alone is refused. CPU costs nothing.
 """
 
 from collections import deque
@@ -16,7 +16,7 @@
 from mastledge.lab import copying, faults, outages, policies, schedule
 from mastledge.lab.load import Clients
 from mastledge.lab.process_harness import document, limits
-from mastledge.lab.scenario import BadScenario
+from mastledge.lab.scenario import ScenarioError
 from mastledge.program.settings import flatten_settings, parse_settings
 from mastledge.recovery.admission_ramp import AdmissionRamp, AdmittedJobOutcome, PeerLoad
 from mastledge.recovery.newest_list import NewestList
@@ -611,16 +611,16 @@
         for n, step in enumerate(scenario.steps):
             what = step.fault or step.call
             if what not in PLAYED | CALLED:
-                raise BadScenario(f"steps[{n}]: {what} is not emulated; run it with processes")
+                raise ScenarioError(f"steps[{n}]: {what} is not emulated; run it with processes")
             if step.build:
-                raise BadScenario(f"steps[{n}].build: not emulated; run it with processes")
+                raise ScenarioError(f"steps[{n}].build: not emulated; run it with processes")
         if scenario.repeats and scenario.repeats.get("copies", 1) < 2:
-            raise BadScenario("repeats.copies: one copy is not emulated; run it with processes")
+            raise ScenarioError("repeats.copies: one copy is not emulated; run it with processes")
         for what in ("builds", "rates", "ahead"):
             if getattr(scenario, what):
-                raise BadScenario(f"{what} are not emulated; run it with processes")
+                raise ScenarioError(f"{what} are not emulated; run it with processes")
         if scenario.agree and scenario.lease_ms * 1000 != schedule.LEASE:
-            raise BadScenario(f"lease_ms: only {schedule.LEASE // 1000} is emulated")
+            raise ScenarioError(f"lease_ms: only {schedule.LEASE // 1000} is emulated")
 
     def check(self, node):
         """What the schedules look at with each step is theirs; here the judge reads the record."""
--- a/mastledge/lab/experiment.py
+++ b/mastledge/lab/experiment.py
@@ -20,8 +20,8 @@
 from mastledge.lab.emulator import Emulation
 from mastledge.lab.invariant_checker import judged
 from mastledge.lab.policies import POLICIES
-from mastledge.lab.process_harness import Rig
-from mastledge.lab.scenario import BadScenario, Scenario, Strict, find
+from mastledge.lab.process_harness import ProcessHarness
+from mastledge.lab.scenario import Scenario, ScenarioError, Strict, find
 from mastledge.lab.scenario import check as check_scenario
 
 HERE = os.path.join(os.path.dirname(__file__), "experiments")
@@ -65,7 +65,7 @@
 
 
 def read(path):
-    """The experiment in a file, or of this name; BadScenario says file and key."""
+    """The experiment in a file, or of this name; ScenarioError says file and key."""
     if not os.path.exists(path) and os.path.exists(os.path.join(HERE, path + ".toml")):
         path = os.path.join(HERE, path + ".toml")
     try:
@@ -73,37 +73,37 @@
             told = msgspec.convert(tomllib.load(file), Experiment)
         check(told)
     except OSError as error:
-        raise BadScenario(f"{path}: {error.strerror}; there are: " + ", ".join(known())) from None
+        raise ScenarioError(f"{path}: {error.strerror}; there are: " + ", ".join(known())) from None
     except (tomllib.TOMLDecodeError, ValueError) as error:
-        raise BadScenario(f"{path}: {error}") from None
+        raise ScenarioError(f"{path}: {error}") from None
     return told
 
 
 def check(told):
     if not told.variants:
-        raise BadScenario("variants: none")
+        raise ScenarioError("variants: none")
     names = [one.name for one in told.variants]
     if len(set(names)) < len(names):
-        raise BadScenario(f"variants: a name stands twice: {names}")
+        raise ScenarioError(f"variants: a name stands twice: {names}")
     if bool(told.scenario) == bool(told.base):
-        raise BadScenario("either scenario or base")
+        raise ScenarioError("either scenario or base")
     for name in told.figures:
         if name not in figures.FIGURES:
-            raise BadScenario(f"figures: unknown: {name}; there are: {', '.join(figures.FIGURES)}")
+            raise ScenarioError(f"figures: unknown: {name}; there are: {', '.join(figures.FIGURES)}")
     if not told.seeds or len(set(told.seeds)) < len(told.seeds):
-        raise BadScenario(f"seeds: none, or one twice: {told.seeds}")
+        raise ScenarioError(f"seeds: none, or one twice: {told.seeds}")
     for n, one in enumerate(told.variants):
         if (one.how or told.how) not in ("emulated", "processes"):
-            raise BadScenario(f"variants[{n}].how: neither emulated nor processes: {one.how or told.how}")
+            raise ScenarioError(f"variants[{n}].how: neither emulated nor processes: {one.how or told.how}")
         if one.policy and one.policy not in POLICIES:
-            raise BadScenario(f"variants[{n}].policy: none of {', '.join(POLICIES)}: {one.policy}")
+            raise ScenarioError(f"variants[{n}].policy: none of {', '.join(POLICIES)}: {one.policy}")
         if one.program and (one.how or told.how) != "processes":
-            raise BadScenario(f"variants[{n}].program: only with processes")
+            raise ScenarioError(f"variants[{n}].program: only with processes")
         if one.program and not os.path.isdir(os.path.join(one.program, "mastledge")):
-            raise BadScenario(f"variants[{n}].program: no mastledge in {one.program}")
+            raise ScenarioError(f"variants[{n}].program: no mastledge in {one.program}")
     runs = plan(told)
     if len(runs) > MOST_RUNS:
-        raise BadScenario(f"{len(runs)} runs, over {MOST_RUNS}")
+        raise ScenarioError(f"{len(runs)} runs, over {MOST_RUNS}")
     for value in told.sweep.values if told.sweep else [None]:
         for one in told.variants:
             scenario = made(told, one, value)
@@ -117,7 +117,7 @@
     for name in way:
         document = document.setdefault(name, {})
         if not isinstance(document, dict):
-            raise BadScenario(f"{path}: {name} is no table")
+            raise ScenarioError(f"{path}: {name} is no table")
     document[last] = value
 
 
@@ -140,7 +140,7 @@
         scenario = msgspec.convert(whole, Scenario)
         check_scenario(scenario)
     except ValueError as error:
-        raise BadScenario(f"variant {variant.name}: {error}") from None
+        raise ScenarioError(f"variant {variant.name}: {error}") from None
     return scenario
 
 
@@ -173,7 +173,7 @@
                 "sys.argv[0] = 'mastledge'; runpy.run_module('mastledge', run_name='__main__')"
             )
             program = [sys.executable, "-B", "-c", code]
-        record = asyncio.run(Rig(scenario, seed, program=program).run())
+        record = asyncio.run(ProcessHarness(scenario, seed, program=program).run())
     broken = {rule: lines[0] for rule, lines in judged(record).items() if lines}
     whole = {
         "complete": record["complete"],
--- a/mastledge/lab/invariant_checker.py
+++ b/mastledge/lab/invariant_checker.py
@@ -7,8 +7,8 @@
 from collections import defaultdict
 
 SLACK = 50_000  # in which a message gets through a busy machine
-LATE = 200_000  # of the rig, at the most, that is not held against a dispatcher
-GRACE = 1_000_000  # after which nothing new goes to who is draining; the rig's settings say the same
+LATE = 200_000  # of the harness, at the most, that is not held against a dispatcher
+GRACE = 1_000_000  # after which nothing new goes to who is draining; the settings of the harness say the same
 
 
 def of(record, *kinds):
@@ -18,7 +18,7 @@
 def one_answer_in_time(record):
     """Rule 1. A dispatcher that was killed, stopped or cut off by the scenario answers for nothing then.
 
-    How late the rig itself ran, up to a bound, is not held against anybody: it can't tell times better.
+    How late the harness itself ran, up to a bound, is not held against anybody: it can't tell times better.
     """
     slack = SLACK + min(LATE, int(record.get("lag_ms", 0) * 1000))
     sent = {event["job"]: event for event in of(record, "sent")}
@@ -362,7 +362,7 @@
 def no_stampede(record):
     """Where a scenario has the goal: no worker gets more at once than so many times its slots.
 
-    The workers are the rig's: one that ran late itself has let launches pile up, and can't tell.
+    The workers are the harness's: one that ran late itself has let launches pile up, and can't tell.
     """
     goals = record.get("goals") or {}
     if not goals.get("most_out") or record.get("lag_ms", 0) * 1000 > SLACK:
--- a/mastledge/lab/link_proxy.py
+++ b/mastledge/lab/link_proxy.py
@@ -9,7 +9,7 @@
 STEP = 0.005
 
 
-class Relay:
+class LinkProxy:
     """The way from one dispatcher to another. What flows back on it is the word that frames were read."""
 
     def __init__(self, host, target):
--- a/mastledge/lab/load.py
+++ b/mastledge/lab/load.py
@@ -15,8 +15,8 @@
 class Front:
     """Deals clients out among the dispatchers that say yes, asking each ten times a second."""
 
-    def __init__(self, rig):
-        self.rig, self.ready, self.idle = rig, {}, {}
+    def __init__(self, harness):
+        self.harness, self.ready, self.idle = harness, {}, {}
 
     async def look(self):
         from mastledge.lab.wire import call
@@ -24,17 +24,17 @@
         async def one(name):
             # Which address is asked may change while it is asked: an upgrade keeps it, a new member brings
             # its own.
-            status, _, _ = await call(self.rig.nodes[name].listen, "GET", "/health/ready", seconds=0.5)
+            status, _, _ = await call(self.harness.nodes[name].listen, "GET", "/health/ready", seconds=0.5)
             if self.ready.get(name) != (status == 200):
-                self.rig.note("ready", who=name, yes=status == 200)
+                self.harness.note("ready", who=name, yes=status == 200)
             self.ready[name] = status == 200
 
         while True:
-            await asyncio.gather(*(one(name) for name in list(self.rig.nodes)))
+            await asyncio.gather(*(one(name) for name in list(self.harness.nodes)))
             await asyncio.sleep(0.1)
 
     def pick(self, random):
-        up = [name for name, yes in sorted(self.ready.items()) if yes] or sorted(self.rig.nodes)
+        up = [name for name, yes in sorted(self.ready.items()) if yes] or sorted(self.harness.nodes)
         return up[int(random.integers(len(up)))]
 
 
@@ -53,8 +53,8 @@
 
 
 class Clients:
-    def __init__(self, rig, told, seed, seconds):
-        self.rig, self.told, self.front = rig, told, Front(rig)
+    def __init__(self, harness, told, seed, seconds):
+        self.harness, self.told, self.front = harness, told, Front(harness)
         self.random = numpy.random.Generator(numpy.random.PCG64([seed, 2]))
         self.over = False  # nothing more comes, whatever was drawn
         shares = numpy.array([one.share for one in told.queue_types])
@@ -81,7 +81,7 @@
             if wait > 0:
                 await asyncio.sleep(wait)
             elif wait < -0.05:
-                self.rig.late = max(self.rig.late, -wait)
+                self.harness.late = max(self.harness.late, -wait)
             jobs.append(asyncio.create_task(self.job(n, self.told.queue_types[kind])))
         if jobs:
             await asyncio.wait(jobs)
@@ -101,7 +101,7 @@
     async def attempt(self, job, key, kind, attempt):
         """How long to wait before the next try; None where there is none."""
         who = self.front.pick(self.random)
-        place = self.rig.nodes[who].listen
+        place = self.harness.nodes[who].listen
         walltime = int(kind.walltime_ms)
         writer, idle = None, self.front.idle.setdefault(who, deque())
         conn = h11.Connection(h11.CLIENT)
@@ -136,7 +136,7 @@
             self.front.ready[who] = False
             return 0.02
         sent = now()
-        self.rig.note(
+        self.harness.note(
             "sent",
             at=sent,
             job=job,
@@ -155,7 +155,7 @@
                     raise ConnectionError("ended")
                 result = await body(conn, reader)
             status, fields = head.status_code, dict(head.headers)
-            self.rig.note(
+            self.harness.note(
                 "answer",
                 job=job,
                 status=status,
@@ -174,9 +174,9 @@
         except (OSError, TimeoutError, h11.ProtocolError) as error:
             if patience and isinstance(error, TimeoutError):
                 # It was tired of waiting, and comes again.
-                self.rig.note("left", job=job, who=who, ms=(now() - sent) / 1000)
+                self.harness.note("left", job=job, who=who, ms=(now() - sent) / 1000)
                 return 0.05
-            self.rig.note("lost", job=job, who=who, why=type(error).__name__, ms=(now() - sent) / 1000)
+            self.harness.note("lost", job=job, who=who, why=type(error).__name__, ms=(now() - sent) / 1000)
             return 0.1 if self.told.again_when_lost else None
         finally:
             if writer is not None:
--- a/mastledge/lab/outages.py
+++ b/mastledge/lab/outages.py
@@ -79,31 +79,31 @@
     )
 
 
-async def befall(rig, one, n):
+async def befall(harness, one, n):
     """Carries one outage out on processes; its end is when all that died are up and the cut is whole."""
-    rig.note("outage", n=n, **{"drawn": one})
+    harness.note("outage", n=n, **{"drawn": one})
 
     async def die(name, at):
         await asyncio.sleep(at)
-        node = rig.nodes[name]
+        node = harness.nodes[name]
         spell = {"who": name, "fault": "kill", "from": now(), "to": float("inf")}
-        rig.spells.append(spell)
-        rig.killed(node)
+        harness.spells.append(spell)
+        harness.killed(node)
         if name == one["wiped"]:
-            rig.emptied(node)
+            harness.emptied(node)
         await asyncio.sleep(one["down"])
-        await rig.back(node)
+        await harness.back(node)
         spell["to"] = now()
 
     relays = []
     if one["cut"]:
-        relays = [relay for pair, relay in rig.relays.items() if one["cut"] in pair]
+        relays = [relay for pair, relay in harness.relays.items() if one["cut"] in pair]
         for relay in relays:
             relay.forth = relay.back = False
     if one["cold"]:
-        await rig.workers[one["cold"]].restart()
-        rig.note("reborn", worker=one["cold"])
-        rig.registry.change(one["cold"], "ready")
+        await harness.workers[one["cold"]].restart()
+        harness.note("reborn", worker=one["cold"])
+        harness.registry.change(one["cold"], "ready")
 
     async def heal():
         await asyncio.sleep(1.0)
@@ -111,35 +111,35 @@
             relay.heal()
 
     await asyncio.gather(heal(), *(die(name, at) for name, at in zip(one["dead"], one["at"], strict=True)))
-    rig.note("all_up", n=n)
+    harness.note("all_up", n=n)
 
 
-async def play(rig, count):
+async def play(harness, count):
     """So many outages under load; each begins once the copies of the one before are whole."""
     from mastledge.lab.load import Clients as Load
-    from mastledge.lab.process_harness import UP, Failed
+    from mastledge.lab.process_harness import UP, RunFailedError
 
-    clients = Load(rig, rig.scenario.clients, rig.seed, rig.scenario.seconds)
+    clients = Load(harness, harness.scenario.clients, harness.seed, harness.scenario.seconds)
     look = asyncio.create_task(clients.front.look())
     await asyncio.sleep(0.3)
     load = asyncio.create_task(clients.run(now()))
     try:
         await asyncio.sleep(REST)
         for n in range(count):
-            await befall(rig, drawn(rig.random, rig.nodes, rig.workers), n)
+            await befall(harness, drawn(harness.random, harness.nodes, harness.workers), n)
             await asyncio.sleep(REST)
-            if rig.scenario.repeats:
-                await rig.until(rig.whole, UP, f"copies are not whole {UP:.0f} s after outage {n}")
+            if harness.scenario.repeats:
+                await harness.until(harness.whole, UP, f"copies are not whole {UP:.0f} s after outage {n}")
     finally:
         clients.over = True
         try:
             async with asyncio.timeout(30):
                 await load
         except TimeoutError:
-            raise Failed("clients did not come to an end") from None
+            raise RunFailedError("clients did not come to an end") from None
         finally:
             look.cancel()
-    await rig.settle()
+    await harness.settle()
 
 
 def spread(rows):
--- a/mastledge/lab/process_harness.py
+++ b/mastledge/lab/process_harness.py
@@ -21,9 +21,9 @@
 import numpy
 
 from mastledge.lab import outages
-from mastledge.lab.link_proxy import Relay
+from mastledge.lab.link_proxy import LinkProxy
 from mastledge.lab.load import Clients
-from mastledge.lab.scenario import PROCESSES, BadScenario
+from mastledge.lab.scenario import PROCESSES, ScenarioError
 from mastledge.lab.stub_servers import Registry, Worker
 from mastledge.lab.wire import call, now
 
@@ -33,7 +33,7 @@
 LOOK = 0.02
 
 
-class Failed(Exception):
+class RunFailedError(Exception):
     """The run could not be carried out to its end."""
 
 
@@ -101,10 +101,12 @@
     }
 
 
-class Rig:
+class ProcessHarness:
     def __init__(self, scenario, seed, folder=None, show=None, program=None, disk=None):
         if scenario.dispatchers > PROCESSES:
-            raise BadScenario(f"dispatchers: {scenario.dispatchers}, over {PROCESSES} processes; emulate it")
+            raise ScenarioError(
+                f"dispatchers: {scenario.dispatchers}, over {PROCESSES} processes; emulate it"
+            )
         self.disk = disk  # where keys are kept, if the disk is what is measured
         self.scenario, self.seed, self.show = scenario, seed, show
         self.given = folder
@@ -155,7 +157,7 @@
         for one in self.nodes:
             for other in self.nodes:
                 if one != other:
-                    self.relays[one, other] = await Relay(self.host, self.nodes[other].peers).begin()
+                    self.relays[one, other] = await LinkProxy(self.host, self.nodes[other].peers).begin()
         for node in self.nodes.values():
             await self.registry.agent(node.name)
             self.configure(node)
@@ -225,13 +227,13 @@
         last = time.monotonic() + seconds
         while not await holds():
             if time.monotonic() > last:
-                raise Failed(what)
+                raise RunFailedError(what)
             await asyncio.sleep(LOOK)
 
     async def ready(self, node):
         status, _, _ = await call(node.control, "GET", "/api/ready")
         if node.process.poll() is not None:
-            raise Failed(f"{node.name} ended with {node.process.returncode}: {self.tail(node)}")
+            raise RunFailedError(f"{node.name} ended with {node.process.returncode}: {self.tail(node)}")
         return status == 200
 
     def tail(self, node):
@@ -256,7 +258,7 @@
                     )
             await self.play()
             whole = True
-        except Failed as error:
+        except RunFailedError as error:
             why = str(error)
         except (asyncio.CancelledError, KeyboardInterrupt):
             why = "cut off"
@@ -286,7 +288,7 @@
             if told.agree:
                 await self.settle()
         except TimeoutError:
-            raise Failed("clients did not come to an end") from None
+            raise RunFailedError("clients did not come to an end") from None
         finally:
             for task in (*watch, *steps, load):
                 task.cancel()
@@ -348,7 +350,7 @@
         self.expected = len(there) - self.removed
         try:
             await self.until(same, SETTLE, "")
-        except Failed:
+        except RunFailedError:
             self.note("unsettled")
         for node in self.there:
             status, told = await self.agreed(node, 2.0)
@@ -474,7 +476,7 @@
         async def there():
             try:
                 return process.poll() == -signal.SIGKILL or await self.ready(node)
-            except Failed:
+            except RunFailedError:
                 # Killed while it was asked.
                 if process.poll() == -signal.SIGKILL:
                     return True
@@ -815,7 +817,7 @@
         last = time.monotonic() + 5
         while old.poll() is None:
             if time.monotonic() > last:
-                raise Failed(f"the old {node.name} at {was} does not end")
+                raise RunFailedError(f"the old {node.name} at {was} does not end")
             await asyncio.sleep(LOOK)
         if old.returncode:
             self.note("crashed", who=node.name, status=old.returncode)
--- a/mastledge/lab/reports.py
+++ b/mastledge/lab/reports.py
@@ -10,14 +10,14 @@
 
 
 def load(folder):
-    """The experiment of a folder and its rows; BadScenario where it is none."""
+    """The experiment of a folder and its rows; ScenarioError where it is none."""
     try:
         with open(os.path.join(folder, "experiment.json"), "rb") as file:
             told = msgspec.json.decode(file.read(), type=experiment.Experiment)
     except OSError as error:
-        raise experiment.BadScenario(f"{folder}: no experiment: {error.strerror}") from None
+        raise experiment.ScenarioError(f"{folder}: no experiment: {error.strerror}") from None
     except msgspec.MsgspecError as error:
-        raise experiment.BadScenario(f"{folder}/experiment.json: {error}") from None
+        raise experiment.ScenarioError(f"{folder}/experiment.json: {error}") from None
     known = {row["key"]: row for row in experiment.written(os.path.join(folder, "runs.jsonl"))}
     keys = [experiment.key_of(told, *one) for one in experiment.plan(told)]
     return told, [known[key] for key in keys if key in known], len(keys)
@@ -165,6 +165,6 @@
         with open(path) as file:
             return json.load(file), None
     except OSError as error:
-        raise experiment.BadScenario(f"{path}: {error.strerror}") from None
+        raise experiment.ScenarioError(f"{path}: {error.strerror}") from None
     except json.JSONDecodeError as error:
-        raise experiment.BadScenario(f"{path}: no record: {error}") from None
+        raise experiment.ScenarioError(f"{path}: no record: {error}") from None
--- a/mastledge/lab/scenario.py
+++ b/mastledge/lab/scenario.py
@@ -16,7 +16,7 @@
 HERE = os.path.join(os.path.dirname(__file__), "scenarios")
 
 
-class BadScenario(ValueError):
+class ScenarioError(ValueError):
     """One line with file and key."""
 
 
@@ -174,7 +174,7 @@
     here = os.path.join(HERE, path if path.endswith(".toml") else path + ".toml")
     if os.path.exists(here):
         return here
-    raise BadScenario(f"{path}: no such file, and none of: " + ", ".join(known()))
+    raise ScenarioError(f"{path}: no such file, and none of: " + ", ".join(known()))
 
 
 def known():
@@ -182,7 +182,7 @@
 
 
 def read(path):
-    """The scenario in a file; BadScenario says file and key."""
+    """The scenario in a file; ScenarioError says file and key."""
     path = find(path)
     try:
         with open(path, "rb") as file:
@@ -193,9 +193,9 @@
             scenario.clients.per_second, scenario.clients.day = 1.0, ""
         check(scenario)
     except OSError as error:
-        raise BadScenario(f"{error.filename or path}: {error.strerror}") from None
+        raise ScenarioError(f"{error.filename or path}: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, ValueError) as error:
-        raise BadScenario(f"{path}: {error}") from None
+        raise ScenarioError(f"{path}: {error}") from None
     return scenario
 
 
@@ -216,67 +216,67 @@
 
 def check_shape(shape, seconds):
     if any(factor < 0 or not factor < 1e6 for _, factor in shape):
-        raise BadScenario("clients.shape: a factor is below 0 or no number")
+        raise ScenarioError("clients.shape: a factor is below 0 or no number")
     if any(not after[0] > before[0] for before, after in zip(shape, shape[1:], strict=False)):
-        raise BadScenario("clients.shape: seconds do not go on")
+        raise ScenarioError("clients.shape: seconds do not go on")
     if shape and (shape[0][0] < 0 or shape[0][0] > seconds):
-        raise BadScenario(f"clients.shape: begins outside the run: {shape[0][0]}")
+        raise ScenarioError(f"clients.shape: begins outside the run: {shape[0][0]}")
 
 
 def check(scenario):
     names = {f"n{n}" for n in range(scenario.dispatchers)}
     workers = {f"w{n}" for n in range(scenario.workers.count)}
     if not 1 <= scenario.dispatchers <= MOST:
-        raise BadScenario(f"dispatchers: not from 1 to {MOST}: {scenario.dispatchers}")
+        raise ScenarioError(f"dispatchers: not from 1 to {MOST}: {scenario.dispatchers}")
     if not 0 < scenario.seconds <= 600:
-        raise BadScenario(f"seconds: not above 0 and up to 600: {scenario.seconds}")
+        raise ScenarioError(f"seconds: not above 0 and up to 600: {scenario.seconds}")
     for key in ("count", "slots"):
         if getattr(scenario.workers, key) < 1:
-            raise BadScenario(f"workers.{key}: below 1")
+            raise ScenarioError(f"workers.{key}: below 1")
     check_shape(scenario.clients.shape, scenario.seconds)
     if scenario.clients.day:
-        raise BadScenario("clients.day: only in a scenario that is a file")
+        raise ScenarioError("clients.day: only in a scenario that is a file")
     if scenario.clients.patience_ms < 0:
-        raise BadScenario("clients.patience_ms: below 0")
+        raise ScenarioError("clients.patience_ms: below 0")
     if scenario.clients.per_second < 0:
-        raise BadScenario("clients.per_second: below 0")
+        raise ScenarioError("clients.per_second: below 0")
     for key in ("again_after", "keyed"):
         if not 0 <= (share := getattr(scenario.clients, key)) <= 1:
-            raise BadScenario(f"clients.{key}: not from 0 to 1: {share}")
+            raise ScenarioError(f"clients.{key}: not from 0 to 1: {share}")
     for key, build in scenario.builds.items():
         if build_variants.found(build) is None:
-            raise BadScenario(f"builds.{key}: unknown: {build}")
+            raise ScenarioError(f"builds.{key}: unknown: {build}")
     if scenario.goals.back_s < 0 or scenario.goals.most_out < 0 or scenario.goals.within_s <= 0:
-        raise BadScenario("goals: none may be below 0")
+        raise ScenarioError("goals: none may be below 0")
     if not 0 < scenario.goals.share <= 1:
-        raise BadScenario(f"goals.share: not above 0 and up to 1: {scenario.goals.share}")
+        raise ScenarioError(f"goals.share: not above 0 and up to 1: {scenario.goals.share}")
     for key in (*scenario.rates, *scenario.builds, *scenario.ahead):
         if key not in names:
-            raise BadScenario(f"no dispatcher of this name: {key}")
+            raise ScenarioError(f"no dispatcher of this name: {key}")
     for n, step in enumerate(scenario.steps):
         where = f"steps[{n}]"
         if step.at < 0 or step.at > scenario.seconds:
-            raise BadScenario(f"{where}.at: not within the run: {step.at}")
+            raise ScenarioError(f"{where}.at: not within the run: {step.at}")
         if step.seconds < 0:
-            raise BadScenario(f"{where}.seconds: ends before it begins: {step.seconds}")
+            raise ScenarioError(f"{where}.seconds: ends before it begins: {step.seconds}")
         if step.build and step.build != "none" and build_variants.found(step.build) is None:
-            raise BadScenario(f"{where}.build: unknown: {step.build}")
+            raise ScenarioError(f"{where}.build: unknown: {step.build}")
         if bool(step.fault) == bool(step.call):
-            raise BadScenario(f"{where}: either fault or call")
+            raise ScenarioError(f"{where}: either fault or call")
         table, key = (FAULTS, step.fault) if step.fault else (CALLS, step.call)
         if key not in table:
-            raise BadScenario(f"{where}.{'fault' if step.fault else 'call'}: unknown: {key}")
+            raise ScenarioError(f"{where}.{'fault' if step.fault else 'call'}: unknown: {key}")
         for need in sorted(table[key]):
             if not getattr(step, need):
-                raise BadScenario(f"{where}.{need}: missing for {key}")
+                raise ScenarioError(f"{where}.{need}: missing for {key}")
         if step.kind and step.kind not in KINDS:
-            raise BadScenario(f"{where}.kind: none of {', '.join(sorted(KINDS))}: {step.kind}")
+            raise ScenarioError(f"{where}.kind: none of {', '.join(sorted(KINDS))}: {step.kind}")
         if step.kind == "slow" and step.amount <= 0:
-            raise BadScenario(f"{where}.amount: missing for slow")
+            raise ScenarioError(f"{where}.amount: missing for slow")
         if not 0 < step.share <= 1 or step.count < 0:
-            raise BadScenario(f"{where}.share, count: above 0 up to 1, and none below 0")
+            raise ScenarioError(f"{where}.share, count: above 0 up to 1, and none below 0")
         late = {s.who for s in scenario.steps if s.fault == "add"}
         for field, those in (("who", names | late), ("to", names | late), ("worker", workers)):
             value = getattr(step, field)
             if value and value not in those:
-                raise BadScenario(f"{where}.{field}: nobody of this name: {value}")
+                raise ScenarioError(f"{where}.{field}: nobody of this name: {value}")
--- a/mastledge/lab/stub_servers.py
+++ b/mastledge/lab/stub_servers.py
@@ -13,14 +13,14 @@
 class Worker:
     """Takes jobs by the protocol of the platform's pages, runs some at once, and writes down each effect."""
 
-    def __init__(self, rig, name, told, random):
-        self.rig, self.name, self.told, self.random = rig, name, told, random
+    def __init__(self, harness, name, told, random):
+        self.harness, self.name, self.told, self.random = harness, name, told, random
         self.state, self.born, self.address, self.server, self.tasks = "ready", 0, None, None, set()
         self.free = asyncio.Semaphore(told.slots)
         self.troubles = Troubles()
 
     async def begin(self):
-        self.server = await asyncio.start_server(self.serve, self.rig.host, 0)
+        self.server = await asyncio.start_server(self.serve, self.harness.host, 0)
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname()[:2])
         return self
 
@@ -65,7 +65,7 @@
         kind = head.target.decode()[1:]
         low, high = self.told.run_ms
         work = int((low + (high - low) * self.random.random()) * 1000)
-        self.rig.note("launch", at=at, worker=self.name, job=job, key=key, type=kind, work=work)
+        self.harness.note("launch", at=at, worker=self.name, job=job, key=key, type=kind, work=work)
 
         trouble = self.troubles.now(at, self.random.random)
         if trouble == "error":
@@ -89,13 +89,13 @@
         slow = self.troubles.slow(at)
         async with self.free:
             if self.told.drops and reader.at_eof():
-                self.rig.note("dropped", worker=self.name, job=job)
+                self.harness.note("dropped", worker=self.name, job=job)
                 return
             if trouble != "lost":
                 line(state="started")
             await asyncio.sleep(work * slow / self.warmth() / 1e6)
             # From here on it has happened, whoever hears of it.
-            self.rig.note("effect", worker=self.name, job=job, key=key, type=kind)
+            self.harness.note("effect", worker=self.name, job=job, key=key, type=kind)
             if trouble == "lost":
                 raise ConnectionError("its answer is lost")
             line(state="done", result=f"{self.name} {job}")
@@ -130,10 +130,10 @@
     def __init__(self, registry, who):
         self.registry, self.who, self.late, self.silent, self.server = registry, who, 0.0, False, None
         self.told = 0  # the generation that has been written here
-        self.shown, self.changed = (1, registry.rig.now(), []), asyncio.Event()
+        self.shown, self.changed = (1, registry.harness.now(), []), asyncio.Event()
 
     async def begin(self):
-        self.server = await asyncio.start_server(self.serve, self.registry.rig.host, 0)
+        self.server = await asyncio.start_server(self.serve, self.registry.harness.host, 0)
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname()[:2])
         return self
 
@@ -154,7 +154,7 @@
             if head is None:
                 return
             path = head.target.decode()
-            self.registry.rig.note("list_call", who=self.who, whole="follow=1" not in path)
+            self.registry.harness.note("list_call", who=self.who, whole="follow=1" not in path)
             if "follow=1" not in path:
                 last = self.visible()
                 writer.write(whole(conn, 200, registry.list(last)))
@@ -189,12 +189,12 @@
     def heard(self, generation):
         if generation > self.told:
             self.told = generation
-            self.registry.rig.note("told", who=self.who, generation=generation)
+            self.registry.harness.note("told", who=self.who, generation=generation)
 
 
 class Registry:
-    def __init__(self, rig, workers):
-        self.rig, self.workers, self.generation = rig, workers, 1
+    def __init__(self, harness, workers):
+        self.harness, self.workers, self.generation = harness, workers, 1
         self.changes, self.agents, self.lost = [(1, 0, [])], {}, 0
 
     async def agent(self, who):
@@ -205,7 +205,7 @@
         self.workers[worker].state = state
         self.generation += 1
         self.changes.append((self.generation, now(), [self.workers[worker].entry()]))
-        self.rig.note("listed", worker=worker, state=state, generation=self.generation)
+        self.harness.note("listed", worker=worker, state=state, generation=self.generation)
 
     def held(self):
         """What it has not lost of the changes."""
@@ -224,7 +224,7 @@
         self.changes.append((self.generation, now(), None if empty else entries))
         for name, worker in self.workers.items():
             state = "gone" if empty else worker.state
-            self.rig.note("listed", worker=name, state=state, generation=self.generation)
+            self.harness.note("listed", worker=name, state=state, generation=self.generation)
 
     def as_of(self, last):
         known = {}
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -7,7 +7,7 @@
 from mastledge.lab.faults import Troubles
 from mastledge.lab.invariant_checker import judged
 from mastledge.lab.policies import POLICIES
-from mastledge.lab.scenario import BadScenario, Clients, QueueType, Scenario, Step, Workers, known, read
+from mastledge.lab.scenario import Clients, QueueType, Scenario, ScenarioError, Step, Workers, known, read
 
 
 def scenario(*steps, dispatchers=3, load=0.8, seconds=8, **told):
@@ -124,9 +124,9 @@
 
 
 def test_what_is_not_emulated_is_said_before_anything_starts():
-    with pytest.raises(BadScenario, match=r"steps\[0\]: wipe is not emulated"):
+    with pytest.raises(ScenarioError, match=r"steps\[0\]: wipe is not emulated"):
         Emulation(scenario({"at": 1.0, "fault": "wipe", "who": "n0"}), 1)
-    with pytest.raises(BadScenario, match="lease_ms"):
+    with pytest.raises(ScenarioError, match="lease_ms"):
         Emulation(scenario(lease_ms=5000), 1)
 
 
@@ -147,7 +147,7 @@
         told = read(name)
         try:
             record = Emulation(told, 1).play()
-        except BadScenario:
+        except ScenarioError:
             continue
         seen += 1
         assert record["complete"] and not {r: x[:2] for r, x in judged(record).items() if x}, name
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -8,7 +8,7 @@
 from mastledge.lab import experiment as e
 from mastledge.lab import figures, reports, search
 from mastledge.lab.emulator import Emulation
-from mastledge.lab.scenario import BadScenario, Scenario, Step, Workers, read
+from mastledge.lab.scenario import Scenario, ScenarioError, Step, Workers, read
 
 BASE = {
     "name": "x", "seconds": 4, "dispatchers": 2, "agree": False,
@@ -111,7 +111,7 @@
     ],
 )
 def test_a_bad_experiment_is_one_plain_message_before_anything_runs(told, says):
-    with pytest.raises(BadScenario, match=says) as error:
+    with pytest.raises(ScenarioError, match=says) as error:
         experiment(**told)
     assert "\n" not in str(error.value)
 
@@ -119,7 +119,7 @@
 def test_experiments_of_the_package_are_good():
     for name in e.known():
         assert e.read(name).variants
-    with pytest.raises(BadScenario, match="there are: .*policies"):
+    with pytest.raises(ScenarioError, match="there are: .*policies"):
         e.read("nothing")
 
 
@@ -230,5 +230,5 @@
 
 def test_step_fields_of_finds_are_those_of_scenarios():
     assert {"at", "fault", "worker", "kind", "share", "seconds"} <= set(Step.__struct_fields__)
-    with pytest.raises(BadScenario):
+    with pytest.raises(ScenarioError):
         Emulation(Scenario(name="x", steps=[Step(at=0, fault="tear", who="n0")]), 1)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -9,14 +9,14 @@
 from mastledge.lab import scenario
 from mastledge.lab.invariant_checker import RULES, judged
 from mastledge.lab.load import Clients
-from mastledge.lab.process_harness import Rig
-from mastledge.lab.scenario import BadScenario, known, read
+from mastledge.lab.process_harness import ProcessHarness
+from mastledge.lab.scenario import ScenarioError, known, read
 
 
 def played(text, tmp_path, seed=1, **how):
     path = tmp_path / "scenario.toml"
     path.write_text(text)
-    return asyncio.run(Rig(read(str(path)), seed, str(tmp_path / "out"), **how).run())
+    return asyncio.run(ProcessHarness(read(str(path)), seed, str(tmp_path / "out"), **how).run())
 
 
 @pytest.mark.parametrize(
@@ -37,7 +37,7 @@
 def test_a_bad_scenario_is_one_line_with_file_and_key(text, says, tmp_path):
     path = tmp_path / "bad.toml"
     path.write_text(text)
-    with pytest.raises(BadScenario, match=says) as error:
+    with pytest.raises(ScenarioError, match=says) as error:
         read(str(path))
     assert str(path) in str(error.value) and "\n" not in str(error.value)
 
@@ -190,10 +190,10 @@
     bad = ("0;10", "line 1: no second,per_second"), ("5,1\n1,1", "do not go on"), ("0,-1", "below 0")
     for text, says in bad:
         (tmp_path / "day.csv").write_text(text)
-        with pytest.raises(scenario.BadScenario, match=says):
+        with pytest.raises(scenario.ScenarioError, match=says):
             scenario.read(str(tmp_path / "s.toml"))
     (tmp_path / "day.csv").unlink()
-    with pytest.raises(scenario.BadScenario, match="day.csv: No such file"):
+    with pytest.raises(scenario.ScenarioError, match="day.csv: No such file"):
         scenario.read(str(tmp_path / "s.toml"))
 
 
