--- a/mastledge/lab/crossing.py
+++ b/mastledge/lab/crossing.py
@@ -16,7 +16,9 @@
 
 import orjson
 
-from mastledge.lab.invariant_checker import SLACK, judged, nothing_to_the_drained, of
+from mastledge.lab.invariant_checker import judged
+from mastledge.lab.invariants.endpoint_list import nothing_to_the_drained
+from mastledge.lab.invariants.record_queries import SLACK, of
 from mastledge.lab.steered import Readiness, Restless, Steered
 from mastledge.program.configuration import load_configuration
 from mastledge.program.dispatcher import Dispatcher
--- a/mastledge/lab/figures.py
+++ b/mastledge/lab/figures.py
@@ -4,7 +4,8 @@
 
 from hdrh.histogram import HdrHistogram
 
-from mastledge.lab.invariant_checker import calm_since, first_tries, judged, of, out_at_once
+from mastledge.lab.invariant_checker import judged
+from mastledge.lab.invariants.record_queries import calm_since, first_tries, of, out_at_once
 
 WITHIN = 2_000_000  # in which a first try counts as served
 SPAN = 500_000  # in which the service is looked at
--- /dev/null
+++ b/mastledge/lab/invariants/recovery.py
@@ -0,0 +1,34 @@
+"""Invariants after the last fault, where a scenario sets goals: the service is back, without a stampede."""
+
+from collections.abc import Iterator
+
+from mastledge.lab.invariants.record_queries import SLACK, Record, calm_since, first_tries, out_at_once
+
+
+def the_service_comes_back(record: Record) -> Iterator[str]:
+    """Where a scenario has the goal: so long after the last fault first tries are served as before."""
+    goals = record.get("goals") or {}
+    if not goals.get("back_s"):
+        return
+    since = calm_since(record) + goals["back_s"] * 1e6
+    late = [(at, end) for at, end in first_tries(record) if at >= since]
+    if not late:
+        yield f"nobody came later than {goals['back_s']:g} s after the last fault"
+        return
+    served = sum(end <= at + goals["within_s"] * 1e6 for at, end in late) / len(late)
+    if served < goals["share"]:
+        yield f"{served:.3f} of first tries are served {goals['back_s']:g} s after the last fault and later"
+
+
+def no_stampede(record: Record) -> Iterator[str]:
+    """Where a scenario has the goal: no worker gets more at once than so many times its slots.
+
+    The workers are the harness's: one that ran late itself has let launches pile up, and can't tell.
+    """
+    goals = record.get("goals") or {}
+    if not goals.get("most_out") or record.get("lag_ms", 0) * 1000 > SLACK:
+        return
+    for worker, (most, at) in out_at_once(record).items():
+        if most > goals["most_out"] * record["cold"]["slots"]:
+            after = (at - calm_since(record)) / 1e6
+            yield f"{worker} had {most} launches at once, {after:.1f} s after the last fault"
--- a/mastledge/lab/search.py
+++ b/mastledge/lab/search.py
@@ -16,7 +16,8 @@
 
 from mastledge.lab import faults
 from mastledge.lab.emulator import Emulation
-from mastledge.lab.invariant_checker import first_tries, judged
+from mastledge.lab.invariant_checker import judged
+from mastledge.lab.invariants.record_queries import first_tries
 from mastledge.lab.scenario import Scenario, check
 
 AFTER = 3.0  # seconds after the last fault
