--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -14,8 +14,8 @@
 from types import SimpleNamespace
 
 from mastledge.lab import copying, faults, outages, policies, schedule
+from mastledge.lab.harness.dispatcher_configuration import checker_limits, settings_document
 from mastledge.lab.load import Clients
-from mastledge.lab.process_harness import document, limits
 from mastledge.lab.scenario import ScenarioError
 from mastledge.program.settings import flatten_settings, parse_settings
 from mastledge.recovery.admission_ramp import AdmissionRamp, AdmittedJobOutcome, PeerLoad
@@ -590,7 +590,7 @@
         self.nodes = {name: Member(self, name, 1.0) for name in (names if self.agreeing else [])}
         self.scenario, self.seed, self.show = scenario, seed, show
         self.decisions = policies.named(policy)
-        self.settings = parse_settings(flatten_settings(document(scenario)))
+        self.settings = parse_settings(flatten_settings(settings_document(scenario)))
         self.settings["may_message"] = False
         self.events, self.spells, self.late, self.lag = [], [], 0.0, 0.0
         self.workers = {
@@ -678,7 +678,7 @@
             "simulated": True,
             "complete": whole,
             "why": why,
-            **limits(told),
+            **checker_limits(told),
             "spells": self.spells,
             "late_ms": 0.0,
             "lag_ms": 0.0,
--- /dev/null
+++ b/mastledge/lab/harness/__init__.py
@@ -0,0 +1,1 @@
+"""Parts of the process harness: configuration, dispatchers, faults, operators' calls, record."""
--- a/mastledge/lab/outages.py
+++ b/mastledge/lab/outages.py
@@ -6,6 +6,10 @@
 
 import numpy
 
+from mastledge.lab.harness.dispatcher import RunFailedError
+from mastledge.lab.harness.settling import settle
+from mastledge.lab.harness.storage_faults import erase
+from mastledge.lab.load import Clients as OpenLoopClients
 from mastledge.lab.scenario import Clients, QueueType, Scenario, Workers
 from mastledge.lab.wire import now
 
@@ -90,16 +94,16 @@
         harness.spells.append(spell)
         harness.killed(node)
         if name == one["wiped"]:
-            harness.emptied(node)
+            erase(harness, node)
         await asyncio.sleep(one["down"])
         await harness.back(node)
         spell["to"] = now()
 
-    relays = []
+    proxies = []
     if one["cut"]:
-        relays = [relay for pair, relay in harness.relays.items() if one["cut"] in pair]
-        for relay in relays:
-            relay.forth = relay.back = False
+        proxies = [proxy for pair, proxy in harness.link_proxies.items() if one["cut"] in pair]
+        for proxy in proxies:
+            proxy.forth = proxy.back = False
     if one["cold"]:
         await harness.workers[one["cold"]].restart()
         harness.note("reborn", worker=one["cold"])
@@ -107,8 +111,8 @@
 
     async def heal():
         await asyncio.sleep(1.0)
-        for relay in relays:
-            relay.heal()
+        for proxy in proxies:
+            proxy.heal()
 
     await asyncio.gather(heal(), *(die(name, at) for name, at in zip(one["dead"], one["at"], strict=True)))
     harness.note("all_up", n=n)
@@ -116,10 +120,7 @@
 
 async def play(harness, count):
     """So many outages under load; each begins once the copies of the one before are whole."""
-    from mastledge.lab.load import Clients as Load
-    from mastledge.lab.process_harness import UP, RunFailedError
-
-    clients = Load(harness, harness.scenario.clients, harness.seed, harness.scenario.seconds)
+    clients = OpenLoopClients(harness, harness.scenario.clients, harness.seed, harness.scenario.seconds)
     look = asyncio.create_task(clients.front.look())
     await asyncio.sleep(0.3)
     load = asyncio.create_task(clients.run(now()))
@@ -129,7 +130,7 @@
             await befall(harness, drawn(harness.random, harness.nodes, harness.workers), n)
             await asyncio.sleep(REST)
             if harness.scenario.repeats:
-                await harness.until(harness.whole, UP, f"copies are not whole {UP:.0f} s after outage {n}")
+                await harness.until_whole(f"outage {n}")
     finally:
         clients.over = True
         try:
@@ -139,7 +140,7 @@
             raise RunFailedError("clients did not come to an end") from None
         finally:
             look.cancel()
-    await harness.settle()
+    await settle(harness)
 
 
 def spread(rows):
--- a/mastledge/lab/stub_servers.py
+++ b/mastledge/lab/stub_servers.py
@@ -130,7 +130,7 @@
     def __init__(self, registry, who):
         self.registry, self.who, self.late, self.silent, self.server = registry, who, 0.0, False, None
         self.told = 0  # the generation that has been written here
-        self.shown, self.changed = (1, registry.harness.now(), []), asyncio.Event()
+        self.shown, self.changed = (1, now(), []), asyncio.Event()
 
     async def begin(self):
         self.server = await asyncio.start_server(self.serve, self.registry.harness.host, 0)
