--- a/mastledge/lab/build_variants.py
+++ b/mastledge/lab/build_variants.py
@@ -1,5 +1,5 @@
-"""Builds of the program that differ from it, or run on a clock of their own: another version, a slow disk, a
-baseline, and any that a file of Python makes.
+"""Variants of the program that differ from it, or run on a clock of their own: another version, a slow disk,
+a baseline, and any that a file of Python makes.
 
 `python -m mastledge.lab.build_variants [--rate R] [--build NAME | --build FILE.py:NAME] serve --config FILE`
 """
@@ -8,31 +8,32 @@
 import runpy
 import sys
 import time
+from collections.abc import Callable
 
 from mastledge.transport.loop import Loop
 
 
-def warped(rate):
-    """A clock that runs at another rate from here on."""
+def set_clock_rate(rate: float) -> None:
+    """Let the loop's clock run at another rate from here on."""
     began = time.monotonic_ns() // 1000
     Loop.now = staticmethod(lambda: began + int((time.monotonic_ns() // 1000 - began) * rate))
 
 
-def set_clock(ahead):
-    """A Unix clock that is wrong by so many seconds, as one that nobody has set."""
-    ns, seconds = time.time_ns, time.time
-    time.time_ns = lambda: ns() + int(ahead * 1e9)
-    time.time = lambda: seconds() + ahead
+def set_unix_clock(ahead: float) -> None:
+    """Let the Unix clock be wrong by so many seconds, as one that nobody has set."""
+    true_ns, true_seconds = time.time_ns, time.time
+    time.time_ns = lambda: true_ns() + int(ahead * 1e9)
+    time.time = lambda: true_seconds() + ahead
 
 
-def elder():
-    """Speaks another version on links: an earlier one of the program beside the new."""
+def elder() -> None:
+    """Speak another version on links: an earlier one of the program beside the new."""
     from mastledge.peers import frames
 
     frames.PROTOCOL_VERSION = 0
 
 
-def slow_disk():
+def slow_disk() -> None:
     """Not wrong: its folder of starts takes 4 s to be read."""
     from mastledge.program.recovery_directory import RecoveryDirectory
 
@@ -45,10 +46,10 @@
     RecoveryDirectory.read_log = slowly
 
 
-def baseline(policy):
+def baseline(policy: str) -> Callable[[], None]:
     """Not wrong: the worker is chosen as a baseline does."""
 
-    def build():
+    def build() -> None:
         from mastledge.lab.policies import installed
 
         installed(policy)
@@ -57,7 +58,7 @@
     return build
 
 
-def metered():
+def metered() -> None:
     """Not wrong: it counts what it does (`lab/scale/meter.py`)."""
     from mastledge.lab.scale.meter import metered as install
 
@@ -68,7 +69,7 @@
 BUILDS = {build.__name__: build for build in (elder, slow_disk, metered, *map(baseline, BASELINES))}
 
 
-def found(name):
+def found(name: str) -> Callable[[], None] | None:
     """The function that makes a build, by its name here or as FILE.py:NAME; None where there is none."""
     path, _, part = name.rpartition(":")
     if not path:
@@ -80,7 +81,8 @@
     return made if callable(made) else None
 
 
-def main():
+def main() -> int:
+    """Put the variant together, then run the program in this process; its status."""
     parser = argparse.ArgumentParser(prog="mastledge.lab.build_variants")
     parser.add_argument("--rate", type=float, default=1.0)
     parser.add_argument("--ahead", type=float, default=0.0)
@@ -88,9 +90,9 @@
     parser.add_argument("rest", nargs=argparse.REMAINDER)
     args = parser.parse_args()
     if args.rate != 1.0:
-        warped(args.rate)
+        set_clock_rate(args.rate)
     if args.ahead:
-        set_clock(args.ahead)
+        set_unix_clock(args.ahead)
     if args.build:
         found(args.build)()
     sys.argv = ["mastledge", *args.rest]
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -724,7 +724,7 @@
         )
         self.tries[job.name] = job
         self.at(self.link(), dispatcher.arrive, job, dispatcher.life)
-        patience = self.clients.told.patience_ms
+        patience = self.clients.options.patience_ms
         wait = int(kind.walltime_ms * 1000 + 1_000_000)
         self.at(min(wait, int(patience * 1000)) if patience else wait, self.tired, job, bool(patience))
 
@@ -745,7 +745,7 @@
 
     def client_ends(self, job, why):
         self.note("lost", job=job.name, who=job.who, why=why, ms=(self.now - job.sent) / 1000)
-        if self.clients.told.again_when_lost:
+        if self.clients.options.again_when_lost:
             self.again(job, 0.1)
         else:
             self.over_with(job)
@@ -769,7 +769,7 @@
             self.over_with(job)
 
     def again(self, job, wait):
-        if job.attempt < self.clients.told.retries and not job.name.endswith("again"):
+        if job.attempt < self.clients.options.retries and not job.name.endswith("again"):
             self.at(int(wait * 1e6), self.come, job.client, job.attempt + 1)
         else:
             self.over_with(job)
--- a/mastledge/lab/faults.py
+++ b/mastledge/lab/faults.py
@@ -1,5 +1,9 @@
 """What may be wrong with a worker, by time or by count; the same for processes and in simulated time."""
 
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
+
 # What a launch meets there.
 KINDS = {
     "error": "answers 500 at once and runs nothing",
@@ -11,33 +15,59 @@
 }
 
 
+class Step(Protocol):
+    """What is read of a step of a scenario."""
+
+    kind: str
+    seconds: float
+    count: int
+    share: float
+    amount: float
+
+
+@dataclass(slots=True)
+class Trouble:
+    """One thing that is wrong with a worker, until a time and for a count of launches."""
+
+    until: float  # microseconds
+    kind: str  # of `KINDS`
+    share: float  # of the launches that it meets
+    launches_left: float
+    factor: float  # of the run time, for "slow"
+
+
 class Troubles:
     """Of one worker, from when each begins: for a time, for a count of launches, or for both."""
 
-    def __init__(self):
-        self.some = []
+    def __init__(self) -> None:
+        """Begin without any."""
+        self.active: list[Trouble] = []
+
+    def add(self, now: int, step: Step) -> None:
+        """Add one at microsecond `now`.
 
-    def add(self, now, step):
-        """`step`: kind, seconds (0: for good), count (0: any), share (of the launches that it meets)."""
+        `step`: kind, seconds (0: for good), count (0: any), share (of the launches that it meets).
+        """
         until = now + int(step.seconds * 1e6) if step.seconds else float("inf")
-        self.some.append([until, step.kind, step.share, step.count or float("inf"), step.amount])
+        self.active.append(Trouble(until, step.kind, step.share, step.count or float("inf"), step.amount))
 
-    def now(self, at, chance):
+    def now(self, at: int, chance: Callable[[], float]) -> str:
         """What the launch that comes now meets, "" for nothing; slowness is told by `slow`."""
-        self.some = [one for one in self.some if one[0] > at and one[3] > 0]
-        for one in self.some:
-            if one[1] != "slow" and (one[2] >= 1 or chance() < one[2]):
-                one[3] -= 1
-                return one[1]
+        self.active = [trouble for trouble in self.active if trouble.until > at and trouble.launches_left > 0]
+        for trouble in self.active:
+            if trouble.kind != "slow" and (trouble.share >= 1 or chance() < trouble.share):
+                trouble.launches_left -= 1
+                return trouble.kind
         return ""
 
-    def slow(self, at):
+    def slow(self, at: int) -> float:
+        """Return by how much longer a launch runs just now."""
         factor = 1.0
-        for until, kind, _, _, amount in self.some:
-            if kind == "slow" and until > at:
-                factor *= amount
+        for trouble in self.active:
+            if trouble.kind == "slow" and trouble.until > at:
+                factor *= trouble.factor
         return factor
 
-    def deaf(self, at):
+    def deaf(self, at: int) -> bool:
         """Whether nothing is read from connections just now."""
-        return any(kind == "half_open" and until > at for until, kind, *_ in self.some)
+        return any(trouble.kind == "half_open" and trouble.until > at for trouble in self.active)
--- a/mastledge/lab/link_proxy.py
+++ b/mastledge/lab/link_proxy.py
@@ -1,4 +1,4 @@
-"""Relays in user space on the links between dispatchers: each way of each pair can be cut, slowed or spoilt
+"""Proxies in user space on the links between dispatchers: each way of each pair can be cut, slowed or spoilt
 by itself.
 """
 
@@ -6,43 +6,55 @@
 
 from mastledge.lab.wire import address
 
-STEP = 0.005
+CUT_POLL_S = 0.005  # between two looks whether a cut way is whole again
+READ_BYTES = 65536
 
 
 class LinkProxy:
     """The way from one dispatcher to another. What flows back on it is the word that frames were read."""
 
-    def __init__(self, host, target):
-        self.host, self.target, self.server, self.pairs, self.tasks = host, target, None, set(), set()
+    def __init__(self, host: str, target: str) -> None:
+        """Stand on `host` before the address `target` (`host:port`); `begin` opens it."""
+        self.host, self.target = host, target
+        self.server: asyncio.Server | None = None
+        self.writers: set[asyncio.StreamWriter] = set()
+        self.tasks: set[asyncio.Task] = set()
         self.heal()
 
-    def heal(self):
+    def heal(self) -> None:
         """As it is without a fault. What was held goes on."""
         self.forth = self.back = True
-        self.delay, self.rate, self.swallows, self.spoils, self.refuses = 0.0, 0, False, 0, False
+        self.delay = 0.0  # seconds
+        self.rate = 0  # bytes a second, 0: any
+        self.swallows = False  # what comes in never goes out
+        self.spoils = 0  # reads to come that are changed in their first byte
+        self.refuses = False  # connections are reset at once
 
-    async def begin(self):
+    async def begin(self) -> "LinkProxy":
+        """Open the proxy; its `address` is where it listens."""
         self.server = await asyncio.start_server(self.serve, self.host, 0)
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname()[:2])
         return self
 
-    def reset(self):
-        for writer in list(self.pairs):
+    def reset(self) -> None:
+        """Reset all connections."""
+        for writer in list(self.writers):
             writer.transport.abort()
 
-    async def serve(self, reader, writer):
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Carry one connection both ways until either ends."""
         if self.refuses:
             writer.transport.abort()
             return
         try:
-            there, here = await asyncio.open_connection(*address(self.target))
+            target_reader, target_writer = await asyncio.open_connection(*address(self.target))
         except OSError:
             writer.transport.abort()
             return
-        self.pairs |= {writer, here}
+        self.writers |= {writer, target_writer}
         ways = [
-            asyncio.create_task(self.carry(reader, here, "forth")),
-            asyncio.create_task(self.carry(there, writer, "back")),
+            asyncio.create_task(self.carry(reader, target_writer, "forth")),
+            asyncio.create_task(self.carry(target_reader, writer, "back")),
         ]
         self.tasks.update(ways)
         try:
@@ -51,17 +63,18 @@
             for way in ways:
                 way.cancel()
             self.tasks.difference_update(ways)
-            self.pairs -= {writer, here}
+            self.writers -= {writer, target_writer}
             writer.close()
-            here.close()
+            target_writer.close()
 
-    async def carry(self, reader, writer, way):
+    async def carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: str) -> None:
+        """Carry one way, `forth` or `back`, under the faults that are set."""
         try:
-            while part := await reader.read(1 if self.rate else 65536):
+            while part := await reader.read(1 if self.rate else READ_BYTES):
                 if self.delay:
                     await asyncio.sleep(self.delay)
                 while not getattr(self, way):
-                    await asyncio.sleep(STEP)
+                    await asyncio.sleep(CUT_POLL_S)
                 if self.swallows:
                     continue
                 if self.rate:
--- a/mastledge/lab/load.py
+++ b/mastledge/lab/load.py
@@ -5,74 +5,132 @@
 import asyncio
 import time
 from collections import deque
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 import h11
 import numpy
 
-from mastledge.lab.wire import address, body, event, now
+from mastledge.lab.scenario import Clients as ClientOptions
+from mastledge.lab.scenario import QueueType
+from mastledge.lab.wire import address, body, call, event, now
+
+if TYPE_CHECKING:
+    from mastledge.lab.process_harness import ProcessHarness
+
+LOOK_INTERVAL_S = 0.1  # between two looks of the front at who is ready
+LOOK_TIMEOUT_S = 0.5
+CONNECT_TIMEOUT_S = 0.5
+SHAPE_STEP_S = 0.01  # between two looks at a shape
+LATE_S = 0.05  # from which on a job that is sent late is put down
+ANSWER_SLACK_S = 1.0  # for which an answer is waited for after the walltime
+RECONNECT_S = 0.02  # until the next try, where no connection was made
+MIN_RETRY_S = 0.05  # until the next try, where a rejection names no time or the client has left
+LOST_RETRY_S = 0.1  # until the next try of a client that comes again when its answer is lost
+CONTENT = b"x" * 20
+MAX_RESULT_CHARACTERS = 60
 
 
 class Front:
-    """Deals clients out among the dispatchers that say yes, asking each ten times a second."""
+    """The load balancer before the dispatchers: it picks among those that say that they are ready."""
 
-    def __init__(self, harness):
-        self.harness, self.ready, self.idle = harness, {}, {}
+    def __init__(self, harness: "ProcessHarness") -> None:
+        """Begin without knowing who is ready."""
+        self.harness = harness
+        self.ready: dict[str, bool] = {}
+        self.idle: dict[str, deque[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = {}
 
-    async def look(self):
-        from mastledge.lab.wire import call
+    async def look(self) -> None:
+        """Ask each dispatcher ten times a second, until cancelled."""
 
-        async def one(name):
+        async def ask(name: str) -> None:
             # Which address is asked may change while it is asked: an upgrade keeps it, a new member brings
             # its own.
-            status, _, _ = await call(self.harness.nodes[name].listen, "GET", "/health/ready", seconds=0.5)
+            listen = self.harness.nodes[name].listen
+            status, _, _ = await call(listen, "GET", "/health/ready", seconds=LOOK_TIMEOUT_S)
             if self.ready.get(name) != (status == 200):
                 self.harness.note("ready", who=name, yes=status == 200)
             self.ready[name] = status == 200
 
         while True:
-            await asyncio.gather(*(one(name) for name in list(self.harness.nodes)))
-            await asyncio.sleep(0.1)
+            await asyncio.gather(*(ask(name) for name in list(self.harness.nodes)))
+            await asyncio.sleep(LOOK_INTERVAL_S)
 
-    def pick(self, random):
-        up = [name for name, yes in sorted(self.ready.items()) if yes] or sorted(self.harness.nodes)
+    def pick(self, random: numpy.random.Generator) -> str:
+        """Draw one of the dispatchers that are ready, or of all where none is."""
+        up = [name for name, ready in sorted(self.ready.items()) if ready] or sorted(self.harness.nodes)
         return up[int(random.integers(len(up)))]
 
 
-STEP = 0.01  # seconds between two looks at a shape
-
-
-def shaped(random, shape, per_second, seconds):
-    """When jobs come, by a Poisson process whose rate follows the shape: its first and last factors hold
+def shaped(
+    random: numpy.random.Generator, shape: list[tuple[float, float]], per_second: float, seconds: float
+) -> numpy.ndarray:
+    """Draw when jobs come, by a Poisson process whose rate follows the shape: its first and last factors hold
     before and after. Drawn by the inverse of the summed rate (Cinlar 1975).
     """
-    at = numpy.arange(0, seconds + STEP, STEP)
+    at = numpy.arange(0, seconds + SHAPE_STEP_S, SHAPE_STEP_S)
     rate = per_second * numpy.interp(at, [second for second, _ in shape], [factor for _, factor in shape])
-    summed = numpy.concatenate([[0.0], numpy.cumsum((rate[1:] + rate[:-1]) / 2 * STEP)])
+    summed = numpy.concatenate([[0.0], numpy.cumsum((rate[1:] + rate[:-1]) / 2 * SHAPE_STEP_S)])
     count = int(random.poisson(summed[-1]))
     return numpy.interp(numpy.sort(random.random(count)) * summed[-1], summed, at)
 
 
+@dataclass(frozen=True, slots=True)
+class Attempt:
+    """One try of a job: each has an id of its own, all of one job have one key ("": none)."""
+
+    job: str
+    key: str
+    queue_type: QueueType
+    number: int
+
+    @property
+    def walltime_ms(self) -> int:
+        """The job's walltime, as its header has it."""
+        return int(self.queue_type.walltime_ms)
+
+    def request_bytes(self, conn: h11.Connection, place: str) -> bytes:
+        """Return the bytes of its request to a dispatcher's address."""
+        head = h11.Request(
+            method="POST",
+            target=f"/{self.queue_type.name}",
+            headers=[
+                ("host", place),
+                ("x-txn", self.job),
+                ("x-remaining-ms", str(self.walltime_ms)),
+                *([("idempotency-key", self.key)] if self.key else []),
+                *([("x-resent", "1")] if self.number else []),
+                ("content-length", str(len(CONTENT))),
+            ],
+        )
+        return conn.send(head) + conn.send(h11.Data(data=CONTENT)) + conn.send(h11.EndOfMessage())
+
+
 class Clients:
-    def __init__(self, harness, told, seed, seconds):
-        self.harness, self.told, self.front = harness, told, Front(harness)
+    """All clients of a run: what each sends and when is drawn as this is made."""
+
+    def __init__(self, harness: "ProcessHarness", options: ClientOptions, seed: int, seconds: float) -> None:
+        """Draw the jobs of so many seconds."""
+        self.harness, self.options, self.front = harness, options, Front(harness)
         self.random = numpy.random.Generator(numpy.random.PCG64([seed, 2]))
         self.over = False  # nothing more comes, whatever was drawn
-        shares = numpy.array([one.share for one in told.queue_types])
+        shares = numpy.array([one.share for one in options.queue_types])
         self.shares = shares / shares.sum()
-        if told.shape:
-            self.times = shaped(self.random, told.shape, told.per_second, seconds)
+        if options.shape:
+            self.times = shaped(self.random, options.shape, options.per_second, seconds)
             count = len(self.times)
         else:
-            count = int(self.random.poisson(told.per_second * seconds)) if told.per_second else 0
+            count = int(self.random.poisson(options.per_second * seconds)) if options.per_second else 0
             self.times = numpy.sort(self.random.random(count)) * seconds
         self.kinds = self.random.choice(len(shares), count, p=self.shares)
-        self.keyed = self.random.random(count) < told.keyed
+        self.keyed = self.random.random(count) < options.keyed
         # Some come again after their answer, as who taps twice does: in so many seconds, or never.
         self.again = numpy.where(
-            self.random.random(count) < told.again_after, 0.05 + 3 * self.random.random(count), 0.0
+            self.random.random(count) < options.again_after, 0.05 + 3 * self.random.random(count), 0.0
         )
 
-    async def run(self, began):
+    async def run(self, began: int) -> None:
+        """Send all jobs at their times after microsecond `began`, and wait for their ends."""
         jobs = []
         for n, (at, kind) in enumerate(zip(self.times, self.kinds, strict=True)):
             if self.over:
@@ -80,104 +138,110 @@
             wait = began / 1e6 + at - time.monotonic()
             if wait > 0:
                 await asyncio.sleep(wait)
-            elif wait < -0.05:
+            elif wait < -LATE_S:
                 self.harness.late = max(self.harness.late, -wait)
-            jobs.append(asyncio.create_task(self.job(n, self.told.queue_types[kind])))
+            jobs.append(asyncio.create_task(self.job(n, self.options.queue_types[kind])))
         if jobs:
             await asyncio.wait(jobs)
 
-    async def job(self, n, kind):
-        """One job with its tries; each has a new id, all of them one key."""
+    async def job(self, n: int, queue_type: QueueType) -> None:
+        """Send one job with its tries; each has a new id, all of them one key."""
         key = f"k{n}" if self.keyed[n] else ""
-        for attempt in range(1 + self.told.retries):
-            again = await self.attempt(f"j{n}.{attempt}", key, kind, attempt)
-            if again is None:
+        for number in range(1 + self.options.retries):
+            retry_s = await self.attempt(Attempt(f"j{n}.{number}", key, queue_type, number))
+            if retry_s is None:
                 break
-            await asyncio.sleep(again)
+            await asyncio.sleep(retry_s)
         if self.again[n]:
             await asyncio.sleep(self.again[n])
-            await self.attempt(f"j{n}.again", key, kind, 1)
+            await self.attempt(Attempt(f"j{n}.again", key, queue_type, 1))
 
-    async def attempt(self, job, key, kind, attempt):
-        """How long to wait before the next try; None where there is none."""
+    async def attempt(self, attempt: Attempt) -> float | None:
+        """Make one try; return the seconds until the next one, None where there is none."""
         who = self.front.pick(self.random)
         place = self.harness.nodes[who].listen
-        walltime = int(kind.walltime_ms)
-        writer, idle = None, self.front.idle.setdefault(who, deque())
         conn = h11.Connection(h11.CLIENT)
-        content = b"x" * 20
-        raw = conn.send(
-            h11.Request(
-                method="POST",
-                target=f"/{kind.name}",
-                headers=[
-                    ("host", place),
-                    ("x-txn", job),
-                    ("x-remaining-ms", str(walltime)),
-                    *([("idempotency-key", key)] if key else []),
-                    *([("x-resent", "1")] if attempt else []),
-                    ("content-length", str(len(content))),
-                ],
-            )
-        )
-        raw += conn.send(h11.Data(data=content)) + conn.send(h11.EndOfMessage())
+        raw = attempt.request_bytes(conn, place)
         try:
-            while idle:
-                reader, writer = idle.pop()
-                if not reader.at_eof() and not writer.is_closing():
-                    break
-                writer.close()
-                writer = None
-            if writer is None:
-                async with asyncio.timeout(0.5):
-                    reader, writer = await asyncio.open_connection(*address(place))
+            reader, writer = await self.connect(who, place)
         except (OSError, TimeoutError):
             # Nothing was sent, so nobody has taken it.
             self.front.ready[who] = False
-            return 0.02
+            return RECONNECT_S
         sent = now()
-        self.harness.note(
-            "sent",
-            at=sent,
-            job=job,
-            key=key,
-            type=kind.name,
-            who=who,
-            walltime=walltime * 1000,
-            attempt=attempt,
-        )
-        patience = self.told.patience_ms / 1000
+        self.note_sent(attempt, who, sent)
+        keeps = False
         try:
             writer.write(raw)
-            async with asyncio.timeout(min(patience or 1e9, walltime / 1000 + 1.0)):
-                head = await event(conn, reader)
-                if not isinstance(head, h11.Response):
-                    raise ConnectionError("ended")
-                result = await body(conn, reader)
-            status, fields = head.status_code, dict(head.headers)
-            self.harness.note(
-                "answer",
-                job=job,
-                status=status,
-                ms=(now() - sent) / 1000,
-                who=who,
-                type=kind.name,
-                result=result.decode("latin-1")[:60],
-                retry=fields.get(b"retry-after", b"").decode(),
-            )
+            head, result = await self.read_answer(conn, reader, attempt)
+            self.note_answer(attempt, who, sent, head, result)
+            fields = dict(head.headers)
             if conn.their_state is h11.DONE and fields.get(b"connection") != b"close":
-                idle.append((reader, writer))
-                writer = None
-            if status in (429, 503):
-                return float(fields.get(b"retry-after", b"0.05") or 0.05)
+                self.front.idle[who].append((reader, writer))
+                keeps = True
+            if head.status_code in (429, 503):
+                return float(fields.get(b"retry-after", b"") or MIN_RETRY_S)
             return None
         except (OSError, TimeoutError, h11.ProtocolError) as error:
-            if patience and isinstance(error, TimeoutError):
-                # It was tired of waiting, and comes again.
-                self.harness.note("left", job=job, who=who, ms=(now() - sent) / 1000)
-                return 0.05
-            self.harness.note("lost", job=job, who=who, why=type(error).__name__, ms=(now() - sent) / 1000)
-            return 0.1 if self.told.again_when_lost else None
+            return self.note_no_answer(attempt, who, sent, error)
         finally:
-            if writer is not None:
+            if not keeps:
                 writer.close()
+
+    async def connect(self, who: str, place: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """Return an idle connection to a dispatcher that is still open, or a new one."""
+        idle = self.front.idle.setdefault(who, deque())
+        while idle:
+            reader, writer = idle.pop()
+            if not reader.at_eof() and not writer.is_closing():
+                return reader, writer
+            writer.close()
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
+            return await asyncio.open_connection(*address(place))
+
+    async def read_answer(
+        self, conn: h11.Connection, reader: asyncio.StreamReader, attempt: Attempt
+    ) -> tuple[h11.Response, bytes]:
+        """Read the answer; TimeoutError after the client's patience, ConnectionError where it has ended."""
+        patience = self.options.patience_ms / 1000
+        async with asyncio.timeout(min(patience or 1e9, attempt.walltime_ms / 1000 + ANSWER_SLACK_S)):
+            head = await event(conn, reader)
+            if not isinstance(head, h11.Response):
+                raise ConnectionError("ended")
+            return head, await body(conn, reader)
+
+    def note_sent(self, attempt: Attempt, who: str, sent: int) -> None:
+        """Note that a try is on its way."""
+        self.harness.note(
+            "sent",
+            at=sent,
+            job=attempt.job,
+            key=attempt.key,
+            type=attempt.queue_type.name,
+            who=who,
+            walltime=attempt.walltime_ms * 1000,
+            attempt=attempt.number,
+        )
+
+    def note_answer(self, attempt: Attempt, who: str, sent: int, head: h11.Response, result: bytes) -> None:
+        """Note the answer of a try."""
+        self.harness.note(
+            "answer",
+            job=attempt.job,
+            status=head.status_code,
+            ms=(now() - sent) / 1000,
+            who=who,
+            type=attempt.queue_type.name,
+            result=result.decode("latin-1")[:MAX_RESULT_CHARACTERS],
+            retry=dict(head.headers).get(b"retry-after", b"").decode(),
+        )
+
+    def note_no_answer(self, attempt: Attempt, who: str, sent: int, error: Exception) -> float | None:
+        """Note that a try got no answer; return the seconds until the next one, None where there is none."""
+        waited_ms = (now() - sent) / 1000
+        if self.options.patience_ms and isinstance(error, TimeoutError):
+            # It was tired of waiting, and comes again.
+            self.harness.note("left", job=attempt.job, who=who, ms=waited_ms)
+            return MIN_RETRY_S
+        self.harness.note("lost", job=attempt.job, who=who, why=type(error).__name__, ms=waited_ms)
+        return LOST_RETRY_S if self.options.again_when_lost else None
--- a/mastledge/lab/outages.py
+++ b/mastledge/lab/outages.py
@@ -3,23 +3,29 @@
 """
 
 import asyncio
+from collections.abc import Iterable
+from typing import TYPE_CHECKING, Any
 
 import numpy
 
 from mastledge.lab.harness.dispatcher import RunFailedError
 from mastledge.lab.harness.settling import settle
 from mastledge.lab.harness.storage_faults import erase
+from mastledge.lab.invariants.record_queries import Record
 from mastledge.lab.load import Clients as OpenLoopClients
 from mastledge.lab.scenario import Clients, QueueType, Scenario, Workers
 from mastledge.lab.wire import now
 
+if TYPE_CHECKING:
+    from mastledge.lab.process_harness import ProcessHarness
+
 SHARE = 0.7  # of the dispatchers that die in one second, and come back in the same
 SPAN = 500_000  # in which the service is looked at, in microseconds
 REST = 2.5  # seconds between one outage and the next
 
 
-def drawn(random, nodes, workers):
-    """One outage: who dies and when, for how long, and what befalls the others meanwhile."""
+def drawn(random: numpy.random.Generator, nodes: Iterable[str], workers: Iterable[str]) -> dict[str, Any]:
+    """Draw one outage: who dies and when, for how long, and what befalls the others meanwhile."""
     names = sorted(nodes)
     count = max(1, round(SHARE * len(names)))
     dead = [str(name) for name in random.choice(names, count, replace=False)]
@@ -34,7 +40,7 @@
     }
 
 
-def times(record):
+def times(record: Record) -> list[list[float | None]]:
     """For each outage the seconds from the last process being up until 95% and 99% of the first tries that
     come in half a second are served; None where that is not before the next outage.
     """
@@ -61,7 +67,8 @@
     return out
 
 
-def scenario(count, dispatchers, per_second, copies, open_ms=0):
+def scenario(count: int, dispatchers: int, per_second: float, copies: int, open_ms: float = 0) -> Scenario:
+    """Return the scenario in which outages are measured, with so many copies of keys (0: none kept)."""
     repeats = {"keep_ms": 60_000, "copies": copies, "entries": 50_000, "bytes": 1 << 26} if copies else {}
     return Scenario(
         name="outages",
@@ -83,8 +90,8 @@
     )
 
 
-async def befall(harness, one, n):
-    """Carries one outage out on processes; its end is when all that died are up and the cut is whole."""
+async def befall(harness: "ProcessHarness", one: dict[str, Any], n: int) -> None:
+    """Carry one outage out on processes; its end is when all that died are up and the cut is whole."""
     harness.note("outage", n=n, **{"drawn": one})
 
     async def die(name, at):
@@ -118,8 +125,8 @@
     harness.note("all_up", n=n)
 
 
-async def play(harness, count):
-    """So many outages under load; each begins once the copies of the one before are whole."""
+async def play(harness: "ProcessHarness", count: int) -> None:
+    """Play so many outages under load; each begins once the copies of the one before are whole."""
     clients = OpenLoopClients(harness, harness.scenario.clients, harness.seed, harness.scenario.seconds)
     look = asyncio.create_task(clients.front.look())
     await asyncio.sleep(0.3)
@@ -143,8 +150,8 @@
     await settle(harness)
 
 
-def spread(rows):
-    """Percentiles of the times, and how many did not come back before the next outage."""
+def spread(rows: list[list[float | None]]) -> dict[str, Any]:
+    """Return percentiles of the times, and how many did not come back before the next outage."""
     out = {}
     for n, share in enumerate(("95", "99")):
         some = [row[n] for row in rows if row[n] is not None]
--- a/mastledge/lab/scenario.py
+++ b/mastledge/lab/scenario.py
@@ -21,10 +21,12 @@
 
 
 class Strict(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    pass
+    """A table of TOML; a key that it does not have is an error."""
 
 
 class Workers(Strict):
+    """The workers: how many, with how many slots, how long a job runs and how cold each starts."""
+
     count: int = 4
     slots: int = 4
     run_ms: tuple[float, float] = (10, 40)
@@ -34,6 +36,8 @@
 
 
 class QueueType(Strict):
+    """One type of jobs and its share of the load."""
+
     name: str
     effect: str = "pure"
     share: float = 1.0
@@ -94,6 +98,8 @@
 
 
 class Scenario(Strict):
+    """One scenario, as its file has it; docs/laboratory.md says what each key is."""
+
     name: str
     about: str = ""
     seconds: float = 10
@@ -167,8 +173,8 @@
 }
 
 
-def find(path):
-    """A file, or the name of a scenario that comes with the package."""
+def find(path: str) -> str:
+    """Return the path of a file, or of a scenario that comes with the package; ScenarioError for neither."""
     if os.path.exists(path):
         return path
     here = os.path.join(HERE, path if path.endswith(".toml") else path + ".toml")
@@ -177,17 +183,18 @@
     raise ScenarioError(f"{path}: no such file, and none of: " + ", ".join(known()))
 
 
-def known():
+def known() -> list[str]:
+    """Return the names of the scenarios that come with the package."""
     return sorted(name[:-5] for name in os.listdir(HERE) if name.endswith(".toml"))
 
 
-def read(path):
-    """The scenario in a file; ScenarioError says file and key."""
+def read(path: str) -> Scenario:
+    """Return the scenario in a file; ScenarioError says file and key."""
     path = find(path)
     try:
         with open(path, "rb") as file:
-            told = tomllib.load(file)
-        scenario = msgspec.convert(told, Scenario)
+            document = tomllib.load(file)
+        scenario = msgspec.convert(document, Scenario)
         if scenario.clients.day:
             scenario.clients.shape = read_day(os.path.join(os.path.dirname(path), scenario.clients.day))
             scenario.clients.per_second, scenario.clients.day = 1.0, ""
@@ -199,8 +206,8 @@
     return scenario
 
 
-def read_day(path):
-    """Rows of a day; ValueError names the line."""
+def read_day(path: str) -> list[tuple[float, float]]:
+    """Return the rows (second, jobs a second) of a day; ValueError names the line."""
     rows = []
     with open(path, newline="") as file:
         for n, row in enumerate(csv.reader(file), 1):
@@ -214,7 +221,8 @@
     return rows
 
 
-def check_shape(shape, seconds):
+def check_shape(shape: list[tuple[float, float]], seconds: float) -> None:
+    """Check the shape of a load; ScenarioError says what is wrong with it."""
     if any(factor < 0 or not factor < 1e6 for _, factor in shape):
         raise ScenarioError("clients.shape: a factor is below 0 or no number")
     if any(not after[0] > before[0] for before, after in zip(shape, shape[1:], strict=False)):
@@ -223,9 +231,9 @@
         raise ScenarioError(f"clients.shape: begins outside the run: {shape[0][0]}")
 
 
-def check(scenario):
+def check(scenario: Scenario) -> None:
+    """Check what the types of a scenario do not; ScenarioError names the key."""
     names = {f"n{n}" for n in range(scenario.dispatchers)}
-    workers = {f"w{n}" for n in range(scenario.workers.count)}
     if not 1 <= scenario.dispatchers <= MOST:
         raise ScenarioError(f"dispatchers: not from 1 to {MOST}: {scenario.dispatchers}")
     if not 0 < scenario.seconds <= 600:
@@ -233,50 +241,81 @@
     for key in ("count", "slots"):
         if getattr(scenario.workers, key) < 1:
             raise ScenarioError(f"workers.{key}: below 1")
-    check_shape(scenario.clients.shape, scenario.seconds)
-    if scenario.clients.day:
-        raise ScenarioError("clients.day: only in a scenario that is a file")
-    if scenario.clients.patience_ms < 0:
-        raise ScenarioError("clients.patience_ms: below 0")
-    if scenario.clients.per_second < 0:
-        raise ScenarioError("clients.per_second: below 0")
-    for key in ("again_after", "keyed"):
-        if not 0 <= (share := getattr(scenario.clients, key)) <= 1:
-            raise ScenarioError(f"clients.{key}: not from 0 to 1: {share}")
+    check_clients(scenario.clients, scenario.seconds)
     for key, build in scenario.builds.items():
         if build_variants.found(build) is None:
             raise ScenarioError(f"builds.{key}: unknown: {build}")
-    if scenario.goals.back_s < 0 or scenario.goals.most_out < 0 or scenario.goals.within_s <= 0:
-        raise ScenarioError("goals: none may be below 0")
-    if not 0 < scenario.goals.share <= 1:
-        raise ScenarioError(f"goals.share: not above 0 and up to 1: {scenario.goals.share}")
+    check_goals(scenario.goals)
     for key in (*scenario.rates, *scenario.builds, *scenario.ahead):
         if key not in names:
             raise ScenarioError(f"no dispatcher of this name: {key}")
     for n, step in enumerate(scenario.steps):
-        where = f"steps[{n}]"
-        if step.at < 0 or step.at > scenario.seconds:
-            raise ScenarioError(f"{where}.at: not within the run: {step.at}")
-        if step.seconds < 0:
-            raise ScenarioError(f"{where}.seconds: ends before it begins: {step.seconds}")
-        if step.build and step.build != "none" and build_variants.found(step.build) is None:
-            raise ScenarioError(f"{where}.build: unknown: {step.build}")
-        if bool(step.fault) == bool(step.call):
-            raise ScenarioError(f"{where}: either fault or call")
-        table, key = (FAULTS, step.fault) if step.fault else (CALLS, step.call)
-        if key not in table:
-            raise ScenarioError(f"{where}.{'fault' if step.fault else 'call'}: unknown: {key}")
-        for need in sorted(table[key]):
-            if not getattr(step, need):
-                raise ScenarioError(f"{where}.{need}: missing for {key}")
-        if step.kind and step.kind not in KINDS:
-            raise ScenarioError(f"{where}.kind: none of {', '.join(sorted(KINDS))}: {step.kind}")
-        if step.kind == "slow" and step.amount <= 0:
-            raise ScenarioError(f"{where}.amount: missing for slow")
-        if not 0 < step.share <= 1 or step.count < 0:
-            raise ScenarioError(f"{where}.share, count: above 0 up to 1, and none below 0")
-        late = {s.who for s in scenario.steps if s.fault == "add"}
-        for field, those in (("who", names | late), ("to", names | late), ("worker", workers)):
-            value = getattr(step, field)
-            if value and value not in those:
-                raise ScenarioError(f"{where}.{field}: nobody of this name: {value}")
+        check_step(scenario, step, f"steps[{n}]")
+
+
+def check_clients(clients: Clients, seconds: float) -> None:
+    """Check the load of a run of so many seconds."""
+    check_shape(clients.shape, seconds)
+    if clients.day:
+        raise ScenarioError("clients.day: only in a scenario that is a file")
+    if clients.patience_ms < 0:
+        raise ScenarioError("clients.patience_ms: below 0")
+    if clients.per_second < 0:
+        raise ScenarioError("clients.per_second: below 0")
+    for key in ("again_after", "keyed"):
+        if not 0 <= (share := getattr(clients, key)) <= 1:
+            raise ScenarioError(f"clients.{key}: not from 0 to 1: {share}")
+
+
+def check_goals(goals: Goals) -> None:
+    """Check what is asked of the run beside the rules."""
+    if goals.back_s < 0 or goals.most_out < 0 or goals.within_s <= 0:
+        raise ScenarioError("goals: none may be below 0")
+    if not 0 < goals.share <= 1:
+        raise ScenarioError(f"goals.share: not above 0 and up to 1: {goals.share}")
+
+
+def check_step(scenario: Scenario, step: Step, where: str) -> None:
+    """Check one step; `where` names it in messages."""
+    if step.at < 0 or step.at > scenario.seconds:
+        raise ScenarioError(f"{where}.at: not within the run: {step.at}")
+    if step.seconds < 0:
+        raise ScenarioError(f"{where}.seconds: ends before it begins: {step.seconds}")
+    if step.build and step.build != "none" and build_variants.found(step.build) is None:
+        raise ScenarioError(f"{where}.build: unknown: {step.build}")
+    check_step_action(step, where)
+    check_worker_trouble(step, where)
+    check_step_names(scenario, step, where)
+
+
+def check_step_action(step: Step, where: str) -> None:
+    """Check that a step is one fault or one call, and has what that needs."""
+    if bool(step.fault) == bool(step.call):
+        raise ScenarioError(f"{where}: either fault or call")
+    table, key = (FAULTS, step.fault) if step.fault else (CALLS, step.call)
+    if key not in table:
+        raise ScenarioError(f"{where}.{'fault' if step.fault else 'call'}: unknown: {key}")
+    for need in sorted(table[key]):
+        if not getattr(step, need):
+            raise ScenarioError(f"{where}.{need}: missing for {key}")
+
+
+def check_worker_trouble(step: Step, where: str) -> None:
+    """Check what a step says of the trouble of a worker."""
+    if step.kind and step.kind not in KINDS:
+        raise ScenarioError(f"{where}.kind: none of {', '.join(sorted(KINDS))}: {step.kind}")
+    if step.kind == "slow" and step.amount <= 0:
+        raise ScenarioError(f"{where}.amount: missing for slow")
+    if not 0 < step.share <= 1 or step.count < 0:
+        raise ScenarioError(f"{where}.share, count: above 0 up to 1, and none below 0")
+
+
+def check_step_names(scenario: Scenario, step: Step, where: str) -> None:
+    """Check that dispatchers and workers that a step names are there, or are added by a step."""
+    workers = {f"w{n}" for n in range(scenario.workers.count)}
+    dispatchers = {f"n{n}" for n in range(scenario.dispatchers)}
+    dispatchers |= {other.who for other in scenario.steps if other.fault == "add"}
+    for field, names in (("who", dispatchers), ("to", dispatchers), ("worker", workers)):
+        value = getattr(step, field)
+        if value and value not in names:
+            raise ScenarioError(f"{where}.{field}: nobody of this name: {value}")
--- a/mastledge/lab/stub_servers.py
+++ b/mastledge/lab/stub_servers.py
@@ -1,36 +1,59 @@
-"""Stand-ins: workers with slots, a cold start and a ledger of effects; and the discovery that lists them."""
+"""Stub servers: workers with slots, a cold start and a ledger of effects; and discovery that lists them."""
 
 import asyncio
 import json
 import time
+from typing import Any, Protocol
 
 import h11
+import numpy
 
 from mastledge.lab.faults import Troubles
+from mastledge.lab.scenario import Workers
 from mastledge.lab.wire import now, request, whole
 
+HEARTBEAT_US = 2_000_000  # without a change, after which a follower gets an empty line
+FOLLOW_POLL_S = 0.01
+
+
+class Notes(Protocol):
+    """Who runs stub servers: it says on which address, and is told what happens."""
+
+    host: str
+
+    def note(self, kind: str, at: int | None = None, **fields: Any) -> None:
+        """Take an event, of now or of microsecond `at`."""
 
-class Worker:
-    """Takes jobs by the protocol of the platform's pages, runs some at once, and writes down each effect."""
 
-    def __init__(self, harness, name, told, random):
-        self.harness, self.name, self.told, self.random = harness, name, told, random
-        self.state, self.born, self.address, self.server, self.tasks = "ready", 0, None, None, set()
-        self.free = asyncio.Semaphore(told.slots)
+class Worker:
+    """A worker: takes jobs by the platform's protocol, runs some at once, and notes each effect."""
+
+    def __init__(self, harness: Notes, name: str, options: Workers, random: numpy.random.Generator) -> None:
+        """Make a worker that notes what happens at `harness`; `begin` opens it."""
+        self.harness, self.name, self.options, self.random = harness, name, options, random
+        self.state = "ready"  # as discovery lists it
+        self.born = 0  # microsecond of its last restart; 0: warm since ever
+        self.address = ""
+        self.server: asyncio.Server | None = None
+        self.tasks: set[asyncio.Task] = set()
+        self.free_slots = asyncio.Semaphore(options.slots)
         self.troubles = Troubles()
 
-    async def begin(self):
+    async def begin(self) -> "Worker":
+        """Open its socket; `address` is where it listens."""
         self.server = await asyncio.start_server(self.serve, self.harness.host, 0)
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname()[:2])
         return self
 
-    def warmth(self):
-        cold = self.told.cold_ms * 1000
+    def warmth(self) -> float:
+        """Return how fast it runs jobs now, by what it does once warm: up to 1."""
+        cold = self.options.cold_ms * 1000
         if not self.born or not cold:
             return 1.0
-        return min(1.0, self.told.cold_from + (1 - self.told.cold_from) * (now() - self.born) / cold)
+        return min(1.0, self.options.cold_from + (1 - self.options.cold_from) * (now() - self.born) / cold)
 
-    async def serve(self, reader, writer):
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection of a dispatcher until it ends."""
         conn = h11.Connection(h11.SERVER)
         self.tasks.add(asyncio.current_task())
         try:
@@ -42,7 +65,7 @@
                 head, content = await request(conn, reader)
                 if head is None:
                     return
-                if was_deaf and self.told.drops:
+                if was_deaf and self.options.drops:
                     await asyncio.sleep(0.02)
                     if reader.at_eof():
                         return  # it was sent long ago, and given up since
@@ -58,12 +81,13 @@
             self.tasks.discard(asyncio.current_task())
             writer.close()
 
-    async def run(self, conn, reader, writer, head, at):
+    async def run(self, conn, reader, writer, head, at: int) -> None:
+        """Run the job of a request that came at microsecond `at`, and answer it."""
         fields = dict(head.headers)
         job = fields.get(b"x-txn", b"").decode()
         key = fields.get(b"idempotency-key", b"").decode()
         kind = head.target.decode()[1:]
-        low, high = self.told.run_ms
+        low, high = self.options.run_ms
         work = int((low + (high - low) * self.random.random()) * 1000)
         self.harness.note("launch", at=at, worker=self.name, job=job, key=key, type=kind, work=work)
 
@@ -76,10 +100,9 @@
             await reader.read()  # until its dispatcher gives up
             raise ConnectionError("silent")
 
-        def line(**told):
-            writer.write(
-                conn.send(h11.Data(data=json.dumps({"id": job, "from": self.name, **told}).encode() + b"\n"))
-            )
+        def write_line(**fields: str) -> None:
+            line = json.dumps({"id": job, "from": self.name, **fields}).encode() + b"\n"
+            writer.write(conn.send(h11.Data(data=line)))
 
         writer.write(conn.send(h11.Response(status_code=200, headers=[("transfer-encoding", "chunked")])))
         if trouble == "malformed":
@@ -87,22 +110,23 @@
             await writer.drain()
             return
         slow = self.troubles.slow(at)
-        async with self.free:
-            if self.told.drops and reader.at_eof():
+        async with self.free_slots:
+            if self.options.drops and reader.at_eof():
                 self.harness.note("dropped", worker=self.name, job=job)
                 return
             if trouble != "lost":
-                line(state="started")
+                write_line(state="started")
             await asyncio.sleep(work * slow / self.warmth() / 1e6)
             # From here on it has happened, whoever hears of it.
             self.harness.note("effect", worker=self.name, job=job, key=key, type=kind)
             if trouble == "lost":
                 raise ConnectionError("its answer is lost")
-            line(state="done", result=f"{self.name} {job}")
+            write_line(state="done", result=f"{self.name} {job}")
             writer.write(conn.send(h11.EndOfMessage()))
             await writer.drain()
 
-    def entry(self):
+    def entry(self) -> dict[str, Any]:
+        """Return the entry of discovery's list for this worker, as it is now."""
         return {
             "instanceId": self.name,
             "hostPort": self.address,
@@ -114,12 +138,12 @@
             "startedAtMs": int(time.time() * 1000 - (now() - self.born) / 1000) if self.born else 0,
         }
 
-    async def restart(self):
-        """Ends at once with all it had, and comes back cold under another address."""
+    async def restart(self) -> None:
+        """End at once with all it had, and come back cold under another address."""
         self.server.close()
         for task in list(self.tasks):
             task.cancel()
-        self.free, self.troubles = asyncio.Semaphore(self.told.slots), Troubles()
+        self.free_slots, self.troubles = asyncio.Semaphore(self.options.slots), Troubles()
         await self.begin()
         self.born = now()
 
@@ -127,26 +151,31 @@
 class Agent:
     """What one dispatcher hears of discovery, on an address of its own: it may be late, silent or down."""
 
-    def __init__(self, registry, who):
-        self.registry, self.who, self.late, self.silent, self.server = registry, who, 0.0, False, None
-        self.told = 0  # the generation that has been written here
-        self.shown, self.changed = (1, now(), []), asyncio.Event()
+    def __init__(self, registry: "Registry", who: str) -> None:
+        """Make the agent of dispatcher `who`; `begin` opens it."""
+        self.registry, self.who = registry, who
+        self.late = 0.0  # seconds after which it hears of a change
+        self.silent = False
+        self.server: asyncio.Server | None = None
+        self.written = 0  # the newest generation that has been written here
 
-    async def begin(self):
+    async def begin(self) -> "Agent":
+        """Open its socket; `address` is where it listens."""
         self.server = await asyncio.start_server(self.serve, self.registry.harness.host, 0)
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname()[:2])
         return self
 
-    def visible(self):
-        """The newest change that has reached this agent."""
-        seen = 0
+    def visible(self) -> int:
+        """Return the generation of the newest change that has reached this agent."""
+        newest = 0
         for generation, at, _ in self.registry.held():
-            if not self.silent and now() >= at + self.late * 1e6 or generation <= self.told:
-                seen = generation
-        return max(seen, self.told)
+            if not self.silent and now() >= at + self.late * 1e6 or generation <= self.written:
+                newest = generation
+        return max(newest, self.written)
 
-    async def serve(self, reader, writer):
-        conn, registry = h11.Connection(h11.SERVER), self.registry
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer one call of discovery: the whole list, or changes as they come."""
+        conn = h11.Connection(h11.SERVER)
         try:
             head, _ = await request(conn, reader)
             while self.silent:
@@ -154,71 +183,84 @@
             if head is None:
                 return
             path = head.target.decode()
-            self.registry.harness.note("list_call", who=self.who, whole="follow=1" not in path)
-            if "follow=1" not in path:
-                last = self.visible()
-                writer.write(whole(conn, 200, registry.list(last)))
-                self.heard(last)
-                await writer.drain()
+            follows = "follow=1" in path
+            self.registry.harness.note("list_call", who=self.who, whole=not follows)
+            if follows:
+                await self.follow(conn, writer, int(path.rpartition("since=")[2]))
                 return
-            since = int(path.rpartition("since=")[2])
-            writer.write(conn.send(h11.Response(status_code=200, headers=[("transfer-encoding", "chunked")])))
-            spoke = now()
-            while True:
-                last = self.visible()
-                if last < since and not self.silent:
-                    # It knows less than who asks has heard: all that it has, as the whole of it.
-                    writer.write(conn.send(h11.Data(data=registry.list(last) + b"\n")))
-                    await writer.drain()
-                    since, spoke = last, now()
-                if last > since and not self.silent:
-                    writer.write(conn.send(h11.Data(data=registry.changed(since, last) + b"\n")))
-                    await writer.drain()
-                    self.heard(last)
-                    since, spoke = last, now()
-                elif now() - spoke > 2_000_000 and not self.silent:
-                    writer.write(conn.send(h11.Data(data=b"\n")))
-                    await writer.drain()
-                    spoke = now()
-                await asyncio.sleep(0.01)
+            last = self.visible()
+            writer.write(whole(conn, 200, self.registry.list(last)))
+            self.note_written(last)
+            await writer.drain()
         except (OSError, h11.ProtocolError, asyncio.CancelledError):
             return
         finally:
             writer.close()
 
-    def heard(self, generation):
-        if generation > self.told:
-            self.told = generation
+    async def follow(self, conn: h11.Connection, writer: asyncio.StreamWriter, since: int) -> None:
+        """Write changes after generation `since` as they come, and an empty line where none does."""
+        writer.write(conn.send(h11.Response(status_code=200, headers=[("transfer-encoding", "chunked")])))
+        written_at = now()
+        while True:
+            last = self.visible()
+            if last < since and not self.silent:
+                # It knows less than who asks has heard: all that it has, as the whole of it.
+                writer.write(conn.send(h11.Data(data=self.registry.list(last) + b"\n")))
+                await writer.drain()
+                since, written_at = last, now()
+            if last > since and not self.silent:
+                writer.write(conn.send(h11.Data(data=self.registry.changed(since, last) + b"\n")))
+                await writer.drain()
+                self.note_written(last)
+                since, written_at = last, now()
+            elif now() - written_at > HEARTBEAT_US and not self.silent:
+                writer.write(conn.send(h11.Data(data=b"\n")))
+                await writer.drain()
+                written_at = now()
+            await asyncio.sleep(FOLLOW_POLL_S)
+
+    def note_written(self, generation: int) -> None:
+        """Note that its dispatcher was told of all up to this generation."""
+        if generation > self.written:
+            self.written = generation
             self.registry.harness.note("told", who=self.who, generation=generation)
 
 
 class Registry:
-    def __init__(self, harness, workers):
+    """Discovery: all changes of the list by their generations, and an agent for each dispatcher."""
+
+    def __init__(self, harness: Notes, workers: dict[str, Worker]) -> None:
+        """List all workers as they are, as generation 1."""
         self.harness, self.workers, self.generation = harness, workers, 1
-        self.changes, self.agents, self.lost = [(1, 0, [])], {}, 0
+        # (generation, microsecond, entries); None for entries: nobody is there.
+        self.changes: list[tuple[int, int, list[dict[str, Any]] | None]] = [(1, 0, [])]
+        self.agents: dict[str, Agent] = {}
+        self.lost = 0  # of the last changes
 
-    async def agent(self, who):
+    async def agent(self, who: str) -> Agent:
+        """Open the agent of a dispatcher."""
         self.agents[who] = await Agent(self, who).begin()
         return self.agents[who]
 
-    def change(self, worker, state):
+    def change(self, worker: str, state: str) -> None:
+        """List a worker in another state."""
         self.workers[worker].state = state
         self.generation += 1
         self.changes.append((self.generation, now(), [self.workers[worker].entry()]))
         self.harness.note("listed", worker=worker, state=state, generation=self.generation)
 
-    def held(self):
-        """What it has not lost of the changes."""
+    def held(self) -> list[tuple[int, int, list[dict[str, Any]] | None]]:
+        """Return what it has not lost of the changes."""
         return self.changes[: len(self.changes) - self.lost]
 
-    def forget(self, count):
-        """It comes back without its last changes."""
+    def forget(self, count: int) -> None:
+        """Come back without the last changes."""
         self.lost = min(count, len(self.changes) - 1)
         for agent in self.agents.values():
-            agent.told = min(agent.told, self.held()[-1][0])
+            agent.written = min(agent.written, self.held()[-1][0])
 
-    def reset(self, empty):
-        """It tells that there is nobody, or all that there are."""
+    def reset(self, empty: bool) -> None:
+        """Tell that there is nobody, or all that there are."""
         self.generation += 1
         entries = [] if empty else [worker.entry() for worker in self.workers.values()]
         self.changes.append((self.generation, now(), None if empty else entries))
@@ -226,7 +268,8 @@
             state = "gone" if empty else worker.state
             self.harness.note("listed", worker=name, state=state, generation=self.generation)
 
-    def as_of(self, last):
+    def as_of(self, last: int) -> dict[str, dict[str, Any]]:
+        """Return the entries that changes up to generation `last` have given, by worker."""
         known = {}
         for generation, _, entries in self.changes:
             if generation <= last:
@@ -236,24 +279,21 @@
                 known.update({entry["instanceId"]: entry for entry in some})
         return known
 
-    def list(self, last):
+    def list(self, last: int) -> bytes:
+        """Return the whole list as of a generation, as JSON."""
         known = self.as_of(last)
         entries = [
             known.get(name, {**worker.entry(), "lifecycle": "ready"}) for name, worker in self.workers.items()
         ]
-        return json.dumps(
-            {
-                "generation": last,
-                "reset": True,
-                "instances": [one for one in entries if one["lifecycle"] != "gone"],
-            }
-        ).encode()
-
-    def changed(self, since, last):
+        present = [entry for entry in entries if entry["lifecycle"] != "gone"]
+        return json.dumps({"generation": last, "reset": True, "instances": present}).encode()
+
+    def changed(self, since: int, last: int) -> bytes:
+        """Return what has changed after generation `since` up to `last`, as JSON."""
         if any(since < generation <= last and entries is None for generation, _, entries in self.changes):
             return self.list(last)
         entries = {}
         for generation, _, some in self.changes:
             if since < generation <= last:
                 entries.update({entry["instanceId"]: entry for entry in some})
-        return json.dumps({"generation": last, "reset": False, "instances": list(entries.values())}).encode()
+        return json.dumps({"generation": last, "reset": False, "instances": [*entries.values()]}).encode()
