--- a/mastledge/lab/bench/changes.py
+++ b/mastledge/lab/bench/changes.py
@@ -6,7 +6,7 @@
 
 from mastledge.lab.bench.measured_rig import Figures, MeasuredRig, measured
 from mastledge.lab.bench.percentiles import spread
-from mastledge.lab.rig import LOOK
+from mastledge.lab.process_harness import LOOK
 from mastledge.lab.scenario import Clients, Scenario
 from mastledge.lab.wire import call
 
--- a/mastledge/lab/bench/many_keys.py
+++ b/mastledge/lab/bench/many_keys.py
@@ -10,7 +10,7 @@
 from mastledge.idempotency.key_table import KeyTable
 from mastledge.idempotency.keyed_request import KeyedRequest
 from mastledge.lab.bench.measured_rig import Figures, MeasuredRig, record_of
-from mastledge.lab.rig import Node
+from mastledge.lab.harness.dispatcher import Dispatcher
 from mastledge.lab.scenario import Clients, Scenario
 from mastledge.lab.wire import call
 from mastledge.replication.persisted_state import PersistedReplica, head_records
@@ -84,13 +84,13 @@
     return size_bytes
 
 
-async def replica_state(node: Node) -> dict[str, Any]:
+async def replica_state(node: Dispatcher) -> dict[str, Any]:
     """What a dispatcher tells of its replica; {} where it does not answer."""
     status, _, text = await call(node.control, "GET", "/api/copies")
     return json.loads(text) if status == 200 else {}
 
 
-async def restart_without_disk(rig: FilledRig, node: Node, replicas: int) -> dict[str, float]:
+async def restart_without_disk(rig: FilledRig, node: Dispatcher, replicas: int) -> dict[str, float]:
     """Seconds until a dispatcher that lost its disk is ready, and until it has as many replicas again."""
     rig.killed(node)
     shutil.rmtree(os.path.join(node.folder, "repeats"))
--- a/mastledge/lab/bench/measured_rig.py
+++ b/mastledge/lab/bench/measured_rig.py
@@ -5,13 +5,13 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from mastledge.lab.rig import Rig
+from mastledge.lab.process_harness import ProcessHarness
 from mastledge.lab.scenario import Scenario
 
 Figures = dict[str, Any]
 
 
-class MeasuredRig(Rig):
+class MeasuredRig(ProcessHarness):
     """A rig whose run is one coroutine function: it gets the rig, and what it returns is `figures`."""
 
     def __init__(
--- a/mastledge/lab/bench/outage_recovery.py
+++ b/mastledge/lab/bench/outage_recovery.py
@@ -4,7 +4,7 @@
 
 from mastledge.lab import outages
 from mastledge.lab.bench.measured_rig import Figures, MeasuredRig, record_of
-from mastledge.lab.judge import judged
+from mastledge.lab.invariant_checker import judged
 
 MAX_BREACHES_TOLD = 5  # of each rule
 
--- a/mastledge/lab/commands/experiments.py
+++ b/mastledge/lab/commands/experiments.py
@@ -8,14 +8,14 @@
 from mastledge.lab import figures
 from mastledge.lab.commands.options import add_command, add_file, add_output_folder, add_quiet
 from mastledge.lab.commands.output import STATUS_BROKEN, STATUS_GOOD, bad_call, progress
-from mastledge.lab.scenario import BadScenario
+from mastledge.lab.scenario import ScenarioError
 
 
 def experiment(args: argparse.Namespace) -> int:
     """Plays what is not played yet, and tells of it."""
     try:
         plan = experiments.read(args.file)
-    except BadScenario as error:
+    except ScenarioError as error:
         return bad_call(error)
     try:
         experiments.run(plan, args.out, args.jobs, progress(args.quiet))
@@ -44,7 +44,7 @@
         else:
             whole = reports.report(*runs)
             lines, complete = list(reports.text(whole)), whole["complete"]
-    except BadScenario as error:
+    except ScenarioError as error:
         return bad_call(error)
     print("\n".join(lines))
     if json_path:
--- a/mastledge/lab/commands/output.py
+++ b/mastledge/lab/commands/output.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from mastledge.lab.judge import judged
+from mastledge.lab.invariant_checker import judged
 
 STATUS_GOOD, STATUS_BROKEN, STATUS_BAD_CALL = 0, 1, 2
 MAX_LINES_PER_RULE = 5
--- a/mastledge/lab/commands/scenarios.py
+++ b/mastledge/lab/commands/scenarios.py
@@ -5,7 +5,7 @@
 import json
 
 from mastledge.lab import experiment as experiments
-from mastledge.lab.builds import BUILDS
+from mastledge.lab.build_variants import BUILDS
 from mastledge.lab.commands.options import add_command, add_file, add_quiet, add_seed
 from mastledge.lab.commands.output import (
     STATUS_BROKEN,
@@ -14,9 +14,9 @@
     print_verdict,
     progress,
 )
-from mastledge.lab.judge import judged
-from mastledge.lab.rig import Rig
-from mastledge.lab.scenario import BadScenario, Scenario, known, read
+from mastledge.lab.invariant_checker import judged
+from mastledge.lab.process_harness import ProcessHarness
+from mastledge.lab.scenario import Scenario, ScenarioError, known, read
 from mastledge.lab.scenario import check as check_scenario
 
 MAX_LINES_PER_RULE = 10
@@ -36,8 +36,8 @@
         scenario = read(args.file)
         set_builds(scenario, args.build)
         check_scenario(scenario)
-        rig = Rig(scenario, args.seed, args.out, progress(args.quiet))
-    except BadScenario as error:
+        rig = ProcessHarness(scenario, args.seed, args.out, progress(args.quiet))
+    except ScenarioError as error:
         return bad_call(error)
     return print_verdict(scenario.name, args.seed, asyncio.run(rig.run()))
 
@@ -46,7 +46,7 @@
     """Reads a scenario, and says whether it is good."""
     try:
         scenario = read(args.file)
-    except BadScenario as error:
+    except ScenarioError as error:
         return bad_call(error)
     print(f"{scenario.name}: good; {len(scenario.steps)} steps in {scenario.seconds:g} s")
     return STATUS_GOOD
--- a/mastledge/lab/commands/simulations.py
+++ b/mastledge/lab/commands/simulations.py
@@ -14,7 +14,7 @@
 )
 from mastledge.lab.commands.output import STATUS_GOOD, bad_call, print_verdict, progress
 from mastledge.lab.emulator import Emulation
-from mastledge.lab.scenario import BadScenario, read
+from mastledge.lab.scenario import ScenarioError, read
 
 MAX_FINDS = 5  # that are told
 
@@ -24,7 +24,7 @@
     try:
         scenario = read(args.file)
         emulation = Emulation(scenario, args.seed, args.policy, None if args.quiet else print)
-    except BadScenario as error:
+    except ScenarioError as error:
         return bad_call(error)
     record = emulation.play()
     if args.out:
@@ -41,7 +41,7 @@
     try:
         base = read(args.file)
         Emulation.check_played(base)
-    except BadScenario as error:
+    except ScenarioError as error:
         return bad_call(error)
     found = searching.search(base, args.tries, args.seed, args.jobs, args.policy, progress(args.quiet))
     for lost, why, genes in found[:MAX_FINDS]:
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -1,12 +1,12 @@
 """The fleet in simulated time: the very decisions of the program (`balance`, `consensus`, `recovery`), and
 models of all that is round them.
 
-`Emulation(scenario, seed).play()` gives a record of the same shape as `Rig.run()`, so the judge, reports and
-experiments read both. One seed replays all of it. What is a model here: sockets (a link takes 0.1 to 0.6 ms),
-workers (as `stands.Worker`), discovery (as `stands.Agent`), disks, the start of a process (`BOOT`), and
-clients (as `load.Clients`, drawn from the same seed, so the same jobs come at the same times). Copies of keys
-are played by `copies` on the links and disks of `copying`, which also has when each hears who holds them; one
-copy alone is refused. CPU costs nothing.
+`Emulation(scenario, seed).play()` gives a record of the same shape as `ProcessHarness.run()`, so the judge,
+reports and experiments read both. One seed replays all of it. What is a model here: sockets (a link takes 0.1
+to 0.6 ms), workers (as `stub_servers.Worker`), discovery (as `stub_servers.Agent`), disks, the start of a
+process (`BOOT`), and clients (as `load.Clients`, drawn from the same seed, so the same jobs come at the same
+times). Copies of keys are played by `copies` on the links and disks of `copying`, which also has when each
+hears who holds them; one copy alone is refused. CPU costs nothing.
 """
 
 from collections import deque
@@ -14,9 +14,9 @@
 from types import SimpleNamespace
 
 from mastledge.lab import copying, faults, outages, policies, schedule
+from mastledge.lab.harness.dispatcher_configuration import checker_limits, settings_document
 from mastledge.lab.load import Clients
-from mastledge.lab.rig import document, limits
-from mastledge.lab.scenario import BadScenario
+from mastledge.lab.scenario import ScenarioError
 from mastledge.program.settings import flatten_settings, parse_settings
 from mastledge.recovery.admission_ramp import AdmissionRamp, AdmittedJobOutcome, PeerLoad
 from mastledge.recovery.newest_list import NewestList
@@ -590,7 +590,7 @@
         self.nodes = {name: Member(self, name, 1.0) for name in (names if self.agreeing else [])}
         self.scenario, self.seed, self.show = scenario, seed, show
         self.decisions = policies.named(policy)
-        self.settings = parse_settings(flatten_settings(document(scenario)))
+        self.settings = parse_settings(flatten_settings(settings_document(scenario)))
         self.settings["may_message"] = False
         self.events, self.spells, self.late, self.lag = [], [], 0.0, 0.0
         self.workers = {
@@ -611,16 +611,16 @@
         for n, step in enumerate(scenario.steps):
             what = step.fault or step.call
             if what not in PLAYED | CALLED:
-                raise BadScenario(f"steps[{n}]: {what} is not emulated; run it with processes")
+                raise ScenarioError(f"steps[{n}]: {what} is not emulated; run it with processes")
             if step.build:
-                raise BadScenario(f"steps[{n}].build: not emulated; run it with processes")
+                raise ScenarioError(f"steps[{n}].build: not emulated; run it with processes")
         if scenario.repeats and scenario.repeats.get("copies", 1) < 2:
-            raise BadScenario("repeats.copies: one copy is not emulated; run it with processes")
+            raise ScenarioError("repeats.copies: one copy is not emulated; run it with processes")
         for what in ("builds", "rates", "ahead"):
             if getattr(scenario, what):
-                raise BadScenario(f"{what} are not emulated; run it with processes")
+                raise ScenarioError(f"{what} are not emulated; run it with processes")
         if scenario.agree and scenario.lease_ms * 1000 != schedule.LEASE:
-            raise BadScenario(f"lease_ms: only {schedule.LEASE // 1000} is emulated")
+            raise ScenarioError(f"lease_ms: only {schedule.LEASE // 1000} is emulated")
 
     def check(self, node):
         """What the schedules look at with each step is theirs; here the judge reads the record."""
@@ -678,7 +678,7 @@
             "simulated": True,
             "complete": whole,
             "why": why,
-            **limits(told),
+            **checker_limits(told),
             "spells": self.spells,
             "late_ms": 0.0,
             "lag_ms": 0.0,
@@ -724,7 +724,7 @@
         )
         self.tries[job.name] = job
         self.at(self.link(), dispatcher.arrive, job, dispatcher.life)
-        patience = self.clients.told.patience_ms
+        patience = self.clients.options.patience_ms
         wait = int(kind.walltime_ms * 1000 + 1_000_000)
         self.at(min(wait, int(patience * 1000)) if patience else wait, self.tired, job, bool(patience))
 
@@ -745,7 +745,7 @@
 
     def client_ends(self, job, why):
         self.note("lost", job=job.name, who=job.who, why=why, ms=(self.now - job.sent) / 1000)
-        if self.clients.told.again_when_lost:
+        if self.clients.options.again_when_lost:
             self.again(job, 0.1)
         else:
             self.over_with(job)
@@ -769,7 +769,7 @@
             self.over_with(job)
 
     def again(self, job, wait):
-        if job.attempt < self.clients.told.retries and not job.name.endswith("again"):
+        if job.attempt < self.clients.options.retries and not job.name.endswith("again"):
             self.at(int(wait * 1e6), self.come, job.client, job.attempt + 1)
         else:
             self.over_with(job)
--- a/mastledge/lab/outages.py
+++ b/mastledge/lab/outages.py
@@ -3,19 +3,29 @@
 """
 
 import asyncio
+from collections.abc import Iterable
+from typing import TYPE_CHECKING, Any
 
 import numpy
 
+from mastledge.lab.harness.dispatcher import RunFailedError
+from mastledge.lab.harness.settling import settle
+from mastledge.lab.harness.storage_faults import erase
+from mastledge.lab.invariants.record_queries import Record
+from mastledge.lab.load import Clients as OpenLoopClients
 from mastledge.lab.scenario import Clients, QueueType, Scenario, Workers
 from mastledge.lab.wire import now
 
+if TYPE_CHECKING:
+    from mastledge.lab.process_harness import ProcessHarness
+
 SHARE = 0.7  # of the dispatchers that die in one second, and come back in the same
 SPAN = 500_000  # in which the service is looked at, in microseconds
 REST = 2.5  # seconds between one outage and the next
 
 
-def drawn(random, nodes, workers):
-    """One outage: who dies and when, for how long, and what befalls the others meanwhile."""
+def drawn(random: numpy.random.Generator, nodes: Iterable[str], workers: Iterable[str]) -> dict[str, Any]:
+    """Draw one outage: who dies and when, for how long, and what befalls the others meanwhile."""
     names = sorted(nodes)
     count = max(1, round(SHARE * len(names)))
     dead = [str(name) for name in random.choice(names, count, replace=False)]
@@ -30,7 +40,7 @@
     }
 
 
-def times(record):
+def times(record: Record) -> list[list[float | None]]:
     """For each outage the seconds from the last process being up until 95% and 99% of the first tries that
     come in half a second are served; None where that is not before the next outage.
     """
@@ -57,7 +67,8 @@
     return out
 
 
-def scenario(count, dispatchers, per_second, copies, open_ms=0):
+def scenario(count: int, dispatchers: int, per_second: float, copies: int, open_ms: float = 0) -> Scenario:
+    """Return the scenario in which outages are measured, with so many copies of keys (0: none kept)."""
     repeats = {"keep_ms": 60_000, "copies": copies, "entries": 50_000, "bytes": 1 << 26} if copies else {}
     return Scenario(
         name="outages",
@@ -79,71 +90,68 @@
     )
 
 
-async def befall(rig, one, n):
-    """Carries one outage out on processes; its end is when all that died are up and the cut is whole."""
-    rig.note("outage", n=n, **{"drawn": one})
+async def befall(harness: "ProcessHarness", one: dict[str, Any], n: int) -> None:
+    """Carry one outage out on processes; its end is when all that died are up and the cut is whole."""
+    harness.note("outage", n=n, **{"drawn": one})
 
     async def die(name, at):
         await asyncio.sleep(at)
-        node = rig.nodes[name]
+        node = harness.nodes[name]
         spell = {"who": name, "fault": "kill", "from": now(), "to": float("inf")}
-        rig.spells.append(spell)
-        rig.killed(node)
+        harness.spells.append(spell)
+        harness.killed(node)
         if name == one["wiped"]:
-            rig.emptied(node)
+            erase(harness, node)
         await asyncio.sleep(one["down"])
-        await rig.back(node)
+        await harness.back(node)
         spell["to"] = now()
 
-    relays = []
+    proxies = []
     if one["cut"]:
-        relays = [relay for pair, relay in rig.relays.items() if one["cut"] in pair]
-        for relay in relays:
-            relay.forth = relay.back = False
+        proxies = [proxy for pair, proxy in harness.link_proxies.items() if one["cut"] in pair]
+        for proxy in proxies:
+            proxy.forth = proxy.back = False
     if one["cold"]:
-        await rig.workers[one["cold"]].restart()
-        rig.note("reborn", worker=one["cold"])
-        rig.registry.change(one["cold"], "ready")
+        await harness.workers[one["cold"]].restart()
+        harness.note("reborn", worker=one["cold"])
+        harness.registry.change(one["cold"], "ready")
 
     async def heal():
         await asyncio.sleep(1.0)
-        for relay in relays:
-            relay.heal()
+        for proxy in proxies:
+            proxy.heal()
 
     await asyncio.gather(heal(), *(die(name, at) for name, at in zip(one["dead"], one["at"], strict=True)))
-    rig.note("all_up", n=n)
-
+    harness.note("all_up", n=n)
 
-async def play(rig, count):
-    """So many outages under load; each begins once the copies of the one before are whole."""
-    from mastledge.lab.load import Clients as Load
-    from mastledge.lab.rig import UP, Failed
 
-    clients = Load(rig, rig.scenario.clients, rig.seed, rig.scenario.seconds)
+async def play(harness: "ProcessHarness", count: int) -> None:
+    """Play so many outages under load; each begins once the copies of the one before are whole."""
+    clients = OpenLoopClients(harness, harness.scenario.clients, harness.seed, harness.scenario.seconds)
     look = asyncio.create_task(clients.front.look())
     await asyncio.sleep(0.3)
     load = asyncio.create_task(clients.run(now()))
     try:
         await asyncio.sleep(REST)
         for n in range(count):
-            await befall(rig, drawn(rig.random, rig.nodes, rig.workers), n)
+            await befall(harness, drawn(harness.random, harness.nodes, harness.workers), n)
             await asyncio.sleep(REST)
-            if rig.scenario.repeats:
-                await rig.until(rig.whole, UP, f"copies are not whole {UP:.0f} s after outage {n}")
+            if harness.scenario.repeats:
+                await harness.until_whole(f"outage {n}")
     finally:
         clients.over = True
         try:
             async with asyncio.timeout(30):
                 await load
         except TimeoutError:
-            raise Failed("clients did not come to an end") from None
+            raise RunFailedError("clients did not come to an end") from None
         finally:
             look.cancel()
-    await rig.settle()
+    await settle(harness)
 
 
-def spread(rows):
-    """Percentiles of the times, and how many did not come back before the next outage."""
+def spread(rows: list[list[float | None]]) -> dict[str, Any]:
+    """Return percentiles of the times, and how many did not come back before the next outage."""
     out = {}
     for n, share in enumerate(("95", "99")):
         some = [row[n] for row in rows if row[n] is not None]
--- a/mastledge/lab/scale/lightweight_workers.py
+++ b/mastledge/lab/scale/lightweight_workers.py
@@ -14,7 +14,7 @@
 
 from mastledge.lab.scale.host_plans import WorkerHostPlan
 from mastledge.lab.scenario import Workers
-from mastledge.lab.stands import Worker
+from mastledge.lab.stub_servers import Worker
 
 RESTART = "restart"
 
--- a/mastledge/lab/scale/processes.py
+++ b/mastledge/lab/scale/processes.py
@@ -115,7 +115,7 @@
             meter.FILE_VARIABLE: self.meter_path,
             meter.REGIONS_VARIABLE: link_regions,
         }
-        command = [sys.executable, "-B", "-m", "mastledge.lab.builds", "--build", "metered"]
+        command = [sys.executable, "-B", "-m", "mastledge.lab.build_variants", "--build", "metered"]
         with open(self.log_path, "ab") as log:
             self.process = subprocess.Popen(
                 [*command, "serve", "--log", "brief", "--config", path],
