--- a/mastledge/lab/bench.py
+++ b/mastledge/lab/bench.py
@@ -17,8 +17,8 @@
 from mastledge.lab.judge import judged
 from mastledge.lab.rig import LOOK, Rig
 from mastledge.lab.scenario import Clients, QueueType, Scenario, Workers
-from mastledge.lab.sized import grown
-from mastledge.lab.sized import measured as measured_size
+from mastledge.lab.sized_fleets import grown
+from mastledge.lab.sized_fleets import measured as measured_size
 from mastledge.lab.wire import call
 from mastledge.replication.persisted_state import PersistedReplica, head_records
 from mastledge.replication.placement import heaviest
--- a/mastledge/lab/crossing.py
+++ b/mastledge/lab/crossing.py
@@ -16,8 +16,8 @@
 
 import orjson
 
+from mastledge.lab.controlled_loop import Readiness, Restless, Steered
 from mastledge.lab.judge import SLACK, judged, nothing_to_the_drained, of
-from mastledge.lab.steered import Readiness, Restless, Steered
 from mastledge.program.configuration import load_configuration
 from mastledge.program.dispatcher import Dispatcher
 
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/emulator.py
@@ -5,15 +5,15 @@
 experiments read both. One seed replays all of it. What is a model here: sockets (a link takes 0.1 to 0.6 ms),
 workers (as `stands.Worker`), discovery (as `stands.Agent`), disks, the start of a process (`BOOT`), and
 clients (as `load.Clients`, drawn from the same seed, so the same jobs come at the same times). Copies of keys
-are played by `copies` on the links and disks of `copying`, which also has when each hears who holds them; one
-copy alone is refused. CPU costs nothing.
+are played by `copies` on the links and disks of `replication_schedules`, which also has when each hears who
+holds them; one copy alone is refused. CPU costs nothing.
 """
 
 from collections import deque
 from copy import deepcopy
 from types import SimpleNamespace
 
-from mastledge.lab import copying, faults, outages, policies, schedule
+from mastledge.lab import consensus_schedules, faults, outages, policies, replication_schedules
 from mastledge.lab.load import Clients
 from mastledge.lab.rig import document, limits
 from mastledge.lab.scenario import BadScenario
@@ -545,7 +545,7 @@
             self.world.at(0, self.hear, launch, "revoked" if launch.sent else "unsent")
 
 
-class Keys(copying.Fleet):
+class Keys(replication_schedules.Fleet):
     """Copies of keys on the emulation's clock: their links, disks, and when each hears who holds them."""
 
     def __init__(self, world, names, seed, repeats, walltime):
@@ -553,7 +553,7 @@
         super().__init__(names, seed, repeats["copies"], delay=500, entries=repeats.get("entries", 100_000))
         self.keep = int(repeats.get("keep_ms", 60_000)) * 1000
         self.bytes_ = int(repeats.get("bytes", 64 << 20))
-        self.patience = self.keep + 3 * walltime + 2 * schedule.LEASE
+        self.patience = self.keep + 3 * walltime + 2 * consensus_schedules.LEASE
 
     @property
     def now(self):
@@ -570,7 +570,7 @@
         self.world.dispatchers[host.name].key_told(told)
 
 
-class Member(schedule.Node):
+class Member(consensus_schedules.Node):
     """A dispatcher's part in the agreement, on the schedule's simulated links and disks."""
 
     def step(self, member, input):
@@ -581,7 +581,7 @@
             dispatcher.by_hand()
 
 
-class Emulation(schedule.Fleet):
+class Emulation(consensus_schedules.Fleet):
     def __init__(self, scenario, seed, policy="", show=None):
         self.check_played(scenario)
         self.agreeing = scenario.agree
@@ -619,8 +619,8 @@
         for what in ("builds", "rates", "ahead"):
             if getattr(scenario, what):
                 raise BadScenario(f"{what} are not emulated; run it with processes")
-        if scenario.agree and scenario.lease_ms * 1000 != schedule.LEASE:
-            raise BadScenario(f"lease_ms: only {schedule.LEASE // 1000} is emulated")
+        if scenario.agree and scenario.lease_ms * 1000 != consensus_schedules.LEASE:
+            raise BadScenario(f"lease_ms: only {consensus_schedules.LEASE // 1000} is emulated")
 
     def check(self, node):
         """What the schedules look at with each step is theirs; here the judge reads the record."""
--- a/mastledge/lab/explore.py
+++ b/mastledge/lab/exploration.py
@@ -3,7 +3,7 @@
 
 Time is abstracted: a member's clock stands still but for a step in which it has waited too long for its
 leader. Each reached state is looked at once, told apart by all that its future depends on but times. Leases,
-which are of time, are for `schedule.py`.
+which are of time, are for `consensus_schedules.py`.
 """
 
 import pickle
@@ -17,7 +17,7 @@
 from mastledge.consensus.roles import Phase, Role
 from mastledge.consensus.state_machine import initial_state
 from mastledge.consensus.timing import LOST_AFTER_HEARTBEATS
-from mastledge.lab.schedule import LEASE, Broken
+from mastledge.lab.consensus_schedules import LEASE, Broken
 
 BEGAN = 1_000_000
 
--- a/mastledge/lab/relaying.py
+++ b/mastledge/lab/relay_schedules.py
@@ -1,4 +1,4 @@
-"""Schedules of faults over a fleet with relays: the judge of `schedule`, and faults of relays besides.
+"""Schedules of faults over a fleet with relays: `consensus_schedules` judges, faults of relays are added.
 
 One seed replays all of it. Time is simulated, and what holds at each step is looked at for all members.
 """
@@ -6,8 +6,8 @@
 import numpy
 
 from mastledge.consensus import inputs
-from mastledge.lab.schedule import LEASE, Broken, back, settled
-from mastledge.lab.sized import Sized, begun
+from mastledge.lab.consensus_schedules import LEASE, Broken, back, settled
+from mastledge.lab.sized_fleets import Sized, begun
 
 FAULTS = ("crash", "cut", "half", "stop", "slow", "level", "remove", "lead", "off")
 LENGTH = 16_000_000
--- a/mastledge/lab/scale/meter.py
+++ b/mastledge/lab/scale/meter.py
@@ -197,7 +197,7 @@
 
 def hold_voters():
     """The voters stay those that the run began with."""
-    from mastledge.lab.sized import Sized
+    from mastledge.lab.sized_fleets import Sized
     from mastledge.program import consensus_driver
 
     consensus_driver.Member = Sized
--- a/mastledge/lab/sized.py
+++ b/mastledge/lab/sized_fleets.py
@@ -7,7 +7,7 @@
 from mastledge.consensus.member import Member
 from mastledge.consensus.messages import encode
 from mastledge.consensus.state_machine import initial_state
-from mastledge.lab.schedule import LEASE, Fleet
+from mastledge.lab.consensus_schedules import LEASE, Fleet
 
 
 class VotersOnly(DirectMembers):
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -18,7 +18,7 @@
 from mastledge.consensus.persisted_state import PersistedState
 from mastledge.consensus.raft_state import RaftState
 from mastledge.consensus.state_machine import StateMachine, initial_state
-from mastledge.lab.schedule import Broken, Fleet, judged, settled
+from mastledge.lab.consensus_schedules import Broken, Fleet, judged, settled
 
 # Seeds that found something once: saves out of order, a new leader's lease before it knew what was agreed, a
 # log
@@ -243,7 +243,7 @@
 
 def test_members_join_and_leave_one_at_a_time_and_vote_in_odd_numbers():
     fleet = formed(3)
-    from mastledge.lab.schedule import Node
+    from mastledge.lab.consensus_schedules import Node
 
     fleet.nodes["n3"], fleet.nodes["n4"] = Node(fleet, "n3", 1.0), Node(fleet, "n4", 1.0)
     for name in ("n3", "n4"):
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -6,8 +6,8 @@
 from mastledge.consensus.leader import Leadership
 from mastledge.consensus.member import Member
 from mastledge.consensus.raft_state import RaftState
-from mastledge.lab.explore import explore, led
-from mastledge.lab.schedule import Broken
+from mastledge.lab.consensus_schedules import Broken
+from mastledge.lab.exploration import explore, led
 
 OUT = [("c0", {"kind": "out", "worker": "w0"}), ("c1", {"kind": "out", "worker": "w1"})]
 
--- a/tests/test_fleet_snapshot.py
+++ b/tests/test_fleet_snapshot.py
@@ -9,7 +9,7 @@
 
 from mastledge.consensus import inputs
 from mastledge.consensus.state_machine import initial_state
-from mastledge.lab.schedule import Fleet
+from mastledge.lab.consensus_schedules import Fleet
 from mastledge.recovery.errors import FleetStartRefusedError, SnapshotError
 from mastledge.recovery.fleet_snapshot import (
     MAX_SNAPSHOT_BYTES,
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -15,9 +15,9 @@
 from mastledge.consensus.settings_patch import difference, patched
 from mastledge.consensus.state_machine import ChangeResult, StateMachine, initial_state
 from mastledge.consensus.worker_restrictions import ListExchange, ListKnowledge
-from mastledge.lab import relaying
-from mastledge.lab.schedule import LEASE, Broken, Fleet
-from mastledge.lab.sized import Sized, SizedLeadership, begun, measured, rests
+from mastledge.lab import relay_schedules
+from mastledge.lab.consensus_schedules import LEASE, Broken, Fleet
+from mastledge.lab.sized_fleets import Sized, SizedLeadership, begun, measured, rests
 from mastledge.program.fleet_api import FleetApi
 from mastledge.protocol.errors import CallRefusedError
 
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("seed", range(SEEDS))
 def test_no_rule_is_broken_by_a_fleet_with_relays_under_faults(seed):
-    relaying.judged(seed)
+    relay_schedules.judged(seed)
 
 
 # Builds that are wrong on purpose: one for each rule that relays stand on
@@ -180,7 +180,7 @@
 def test_a_wrong_build_is_caught(build, first):
     for seed in range(first, first + TRIED):
         try:
-            relaying.judged(seed, make=build)
+            relay_schedules.judged(seed, make=build)
         except Broken:
             return
     pytest.fail("not caught")
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -13,8 +13,8 @@
 from mastledge.consensus.state_machine import StateMachine, initial_state
 from mastledge.idempotency.key_table import KeyTable
 from mastledge.idempotency.records import RecordState
-from mastledge.lab import copying
-from mastledge.lab.copying import KEEP, PATIENCE, WALLTIME, Broken, Fleet, Host, Schedule
+from mastledge.lab import replication_schedules
+from mastledge.lab.replication_schedules import KEEP, PATIENCE, WALLTIME, Broken, Fleet, Host, Schedule
 from mastledge.replication.claims import QUORUM_TIMEOUT_US
 from mastledge.replication.coordinator import Coordinator
 from mastledge.replication.errors import ClaimNameError
@@ -597,7 +597,9 @@
 
 
 def test_a_replica_that_reads_nothing_for_another_count_is_caught_by_the_judge_of_schedules(monkeypatch):
-    monkeypatch.setattr(copying, "FAULTS", ("crash", "cut", "late", "recount", "recount", "cut_one_way"))
+    monkeypatch.setattr(
+        replication_schedules, "FAULTS", ("crash", "cut", "late", "recount", "recount", "cut_one_way")
+    )
     with monkeypatch.context() as patched:
         # It keeps what it has also where the count of replicas changes.
         patched.setattr(
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -18,7 +18,7 @@
 from test_program import file
 from test_workers import discovery
 
-from mastledge.lab.steered import Steered
+from mastledge.lab.controlled_loop import Steered
 from mastledge.protocol.discovery import MAX_RETRY_US, MAX_SILENCE_US
 
 ROOT = Path(__file__).parent.parent
