--- a/mastledge/lab/command.py
+++ b/mastledge/lab/command.py
@@ -9,11 +9,15 @@
 from collections import Counter
 from concurrent.futures import ProcessPoolExecutor, ThreadPoolExecutor
 
-from mastledge.lab import crossing, figures
 from mastledge.lab import experiment as experiments
+from mastledge.lab import figures
 from mastledge.lab.bench import add as add_bench
 from mastledge.lab.builds import BUILDS
 from mastledge.lab.emulator import Emulation
+from mastledge.lab.interleaving.places import PLACES
+from mastledge.lab.interleaving.program_settings import EFFECTS
+from mastledge.lab.interleaving.scripts import ScriptError, check_place, parse_script
+from mastledge.lab.interleaving.search import play, search_place
 from mastledge.lab.judge import judged
 from mastledge.lab.policies import POLICIES
 from mastledge.lab.rig import Rig
@@ -189,39 +193,38 @@
 def cross(args):
     """Tries orders of two events, or of more; replays scripts by their names."""
     try:
-        scripts = [crossing.parsed(place) for place in args.places if "/" in place]
+        scripts = [parse_script(place) for place in args.places if "/" in place]
         places = [place for place in args.places if "/" not in place]
         for place in places:
-            if place not in crossing.PLACES:
-                raise crossing.BadScript(f"unknown place: {place}")
+            check_place(place)
         for name in ("depth", "count", "jobs"):
             if getattr(args, name) < (2 if name == "depth" else 1):
-                raise crossing.BadScript(f"--{name} is too small: {getattr(args, name)}")
-    except crossing.BadScript as error:
+                raise ScriptError(f"--{name} is too small: {getattr(args, name)}")
+    except ScriptError as error:
         print(f"mastledge: {error}", file=sys.stderr)
         return 2
     status = 0
     for script in scripts:
-        lines = crossing.played(*script)
+        lines = play(script)
         status = status or bool(lines)
-        print(crossing.named(script[0], script[1], script[2]) + ": " + ("; ".join(lines) or "no rule broken"))
+        print(f"{script}: " + ("; ".join(lines) or "no rule broken"))
     if scripts and not places:
         return int(status)
     began, total = time.monotonic(), 0
     with ProcessPoolExecutor(args.jobs) as pool:
         told = {}
-        for place in places or crossing.PLACES:
-            for effect in crossing.EFFECTS:
+        for place in places or PLACES:
+            for effect in EFFECTS:
                 how = place, effect, args.depth, args.count, args.seed
-                told[place, effect] = pool.submit(crossing.search, *how)
+                told[place, effect] = pool.submit(search_place, *how)
         for (place, effect), future in told.items():
-            tried, broken = future.result()
-            total += tried
-            print(f"{place}, {effect}: {tried} orders, {len(broken)} rules broken")
-            for rule, found in broken.items():
+            result = future.result()
+            total += result.orders
+            print(f"{place}, {effect}: {result.orders} orders, {len(result.findings)} rules broken")
+            for rule, findings in result.findings.items():
                 status = 1
-                for name, line in found:
-                    print(f"  {rule}: {name}: {line}")
+                for finding in findings:
+                    print(f"  {rule}: {finding.script}: {finding.line}")
     print(f"{total} orders in {time.monotonic() - began:.1f} s")
     return int(status)
 
@@ -267,7 +270,7 @@
                 "places",
                 metavar="PLACE|SCRIPT",
                 nargs="*",
-                help="a script is replayed; none: all of " + ", ".join(crossing.PLACES),
+                help="a script is replayed; none: all of " + ", ".join(PLACES),
             )
             command.add_argument("--depth", type=int, default=2, help="steps; above 2 drawn by the seed")
             command.add_argument("--count", type=int, default=100, help="of those drawn, a place and effect")
--- a/tests/test_crossing_search.py
+++ b/tests/test_crossing_search.py
@@ -4,8 +4,9 @@
 
 import pytest
 
-from mastledge.lab import crossing
 from mastledge.lab.command import cross
+from mastledge.lab.interleaving.scripts import Script, parse_groups, parse_script
+from mastledge.lab.interleaving.search import pairs, play, shrink
 from mastledge.protocol import client_listener, http
 from mastledge.protocol.client_jobs import ClientJobs
 from mastledge.protocol.discovery import Discovery
@@ -162,20 +163,19 @@
 @pytest.mark.parametrize(("build", "place", "effect", "rule"), CAUGHT)
 def test_a_build_that_is_wrong_is_caught_and_the_order_shrunk(build, place, effect, rule, monkeypatch):
     build(lambda where, name, what: monkeypatch.setattr(where, name, what))
-    groups = next(
-        groups
-        for groups in crossing.pairs(place)
-        if any(line.startswith(rule + ":") for line in crossing.played(effect, place, groups))
+    script = next(
+        script
+        for script in (Script(place, effect, groups) for groups in pairs(place))
+        if any(line.startswith(rule + ":") for line in play(script))
     )
-    smaller = crossing.shrunk(effect, place, groups)
-    assert sum(map(len, smaller)) <= 2 and crossing.played(effect, place, smaller)
+    smaller = shrink(script)
+    assert sum(map(len, smaller.groups)) <= 2 and play(smaller)
 
 
 def test_an_order_is_shrunk_to_the_steps_that_matter(monkeypatch):
     left_is_not_looked_at(lambda where, name, what: monkeypatch.setattr(where, name, what))
-    groups = crossing.steps_of("watch-resets,joins,connects-up+client-closes,drains")
-    shrunk = crossing.shrunk("restartable", "connect", groups)
-    assert crossing.named("restartable", "connect", shrunk) == SCRIPTS[0]
+    groups = parse_groups("watch-resets,joins,connects-up+client-closes,drains")
+    assert str(shrink(Script("connect", "restartable", groups))) == SCRIPTS[0]
 
 
 # Each broke a rule before it was mended, or does with the mend taken out.
@@ -196,7 +196,7 @@
 
 @pytest.mark.parametrize("script", SCRIPTS)
 def test_an_order_that_broke_a_rule_once_keeps_it(script):
-    assert crossing.played(*crossing.parsed(script)) == []
+    assert play(parse_script(script)) == []
 
 
 @pytest.mark.parametrize(
