--- a/mastledge/lab/controlled_loop.py
+++ b/mastledge/lab/controlled_loop.py
@@ -1,54 +1,74 @@
-"""A loop whose time and readiness are steered: nothing sleeps, and what is held is not told of."""
+"""An event loop whose time and readiness are controlled: nothing sleeps, and what is held isn't reported."""
 
-from mastledge.transport.loop import WRITE
+from collections.abc import Callable
 
-MOST = 5_000  # turns of a loop in which nothing comes to rest
+from mastledge.transport.loop import WRITE, Loop
 
+MOST_TURNS = 5_000  # of a loop in which nothing comes to rest
 
-class Restless(Exception):
+
+class NeverIdleError(Exception):
     """Something goes on and on while no time passes."""
 
 
-class Steered:
-    """A loop's clock that stands still while anything happens, and else jumps to what is due next."""
+def no_activity() -> bool:
+    """Stand for peers that do nothing."""
+    return False
+
+
+class ControlledClock:
+    """A loop's clock that stands still while anything happens, and else jumps to what is due next.
+
+    `at` is the time, in microseconds of the loop.
+    """
 
-    def __init__(self, loop):
-        self.loop, self.at, self.steps, step = loop, loop.now(), 0, loop.step
-        self.peers_due = lambda: None  # when peers do something by themselves
+    def __init__(self, loop: Loop) -> None:
+        """Take over the clock of a loop, and count its steps."""
+        self.loop, self.at, self.steps = loop, loop.now(), 0
+        self.peers_due: Callable[[], int | None] = lambda: None  # when peers do something by themselves
         loop.now = lambda: self.at
+        loop_step = loop.step
 
-        def counted(*what):
+        def counted_step(*resumption):
             self.steps += 1
-            step(*what)
+            loop_step(*resumption)
 
-        loop.step = counted
+        loop.step = counted_step
 
-    def settle(self, meanwhile=lambda: False):
-        """Until nothing happens any more at this time; `meanwhile` tells if peers did a thing."""
-        idle = turns = 0
-        while idle < 2:
+    def settle(self, run_peers: Callable[[], bool] = no_activity) -> None:
+        """Go on until nothing happens any more at this time; `run_peers` tells if peers did anything.
+
+        Raises NeverIdleError.
+        """
+        idle_turns = turns = 0
+        while idle_turns < 2:
             turns += 1
-            if turns > MOST:
-                raise Restless
+            if turns > MOST_TURNS:
+                raise NeverIdleError
             before = self.steps
             self.loop.run_once(0)
-            idle = 0 if meanwhile() or self.steps != before else idle + 1
+            idle_turns = 0 if run_peers() or self.steps != before else idle_turns + 1
 
-    def due(self):
-        """When something is due next, None where nothing is."""
+    def due(self) -> int | None:
+        """Give when something is due next, None where nothing is."""
         due = [when for when, _, task, wait_number in self.loop.timers if wait_number == task.wait_number]
-        theirs = self.peers_due()
-        return min(due if theirs is None else [*due, theirs], default=None)
+        peers_due = self.peers_due()
+        return min(due if peers_due is None else [*due, peers_due], default=None)
+
+    def run(
+        self, until: Callable[[], bool], longest_us: int, run_peers: Callable[[], bool] = no_activity
+    ) -> bool:
+        """Go on until something holds, or for so long by this clock; whether it holds.
 
-    def run(self, until, longest, meanwhile=lambda: False):
-        """Until something holds, or for so long by that clock."""
-        last, turns = self.at + longest, 0
+        Raises NeverIdleError.
+        """
+        last, turns = self.at + longest_us, 0
         while not until() and self.at < last:
             before, turns = self.steps, turns + 1
             self.loop.run_once(0)
-            if meanwhile() or self.steps != before:
-                if turns > MOST:
-                    raise Restless
+            if run_peers() or self.steps != before:
+                if turns > MOST_TURNS:
+                    raise NeverIdleError
                 continue
             turns = 0
             due = self.due()
@@ -56,18 +76,24 @@
         return until()
 
 
-class Readiness:
-    """Between a loop and its epoll: where `held`, none but those it spares are told as ones to write to."""
+class ReadinessGate:
+    """Between a loop and its epoll: while `held`, descriptors that wait to be written to aren't reported.
+
+    Those for which `is_exempt` holds are.
+    """
 
-    def __init__(self, loop, spares=lambda fd: False):
-        self.epoll, self.masks, self.held, self.spares = loop.epoll, loop.masks, False, spares
+    def __init__(self, loop: Loop, is_exempt: Callable[[int], bool] = lambda fd: False) -> None:
+        """Take the place of the loop's epoll."""
+        self.epoll, self.masks, self.held, self.is_exempt = loop.epoll, loop.masks, False, is_exempt
         loop.epoll = self
 
-    def poll(self, timeout, most):
-        came = self.epoll.poll(timeout, most)
+    def poll(self, timeout: float, max_events: int) -> list[tuple[int, int]]:
+        """Poll, without the descriptors that are held."""
+        ready = self.epoll.poll(timeout, max_events)
         if not self.held:
-            return came
-        return [pair for pair in came if self.masks.get(pair[0]) != WRITE or self.spares(pair[0])]
+            return ready
+        return [pair for pair in ready if self.masks.get(pair[0]) != WRITE or self.is_exempt(pair[0])]
 
-    def __getattr__(self, name):
+    def __getattr__(self, name: str) -> object:
+        """Give all else of the epoll."""
         return getattr(self.epoll, name)
--- a/mastledge/lab/interleaving/search.py
+++ b/mastledge/lab/interleaving/search.py
@@ -6,7 +6,7 @@
 from random import Random
 from zlib import crc32
 
-from mastledge.lab.controlled_loop import Restless
+from mastledge.lab.controlled_loop import NeverIdleError
 from mastledge.lab.interleaving.checks import broken_rules
 from mastledge.lab.interleaving.places import PLACES, TIME
 from mastledge.lab.interleaving.player import come_to_rest, perform
@@ -52,7 +52,7 @@
             perform(world, *group)
         come_to_rest(world)
         return broken_rules(world)
-    except Restless:
+    except NeverIdleError:
         return ["comes_to_rest: it goes on and on"]
     finally:
         shut_down(world.program)
--- a/mastledge/lab/interleaving/world.py
+++ b/mastledge/lab/interleaving/world.py
@@ -6,7 +6,7 @@
 import tempfile
 from pathlib import Path
 
-from mastledge.lab.controlled_loop import Readiness, Steered
+from mastledge.lab.controlled_loop import ControlledClock, ReadinessGate
 from mastledge.lab.interleaving import sockets
 from mastledge.lab.interleaving.client_peer import ClientPeer
 from mastledge.lab.interleaving.discovery_peer import ZONES, DiscoveryPeer
@@ -50,8 +50,8 @@
         self.program = Dispatcher(self.configuration, self.log, self.load_configuration)
         self.loop = self.program.loop
         self.loop.on_error = lambda error: self.faults.append(f"{type(error).__name__}: {error}")
-        self.clock = Steered(self.loop)
-        self.readiness = Readiness(self.loop, self.is_to_discovery)
+        self.clock = ControlledClock(self.loop)
+        self.readiness = ReadinessGate(self.loop, self.is_to_discovery)
         self.start()
 
     def start(self) -> None:
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -18,7 +18,7 @@
 from test_program import file
 from test_workers import discovery
 
-from mastledge.lab.controlled_loop import Steered
+from mastledge.lab.controlled_loop import ControlledClock
 from mastledge.protocol.discovery import MAX_RETRY_US, MAX_SILENCE_US
 
 ROOT = Path(__file__).parent.parent
@@ -53,7 +53,7 @@
     """Discovery, as it does at the moment."""
 
     def __init__(self, rig, asked=False):
-        self.rig, self.clock = rig, Steered(rig.loop)
+        self.rig, self.clock = rig, ControlledClock(rig.loop)
         self.sock, self.calls, self.filled = socket.create_server((HERE, 0), backlog=0), {}, []
         self.address = self.sock.getsockname()
         self.sock.setblocking(False)
@@ -230,7 +230,7 @@
 
     def __init__(self, rig, count, each):
         self.each = each
-        self.sock, self.clock = socket.create_server((HERE, 0), backlog=count), Steered(rig.loop)
+        self.sock, self.clock = socket.create_server((HERE, 0), backlog=count), ControlledClock(rig.loop)
         self.sock.setblocking(False)
         self.made = [discovery(rig, self.sock.getsockname(), True) for _ in range(count)]
         self.calls, self.queue, self.free = [], [], 0
