--- a/mastledge/lab/bench.py
+++ b/mastledge/lab/bench.py
@@ -17,8 +17,7 @@
 from mastledge.lab.judge import judged
 from mastledge.lab.rig import LOOK, Rig
 from mastledge.lab.scenario import Clients, QueueType, Scenario, Workers
-from mastledge.lab.sized_fleets import grown
-from mastledge.lab.sized_fleets import measured as measured_size
+from mastledge.lab.sized_fleets import fleet_at_rest, measure_size
 from mastledge.lab.wire import call
 from mastledge.replication.persisted_state import PersistedReplica, head_records
 from mastledge.replication.placement import heaviest
@@ -365,7 +364,7 @@
 
 def size(voters, followers, seed, tries=7):
     """Simulated: messages and bytes a second at rest, time to in force, time to a new leader."""
-    fleet = grown(voters, followers, seed)
+    fleet = fleet_at_rest(voters, followers, seed)
     leader = fleet.leader()
     sent, bytes_, began = fleet.sent, fleet.bytes, fleet.now
     by_leader = leader.sent
@@ -455,7 +454,7 @@
             args.count or 100, args.seed, args.dispatchers, args.per_second, args.copies, args.open_ms
         ),
         "sizes": lambda: (
-            [measured_size(VOTERS, args.dispatchers, args.fan_out, args.seed)]
+            [measure_size(VOTERS, args.dispatchers, args.fan_out, args.seed)]
             if args.fan_out
             else sizes(args.seed, args.plot)
         ),
--- a/mastledge/lab/scale/hollow.py
+++ b/mastledge/lab/scale/hollow.py
@@ -16,7 +16,7 @@
 from mastledge.consensus.roles import Role
 from mastledge.consensus.worker_restrictions import OwnRestrictions
 from mastledge.lab.scale.delay import DelayedLinks
-from mastledge.lab.sized_fleets import Sized
+from mastledge.lab.sized_fleets import FixedVotersMember
 from mastledge.peers.link_context import LinkIdentity
 from mastledge.protocol.discovery import Discovery
 from mastledge.transport.budget import Budget
@@ -48,7 +48,7 @@
             new_fleet="none",
             seed=seed,
         )
-        self.member = Sized(configuration, kept.value(), now)
+        self.member = FixedVotersMember(configuration, kept.value(), now)
         self.links = DelayedLinks(
             loop,
             self,
--- a/mastledge/lab/scale/meter.py
+++ b/mastledge/lab/scale/meter.py
@@ -197,10 +197,10 @@
 
 def hold_voters():
     """The voters stay those that the run began with."""
-    from mastledge.lab.sized_fleets import Sized
+    from mastledge.lab.sized_fleets import FixedVotersMember
     from mastledge.program import consensus_driver
 
-    consensus_driver.Member = Sized
+    consensus_driver.Member = FixedVotersMember
 
 
 def delay_links(path):
--- a/mastledge/lab/sized_fleets.py
+++ b/mastledge/lab/sized_fleets.py
@@ -1,4 +1,7 @@
-"""Fleets of a given size in simulated time: so many voters and followers, formed and at rest."""
+"""Fleets of a given size in simulated time: so many voters and followers, formed and at rest.
+
+All times are microseconds of the simulation, but for the figures of `measure_size`.
+"""
 
 from collections import Counter
 
@@ -9,104 +12,124 @@
 from mastledge.consensus.state_machine import initial_state
 from mastledge.lab.consensus_schedules import LEASE, Fleet
 
+FRAME_HEAD_BYTES = 4  # of a frame before its content
+FORMATION_US = 60_000_000
+RELAY_SETTLING_US = 25_000_000  # from the first rest to the measure, as followers look for their relays
+MEASURED_US = 6_000_000
+COMMIT_US = 20_000_000
+ELECTION_US = 20_000_000
+RECOVERY_US = 30_000_000
+BETWEEN_CHANGES_US = 777_000
+BETWEEN_KILLS_US = 8_000_000
+CHANGES, KILLS = 5, 3
+
 
-class VotersOnly(DirectMembers):
+class FixedVotersMembers(DirectMembers):
     """Nobody is to become a voter."""
 
-    def recruits(self):
+    def recruits(self) -> list:
         """Give nobody."""
         return []
 
 
-class SizedLeadership(Leadership):
+class FixedVotersLeadership(Leadership):
     """Keeps to the voters that it began with."""
 
-    direct_members_type = VotersOnly
+    direct_members_type = FixedVotersMembers
 
-    def promote_learner(self):
+    def promote_learner(self) -> None:
         """Nobody becomes a voter."""
 
 
-class Sized(Member):
+class FixedVotersMember(Member):
     """Keeps to the voters that it began with, however many follow."""
 
-    leadership_type = SizedLeadership
+    leadership_type = FixedVotersLeadership
 
 
-def state_of(listed, fan_out=0, settings=None):
-    """The agreed state of a fleet in which those whose names begin with n vote."""
-    lives = {name: (address, f"{name}.0") for name, address in listed.items()}
-    state = initial_state(settings or {"a": 1}, LEASE, lives)
-    for name, one in state["members"].items():
-        one["votes"] = name[0] == "n"
+def state_of(addresses: dict[str, str], fan_out: int) -> dict:
+    """Give the committed state of a fleet in which those whose names begin with n vote."""
+    members = {name: (address, f"{name}.0") for name, address in addresses.items()}
+    state = initial_state({"a": 1}, LEASE, members)
+    for name, member in state["members"].items():
+        member["votes"] = is_voter(name)
     if fan_out:
         state["fan_out"] = fan_out
     return state
 
 
-def begun(voters, followers, seed, fan_out=0, make=Sized, judge=True, drift=0.005, settings=None, **how):
-    """A fleet whose members have their first records on their disks, and start."""
+def is_voter(name: str) -> bool:
+    """Whether the member of this name votes."""
+    return name.startswith("n")
+
+
+def start_fleet(
+    voters: int,
+    followers: int,
+    seed: int,
+    fan_out: int = 0,
+    member_type: type[Member] = FixedVotersMember,
+    **conditions: float,
+) -> Fleet:
+    """Start a fleet whose members have their first records on disk; `conditions` are those of Fleet."""
     names = [f"n{n}" for n in range(voters)] + [f"x{n:04}" for n in range(followers)]
-    fleet = Fleet(names, seed, **{"delay": 500, "drift": drift, "make": make, **how})
-    if not judge:
-        fleet.check = lambda node: None  # the judge of schedules looks at all members at each step
-    state = state_of(fleet.listed, fan_out, settings)
-    fleet.listed = {name: address for name, address in fleet.listed.items() if name[0] == "n"}
+    fleet = Fleet(names, seed, **{"delay": 500, "drift": 0.005, "make": member_type, **conditions})
+    state = state_of(fleet.listed, fan_out)
+    fleet.listed = {name: address for name, address in fleet.listed.items() if is_voter(name)}
     for name, node in fleet.nodes.items():
         node.disk = [("identity", "f", f"{name}.0"), ("hard", 1, ""), ("snapshot", 1, 1, state)]
     return fleet.start()
 
 
-def grown(voters, followers, seed, fan_out=0):
-    """The same, all up and at rest."""
-    fleet = begun(voters, followers, seed, fan_out, judge=False)
-    if not fleet.run(60_000_000, lambda: rests(fleet)):
+def fleet_at_rest(voters: int, followers: int, seed: int, fan_out: int = 0) -> Fleet:
+    """Start a fleet and run it until it rests; its steps aren't checked. Exits where it comes to no rest."""
+    fleet = start_fleet(voters, followers, seed, fan_out)
+    fleet.check = lambda node: None  # the check of schedules looks at all members at each step
+    if not fleet.run(FORMATION_US, lambda: is_at_rest(fleet)):
         raise SystemExit("the fleet does not come to rest")
     return fleet
 
 
-def rests(fleet):
-    """All is in force."""
+def is_at_rest(fleet: Fleet) -> bool:
+    """Whether all is in force."""
     leader = fleet.leader()
     return leader is not None and leader.member.lease.in_force_index == leader.member.log.last_index > 1
 
 
-FRAME_HEAD = 4  # bytes of a frame before its content
-AT_REST = 25_000_000  # microseconds from the first rest to the measure, as followers look for their relays
-MEASURED = 6_000_000
-CHANGES, KILLS = 5, 3
-
-
-class Traffic:
-    """Bytes that each member sends and gets, with the heads of frames."""
+class TrafficMeter:
+    """Bytes that each member sends and gets, with the heads of frames, while it is entered."""
 
-    def __init__(self, fleet):
+    def __init__(self, fleet: Fleet) -> None:
+        """Count nothing yet."""
         self.fleet, self.sent, self.received, self.send = fleet, Counter(), Counter(), fleet.send
 
-    def __enter__(self):
-        self.fleet.send = self.counted
+    def __enter__(self) -> "TrafficMeter":
+        """Begin to count."""
+        self.fleet.send = self.count_and_send
         return self
 
-    def __exit__(self, *error):
+    def __exit__(self, *error: object) -> None:
+        """End it."""
         self.fleet.send = self.send
 
-    def counted(self, node, to, message):
-        size = FRAME_HEAD + len(encode(message))
+    def count_and_send(self, node, to: str, message) -> None:
+        """Count a message and send it."""
+        size = FRAME_HEAD_BYTES + len(encode(message))
         self.sent[node.name] += size
         self.received[to] += size
         self.send(node, to, message)
 
 
-def measured(voters, dispatchers, fan_out, seed):
+def measure_size(voters: int, dispatchers: int, fan_out: int, seed: int) -> dict:
     """Simulated: bytes a second by role, milliseconds to in force, to another leader and to in force then."""
-    fleet = grown(voters, dispatchers - voters, seed, fan_out)
-    fleet.run(fleet.now + AT_REST)
-    leader, seconds = fleet.leader().name, MEASURED / 1e6
-    with Traffic(fleet) as traffic:
-        fleet.run(fleet.now + MEASURED)
+    fleet = fleet_at_rest(voters, dispatchers - voters, seed, fan_out)
+    fleet.run(fleet.now + RELAY_SETTLING_US)
+    leader, seconds = fleet.leader().name, MEASURED_US / 1e6
+    with TrafficMeter(fleet) as traffic:
+        fleet.run(fleet.now + MEASURED_US)
     others = [traffic.sent[name] + traffic.received[name] for name in fleet.nodes if name != leader]
-    in_force = [in_force_after(fleet, n) for n in range(CHANGES)]
-    kills = [leader_killed(fleet) for _ in range(KILLS)]
+    in_force = [measure_change(fleet, n) for n in range(CHANGES)]
+    kills = [measure_leader_kill(fleet) for _ in range(KILLS)]
     return {
         "dispatchers": dispatchers,
         "fan_out": fan_out,
@@ -119,32 +142,32 @@
     }
 
 
-def in_force_after(fleet, n):
-    """Milliseconds from one change at the leader to in force."""
+def measure_change(fleet: Fleet, n: int) -> int:
+    """Give the milliseconds from the n-th change at the leader to in force."""
     leader, began = fleet.leader(), fleet.now
     last = leader.member.log.last_index
     change = {"kind": ("out", "back")[n % 2], "worker": "w", "at": 1, "cold_for": 1}
     fleet.propose(leader.name, f"c{n}", change)
-    fleet.run(began + 20_000_000, lambda: leader.member.lease.in_force_index > last)
-    took = (fleet.now - began) // 1000
-    fleet.run(fleet.now + 777_000)
-    return took
+    fleet.run(began + COMMIT_US, lambda: leader.member.lease.in_force_index > last)
+    took_ms = (fleet.now - began) // 1000
+    fleet.run(fleet.now + BETWEEN_CHANGES_US)
+    return took_ms
 
 
-def leader_killed(fleet):
-    """Milliseconds until another one leads, and until all is in force."""
+def measure_leader_kill(fleet: Fleet) -> tuple[int, int]:
+    """Give the milliseconds until another one leads, and until all is in force."""
     leader, began = fleet.leader(), fleet.now
     leader.crash()
-    fleet.run(began + 20_000_000, lambda: leads(fleet))
-    elected = (fleet.now - began) // 1000
-    fleet.run(began + 30_000_000, lambda: rests(fleet))
-    after = (fleet.now - began) // 1000
+    fleet.run(began + ELECTION_US, lambda: has_active_leader(fleet))
+    elected_ms = (fleet.now - began) // 1000
+    fleet.run(began + RECOVERY_US, lambda: is_at_rest(fleet))
+    in_force_ms = (fleet.now - began) // 1000
     leader.start()
-    fleet.run(fleet.now + 8_000_000)
-    return elected, after
+    fleet.run(fleet.now + BETWEEN_KILLS_US)
+    return elected_ms, in_force_ms
 
 
-def leads(fleet):
-    """Somebody leads and has had an entry agreed."""
+def has_active_leader(fleet: Fleet) -> bool:
+    """Whether somebody leads and has had an entry of its term committed."""
     leader = fleet.leader()
     return leader is not None and leader.member.commit_index >= leader.member.leadership.first_index
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -17,7 +17,13 @@
 from mastledge.consensus.worker_restrictions import ListExchange, ListKnowledge
 from mastledge.lab import relay_schedules
 from mastledge.lab.consensus_schedules import LEASE, Broken, Fleet
-from mastledge.lab.sized_fleets import Sized, SizedLeadership, begun, measured, rests
+from mastledge.lab.sized_fleets import (
+    FixedVotersLeadership,
+    FixedVotersMember,
+    is_at_rest,
+    measure_size,
+    start_fleet,
+)
 from mastledge.program.fleet_api import FleetApi
 from mastledge.protocol.errors import CallRefusedError
 
@@ -71,7 +77,7 @@
 
 def with_part(name, **types):
     """A member that has these types of parts."""
-    return type(name, (Sized,), types)
+    return type(name, (FixedVotersMember,), types)
 
 
 class GenerousChildren(RelayChildren):
@@ -103,7 +109,7 @@
             self.won_at += 10 * lease
 
 
-class HastyLeadership(SizedLeadership):
+class HastyLeadership(FixedVotersLeadership):
     in_force_type = HastyTracker
 
 
@@ -202,7 +208,7 @@
 
 def relay_starts_anew(make):
     """The child of a relay is cut off with its lease, and a new process of the relay comes at once."""
-    fleet = begun(3, 9, 7, 2, make, drift=0.0)
+    fleet = start_fleet(3, 9, 7, 2, make, drift=0.0)
     fleet.run(40_000_000)
     child = fleet.leader().member.relay_choice.tree().levels[2][0]
     relay = fleet.nodes[fleet.nodes[child].member.relay_choice.relay]
@@ -215,7 +221,7 @@
 
 def leader_hands_over(make):
     """A follower that the leader has adopted is cut off with its lease, and another one leads at once."""
-    fleet = begun(3, 9, 7, 2, make, drift=0.0)
+    fleet = start_fleet(3, 9, 7, 2, make, drift=0.0)
     fleet.run(40_000_000)
     leader = fleet.leader()
     child = leader.member.relay_choice.tree().levels[2][0]
@@ -234,7 +240,7 @@
 
 @pytest.mark.parametrize("scene", [relay_starts_anew, leader_hands_over])
 def test_a_lease_that_came_through_a_former_relay_or_leader_is_waited_for(scene):
-    scene(Sized)
+    scene(FixedVotersMember)
 
 
 @pytest.mark.parametrize(("build", "scene"), [(Forgetful, relay_starts_anew), (Hasty, leader_hands_over)])
@@ -247,10 +253,10 @@
 
 
 def test_the_leader_speaks_to_the_voters_alone_and_all_hold_leases():
-    fleet = begun(5, 60, 3, 4)
+    fleet = start_fleet(5, 60, 3, 4)
     assert fleet.run(
         60_000_000,
-        lambda: rests(fleet) and all(node.member.may_act(node.clock()) for node in fleet.nodes.values()),
+        lambda: is_at_rest(fleet) and all(node.member.may_act(node.clock()) for node in fleet.nodes.values()),
     )
     fleet.run(fleet.now + 2 * LEASE)
     leader, told, send = fleet.leader(), set(), Fleet.send
@@ -268,8 +274,8 @@
 
 @pytest.mark.parametrize("victim", [0, 1])
 def test_nobody_is_without_a_lease_for_long_when_a_relay_is_killed(victim):
-    fleet = begun(3, 24, 5, 3)
-    assert fleet.run(60_000_000, lambda: rests(fleet))
+    fleet = start_fleet(3, 24, 5, 3)
+    assert fleet.run(60_000_000, lambda: is_at_rest(fleet))
     fleet.run(fleet.now + 30_000_000)
     leader = fleet.leader()
     relay = next(
@@ -288,8 +294,8 @@
 
 
 def test_relays_are_turned_on_and_off_by_a_change():
-    fleet = begun(3, 9, 7)
-    assert fleet.run(60_000_000, lambda: rests(fleet))
+    fleet = start_fleet(3, 9, 7)
+    assert fleet.run(60_000_000, lambda: is_at_rest(fleet))
     for fan_out in (2, 0):
         fleet.run(fleet.now + 3_000_000)
         leader = fleet.leader()
@@ -300,7 +306,7 @@
                 node.member.fan_out == n and node.member.may_act(node.clock())
                 for node in fleet.nodes.values()
             )
-            and rests(fleet),
+            and is_at_rest(fleet),
         )
         assert fleet.run(
             fleet.now + 20_000_000,
@@ -312,7 +318,7 @@
 OLDER_FIELDS = m.AppendResponse.__struct_fields__[:8]  # of a version that knows no relays
 
 
-class Older(Sized):
+class Older(FixedVotersMember):
     """A version that knows no relays: its words have none of the fields that were added."""
 
     def step(self, now, input):
@@ -326,8 +332,8 @@
 
 
 def test_relays_are_refused_while_a_member_of_an_older_version_is_there():
-    fleet = begun(3, 4, 9)
-    assert fleet.run(60_000_000, lambda: rests(fleet))
+    fleet = start_fleet(3, 4, 9)
+    assert fleet.run(60_000_000, lambda: is_at_rest(fleet))
     fleet.make = Older
     node = fleet.nodes["x0001"]
     node.crash()
@@ -342,8 +348,8 @@
 
 
 def test_a_member_of_an_older_version_that_comes_back_hears_from_the_leader():
-    fleet = begun(3, 6, 11, 2)
-    assert fleet.run(60_000_000, lambda: rests(fleet))
+    fleet = start_fleet(3, 6, 11, 2)
+    assert fleet.run(60_000_000, lambda: is_at_rest(fleet))
     fleet.make = Older
     node = fleet.nodes["x0001"]
     node.crash()
@@ -464,6 +470,6 @@
 
 
 def test_a_size_with_relays_is_measured_in_simulated_time():
-    told = measured(3, 20, 3, 1)
+    told = measure_size(3, 20, 3, 1)
     assert 0 < told["leader_sent"] < 5000 and told["other_most"] < 5000
     assert max(told["in_force_ms"]) < 3000 and max(told["new_leader_ms"]) < 3000
