--- a/mastledge/lab/exploration.py
+++ b/mastledge/lab/exploration.py
@@ -1,13 +1,15 @@
-"""Small scope to its end: each order in which messages of different links can come, with so many that are
-lost, come twice or overtake others of their link, and crashes in between.
+"""Exhaustive exploration of a small scope: each order in which messages of different links can come.
 
-Time is abstracted: a member's clock stands still but for a step in which it has waited too long for its
-leader. Each reached state is looked at once, told apart by all that its future depends on but times. Leases,
-which are of time, are for `consensus_schedules.py`.
+So many messages are lost, come twice or overtake others of their link, with crashes in between. Time is
+abstracted: a member's clock stands still but for a step in which it has waited too long for its leader. Each
+reached state is looked at once, told apart by all that its future depends on but times. Leases, which are of
+time, are for `consensus_schedules.py`.
 """
 
 import pickle
 from collections import deque
+from collections.abc import Iterator
+from typing import Any
 
 from mastledge.consensus import inputs, outputs
 from mastledge.consensus.configuration import MemberConfiguration
@@ -19,36 +21,46 @@
 from mastledge.consensus.timing import LOST_AFTER_HEARTBEATS
 from mastledge.lab.consensus_schedules import LEASE, Broken
 
-BEGAN = 1_000_000
+START_US = 1_000_000
+NAMES = ("n0", "n1", "n2")
+NO_MOVES_LEFT = {"crash": 0, "lose": 0, "double": 0, "overtake": 0, "wait": 0}
+MESSAGE_MOVES = ("come", "lose", "double", "overtake")
+
+Move = tuple[str, Any]  # what happens, and to which message (its index) or member (its name)
 
 
 class World:
-    """Three members, what is under way between them, and what may still befall them."""
-
-    def __init__(self, names, changes, crashes, losses, doubles, waits, make=Member):
-        self.left = {"crash": crashes, "lose": losses, "double": doubles, "overtake": 0, "wait": waits}
-        self.make, self.names, self.wire, self.agreed, self.back = make, names, [], {}, {}
-        listed = {name: f"127.0.0.1:{n + 1}" for n, name in enumerate(names)}
-        state = initial_state({}, LEASE, {name: (address, f"{name}.0") for name, address in listed.items()})
-        self.listed = listed
+    """Three members, what is under way between them, and what may still befall them.
+
+    `left` says how many moves of each kind may still come, `proposals` which changes are yet to be proposed.
+    """
+
+    def __init__(self, make: type[Member] = Member) -> None:
+        """Start members that have the same first snapshot on their disks."""
+        self.make, self.left = make, dict(NO_MOVES_LEFT)
+        self.messages: list[tuple[str, str, str, bytes]] = []  # to, sender, its incarnation, content
+        self.committed: dict[str, int] = {}  # versions by the proposals' ids
+        self.proposals: list[tuple[str, dict]] = []
+        self.addresses = {name: f"127.0.0.1:{n + 1}" for n, name in enumerate(NAMES)}
+        members = {name: (address, f"{name}.0") for name, address in self.addresses.items()}
+        state = initial_state({}, LEASE, members)
         self.disks = {
             name: [("identity", "f", f"{name}.0"), ("hard", 1, ""), ("snapshot", 1, 1, state)]
-            for name in names
+            for name in NAMES
         }
-        self.clocks = dict.fromkeys(names, BEGAN)
-        self.members = {}
-        for name in names:
+        self.clocks = dict.fromkeys(NAMES, START_US)
+        self.members: dict[str, Member] = {}
+        for name in NAMES:
             self.start(name)
-            self.members[name].bootstrap.phase = Phase.PARTICIPATING
-        self.todo = list(changes)
 
-    def start(self, name):
-        kept = PersistedState()
+    def start(self, name: str) -> None:
+        """Start a member from its disk, which is the one that it had."""
+        persisted = PersistedState()
         for record in self.disks[name]:
-            kept.apply(pickle.loads(pickle.dumps(record)))
+            persisted.apply(pickle.loads(pickle.dumps(record)))
         configuration = MemberConfiguration(
             name=name,
-            members=self.listed,
+            members=self.addresses,
             may_bootstrap=False,
             settings={},
             lease_us=LEASE,
@@ -56,43 +68,49 @@
             new_fleet="g",
             seed=1,
         )
-        self.members[name] = self.make(configuration, kept.value(), self.clocks[name])
+        self.members[name] = self.make(configuration, persisted.value(), self.clocks[name])
+        self.members[name].bootstrap.phase = Phase.PARTICIPATING
 
-    def input(self, name, input):
-        """One step; what goes to the disk is there at once, and what waited for it is sent."""
+    def step(self, name: str, member_input: Any) -> None:
+        """Give a member one input; what goes to its disk is there at once, and what waited for it is sent.
+
+        Raises Broken.
+        """
         member = self.members[name]
-        due = [input]
+        due = [member_input]
         while due:
             for output in member.step(self.clocks[name], due.pop(0)):
-                if isinstance(output, outputs.Send):
-                    message = output.message
-                    if (
-                        isinstance(message, AppendEntries)
-                        and not message.entries
-                        and message.commit_index <= self.known(output.to)
-                    ):
-                        continue  # a beat that says nothing new leads nowhere new
-                    if isinstance(message, AppendEntries):
-                        message.observed, message.in_force_in_us = (
-                            {},
-                            0,
-                        )  # of no use but at a start, and to a caller
-                    item = (output.to, name, member.incarnation, encode(message))
-                    if item not in self.wire:  # what comes twice is a move of its own
-                        self.wire.append(item)
-                elif isinstance(output, outputs.Persist | outputs.Rewrite):
-                    before = self.disks[name] if isinstance(output, outputs.Persist) else ()
-                    self.disks[name] = [*before, *output.records]
-                    due.append(inputs.Persisted(output.token))
-                elif isinstance(output, outputs.Committed):
-                    self.agreed[output.id] = output.result.version
-        self.check(name)
-
-    def known(self, name):
+                match output:
+                    case outputs.Send(to, message):
+                        self.send(name, to, message)
+                    case outputs.Persist(token, records):
+                        self.disks[name] = [*self.disks[name], *records]
+                        due.append(inputs.Persisted(token))
+                    case outputs.Rewrite(token, records):
+                        self.disks[name] = [*records]
+                        due.append(inputs.Persisted(token))
+                    case outputs.Committed(id, _, result):
+                        self.committed[id] = result.version
+        self.check()
+
+    def send(self, name: str, to: str, message: Any) -> None:
+        """Put a message under way, unless it leads nowhere new."""
+        if isinstance(message, AppendEntries):
+            if not message.entries and message.commit_index <= self.known_commit(to):
+                return  # a heartbeat that says nothing new
+            # Of no use but at a start, and to a caller.
+            message.observed, message.in_force_in_us = {}, 0
+        item = (to, name, self.members[name].incarnation, encode(message))
+        if item not in self.messages:  # what comes twice is a move of its own
+            self.messages.append(item)
+
+    def known_commit(self, name: str) -> int:
+        """Give up to which entry a member knows all to be committed and in force."""
         member = self.members.get(name)
         return min(member.commit_index, member.lease.in_force_index) if member is not None else 0
 
-    def check(self, name):
+    def check(self) -> None:
+        """Raise Broken where two members lead or differ, or what was told as agreed can be lost."""
         for one in self.members.values():
             for other in self.members.values():
                 if one.role == other.role == Role.LEADER and one is not other and one.term == other.term:
@@ -101,90 +119,99 @@
                     if one.log.entry_at(index).id != other.log.entry_at(index).id:
                         raise Broken(f"entry {index} is another at {one.name} and {other.name}")
         # What was told as agreed is on the disks of a majority.
-        for id in self.agreed:
+        for id in self.committed:
             holders = sum(
                 any(record[0] == "entry" and record[2].id == id for record in disk)
                 for disk in self.disks.values()
             )
-            if holders <= len(self.names) // 2:
+            if holders <= len(NAMES) // 2:
                 raise Broken(f"{id} is told as agreed and on {holders} disks")
 
-    def moves(self):
-        """All that can happen next."""
+    def moves(self) -> Iterator[Move]:
+        """Give all that can happen next."""
+        yield from self.message_moves()
+        for name in NAMES:
+            yield from self.member_moves(name)
+
+    def message_moves(self) -> Iterator[Move]:
+        """Give what can happen to the messages: the first of each link comes, unless one overtakes."""
         links = set()
-        for n, item in enumerate(self.wire):
-            first = item[:2] not in links
-            links.add(item[:2])
-            if first:
-                yield ("come", n)
-            elif self.left["overtake"]:
-                yield ("overtake", n)
-            if first and self.left["lose"]:
+        for n, (to, sender, _, _) in enumerate(self.messages):
+            if (to, sender) in links:
+                if self.left["overtake"]:
+                    yield ("overtake", n)
+                continue
+            links.add((to, sender))
+            yield ("come", n)
+            if self.left["lose"]:
                 yield ("lose", n)
-            if first and self.left["double"]:
+            if self.left["double"]:
                 yield ("double", n)
-        for name in self.names:
-            if name not in self.members:
-                yield ("back", name)
-                continue
-            if self.todo:
-                yield ("propose", name)
-            if self.left["crash"]:
-                yield ("crash", name)
-            if self.left["wait"] and self.members[name].role != Role.LEADER:
-                yield ("wait", name)
-
-    def after(self, move):
-        what, which = move
-        if what in ("come", "lose", "double", "overtake"):
-            self.left["overtake"] -= what == "overtake"
-            to, sender, life, raw = self.wire[which]
-            if what == "double":
-                self.left["double"] -= 1
-                self.wire.append(self.wire[which])
-                return
-            del self.wire[which]
-            if what == "lose":
-                self.left["lose"] -= 1
-            elif to in self.members:
-                self.input(to, inputs.MessageReceived(sender, life, decode(raw)))
-        elif what == "propose":
-            id, change = self.todo.pop(0)
-            self.input(which, inputs.Propose(id, change))
-        elif what == "crash":
-            self.left["crash"] -= 1
+
+    def member_moves(self, name: str) -> Iterator[Move]:
+        """Give what can happen to a member."""
+        if name not in self.members:
+            yield ("back", name)
+            return
+        if self.proposals:
+            yield ("propose", name)
+        if self.left["crash"]:
+            yield ("crash", name)
+        if self.left["wait"] and self.members[name].role != Role.LEADER:
+            yield ("wait", name)
+
+    def perform(self, move: Move) -> None:
+        """Let a move happen; raises Broken."""
+        kind, which = move
+        if kind in self.left:
+            self.left[kind] -= 1
+        if kind in MESSAGE_MOVES:
+            self.move_message(kind, which)
+        elif kind == "propose":
+            self.step(which, inputs.Propose(*self.proposals.pop(0)))
+        elif kind == "crash":
             del self.members[which]
-        elif what == "back":
+        elif kind == "back":
             self.start(which)
-            self.members[which].bootstrap.phase = Phase.PARTICIPATING  # its disk is the one that it had
         else:
-            self.left["wait"] -= 1
             self.clocks[which] += LOST_AFTER_HEARTBEATS * self.members[which].state.heartbeat_us
-            self.input(which, inputs.Tick())
+            self.step(which, inputs.Tick())
+
+    def move_message(self, kind: str, n: int) -> None:
+        """Let a message come, be lost or be doubled."""
+        if kind == "double":
+            self.messages.append(self.messages[n])
+            return
+        to, sender, incarnation, raw = self.messages.pop(n)
+        if kind != "lose" and to in self.members:
+            self.step(to, inputs.MessageReceived(sender, incarnation, decode(raw)))
 
-    def mark(self):
-        """What its future depends on."""
-        out = [
-            tuple(sorted(self.wire, key=lambda item: item[:2])),
+    def state_key(self) -> int:
+        """Give a hash of all that its future depends on."""
+        parts = [
+            tuple(sorted(self.messages, key=lambda item: item[:2])),
             tuple(self.left.items()),
-            len(self.todo),
-            tuple(sorted(self.agreed)),
+            len(self.proposals),
+            tuple(sorted(self.committed)),
         ]
-        for name in self.names:
+        for name in NAMES:
             member = self.members.get(name)
-            out.append(member and member_mark(member))
-            out.append(
-                tuple(
-                    (r[0], *(r[1:] if r[0] in ("hard", "cut") else (r[1],)))
-                    for r in self.disks[name]
-                    if r[0] != "identity"
-                )
-            )
-        return hash(tuple(out))
+            parts.append(member and member_key(member))
+            parts.append(disk_key(self.disks[name]))
+        return hash(tuple(parts))
+
+
+def disk_key(records: list[tuple]) -> tuple:
+    """Give what the future of a member depends on in its records."""
+    return tuple(
+        (record[0], *(record[1:] if record[0] in ("hard", "cut") else (record[1],)))
+        for record in records
+        if record[0] != "identity"
+    )
 
 
-def member_mark(member):
-    """What the future of one member depends on, but for times."""
+def member_key(member: Member) -> tuple:
+    """Give what the future of one member depends on, but for times."""
     candidacy, leadership = member.roles.candidacy, member.leadership
     progress = leadership.progress if leadership else None
     return (
@@ -205,35 +232,41 @@
     )
 
 
-def explore(world, most):
-    """(states, whether all were reached); raises Broken with the moves that led there."""
-    seen, queue = {world.mark()}, deque([(pickle.dumps(world, -1), ())])
+def explore(world: World, most: int) -> tuple[int, bool]:
+    """Give how many states were reached, at most so many, and whether those are all.
+
+    Raises Broken with the moves that led there.
+    """
+    known, queue = {world.state_key()}, deque([(pickle.dumps(world, -1), ())])
     while queue:
-        raw, way = queue.pop()
+        raw, path = queue.pop()
         for move in list(pickle.loads(raw).moves()):
-            one = pickle.loads(raw)
+            following = pickle.loads(raw)
             try:
-                one.after(move)
+                following.perform(move)
             except Broken as error:
-                raise Broken(f"{error}, by {[*way, move]}") from None
-            mark = one.mark()
-            if mark not in seen:
-                seen.add(mark)
-                if len(seen) >= most:
-                    return len(seen), False
-                queue.append((pickle.dumps(one, -1), (*way, move)))
-    return len(seen), True
-
-
-def led(make=Member, **left):
-    """A world with a leader, from which the exploration begins."""
-    world = World(["n0", "n1", "n2"], [], 0, 0, 0, 0, make)
+                raise Broken(f"{error}, by {[*path, move]}") from None
+            key = following.state_key()
+            if key not in known:
+                known.add(key)
+                if len(known) >= most:
+                    return len(known), False
+                queue.append((pickle.dumps(following, -1), (*path, move)))
+    return len(known), True
+
+
+def world_with_leader(make: type[Member] = Member, **left: int) -> World:
+    """Give a world with a leader, from which an exploration begins, and the moves that are left in it.
+
+    Raises Broken where nobody leads.
+    """
+    world = World(make)
     world.left["wait"] = 1
-    world.after(("wait", "n0"))
-    while world.wire:
-        world.after(("come", 0))
+    world.perform(("wait", "n0"))
+    while world.messages:
+        world.perform(("come", 0))
     if world.members["n0"].role != Role.LEADER:
         raise Broken("nobody leads")
-    world.agreed = {}
-    world.left = {"crash": 0, "lose": 0, "double": 0, "overtake": 0, "wait": 0, **left}
+    world.committed = {}
+    world.left = {**NO_MOVES_LEFT, **left}
     return world
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -7,14 +7,14 @@
 from mastledge.consensus.member import Member
 from mastledge.consensus.raft_state import RaftState
 from mastledge.lab.consensus_schedules import Broken
-from mastledge.lab.exploration import explore, led
+from mastledge.lab.exploration import explore, world_with_leader
 
 OUT = [("c0", {"kind": "out", "worker": "w0"}), ("c1", {"kind": "out", "worker": "w1"})]
 
 
 def world(changes, make=Member, **left):
-    made = led(make, **left)
-    made.todo = OUT[:changes]
+    made = world_with_leader(make, **left)
+    made.proposals = OUT[:changes]
     return made
 
 
