--- a/mastledge/lab/interleaving/program_state.py
+++ b/mastledge/lab/interleaving/program_state.py
@@ -33,7 +33,7 @@
         yield f"{len(program.router.scheduler.jobs)} jobs of the decisions"
     if program.budget.used["clients"]:
         yield f"{program.budget.used['clients']} clients' descriptors"
-    idle = sum(len(peer.idle) for peer in program.router.peers.values())
+    idle = sum(len(peer.idle) for peer in program.router.endpoints.values())
     timers = sum(wait_number == task.wait_number for _, _, task, wait_number in loop.timers)
     if timers > idle + TASKS_AND_TIMERS_AT_REST:
         yield f"{timers - idle} timers"
@@ -57,7 +57,7 @@
             program.loop.cancel(task)
     for connection in list(program.listener.clients):
         program.loop.cancel(connection.owner)
-    for peer in program.router.peers.values():
+    for peer in program.router.endpoints.values():
         program.workers.close_idle(peer)
     program.listening_socket.close()
     program.loop.epoll.close()
