--- a/mastledge/lab/bench/command.py
+++ b/mastledge/lab/bench/command.py
@@ -13,7 +13,7 @@
 from mastledge.lab.bench.measured_rig import Figures
 from mastledge.lab.bench.outage_recovery import OutagePlan, outage_recovery
 from mastledge.lab.bench.processor_time import compare_processor_time
-from mastledge.lab.sized import measured as measured_size
+from mastledge.lab.sized_fleets import measure_size
 
 VOTERS = 7  # of a fleet with relays
 
@@ -27,7 +27,7 @@
 def sizes(args: argparse.Namespace) -> list[Figures]:
     """The measurement `sizes`: one size with relays, or all without."""
     if args.fan_out:
-        return [measured_size(VOTERS, args.dispatchers, args.fan_out, args.seed)]
+        return [measure_size(VOTERS, args.dispatchers, args.fan_out, args.seed)]
     return fleet_sizes(args.seed, args.plot)
 
 
--- a/mastledge/lab/bench/fleet_sizes.py
+++ b/mastledge/lab/bench/fleet_sizes.py
@@ -2,7 +2,7 @@
 
 from mastledge.lab.bench.measured_rig import Figures
 from mastledge.lab.bench.percentiles import spread
-from mastledge.lab.sized import grown
+from mastledge.lab.sized_fleets import fleet_at_rest
 
 VOTER_COUNTS = (3, 5, 7)
 FOLLOWER_COUNTS = (20, 60, 200)
@@ -21,7 +21,7 @@
 
 def fleet_size(voters: int, followers: int, seed: int) -> Figures:
     """Simulated: messages and bytes a second at rest, time to in force, time to a new leader."""
-    fleet = grown(voters, followers, seed)
+    fleet = fleet_at_rest(voters, followers, seed)
     at_rest = traffic_at_rest(fleet)
     in_force = spread([in_force_ms(fleet, number) for number in range(TRIES)])
     new_leader = spread([new_leader_ms(fleet) for _ in range(TRIES)])
--- a/mastledge/lab/commands/interleavings.py
+++ b/mastledge/lab/commands/interleavings.py
@@ -4,21 +4,23 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from mastledge.lab import crossing
 from mastledge.lab.commands.options import add_command
 from mastledge.lab.commands.output import bad_call
+from mastledge.lab.interleaving.places import PLACES
+from mastledge.lab.interleaving.program_settings import EFFECTS
+from mastledge.lab.interleaving.scripts import Script, ScriptError, check_place, parse_script
+from mastledge.lab.interleaving.search import play, search_place
 
 MIN_OPTIONS = {"depth": 2, "count": 1, "jobs": 1}
 
 
 def check_call(args: argparse.Namespace, places: list[str]) -> None:
-    """Raises BadScript where a place is unknown or an option too small."""
+    """Raises ScriptError where a place is unknown or an option too small."""
     for place in places:
-        if place not in crossing.PLACES:
-            raise crossing.BadScript(f"unknown place: {place}")
+        check_place(place)
     for name, least in MIN_OPTIONS.items():
         if getattr(args, name) < least:
-            raise crossing.BadScript(f"--{name} is too small: {getattr(args, name)}")
+            raise ScriptError(f"--{name} is too small: {getattr(args, name)}")
 
 
 def cross(args: argparse.Namespace) -> int:
@@ -27,24 +29,24 @@
     Status 1 where a rule was broken.
     """
     try:
-        scripts = [crossing.parsed(place) for place in args.places if "/" in place]
+        scripts = [parse_script(place) for place in args.places if "/" in place]
         places = [place for place in args.places if "/" not in place]
         check_call(args, places)
-    except crossing.BadScript as error:
+    except ScriptError as error:
         return bad_call(error)
     broken = replay(scripts)
     if places or not scripts:
-        broken = search_places(args, places or list(crossing.PLACES)) or broken
+        broken = search_places(args, places or list(PLACES)) or broken
     return int(broken)
 
 
-def replay(scripts: list[tuple]) -> bool:
+def replay(scripts: list[Script]) -> bool:
     """Plays each script; whether one broke a rule."""
     broken = False
     for script in scripts:
-        lines = crossing.played(*script)
+        lines = play(script)
         broken = broken or bool(lines)
-        print(crossing.named(script[0], script[1], script[2]) + ": " + ("; ".join(lines) or "no rule broken"))
+        print(f"{script}: " + ("; ".join(lines) or "no rule broken"))
     return broken
 
 
@@ -53,18 +55,18 @@
     began, total, any_broken = time.monotonic(), 0, False
     with ProcessPoolExecutor(args.jobs) as pool:
         searches = {
-            (place, effect): pool.submit(crossing.search, place, effect, args.depth, args.count, args.seed)
+            (place, effect): pool.submit(search_place, place, effect, args.depth, args.count, args.seed)
             for place in places
-            for effect in crossing.EFFECTS
+            for effect in EFFECTS
         }
         for (place, effect), future in searches.items():
-            tried, broken = future.result()
-            total += tried
-            any_broken = any_broken or bool(broken)
-            print(f"{place}, {effect}: {tried} orders, {len(broken)} rules broken")
-            for rule, found in broken.items():
-                for name, line in found:
-                    print(f"  {rule}: {name}: {line}")
+            result = future.result()
+            total += result.orders
+            any_broken = any_broken or bool(result.findings)
+            print(f"{place}, {effect}: {result.orders} orders, {len(result.findings)} rules broken")
+            for rule, findings in result.findings.items():
+                for finding in findings:
+                    print(f"  {rule}: {finding.script}: {finding.line}")
     print(f"{total} orders in {time.monotonic() - began:.1f} s")
     return any_broken
 
@@ -77,7 +79,7 @@
         "places",
         metavar="PLACE|SCRIPT",
         nargs="*",
-        help="a script is replayed; none: all of " + ", ".join(crossing.PLACES),
+        help="a script is replayed; none: all of " + ", ".join(PLACES),
     )
     command.add_argument("--depth", type=int, default=2, help="steps; above 2 drawn by the seed")
     command.add_argument("--count", type=int, default=100, help="of those drawn, a place and effect")
--- a/mastledge/lab/scale/lightweight_dispatcher.py
+++ b/mastledge/lab/scale/lightweight_dispatcher.py
@@ -20,7 +20,7 @@
 from mastledge.consensus.worker_restrictions import OwnRestrictions
 from mastledge.lab.scale.delay import DelayedLinks
 from mastledge.lab.scale.host_plans import DispatcherHostPlan
-from mastledge.lab.sized import Sized
+from mastledge.lab.sized_fleets import FixedVotersMember
 from mastledge.peers.link_context import LinkIdentity
 from mastledge.protocol.discovery import Discovery
 from mastledge.transport.budget import Budget
@@ -54,7 +54,7 @@
             new_fleet="none",
             seed=seed,
         )
-        self.member = Sized(configuration, state.value(), loop.now())
+        self.member = FixedVotersMember(configuration, state.value(), loop.now())
         self.links = DelayedLinks(
             loop,
             self,
--- a/mastledge/lab/scale/meter.py
+++ b/mastledge/lab/scale/meter.py
@@ -216,10 +216,10 @@
 
 def hold_voters() -> None:
     """The voters stay those that the run began with."""
-    from mastledge.lab.sized import Sized
+    from mastledge.lab.sized_fleets import FixedVotersMember
     from mastledge.program import consensus_driver
 
-    consensus_driver.Member = Sized
+    consensus_driver.Member = FixedVotersMember
 
 
 def delay_links(path: str) -> None:
