--- a/mastledge/lab/command.py
+++ b/mastledge/lab/command.py
@@ -13,13 +13,13 @@
 from mastledge.lab import experiment as experiments
 from mastledge.lab.bench import add as add_bench
 from mastledge.lab.builds import BUILDS
-from mastledge.lab.emulator import Emulation
 from mastledge.lab.judge import judged
 from mastledge.lab.policies import POLICIES
 from mastledge.lab.rig import Rig
 from mastledge.lab.scale.command import add as add_scale
 from mastledge.lab.scenario import BadScenario, known, read
 from mastledge.lab.scenario import check as check_scenario
+from mastledge.lab.simulator.simulation import Simulation
 
 MOST = 5  # lines a rule
 
@@ -90,11 +90,11 @@
     """One run in simulated time, judged as one of processes is."""
     try:
         scenario = read(args.file)
-        emulation = Emulation(scenario, args.seed, args.policy, None if args.quiet else print)
+        simulation = Simulation(scenario, args.seed, args.policy, None if args.quiet else print)
     except BadScenario as error:
         print(f"mastledge: {error}", file=sys.stderr)
         return 2
-    record = emulation.play()
+    record = simulation.play()
     if args.out:
         os.makedirs(args.out, exist_ok=True)
         with open(os.path.join(args.out, "record.json"), "w") as file:
@@ -173,7 +173,7 @@
 
     try:
         base = read(args.file)
-        Emulation.check_played(base)
+        Simulation.check_played(base)
     except BadScenario as error:
         print(f"mastledge: {error}", file=sys.stderr)
         return 2
--- a/mastledge/lab/experiment.py
+++ b/mastledge/lab/experiment.py
@@ -17,12 +17,12 @@
 
 from mastledge.lab import figures
 from mastledge.lab.builds import BUILDS
-from mastledge.lab.emulator import Emulation
 from mastledge.lab.judge import judged
 from mastledge.lab.policies import POLICIES
 from mastledge.lab.rig import Rig
 from mastledge.lab.scenario import BadScenario, Scenario, Strict, find
 from mastledge.lab.scenario import check as check_scenario
+from mastledge.lab.simulator.simulation import Simulation
 
 HERE = os.path.join(os.path.dirname(__file__), "experiments")
 RESAMPLES = 10_000
@@ -108,7 +108,7 @@
         for one in told.variants:
             scenario = made(told, one, value)
             if (one.how or told.how) == "emulated":
-                Emulation.check_played(scenario)
+                Simulation.check_played(scenario)
 
 
 def put(document, path, value):
@@ -161,7 +161,7 @@
     """Figures of one run, and why it can't be used where it can't."""
     scenario, how = made(told, variant, value), variant.how or told.how
     if how == "emulated":
-        record = Emulation(scenario, seed, variant.policy).play()
+        record = Simulation(scenario, seed, variant.policy).play()
     else:
         if variant.policy:
             scenario.builds = dict.fromkeys((f"n{n}" for n in range(scenario.dispatchers)), variant.policy)
--- a/mastledge/lab/search.py
+++ b/mastledge/lab/search.py
@@ -15,9 +15,9 @@
 import tomli_w
 
 from mastledge.lab import faults
-from mastledge.lab.emulator import Emulation
 from mastledge.lab.judge import first_tries, judged
 from mastledge.lab.scenario import Scenario, check
+from mastledge.lab.simulator.simulation import Simulation
 
 AFTER = 3.0  # seconds after the last fault
 WITHIN = 2_000_000
@@ -130,7 +130,7 @@
 def harm(base, genes, policy=""):
     """How much is lost after all is over, and why; a run that has no end is the worst."""
     scenario = scenario_of(base, genes)
-    record = Emulation(scenario, genes["seed"], policy).play()
+    record = Simulation(scenario, genes["seed"], policy).play()
     if not record["complete"]:
         return 1.0, f"incomplete: {record['why']}"
     broken = [f"{rule}: {lines[0]}" for rule, lines in judged(record).items() if lines]
--- /dev/null
+++ b/mastledge/lab/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The simulator: whole fleets in simulated time, with the decisions of the program."""
--- a/mastledge/lab/emulator.py
+++ b/mastledge/lab/simulator/simulation.py
@@ -1,7 +1,7 @@
 """The fleet in simulated time: the very decisions of the program (`balance`, `consensus`, `recovery`), and
 models of all that is round them.
 
-`Emulation(scenario, seed).play()` gives a record of the same shape as `Rig.run()`, so the judge, reports and
+`Simulation(scenario, seed).play()` gives a record of the same shape as `Rig.run()`, so the judge, reports and
 experiments read both. One seed replays all of it. What is a model here: sockets (a link takes 0.1 to 0.6 ms),
 workers (as `stands.Worker`), discovery (as `stands.Agent`), disks, the start of a process (`BOOT`), and
 clients (as `load.Clients`, drawn from the same seed, so the same jobs come at the same times). Copies of keys
@@ -489,7 +489,7 @@
             case RevokeLaunch(job, number):
                 self.do_revoke(now, job, number)
             case FollowEndpoints():
-                pass  # every change of the list reaches the dispatchers of the emulation
+                pass  # every change of the list reaches the dispatchers of the simulation
             case _:
                 raise TypeError(f"no such decision: {decision}")
 
@@ -546,7 +546,7 @@
 
 
 class Keys(copying.Fleet):
-    """Copies of keys on the emulation's clock: their links, disks, and when each hears who holds them."""
+    """Copies of keys on the simulation's clock: their links, disks, and when each hears who holds them."""
 
     def __init__(self, world, names, seed, repeats, walltime):
         self.world = world
@@ -561,7 +561,7 @@
 
     @now.setter
     def now(self, value):
-        pass  # the emulation's own
+        pass  # the simulation's own
 
     def at(self, wait, call, *fields):
         self.world.at(wait, call, *fields)
@@ -581,7 +581,7 @@
             dispatcher.by_hand()
 
 
-class Emulation(schedule.Fleet):
+class Simulation(schedule.Fleet):
     def __init__(self, scenario, seed, policy="", show=None):
         self.check_played(scenario)
         self.agreeing = scenario.agree
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -7,8 +7,8 @@
 
 from mastledge.lab import experiment as e
 from mastledge.lab import figures, reports, search
-from mastledge.lab.emulator import Emulation
 from mastledge.lab.scenario import BadScenario, Scenario, Step, Workers, read
+from mastledge.lab.simulator.simulation import Simulation
 
 BASE = {
     "name": "x", "seconds": 4, "dispatchers": 2, "agree": False,
@@ -216,7 +216,7 @@
     rates = [search.scenario_of(base, some).clients.per_second for some in (genes, drained)]
     assert rates == [30.0, 20.0]
 
-    class Sulking(Emulation):
+    class Sulking(Simulation):
         """Serves nobody once a worker was restarted."""
 
         def reborn(self, name):
@@ -224,11 +224,11 @@
             for dispatcher in self.dispatchers.values():
                 dispatcher.may_act = lambda: False
 
-    monkeypatch.setattr(search, "Emulation", Sulking)
+    monkeypatch.setattr(search, "Simulation", Sulking)
     assert search.harm(base, genes)[0] == 1.0
 
 
 def test_step_fields_of_finds_are_those_of_scenarios():
     assert {"at", "fault", "worker", "kind", "share", "seconds"} <= set(Step.__struct_fields__)
     with pytest.raises(BadScenario):
-        Emulation(Scenario(name="x", steps=[Step(at=0, fault="tear", who="n0")]), 1)
+        Simulation(Scenario(name="x", steps=[Step(at=0, fault="tear", who="n0")]), 1)
--- a/tests/test_emulator.py
+++ b/tests/test_simulator.py
@@ -3,11 +3,11 @@
 import msgspec
 import pytest
 
-from mastledge.lab.emulator import Emulation
 from mastledge.lab.faults import Troubles
 from mastledge.lab.judge import judged
 from mastledge.lab.policies import POLICIES
 from mastledge.lab.scenario import BadScenario, Clients, QueueType, Scenario, Step, Workers, known, read
+from mastledge.lab.simulator.simulation import Simulation
 
 
 def scenario(*steps, dispatchers=3, load=0.8, seconds=8, **told):
@@ -36,7 +36,7 @@
 
 
 def played(told, seed=1, policy=""):
-    record = Emulation(told, seed, policy).play()
+    record = Simulation(told, seed, policy).play()
     assert record["complete"], record["why"]
     return record
 
@@ -82,9 +82,9 @@
 
 
 def test_a_wrong_policy_is_told_from_a_right_one_by_the_judge():
-    """The judge reads what the emulation writes down: a run-once job launched again shows."""
+    """The judge reads what the simulation writes down: a run-once job launched again shows."""
 
-    class Twice(Emulation):
+    class Twice(Simulation):
         def note(self, kind, **fields):
             super().note(kind, **fields)
             if kind == "effect" and fields["type"] == "post":
@@ -125,9 +125,9 @@
 
 def test_what_is_not_emulated_is_said_before_anything_starts():
     with pytest.raises(BadScenario, match=r"steps\[0\]: wipe is not emulated"):
-        Emulation(scenario({"at": 1.0, "fault": "wipe", "who": "n0"}), 1)
+        Simulation(scenario({"at": 1.0, "fault": "wipe", "who": "n0"}), 1)
     with pytest.raises(BadScenario, match="lease_ms"):
-        Emulation(scenario(lease_ms=5000), 1)
+        Simulation(scenario(lease_ms=5000), 1)
 
 
 def test_troubles_overlap_and_end_by_time_or_count():
@@ -146,7 +146,7 @@
     for name in known():
         told = read(name)
         try:
-            record = Emulation(told, 1).play()
+            record = Simulation(told, 1).play()
         except BadScenario:
             continue
         seen += 1
