--- a/mastledge/lab/command.py
+++ b/mastledge/lab/command.py
@@ -20,6 +20,7 @@
 from mastledge.lab.scenario import BadScenario, known, read
 from mastledge.lab.scenario import check as check_scenario
 from mastledge.lab.simulator.simulation import Simulation
+from mastledge.lab.simulator.support import check_supported
 
 MOST = 5  # lines a rule
 
@@ -173,7 +174,7 @@
 
     try:
         base = read(args.file)
-        Simulation.check_played(base)
+        check_supported(base)
     except BadScenario as error:
         print(f"mastledge: {error}", file=sys.stderr)
         return 2
--- a/mastledge/lab/experiment.py
+++ b/mastledge/lab/experiment.py
@@ -23,6 +23,7 @@
 from mastledge.lab.scenario import BadScenario, Scenario, Strict, find
 from mastledge.lab.scenario import check as check_scenario
 from mastledge.lab.simulator.simulation import Simulation
+from mastledge.lab.simulator.support import check_supported
 
 HERE = os.path.join(os.path.dirname(__file__), "experiments")
 RESAMPLES = 10_000
@@ -108,7 +109,7 @@
         for one in told.variants:
             scenario = made(told, one, value)
             if (one.how or told.how) == "emulated":
-                Simulation.check_played(scenario)
+                check_supported(scenario)
 
 
 def put(document, path, value):
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -219,8 +219,8 @@
     class Sulking(Simulation):
         """Serves nobody once a worker was restarted."""
 
-        def reborn(self, name):
-            super().reborn(name)
+        def restart_worker(self, name):
+            super().restart_worker(name)
             for dispatcher in self.dispatchers.values():
                 dispatcher.may_act = lambda: False
 
