--- a/mastledge/lab/command.py
+++ b/mastledge/lab/command.py
@@ -121,7 +121,7 @@
 
 def report(args):
     """Status 1 where it is incomplete or a rule was broken."""
-    from mastledge.lab import reports
+    from mastledge.lab import plots, reports
 
     try:
         record, told = reports.of_path(args.path)
@@ -140,9 +140,9 @@
             json.dump(whole, file, indent=1)
     if args.plot:
         if record is not None:
-            reports.draw_record(record, args.plot)
+            plots.draw_record(record, args.plot)
         else:
-            reports.draw(told[0], told[1], args.plot)
+            plots.draw(told[0], told[1], args.plot)
     return 0 if good else 1
 
 
--- a/mastledge/lab/experiment.py
+++ b/mastledge/lab/experiment.py
@@ -1,22 +1,26 @@
-"""Experiments: variants over the same seeds, in pairs, and what counts as a difference.
+"""Experiments: variants over the same seeds, in pairs.
 
 An experiment is TOML; each run is one line of `runs.jsonl` in its folder, so that one that was cut off goes
 on where it ended. docs/laboratory.md.
 """
 
+from __future__ import annotations
+
 import asyncio
 import hashlib
 import json
 import os
 import sys
 import tomllib
+from collections.abc import Callable, Iterator
 from concurrent.futures import ProcessPoolExecutor, as_completed
+from typing import Any, NamedTuple
 
 import msgspec
-import numpy
 
 from mastledge.lab import figures
 from mastledge.lab.builds import BUILDS
+from mastledge.lab.comparison import Cell, Comparison, compare_pairs
 from mastledge.lab.judge import judged
 from mastledge.lab.policies import POLICIES
 from mastledge.lab.rig import Rig
@@ -26,13 +30,15 @@
 from mastledge.lab.simulator.support import check_supported
 
 HERE = os.path.join(os.path.dirname(__file__), "experiments")
-RESAMPLES = 10_000
-LEAST_SEEDS = 4  # below which nothing is called a difference
+RUNS_FILE, EXPERIMENT_FILE = "runs.jsonl", "experiment.json"
 MOST_RUNS = 2_000
+EMULATED, PROCESSES = "emulated", "processes"  # values of `how`
 
 
 class Variant(Strict):
-    """`set`: keys of the scenario by their path, `clients.per_second` say. `policy`: a baseline of
+    """One variant of an experiment.
+
+    `set`: keys of the scenario by their path, `clients.per_second` say. `policy`: a baseline of
     lab/policies, "" for the program's own. `program`: a folder with another version of it (processes).
     """
 
@@ -44,14 +50,18 @@
 
 
 class Sweep(Strict):
+    """A key of the scenario by its path, and the values that it takes."""
+
     key: str
     values: list
 
 
 class Experiment(Strict):
+    """An experiment as its file has it."""
+
     name: str
     about: str = ""
-    how: str = "emulated"
+    how: str = EMULATED
     scenario: str = ""
     base: dict = {}
     seeds: list[int] = msgspec.field(default_factory=lambda: [1, 2, 3, 4, 5, 6])
@@ -60,248 +70,260 @@
     figures: list[str] = msgspec.field(default_factory=lambda: ["served", "p99_ms", "rejected"])
     least: float = 0.01
 
+    def how_of(self, variant: Variant) -> str:
+        """Whether a variant is played by processes or emulated."""
+        return variant.how or self.how
+
+    def sweep_values(self) -> list:
+        """The values of the sweep; None alone without one."""
+        return self.sweep.values if self.sweep else [None]
+
+
+class PlannedRun(NamedTuple):
+    """One run of an experiment; `value`: of the sweep."""
+
+    value: object
+    variant: Variant
+    seed: int
 
-def known():
+
+class RunRow(msgspec.Struct):
+    """One line of `runs.jsonl`. `broken`: the first line of each broken rule; `limited`: why the machine was
+    the limit, "" where it was not.
+    """
+
+    key: str
+    value: Any
+    variant: str
+    seed: int
+    complete: bool
+    why: str
+    limited: str
+    broken: dict[str, str] = {}
+    figures: dict[str, int | float | None] = {}
+
+
+def known() -> list[str]:
+    """Names of the experiments of the package."""
     return sorted(name[:-5] for name in os.listdir(HERE) if name.endswith(".toml"))
 
 
-def read(path):
+def read(path: str) -> Experiment:
     """The experiment in a file, or of this name; BadScenario says file and key."""
     if not os.path.exists(path) and os.path.exists(os.path.join(HERE, path + ".toml")):
         path = os.path.join(HERE, path + ".toml")
     try:
         with open(path, "rb") as file:
-            told = msgspec.convert(tomllib.load(file), Experiment)
-        check(told)
+            experiment = msgspec.convert(tomllib.load(file), Experiment)
+        check(experiment)
     except OSError as error:
         raise BadScenario(f"{path}: {error.strerror}; there are: " + ", ".join(known())) from None
     except (tomllib.TOMLDecodeError, ValueError) as error:
         raise BadScenario(f"{path}: {error}") from None
-    return told
+    return experiment
+
+
+def check(experiment: Experiment) -> None:
+    """Raises BadScenario, with the key, for an experiment that can't be played."""
+    _check_lists(experiment)
+    for n, variant in enumerate(experiment.variants):
+        _check_variant(f"variants[{n}]", variant, experiment.how_of(variant))
+    runs = plan(experiment)
+    if len(runs) > MOST_RUNS:
+        raise BadScenario(f"{len(runs)} runs, over {MOST_RUNS}")
+    for value in experiment.sweep_values():
+        for variant in experiment.variants:
+            scenario = make_scenario(experiment, variant, value)
+            if experiment.how_of(variant) == EMULATED:
+                check_supported(scenario)
 
 
-def check(told):
-    if not told.variants:
+def _check_lists(experiment: Experiment) -> None:
+    if not experiment.variants:
         raise BadScenario("variants: none")
-    names = [one.name for one in told.variants]
+    names = [variant.name for variant in experiment.variants]
     if len(set(names)) < len(names):
         raise BadScenario(f"variants: a name stands twice: {names}")
-    if bool(told.scenario) == bool(told.base):
+    if bool(experiment.scenario) == bool(experiment.base):
         raise BadScenario("either scenario or base")
-    for name in told.figures:
+    for name in experiment.figures:
         if name not in figures.FIGURES:
             raise BadScenario(f"figures: unknown: {name}; there are: {', '.join(figures.FIGURES)}")
-    if not told.seeds or len(set(told.seeds)) < len(told.seeds):
-        raise BadScenario(f"seeds: none, or one twice: {told.seeds}")
-    for n, one in enumerate(told.variants):
-        if (one.how or told.how) not in ("emulated", "processes"):
-            raise BadScenario(f"variants[{n}].how: neither emulated nor processes: {one.how or told.how}")
-        if one.policy and one.policy not in POLICIES:
-            raise BadScenario(f"variants[{n}].policy: none of {', '.join(POLICIES)}: {one.policy}")
-        if one.program and (one.how or told.how) != "processes":
-            raise BadScenario(f"variants[{n}].program: only with processes")
-        if one.program and not os.path.isdir(os.path.join(one.program, "mastledge")):
-            raise BadScenario(f"variants[{n}].program: no mastledge in {one.program}")
-    runs = plan(told)
-    if len(runs) > MOST_RUNS:
-        raise BadScenario(f"{len(runs)} runs, over {MOST_RUNS}")
-    for value in told.sweep.values if told.sweep else [None]:
-        for one in told.variants:
-            scenario = made(told, one, value)
-            if (one.how or told.how) == "emulated":
-                check_supported(scenario)
+    if not experiment.seeds or len(set(experiment.seeds)) < len(experiment.seeds):
+        raise BadScenario(f"seeds: none, or one twice: {experiment.seeds}")
+
 
+def _check_variant(path: str, variant: Variant, how: str) -> None:
+    if how not in (EMULATED, PROCESSES):
+        raise BadScenario(f"{path}.how: neither emulated nor processes: {how}")
+    if variant.policy and variant.policy not in POLICIES:
+        raise BadScenario(f"{path}.policy: none of {', '.join(POLICIES)}: {variant.policy}")
+    if variant.program and how != PROCESSES:
+        raise BadScenario(f"{path}.program: only with processes")
+    if variant.program and not os.path.isdir(os.path.join(variant.program, "mastledge")):
+        raise BadScenario(f"{path}.program: no mastledge in {variant.program}")
 
-def put(document, path, value):
-    """Sets a key by its path; tables on the way are made."""
-    *way, last = path.split(".")
-    for name in way:
+
+def put(document: dict, path: str, value: object) -> None:
+    """Sets a key by its path; tables on the way are made. BadScenario where there is something else."""
+    *tables, last = path.split(".")
+    for name in tables:
         document = document.setdefault(name, {})
         if not isinstance(document, dict):
             raise BadScenario(f"{path}: {name} is no table")
     document[last] = value
 
 
-def document(told):
-    if told.base:
-        return json.loads(json.dumps(told.base))
-    with open(find(told.scenario), "rb") as file:
+def base_document(experiment: Experiment) -> dict:
+    """The scenario of the experiment as its file has it, before any variant."""
+    if experiment.base:
+        return json.loads(json.dumps(experiment.base))
+    with open(find(experiment.scenario), "rb") as file:
         return tomllib.load(file)
 
 
-def made(told, variant, value):
-    """The scenario of one run."""
-    whole = document(told)
-    if told.sweep is not None:
-        put(whole, told.sweep.key, value)
+def make_scenario(experiment: Experiment, variant: Variant, value: object) -> Scenario:
+    """The scenario of one run; BadScenario names the variant."""
+    document = base_document(experiment)
+    if experiment.sweep is not None:
+        put(document, experiment.sweep.key, value)
     for path, change in variant.set.items():
-        put(whole, path, change)
-    whole.setdefault("name", told.name)
+        put(document, path, change)
+    document.setdefault("name", experiment.name)
     try:
-        scenario = msgspec.convert(whole, Scenario)
+        scenario = msgspec.convert(document, Scenario)
         check_scenario(scenario)
     except ValueError as error:
         raise BadScenario(f"variant {variant.name}: {error}") from None
     return scenario
 
 
-def plan(told):
-    """[(value of the sweep, variant, seed)]: seeds outermost, so that what was cut off is still in pairs."""
-    values = told.sweep.values if told.sweep else [None]
-    return [(value, one, seed) for seed in told.seeds for value in values for one in told.variants]
+def plan(experiment: Experiment) -> list[PlannedRun]:
+    """All runs: seeds outermost, so that what was cut off is still in pairs."""
+    return [
+        PlannedRun(value, variant, seed)
+        for seed in experiment.seeds
+        for value in experiment.sweep_values()
+        for variant in experiment.variants
+    ]
 
 
-def key_of(told, value, variant, seed):
+def key_of(experiment: Experiment, value: object, variant: Variant, seed: int) -> str:
     """By which a run is found again; another scenario is another key."""
-    scenario = made(told, variant, value)
-    text = msgspec.json.encode([scenario, variant, value, variant.how or told.how], order="sorted")
+    scenario = make_scenario(experiment, variant, value)
+    identity = [scenario, variant, value, experiment.how_of(variant)]
+    text = msgspec.json.encode(identity, order="sorted")
     return f"{hashlib.blake2b(text, digest_size=8).hexdigest()}.{seed}"
 
 
-def one_run(told, value, variant, seed):
-    """Figures of one run, and why it can't be used where it can't."""
-    scenario, how = made(told, variant, value), variant.how or told.how
-    if how == "emulated":
+def one_run(experiment: Experiment, value: object, variant: Variant, seed: int) -> RunRow:
+    """Plays one run: its figures, and why it can't be used where it can't."""
+    scenario = make_scenario(experiment, variant, value)
+    if experiment.how_of(variant) == EMULATED:
         record = Simulation(scenario, seed, variant.policy).play()
     else:
-        if variant.policy:
-            scenario.builds = dict.fromkeys((f"n{n}" for n in range(scenario.dispatchers)), variant.policy)
-            assert variant.policy in BUILDS
-        program = None
-        if variant.program:
-            code = (
-                f"import sys; sys.path.insert(0, {variant.program!r}); import runpy; "
-                "sys.argv[0] = 'mastledge'; runpy.run_module('mastledge', run_name='__main__')"
-            )
-            program = [sys.executable, "-B", "-c", code]
-        record = asyncio.run(Rig(scenario, seed, program=program).run())
-    broken = {rule: lines[0] for rule, lines in judged(record).items() if lines}
-    whole = {
-        "complete": record["complete"],
-        "why": record["why"],
-        "limited": figures.limited(record),
-        "broken": broken,
-    }
-    return {**whole, "figures": figures.of_record(record)}
-
-
-def run(told, folder, jobs=1, show=None):
-    """Plays what is not played yet; the rows of all. A row is {key, value, variant, seed, ...}."""
+        record = _play_processes(scenario, variant, seed)
+    return RunRow(
+        key=key_of(experiment, value, variant, seed),
+        value=value,
+        variant=variant.name,
+        seed=seed,
+        complete=record["complete"],
+        why=record["why"],
+        limited=figures.limited(record),
+        broken={rule: lines[0] for rule, lines in judged(record).items() if lines},
+        figures=figures.of_record(record),
+    )
+
+
+def _play_processes(scenario: Scenario, variant: Variant, seed: int) -> dict:
+    if variant.policy:
+        names = [f"n{n}" for n in range(scenario.dispatchers)]
+        scenario.builds = dict.fromkeys(names, variant.policy)
+        assert variant.policy in BUILDS
+    program = None
+    if variant.program:
+        code = (
+            f"import sys; sys.path.insert(0, {variant.program!r}); import runpy; "
+            "sys.argv[0] = 'mastledge'; runpy.run_module('mastledge', run_name='__main__')"
+        )
+        program = [sys.executable, "-B", "-c", code]
+    return asyncio.run(Rig(scenario, seed, program=program).run())
+
+
+def run(
+    experiment: Experiment, folder: str, jobs: int = 1, show: Callable[[str], None] | None = None
+) -> list[RunRow]:
+    """Plays what is not played yet, so many runs at once; the rows of all. `show` gets a line a run."""
+    show = show or (lambda text: None)
     os.makedirs(folder, exist_ok=True)
-    path = os.path.join(folder, "runs.jsonl")
-    rows = {row["key"]: row for row in written(path)}
-    with open(os.path.join(folder, "experiment.json"), "wb") as file:
-        file.write(msgspec.json.encode(told))
-    runs = [(key_of(told, *one), *one) for one in plan(told)]
-    left = [one for one in runs if one[0] not in rows]
-    done = len(runs) - len(left)
-    if show and done:
-        show(f"{done} of {len(runs)} runs are there already")
+    path = os.path.join(folder, RUNS_FILE)
+    rows = {row.key: row for row in written(path)}
+    with open(os.path.join(folder, EXPERIMENT_FILE), "wb") as file:
+        file.write(msgspec.json.encode(experiment))
+    planned = [(key_of(experiment, *one), one) for one in plan(experiment)]
+    missing = [one for key, one in planned if key not in rows]
+    done = len(planned) - len(missing)
+    if done:
+        show(f"{done} of {len(planned)} runs are there already")
     with open(path, "a") as file, ProcessPoolExecutor(jobs) as pool:
-        futures = {pool.submit(one_run, told, *one[1:]): one for one in left}
+        futures = [pool.submit(one_run, experiment, *one) for one in missing]
         try:
             for future in as_completed(futures):
-                key, value, variant, seed = futures[future]
-                row = {"key": key, "value": value, "variant": variant.name, "seed": seed, **future.result()}
-                file.write(json.dumps(row) + "\n")
+                row = future.result()
+                file.write(json.dumps(msgspec.to_builtins(row)) + "\n")
                 file.flush()
-                rows[key], done = row, done + 1
-                if show:
-                    first = told.figures[0]
-                    at = "" if value is None else f" at {value}"
-                    show(
-                        f"{done} of {len(runs)}: {variant.name}{at}, seed {seed}: {first} "
-                        f"{shown(row['figures'][first])}"
-                        + (f"; {row['limited']}" if row["limited"] else "")
-                        + ("" if row["complete"] else f"; incomplete: {row['why']}")
-                    )
+                rows[row.key], done = row, done + 1
+                show(f"{done} of {len(planned)}: {_progress(experiment, row)}")
         except BaseException:
             pool.shutdown(wait=False, cancel_futures=True)
             raise
-    return [rows[key] for key, *_ in runs]
+    return [rows[key] for key, _ in planned]
+
 
+def _progress(experiment: Experiment, row: RunRow) -> str:
+    figure = experiment.figures[0]
+    at = "" if row.value is None else f" at {row.value}"
+    text = f"{row.variant}{at}, seed {row.seed}: {figure} {format_figure(row.figures[figure])}"
+    if row.limited:
+        text += f"; {row.limited}"
+    if not row.complete:
+        text += f"; incomplete: {row.why}"
+    return text
 
-def written(path):
+
+def written(path: str) -> Iterator[RunRow]:
     """The rows of a file; a last line that was cut is left out."""
     if not os.path.exists(path):
         return
     with open(path) as file:
         for line in file:
             try:
-                yield json.loads(line)
+                fields = json.loads(line)
             except json.JSONDecodeError:
                 return
+            yield msgspec.convert(fields, RunRow)
 
 
-def shown(figure):
+def format_figure(figure: float | None) -> str:
+    """As tables and progress show it."""
     return "-" if figure is None else f"{figure:.3f}"
 
 
-# What counts as a difference
-
-
-def interval(differences, seed=1):
-    """95% of the mean of paired differences, by resampling (Efron 1979); one seed, so the same each time."""
-    some = numpy.array(differences, float)
-    random = numpy.random.Generator(numpy.random.PCG64(seed))
-    means = some[random.integers(len(some), size=(RESAMPLES, len(some)))].mean(axis=1)
-    return float(numpy.percentile(means, 2.5)), float(numpy.percentile(means, 97.5))
-
-
-def compared(told, rows):
-    """[{figure, value, variant, base, means, spreads, difference, low, high, pairs, verdict}].
-
-    Each variant is set against the first one, seed by seed. It is called better or worse where 95% of the
-    mean difference lie on one side of 0, over at least LEAST_SEEDS pairs, and the mean is at least `least`
-    (of the base's mean, or of 1 where that is a share); else no difference is told.
-    """
-    out, base = [], told.variants[0]
-    usable = {(row["value"], row["variant"], row["seed"]): row for row in rows if row["complete"]}
-    for value in told.sweep.values if told.sweep else [None]:
-        for variant in told.variants:
-            for name in told.figures:
+def compare(experiment: Experiment, rows: list[RunRow]) -> list[Comparison]:
+    """Each variant against the first one, seed by seed, for each figure and value of the sweep."""
+    base = experiment.variants[0]
+    usable = {(row.value, row.variant, row.seed): row.figures for row in rows if row.complete}
+    comparisons = []
+    for value in experiment.sweep_values():
+        for variant in experiment.variants:
+            for figure in experiment.figures:
                 pairs = []
-                for seed in told.seeds:
-                    one, other = usable.get((value, base.name, seed)), usable.get((value, variant.name, seed))
-                    figs = [row and row["figures"][name] for row in (one, other)]
-                    if None not in figs:
-                        pairs.append(figs)
-                out.append(judged_pairs(told, value, base, variant, name, pairs))
-    return out
-
-
-def judged_pairs(told, value, base, variant, name, pairs):
-    row = {
-        "figure": name,
-        "value": value,
-        "variant": variant.name,
-        "base": base.name,
-        "pairs": len(pairs),
-        "mean": None,
-        "base_mean": None,
-        "spread": None,
-        "difference": None,
-        "low": None,
-        "high": None,
-        "verdict": "no figures",
-    }
-    if not pairs:
-        return row
-    some = numpy.array(pairs, float)
-    row |= {
-        "base_mean": float(some[:, 0].mean()),
-        "mean": float(some[:, 1].mean()),
-        "spread": float(some[:, 1].std(ddof=1)) if len(some) > 1 else 0.0,
-    }
-    if variant.name == base.name:
-        return {**row, "verdict": "base"}
-    differences = some[:, 1] - some[:, 0]
-    low, high = interval(differences)
-    mean = float(differences.mean())
-    least = told.least * (1.0 if figures.FIGURES[name][1] else max(abs(row["base_mean"]), 1e-9))
-    verdict = "no difference told"
-    if len(pairs) < LEAST_SEEDS:
-        verdict = f"too few seeds: {len(pairs)}"
-    elif (low > 0 or high < 0) and abs(mean) >= least:
-        verdict = "better" if (mean > 0) == figures.FIGURES[name][1] else "worse"
-    return {**row, "difference": mean, "low": low, "high": high, "verdict": verdict}
+                for seed in experiment.seeds:
+                    both = [usable.get((value, one.name, seed)) for one in (base, variant)]
+                    pair = [None if one is None else one[figure] for one in both]
+                    if None not in pair:
+                        pairs.append(pair)
+                cell = Cell(figure, value, variant.name, base.name)
+                comparisons.append(compare_pairs(cell, pairs, experiment.least))
+    return comparisons
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -6,7 +6,8 @@
 import pytest
 
 from mastledge.lab import experiment as e
-from mastledge.lab import figures, reports, search
+from mastledge.lab import figures, plots, reports, search
+from mastledge.lab.comparison import Cell, compare_pairs
 from mastledge.lab.scenario import BadScenario, Scenario, Step, Workers, read
 from mastledge.lab.simulator.simulation import Simulation
 
@@ -36,15 +37,12 @@
     step = {"at": 0.5, "fault": "worker", "kind": "slow", "amount": 4.0, "seconds": 3.5}
     slow = [{**step, "worker": f"w{n}"} for n in range(2)]
     told = experiment(variants=[{"name": "a"}, {"name": "b"}, {"name": "slow", "set": {"steps": slow}}])
-    rows = [
-        {"value": value, "variant": one.name, "seed": seed, **e.one_run(told, value, one, seed)}
-        for value, one, seed in e.plan(told)
-    ]
-    verdicts = {(row["variant"], row["figure"]): row for row in e.compared(told, rows)}
-    assert verdicts["a", "p99_ms"]["verdict"] == "base"
+    rows = [e.one_run(told, *planned) for planned in e.plan(told)]
+    verdicts = {(row.variant, row.figure): row for row in e.compare(told, rows)}
+    assert verdicts["a", "p99_ms"].verdict == "base"
     same = verdicts["b", "p99_ms"]
-    assert same["verdict"] == "no difference told" and same["difference"] == 0 and same["pairs"] == 4
-    assert verdicts["slow", "p99_ms"]["verdict"] == "worse" and verdicts["slow", "p99_ms"]["low"] > 0
+    assert same.verdict == "no difference told" and same.difference == 0 and same.pairs == 4
+    assert verdicts["slow", "p99_ms"].verdict == "worse" and verdicts["slow", "p99_ms"].low > 0
 
 
 @pytest.mark.parametrize(
@@ -62,7 +60,8 @@
 def test_a_difference_is_told_by_its_rule(pairs, figure, verdict):
     told = experiment(figures=[figure])
     base, other = told.variants
-    assert e.judged_pairs(told, None, base, other, figure, pairs)["verdict"] == verdict
+    cell = Cell(figure, None, other.name, base.name)
+    assert compare_pairs(cell, pairs, told.least).verdict == verdict
 
 
 def test_an_experiment_that_was_cut_off_goes_on_and_says_so_until_then(tmp_path):
@@ -83,13 +82,13 @@
     whole = reports.report(*reports.load(str(tmp_path)))
     assert whole["complete"] and len(whole["rows"]) == 2 * 2 * 3
     assert [json.loads(line)["figures"] for line in lines[3:]] == [
-        row["figures"] for row in reports.load(str(tmp_path))[1][3:]
+        row.figures for row in reports.load(str(tmp_path)).rows[3:]
     ]
     other = experiment(
         sweep={"key": "clients.per_second", "values": [10, 20]}, seeds=[1, 2], base={**BASE, "seconds": 3}
     )
     assert not {e.key_of(other, *one) for one in e.plan(other)} & {json.loads(line)["key"] for line in lines}
-    reports.draw(told, reports.load(str(tmp_path))[1], str(tmp_path / "x.png"))
+    plots.draw(told, reports.load(str(tmp_path)).rows, str(tmp_path / "x.png"))
     assert (tmp_path / "x.png").read_bytes()[:4] == b"\x89PNG"
 
 
