--- a/mastledge/lab/commands/experiments.py
+++ b/mastledge/lab/commands/experiments.py
@@ -34,7 +34,7 @@
     """Prints it, and writes it to the files that are given; status 1 where it is incomplete or a rule was
     broken.
     """
-    from mastledge.lab import reports
+    from mastledge.lab import plots, reports
 
     try:
         record, runs = reports.of_path(path)
@@ -51,9 +51,9 @@
         with open(json_path, "w") as file:
             json.dump(whole, file, indent=1)
     if plot_path and record is not None:
-        reports.draw_record(record, plot_path)
+        plots.draw_record(record, plot_path)
     elif plot_path:
-        reports.draw(runs[0], runs[1], plot_path)
+        plots.draw(runs[0], runs[1], plot_path)
     return STATUS_GOOD if complete and not whole["breaches"] else STATUS_BROKEN
 
 
--- a/mastledge/lab/commands/simulations.py
+++ b/mastledge/lab/commands/simulations.py
@@ -13,8 +13,9 @@
     add_seed,
 )
 from mastledge.lab.commands.output import STATUS_GOOD, bad_call, print_verdict, progress
-from mastledge.lab.emulator import Emulation
 from mastledge.lab.scenario import ScenarioError, read
+from mastledge.lab.simulator.simulation import Simulation
+from mastledge.lab.simulator.support import check_supported
 
 MAX_FINDS = 5  # that are told
 
@@ -23,10 +24,10 @@
     """One run in simulated time, judged as one of processes is."""
     try:
         scenario = read(args.file)
-        emulation = Emulation(scenario, args.seed, args.policy, None if args.quiet else print)
+        simulation = Simulation(scenario, args.seed, args.policy, None if args.quiet else print)
     except ScenarioError as error:
         return bad_call(error)
-    record = emulation.play()
+    record = simulation.play()
     if args.out:
         os.makedirs(args.out, exist_ok=True)
         with open(os.path.join(args.out, "record.json"), "w") as file:
@@ -40,7 +41,7 @@
 
     try:
         base = read(args.file)
-        Emulation.check_played(base)
+        check_supported(base)
     except ScenarioError as error:
         return bad_call(error)
     found = searching.search(base, args.tries, args.seed, args.jobs, args.policy, progress(args.quiet))
