--- a/mastledge/lab/bench/changes.py
+++ b/mastledge/lab/bench/changes.py
@@ -45,9 +45,11 @@
 
 def leader_at_rest(states: dict[str, tuple[int, Any]]) -> str | None:
     """The leader's name, None where there is none, or a dispatcher has no lease or not all is in force."""
-    leader = next((name for name, (status, told) in states.items() if status == 200 and told["leads"]), None)
+    leader = next(
+        (name for name, (status, state) in states.items() if status == 200 and state["leads"]), None
+    )
     calm = all(
-        status == 200 and told["lease_left_ms"] and told["in_force"] for status, told in states.values()
+        status == 200 and state["lease_left_ms"] and state["in_force"] for status, state in states.values()
     )
     return leader if calm else None
 
--- a/mastledge/lab/bench/command.py
+++ b/mastledge/lab/bench/command.py
@@ -13,6 +13,7 @@
 from mastledge.lab.bench.measured_rig import Figures
 from mastledge.lab.bench.outage_recovery import OutagePlan, outage_recovery
 from mastledge.lab.bench.processor_time import compare_processor_time
+from mastledge.lab.commands.options import SubCommands
 from mastledge.lab.sized import measured as measured_size
 
 VOTERS = 7  # of a fleet with relays
@@ -51,16 +52,16 @@
 
 def run(args: argparse.Namespace) -> int:
     """Prints a JSON object a line, and writes all of them to `--json`; status 0."""
-    told = MEASUREMENTS[args.what](args)
+    figures = MEASUREMENTS[args.what](args)
     if args.json:
         with open(args.json, "wb") as file:
-            file.write(msgspec.json.encode(told))
-    for row in told if isinstance(told, list) else [told]:
+            file.write(msgspec.json.encode(figures))
+    for row in figures if isinstance(figures, list) else [figures]:
         print(json.dumps(row))
     return 0
 
 
-def add(commands) -> None:
+def add(commands: SubCommands) -> None:
     """Adds the sub-command with its options."""
     command = commands.add_parser("bench", help="measure: calls, kills, cpu (processes), sizes (simulated)")
     command.add_argument("what", choices=tuple(MEASUREMENTS))
--- a/mastledge/lab/bench/key_retention.py
+++ b/mastledge/lab/bench/key_retention.py
@@ -55,9 +55,9 @@
         for pair in range(pairs):
             for kind in alternating(kinds, pair):
                 plan = kinds[kind].plan(base, os.path.join(disk, f"{kind} {pair}"))
-                told = measure_load(plan, seed + pair)
-                processor_ms[kind].append(told["ms_a_job"])
-                answer_ms[kind] += told["ms"]
+                figures = measure_load(plan, seed + pair)
+                processor_ms[kind].append(figures["ms_a_job"])
+                answer_ms[kind] += figures["ms"]
         sync = sync_times_us(disk)
     out: Figures = {"sync_us_p50_p99": sync}
     for kind in processor_ms:  # in the order of the first pair
--- a/mastledge/lab/command.py
+++ b/mastledge/lab/command.py
@@ -3,6 +3,7 @@
 from mastledge.lab.bench.command import add as add_bench
 from mastledge.lab.commands.experiments import add_experiment, add_report
 from mastledge.lab.commands.interleavings import add_cross
+from mastledge.lab.commands.options import SubCommands
 from mastledge.lab.commands.scenarios import add_check, add_judge, add_names, add_run
 from mastledge.lab.commands.simulations import add_emulate, add_search
 from mastledge.lab.commands.suite import add_suite
@@ -24,7 +25,7 @@
 )
 
 
-def add(commands) -> None:
+def add(commands: SubCommands) -> None:
     """Adds `lab` and the sub-commands below it."""
     lab = commands.add_parser(
         "lab", help="run scenarios of failures and judge them", description="The laboratory."
--- a/mastledge/lab/commands/experiments.py
+++ b/mastledge/lab/commands/experiments.py
@@ -6,7 +6,7 @@
 
 from mastledge.lab import experiment as experiments
 from mastledge.lab import figures
-from mastledge.lab.commands.options import add_command, add_file, add_output_folder, add_quiet
+from mastledge.lab.commands.options import SubCommands, add_command, add_file, add_output_folder, add_quiet
 from mastledge.lab.commands.output import STATUS_BROKEN, STATUS_GOOD, bad_call, progress
 from mastledge.lab.scenario import BadScenario
 
@@ -57,7 +57,7 @@
     return STATUS_GOOD if complete and not whole["breaches"] else STATUS_BROKEN
 
 
-def add_experiment(commands) -> None:
+def add_experiment(commands: SubCommands) -> None:
     """Adds `experiment`."""
     about = "play variants over the same seeds, and say what differs"
     command = add_command(commands, "experiment", experiment, about)
@@ -66,7 +66,7 @@
     add_quiet(command)
 
 
-def add_report(commands) -> None:
+def add_report(commands: SubCommands) -> None:
     """Adds `report`."""
     about = "tell of an experiment's folder, or of one record"
     command = add_command(commands, "report", report, about)
--- a/mastledge/lab/commands/interleavings.py
+++ b/mastledge/lab/commands/interleavings.py
@@ -5,7 +5,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from mastledge.lab import crossing
-from mastledge.lab.commands.options import add_command
+from mastledge.lab.commands.options import SubCommands, add_command
 from mastledge.lab.commands.output import bad_call
 
 MIN_OPTIONS = {"depth": 2, "count": 1, "jobs": 1}
@@ -69,7 +69,7 @@
     return any_broken
 
 
-def add_cross(commands) -> None:
+def add_cross(commands: SubCommands) -> None:
     """Adds `cross`."""
     about = "try orders of two events with the program's own code, peers and time steered"
     command = add_command(commands, "cross", cross, about)
--- a/mastledge/lab/commands/options.py
+++ b/mastledge/lab/commands/options.py
@@ -5,9 +5,11 @@
 
 from mastledge.lab.policies import POLICIES
 
+SubCommands = argparse._SubParsersAction  # what `add_subparsers` returns has no public name
+
 
 def add_command(
-    commands, name: str, carry_out: Callable[[argparse.Namespace], int], about: str
+    commands: SubCommands, name: str, carry_out: Callable[[argparse.Namespace], int], about: str
 ) -> argparse.ArgumentParser:
     """Adds a sub-command without options; `carry_out` gives the status of the process."""
     command = commands.add_parser(name, help=about, description=about)
--- a/mastledge/lab/commands/scenarios.py
+++ b/mastledge/lab/commands/scenarios.py
@@ -6,7 +6,7 @@
 
 from mastledge.lab import experiment as experiments
 from mastledge.lab.builds import BUILDS
-from mastledge.lab.commands.options import add_command, add_file, add_quiet, add_seed
+from mastledge.lab.commands.options import SubCommands, add_command, add_file, add_quiet, add_seed
 from mastledge.lab.commands.output import (
     STATUS_BROKEN,
     STATUS_GOOD,
@@ -70,7 +70,7 @@
     return STATUS_GOOD
 
 
-def add_run(commands) -> None:
+def add_run(commands: SubCommands) -> None:
     """Adds `run`."""
     command = add_command(commands, "run", run, "run a scenario: a file, or a name of `lab names`")
     add_file(command)
@@ -87,17 +87,17 @@
     add_quiet(command)
 
 
-def add_check(commands) -> None:
+def add_check(commands: SubCommands) -> None:
     """Adds `check`."""
     add_file(add_command(commands, "check", check, "read a scenario and say whether it is good"))
 
 
-def add_judge(commands) -> None:
+def add_judge(commands: SubCommands) -> None:
     """Adds `judge`."""
     add_file(add_command(commands, "judge", judge, "judge a record again"))
 
 
-def add_names(commands) -> None:
+def add_names(commands: SubCommands) -> None:
     """Adds `names`."""
     about = "name the scenarios and experiments that come with the package"
     add_command(commands, "names", names, about)
--- a/mastledge/lab/commands/simulations.py
+++ b/mastledge/lab/commands/simulations.py
@@ -5,6 +5,7 @@
 import os
 
 from mastledge.lab.commands.options import (
+    SubCommands,
     add_command,
     add_file,
     add_output_folder,
@@ -51,7 +52,7 @@
     return STATUS_GOOD
 
 
-def add_emulate(commands) -> None:
+def add_emulate(commands: SubCommands) -> None:
     """Adds `emulate`."""
     command = add_command(commands, "emulate", emulate, "play a scenario in simulated time")
     add_file(command)
@@ -61,7 +62,7 @@
     add_quiet(command)
 
 
-def add_search(commands) -> None:
+def add_search(commands: SubCommands) -> None:
     """Adds `search`."""
     about = "look for the scenario on which the program does worst (simulated)"
     command = add_command(commands, "search", search, about)
--- a/mastledge/lab/commands/suite.py
+++ b/mastledge/lab/commands/suite.py
@@ -6,7 +6,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import dataclass
 
-from mastledge.lab.commands.options import add_command, add_quiet, add_seed
+from mastledge.lab.commands.options import SubCommands, add_command, add_quiet, add_seed
 from mastledge.lab.commands.output import STATUS_BROKEN, STATUS_GOOD
 from mastledge.lab.scenario import known
 
@@ -51,7 +51,7 @@
     return STATUS_BROKEN if bad else STATUS_GOOD
 
 
-def add_suite(commands) -> None:
+def add_suite(commands: SubCommands) -> None:
     """Adds `suite`."""
     about = "run all scenarios of the package over seeds, with processes"
     command = add_command(commands, "suite", suite, about)
--- a/mastledge/lab/scale/command.py
+++ b/mastledge/lab/scale/command.py
@@ -9,6 +9,7 @@
 from dataclasses import fields
 from typing import Any
 
+from mastledge.lab.commands.options import SubCommands
 from mastledge.lab.scale import slopes
 from mastledge.lab.scale.options import InvalidOptionsError, ScaleOptions, check
 from mastledge.lab.scale.run import ScaleRun
@@ -53,7 +54,7 @@
     return ScaleOptions(**{field.name: getattr(args, field.name) for field in fields(ScaleOptions)})
 
 
-def add(commands) -> None:
+def add(commands: SubCommands) -> None:
     """Adds the sub-commands `scale` and `slopes`."""
     command = commands.add_parser(
         "scale",
--- a/mastledge/lab/scale/meter.py
+++ b/mastledge/lab/scale/meter.py
@@ -3,9 +3,9 @@
 Installed by `--build metered` (`lab/builds.py`). It writes its counts several times a second as one
 JSON object to the file that `$MASTLEDGE_METER` names. What it costs itself is a purpose of its own.
 
-Processor time is that of the loop's thread, taken round each step of a coroutine and told by the coroutine's
+Processor time is that of the loop's thread, taken round each step of a coroutine and assigned by its
 function; steps and calls that run inside another one are taken out of it. What the loop does between steps is
-shared out by the number of steps. Other threads (the one that writes the journal) count as agreement.
+shared out by the number of steps. Other threads (the one that writes the log) count as agreement.
 """
 
 import os
--- a/mastledge/lab/scale/slopes.py
+++ b/mastledge/lab/scale/slopes.py
@@ -16,6 +16,7 @@
 
 import numpy
 
+from mastledge.lab.commands.options import SubCommands
 from mastledge.lab.scale.options import ScaleOptions
 
 AXES = {
@@ -174,7 +175,7 @@
 
 
 def add(
-    commands,
+    commands: SubCommands,
     add_options: Callable[[argparse.ArgumentParser], None],
     options_of: Callable[[argparse.Namespace], ScaleOptions],
 ) -> None:
