--- a/mastledge/lab/commands/interleavings.py
+++ b/mastledge/lab/commands/interleavings.py
@@ -4,7 +4,7 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from mastledge.lab.commands.options import add_command
+from mastledge.lab.commands.options import SubCommands, add_command
 from mastledge.lab.commands.output import bad_call
 from mastledge.lab.interleaving.places import PLACES
 from mastledge.lab.interleaving.program_settings import EFFECTS
@@ -71,7 +71,7 @@
     return any_broken
 
 
-def add_cross(commands) -> None:
+def add_cross(commands: SubCommands) -> None:
     """Adds `cross`."""
     about = "try orders of two events with the program's own code, peers and time steered"
     command = add_command(commands, "cross", cross, about)
