--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -653,7 +653,7 @@
 def agreed(serving, tmp_path, monkeypatch):
     """One dispatcher that is its own fleet: the way of a key is the same as among several.
 
-    How long a disk may take is another test's matter: on a busy machine a sync takes longer than a quorum has.
+    How long a disk may take is not its matter: on a busy machine a sync takes longer than a quorum has.
     """
     monkeypatch.setattr(claims, "QUORUM_TIMEOUT_US", 10_000_000)
     at = free()
