--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -142,6 +142,8 @@
         env=marked(),
         stdout=subprocess.PIPE,
         text=True,
+        # A shell's job in the background ignores SIGINT, and so does what it starts.
+        preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_DFL),
     )
     try:
         assert "are ready" in run.stdout.readline()
