--- a/mastledge/consensus/__init__.py
+++ b/mastledge/consensus/__init__.py
@@ -1,3 +1,1 @@
-"""What the dispatchers of a fleet agree on, and for how long each may act on it. No I/O, no clock of its
-own.
-"""
+"""Consensus among the dispatchers of a fleet: raft, leases and relays, without I/O or a clock."""
--- a/mastledge/consensus/applier.py
+++ b/mastledge/consensus/applier.py
@@ -1,23 +1,23 @@
-"""Applies committed entries to the state machine, and makes snapshots."""
+"""Applies committed entries to the state machine and takes snapshots."""
 
 from mastledge.consensus.outbox import Outbox
 from mastledge.consensus.proposals import Proposals
 from mastledge.consensus.raft_state import RaftState
 
-SNAPSHOT_INTERVAL = 512  # entries after a snapshot, after which there is another
+SNAPSHOT_INTERVAL = 512  # applied entries between two snapshots
 
 
 class Applier:
-    """Advances the commit index; halts at an entry that it cannot apply."""
+    """Advances the commit index; halts at the first entry that cannot be applied."""
 
     def __init__(self, state: RaftState, outbox: Outbox, proposals: Proposals, snapshot_interval: int):
-        """Begin with nothing to halt for."""
+        """Initialize without a reason to halt."""
         self.state, self.outbox, self.proposals = state, outbox, proposals
         self.snapshot_interval = snapshot_interval
-        self.halt_reason = ""  # why this member cannot go on by what is committed
+        self.halt_reason = ""  # why no further entries are applied; "" while they are
 
     def advance_to(self, commit_index: int) -> None:
-        """Commit and apply the entries up to an index, in their order."""
+        """Commit and apply the entries up to `commit_index` in order."""
         state = self.state
         while state.commit_index < commit_index and not self.halt_reason:
             if not self._apply_next():
@@ -33,8 +33,8 @@
         try:
             result = state.commit(index)
         except (ValueError, KeyError, TypeError) as error:
-            # To go on without it would be to act on another state than the rest.
-            self.halt_reason = f"cannot follow what is agreed: {error}"
+            # Skipping the entry would make this member's state differ from that of the other members.
+            self.halt_reason = f"cannot apply committed entry {index}: {error}"
             self.outbox.log_event("halted", why=self.halt_reason)
             return False
         kind = entry.change["kind"]
@@ -46,11 +46,11 @@
         return True
 
     def resume(self) -> None:
-        """Another state begins, which has nothing to halt for."""
+        """Clear the halt reason: the state has been replaced."""
         self.halt_reason = ""
 
     def report_results(self) -> None:
-        """Tell what became of proposals that a snapshot has the results of."""
+        """Report the results of pending proposals that an installed snapshot contains."""
         results = self.state.state_machine.results
         for id in [id for id in self.proposals.pending if id in results]:
             self.proposals.complete(id)
--- a/mastledge/consensus/changes.py
+++ b/mastledge/consensus/changes.py
@@ -1,18 +1,18 @@
-"""Changes that a fleet commits: their kinds, which of them can be applied at all, and their one-line texts.
+"""Changes that a fleet commits: their kinds, validation and one-line descriptions.
 
-A change is a plain map, as it stands in the log and in messages: "kind" and the fields of that kind.
+In the log and in messages a change is a plain dict: "kind" and the fields of that kind.
 """
 
 from collections.abc import Callable
 from enum import StrEnum
 from typing import Any
 
-MIN_FAN_OUT, MAX_FAN_OUT = 2, 64  # members that hear from one relay
-MAX_REPLICAS = 7  # of one key
+MIN_FAN_OUT, MAX_FAN_OUT = 2, 64  # members served by one relay
+MAX_REPLICAS = 7  # replicas of one key
 
 
 class ChangeKind(StrEnum):
-    """The "kind" of a change."""
+    """Values of the "kind" field of a change."""
 
     NOOP = "noop"
     SETTINGS = "settings"
@@ -37,31 +37,33 @@
         ChangeKind.GRANT_VOTE,
     }
 )
-UNVERSIONED_KINDS = frozenset({ChangeKind.REPLICA_STARTED, ChangeKind.REPLICA_CAUGHT_UP})  # no operator's
+UNVERSIONED_KINDS = frozenset(
+    {ChangeKind.REPLICA_STARTED, ChangeKind.REPLICA_CAUGHT_UP}
+)  # not made by an operator
 
 
 def noop() -> dict:
-    """Return the change that a new leader begins its term with (Ongaro 2014, 6.4)."""
+    """Return the no-op change that a new leader appends first in its term (Ongaro 2014, 6.4)."""
     return {"kind": ChangeKind.NOOP.value}
 
 
 def new_incarnation(name: str, incarnation: str) -> dict:
-    """Return the change by which a member counts in another incarnation, without a vote."""
+    """Return the change that admits a member in a new incarnation, as a learner."""
     return {"kind": ChangeKind.NEW_INCARNATION.value, "name": name, "life": incarnation}
 
 
 def grant_vote(name: str, incarnation: str) -> dict:
-    """Return the change by which a learner becomes a voter."""
+    """Return the change that makes a learner a voter."""
     return {"kind": ChangeKind.GRANT_VOTE.value, "name": name, "life": incarnation}
 
 
 def is_valid_fan_out(fan_out: Any) -> bool:
-    """Return whether so many members may hear from one relay."""
+    """Return whether `fan_out` is an allowed number of members per relay."""
     return type(fan_out) is int and MIN_FAN_OUT <= fan_out <= MAX_FAN_OUT
 
 
 def is_valid(change: dict) -> bool:
-    """Return whether a change of another process can be applied; one that cannot would halt every member."""
+    """Return whether a proposed change can be applied; committing an invalid one would halt every member."""
     fields_are_valid = VALIDATORS.get(change.get("kind"))
     return fields_are_valid is not None and fields_are_valid(change)
 
@@ -78,8 +80,8 @@
     return _is_int(value) and value > 0
 
 
-def _is_signed(change: dict) -> bool:
-    """Return whether "at" and "by", which the history shows, can be shown."""
+def _has_valid_origin(change: dict) -> bool:
+    """Return whether "at" and "by", which the history shows, have valid types."""
     return _is_int(change.get("at", 0)) and isinstance(change.get("by", ""), str)
 
 
@@ -104,30 +106,30 @@
 
 
 def _valid_replica_started(change: dict) -> bool:
-    figures = _is_positive(change.get("starts")) and _is_positive(change.get("count"))
-    return _has_texts(change, "name", "id") and figures
+    are_positive = _is_positive(change.get("starts")) and _is_positive(change.get("count"))
+    return _has_texts(change, "name", "id") and are_positive
 
 
 def _valid_replica_caught_up(change: dict) -> bool:
     return _has_texts(change, "name", "id") and _is_positive(change.get("epoch"))
 
 
-def _signed_with(*names: str) -> Callable[[dict], bool]:
-    return lambda change: _has_texts(change, *names) and _is_signed(change)
+def _origin_and_texts(*names: str) -> Callable[[dict], bool]:
+    return lambda change: _has_texts(change, *names) and _has_valid_origin(change)
 
 
-# A noop is a leader's own, and none is taken from another process.
+# NOOP is absent: only the leader itself appends it, and a proposed one is rejected.
 VALIDATORS: dict[str, Callable[[dict], bool]] = {
     ChangeKind.SETTINGS: _valid_settings,
     ChangeKind.SETTINGS_PATCH: _valid_settings_patch,
     ChangeKind.FAN_OUT: _valid_fan_out,
-    ChangeKind.EXCLUDE_WORKER: _signed_with("worker"),
+    ChangeKind.EXCLUDE_WORKER: _origin_and_texts("worker"),
     ChangeKind.INCLUDE_WORKER: _valid_inclusion,
     ChangeKind.REPLICA_COUNT: _valid_replica_count,
-    ChangeKind.ADD_MEMBER: _signed_with("name", "address"),
-    ChangeKind.REMOVE_MEMBER: _signed_with("name"),
-    ChangeKind.NEW_INCARNATION: _signed_with("name", "life"),
-    ChangeKind.GRANT_VOTE: _signed_with("name", "life"),
+    ChangeKind.ADD_MEMBER: _origin_and_texts("name", "address"),
+    ChangeKind.REMOVE_MEMBER: _origin_and_texts("name"),
+    ChangeKind.NEW_INCARNATION: _origin_and_texts("name", "life"),
+    ChangeKind.GRANT_VOTE: _origin_and_texts("name", "life"),
     ChangeKind.REPLICA_STARTED: _valid_replica_started,
     ChangeKind.REPLICA_CAUGHT_UP: _valid_replica_caught_up,
 }
@@ -147,5 +149,5 @@
 
 
 def describe(change: dict) -> str:
-    """Return the line of the history, which operators read."""
+    """Return the text of a change in the history that operators read."""
     return DESCRIPTIONS[change["kind"]].format_map(change)
--- a/mastledge/consensus/configuration.py
+++ b/mastledge/consensus/configuration.py
@@ -1,15 +1,15 @@
-"""What a member is told when it is made."""
+"""The configuration that a member is created with."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class MemberConfiguration:
-    """The member's name, its fleet as the configuration names it, and random names for new ones.
+    """The member's name, the configured members, and the initial values of a new fleet.
 
-    `members` are {name: address}; `settings` and `lease_us` are those of a fleet that begins here, which only
-    happens where `may_bootstrap` is set. `seed` makes the random draws. `new_incarnation` and `new_fleet` are
-    names that no process had before, taken where a new incarnation or fleet begins.
+    `members` is {name: address}. `settings` and `lease_us` apply to a fleet that this member bootstraps,
+    which requires `may_bootstrap`. `seed` seeds the random draws. `new_incarnation` and `new_fleet` are
+    unique random names, used when a new incarnation or fleet begins.
     """
 
     name: str
--- a/mastledge/consensus/core.py
+++ b/mastledge/consensus/core.py
@@ -1,4 +1,4 @@
-"""What every part of a member is handed."""
+"""The state that all parts of a member share."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Core:
-    """The time of the step, its outputs, the disk, raft's state, and the role."""
+    """The clock, the outputs of the step, persistence, raft state and role."""
 
     clock: MemberClock
     outbox: Outbox
--- a/mastledge/consensus/errors.py
+++ b/mastledge/consensus/errors.py
@@ -1,37 +1,37 @@
-"""What goes wrong in the package, each kind with what it happened to."""
+"""Errors of the consensus package."""
 
 from enum import IntEnum
 
 
 class ConsensusError(Exception):
-    """The base of all errors of this package."""
+    """Base class of all errors of this package."""
 
 
 class RefusalStatus(IntEnum):
-    """The status of the HTTP answer to who proposed a change that is refused."""
+    """HTTP status returned to the client that proposed a refused change."""
 
-    ALREADY_SO = 200  # the state is as asked for
+    ALREADY_SO = 200  # the state is already as requested
     INVALID = 400
     CONFLICT = 409
-    OTHER_VERSION = 412  # of the settings than the one that was expected
+    OTHER_VERSION = 412  # the settings are not at the expected version
 
 
 class ChangeRefusedError(ConsensusError):
-    """A committed change does not fit the state that it meets; it changes nothing."""
+    """A committed change conflicts with the current state and is not applied."""
 
     def __init__(self, reason: str, status: RefusalStatus):
-        """Say why, and with which status."""
+        """Initialize with the reason and the HTTP status."""
         super().__init__(reason)
         self.reason, self.status = reason, int(status)
 
 
 class UnknownChangeError(ConsensusError, ValueError):
-    """A committed change is of a kind that this version does not know."""
+    """A committed change has a kind that this version does not know."""
 
 
 class RecordError(ConsensusError, ValueError):
-    """A record of the write-ahead log is unknown or cannot follow those before it."""
+    """A write-ahead log record has an unknown form or does not follow the records before it."""
 
 
 class SettingsPatchError(ConsensusError, ValueError):
-    """A patch names a place that the settings do not have."""
+    """A patch refers to a path that does not exist in the settings."""
--- a/mastledge/consensus/follower.py
+++ b/mastledge/consensus/follower.py
@@ -1,4 +1,4 @@
-"""What a member takes from the leader: entries, snapshots, what is committed, and its lease."""
+"""Handles messages from the leader: entries, snapshots, the commit index and lease grants."""
 
 from dataclasses import dataclass
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowerParts:
-    """The parts of a member that hear of what the leader sends."""
+    """The parts of a member that process the leader's messages."""
 
     acknowledgements: Acknowledgements
     applier: Applier
@@ -31,14 +31,14 @@
 
 
 class Follower:
-    """Follows a leader, which speaks itself or through a relay."""
+    """Follows a leader whose messages arrive directly or through a relay."""
 
     def __init__(self, core: Core, parts: FollowerParts):
-        """Begin without a leader."""
+        """Initialize without a leader."""
         self.core, self.parts = core, parts
 
     def on_append_entries(self, sender: str, incarnation: str, append: AppendEntries) -> None:
-        """Take over the leader's entries, what is committed, and a lease."""
+        """Append the leader's entries, advance the commit index and accept the lease grant."""
         parts = self.parts
         if not self._accept_leader(sender, append):
             return
@@ -49,22 +49,22 @@
         if not self._follows_log(append):
             parts.acknowledgements.send(sender, False, append.sent_at)
             return
-        self._take_entries(append)
+        self._append_entries(append)
         parts.applier.advance_to(min(append.commit_index, append.prev_index + len(append.entries)))
-        self._take_lease(append)
+        self._accept_lease(append)
         if parts.choice.is_answered(sender, bool(append.leader)) and not self.core.persistence.is_waiting():
             parts.acknowledgements.send(sender, True, append.sent_at)
         parts.children.hurry()
 
     def _accept_leader(self, sender: str, message: AppendEntries | InstallSnapshot) -> bool:
-        """Follow whom the message is from, unless its term is over or it is not for this member."""
+        """Follow the leader of a message; return False for a past term or an unsuitable relayed message."""
         state, roles = self.core.state, self.core.roles
         if message.term < state.term:
             self.parts.acknowledgements.send(sender, False, 0)
             return False
         leader = message.leader or sender
         if message.leader and (state.is_voter() or leader == state.name):
-            return False  # voters hear the leader itself
+            return False  # voters take messages from the leader only
         if roles.leader != leader or message.term > state.term or not roles.is_follower():
             roles.become_follower(message.term, leader)
         roles.contact.record(self.core.clock.now, message.sent_at, sender)
@@ -76,13 +76,13 @@
         return True
 
     def _follows_log(self, append: AppendEntries) -> bool:
-        """Return whether the entries follow what is in the log here (Ongaro 2014, 3.5)."""
+        """Return whether the entries follow the local log (Ongaro 2014, 3.5)."""
         state, previous = self.core.state, append.prev_index
         if state.state_machine is None or previous > state.log.last_index:
             return False
         return previous < state.log.base_index or state.log.term_at(previous) == append.prev_term
 
-    def _take_entries(self, append: AppendEntries) -> None:
+    def _append_entries(self, append: AppendEntries) -> None:
         state = self.core.state
         for index, entry in enumerate(append.entries, append.prev_index + 1):
             if index <= state.log.base_index or state.log.term_at(index) == entry.term:
@@ -91,18 +91,22 @@
                 state.truncate_from(index)
             state.append(entry)
 
-    def _take_lease(self, append: AppendEntries) -> None:
+    def _accept_lease(self, append: AppendEntries) -> None:
         state, lease, clock = self.core.state, self.parts.lease, self.core.clock
         in_force_index = min(append.in_force_index, state.commit_index)
         lease.record_in_force(in_force_index, clock.now + append.in_force_in_us)
         granted_from = clock.from_reading(append.lease_grant)
-        is_own = clock.started_at <= granted_from <= clock.now
-        # Only who has applied what was committed when it was granted may act by it.
-        if is_own and append.commit_index <= state.state_machine.applied_index and state.is_admitted():
+        is_of_this_process = clock.started_at <= granted_from <= clock.now
+        # The lease is valid only once this member has applied all that was committed at the grant.
+        if (
+            is_of_this_process
+            and append.commit_index <= state.state_machine.applied_index
+            and state.is_admitted()
+        ):
             lease.accept_grant(granted_from, state.lease_us)
 
     def on_install_snapshot(self, sender: str, incarnation: str, install: InstallSnapshot) -> None:
-        """Take over the leader's state where the log does not reach it."""
+        """Install the leader's snapshot if it is ahead of the commit index."""
         state = self.core.state
         if not self._accept_leader(sender, install):
             return
--- a/mastledge/consensus/inputs.py
+++ b/mastledge/consensus/inputs.py
@@ -1,4 +1,4 @@
-"""What a member can be told: one class for each input of `Member.step`."""
+"""Inputs of `Member.step`, one class each."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; due at `Member.wake_at` at the latest."""
+    """Time has passed; must be sent no later than `Member.wake_at()`."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message has come from another member, in the incarnation that its link has told."""
+    """A message from another member, with the sender's incarnation as the link's handshake gave it."""
 
     sender: str
     incarnation: str
@@ -21,22 +21,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Persisted:
-    """The records of an earlier `Persist` or `Rewrite` are synced to disk; tokens come in their order."""
+    """The records of an earlier `Persist` or `Rewrite` are synced to disk; tokens arrive in order."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class DiskFailed:
-    """Records could not be written; none is written after them until a `Rewrite` has gone well."""
+    """Writing records failed; no record is written after them until a `Rewrite` succeeds."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """The own registry has told a list or a change of it.
+    """This member's registry has sent an endpoint list or changes to it.
 
-    `kind` is "whole", "cached" or "changes", `entries` are (worker, state), `generation` is that of the list,
-    None where it is not known.
+    `kind` is "whole", "cached" or "changes"; `entries` are (worker, state); `generation` is the list's
+    generation, None if unknown.
     """
 
     registry: str
@@ -47,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ShareRestrictions:
-    """Other members are to hear whom the own registry restricts."""
+    """Send the worker restrictions of this member's registry to the other members."""
 
     restrictions: WorkerRestrictions
 
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """A change that the host wants committed; `id` is unique, so that a repeated one counts once."""
+    """A change that the host proposes; `id` is unique, so a repeated proposal is applied once."""
 
     id: str
     change: dict
@@ -62,14 +62,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ForgetProposal:
-    """Nobody waits for that change any more, so it is not proposed again."""
+    """The host no longer waits for this change; it is not proposed again."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Restore:
-    """An operator begins another fleet with this state, and with this member as its only voter."""
+    """An operator starts a new fleet from this state, with this member as its only voter."""
 
     fleet: str
     incarnation: str
@@ -78,14 +78,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Abandon:
-    """An operator says that the fleet is no more: the member waits for the next one, as a new one."""
+    """An operator declares the fleet lost: the member waits for the next fleet in a new incarnation."""
 
     incarnation: str
 
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """This process ends; a leader hands its leadership on."""
+    """This process shuts down; a leader transfers its leadership."""
 
 
 Input = (
--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -1,4 +1,4 @@
-"""What a leader does: it takes changes, replicates them, and knows what is committed and in force."""
+"""The leader: appends changes, replicates them, and tracks which entries are committed and in force."""
 
 from dataclasses import dataclass
 
@@ -27,13 +27,13 @@
 from mastledge.consensus.restriction_sharing import RestrictionSharing
 from mastledge.consensus.timing import LEARNER_HEARTBEATS_PER_LEASE, LOST_AFTER_HEARTBEATS, SOON_US
 
-MAX_WAITING_CHANGES = 64  # of the members, which wait for the one before
-MAX_LOGGED_KIND = 40  # characters of a change that cannot be read
+MAX_WAITING_CHANGES = 64  # membership changes that wait for the previous one
+MAX_LOGGED_KIND = 40  # characters of the kind of an invalid change
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderParts:
-    """The parts of a member that a leadership works with."""
+    """The parts of a member that a leader uses."""
 
     applier: Applier
     children: RelayChildren
@@ -45,13 +45,13 @@
 
 
 class Leadership:
-    """The state of a leader; there is one only while a member leads."""
+    """The state of a leader; it exists only while the member leads."""
 
     direct_members_type = DirectMembers
     in_force_type = InForceTracker
 
     def __init__(self, core: Core, parts: LeaderParts):
-        """Begin in the term that was won, without knowing anything of the others."""
+        """Initialize for the term that was won, without information about other members."""
         self.core, self.parts = core, parts
         state, self.won_at = core.state, core.clock.now
         self.leases = GrantedLeases(state.lease_us, self.won_at)
@@ -61,16 +61,16 @@
         self.latest_restrictions = contents.latest_restrictions
         self.direct_members = self.direct_members_type(core, self.leases, parts.choice.tree)
         self.in_force = self.in_force_type(core, self.leases, parts.children)
-        self.echoed_at: dict[str, int] = {}  # the latest own time that each member has sent back
-        self.process_ids: dict[str, int] = {}  # of each member; 0 for a version that knows no relays
-        self.waiting_changes: list[Propose] = []  # of the members
+        self.echoed_at: dict[str, int] = {}  # the latest time of this leader that each member has sent back
+        self.process_ids: dict[str, int] = {}  # by member; 0: its version does not support relays
+        self.waiting_changes: list[Propose] = []  # membership changes
         self.last_fan_out = state.fan_out
-        self.first_index = 0  # of this term
+        self.first_index = 0  # index of the first entry of this term
 
     def begin(self, proposals: dict[str, dict]) -> None:
-        """Begin the term with an entry of its own, and with the changes that this member has proposed."""
+        """Start the term by appending a no-op and this member's pending proposals, {id: change}."""
         state = self.core.state
-        # Who heard from here as a follower goes on doing so until it has found another relay.
+        # Former relay children get messages from this leader until they have found another relay.
         for name in self.parts.children.release():
             self.direct_members.adopt(name)
         self.parts.choice.leave()
@@ -83,7 +83,7 @@
     # Changes
 
     def take(self, id: str, change: dict) -> None:
-        """Append a change to the log, once. Changes of the members wait for the one before."""
+        """Append a change to the log, once per id; a membership change waits for the one before it."""
         if not is_valid(change):
             kind = str(change.get("kind"))[:MAX_LOGGED_KIND]
             self.core.outbox.log_event("invalid_change", id=id, kind=kind)
@@ -91,11 +91,11 @@
         if self._is_known(id):
             return
         kind = change["kind"]
-        if kind == ChangeKind.FAN_OUT and (older := self.members_without_relays()):
-            self.core.outbox.log_event("relays_refused", members=older)
+        if kind == ChangeKind.FAN_OUT and (unsupporting := self.members_without_relays()):
+            self.core.outbox.log_event("relays_refused", members=unsupporting)
             return
-        if kind in MEMBERSHIP_KINDS and not (self.is_settled() and self._may_depart(change)):
-            self._wait(id, change)
+        if kind in MEMBERSHIP_KINDS and not (self.is_settled() and self._may_remove_member(change)):
+            self._queue_change(id, change)
             return
         self._append(Entry(self.core.state.term, id, change))
 
@@ -104,7 +104,7 @@
         uncommitted = state.log.all_after(state.state_machine.applied_index)
         return any(entry.id == id for entry in uncommitted) or id in state.state_machine.results
 
-    def _wait(self, id: str, change: dict) -> None:
+    def _queue_change(self, id: str, change: dict) -> None:
         is_waiting = any(waiting.id == id for waiting in self.waiting_changes)
         if len(self.waiting_changes) < MAX_WAITING_CHANGES and not is_waiting:
             self.waiting_changes.append(Propose(id, change))
@@ -114,17 +114,17 @@
         self.progress.hurry()
 
     def is_settled(self) -> bool:
-        """Return whether the members may change: an entry of this term is committed, and no change under way.
+        """Return whether the membership may change (Ongaro 2014, 4.1, and its erratum).
 
-        Ongaro (2014), 4.1, and the erratum to it.
+        An entry of this term must be committed, and no membership change may be uncommitted.
         """
         state = self.core.state
         uncommitted = state.log.all_after(state.commit_index)
         is_changing = any(entry.change["kind"] in MEMBERSHIP_KINDS for entry in uncommitted)
         return self._knows_all_committed() and not is_changing
 
-    def _may_depart(self, change: dict) -> bool:
-        """Return whether one more may leave: so many are remembered, until the first one's lease is over."""
+    def _may_remove_member(self, change: dict) -> bool:
+        """Return whether a member may be removed: beyond MAX_DEPARTED, the first one's lease must expire."""
         if change["kind"] != ChangeKind.REMOVE_MEMBER:
             return True
         departed = self.core.state.departed()
@@ -133,42 +133,42 @@
         return self.leases.has_expired(departed[0]["name"], self.core.clock.now)
 
     def members_without_relays(self) -> list[str]:
-        """Return the members of a version without relays, or that have said nothing to this leader yet."""
+        """Return the members that do not support relays or have not yet answered this leader."""
         state = self.core.state
         return sorted(
             name for name in state.members() if name != state.name and not self.process_ids.get(name)
         )
 
     def admit(self, name: str, incarnation: str) -> None:
-        """Have a member count in a new incarnation; what the former one promised is not expected of it."""
+        """Propose a member's new incarnation, which is not bound by promises of the former one."""
         if self.is_settled():
             id = f"life {name} {incarnation} {self.core.state.log.last_index}"
             self.take(id, new_incarnation(name, incarnation))
 
     def adopt(self, name: str) -> None:
-        """Speak to a follower that has no relay, or none that its version could hear."""
+        """Send messages directly to a follower that has no relay or does not support relays."""
         if self.core.state.fan_out:
             self.direct_members.adopt(name)
             self.progress.schedule(name, 0)
 
-    # What members tell
+    # Messages from members
 
     def on_append_response(self, sender: str, incarnation: str, response: AppendResponse) -> None:
-        """Take over what a member has on disk and applied, and its clock."""
+        """Record a member's persisted and applied entries and its clock."""
         state, now = self.core.state, self.core.clock.now
-        is_of_term = response.term == state.term
-        if not is_of_term and not state.fan_out:
+        is_current_term = response.term == state.term
+        if not is_current_term and not state.fan_out:
             return
         if not state.knows(sender, incarnation):
             if sender in state.members():
-                # Known in another incarnation; what this one says does not count until it is taken in.
+                # The member has a new incarnation; its responses are ignored until that is admitted.
                 self.admit(sender, incarnation)
                 return
             if all(departed["name"] != sender for departed in state.departed()):
                 return
         if not response.process_id or (sender not in self.leases.holders and state.is_learner(sender)):
-            self.adopt(sender)  # an older version hears from nobody else
-        if not is_of_term:
+            self.adopt(sender)  # an older version gets messages from the leader only
+        if not is_current_term:
             return
         self._record_response(sender, incarnation, response)
         applied, process_id = response.applied_index, response.process_id
@@ -186,21 +186,21 @@
         self.progress.on_success(sender, response)
 
     def on_restrictions(self, restrictions: WorkerRestrictions) -> None:
-        """Without relays: tell all members what one of them tells."""
+        """Forward one member's worker restrictions to all members, when there are no relays."""
         if self.latest_restrictions.record(restrictions, self.core.clock.now):
             self.core.outbox.deliver_restrictions(restrictions)
             self.progress.hurry()
 
-    # What follows
+    # Work after each input
 
     def run(self) -> None:
-        """Commit, count what is in force, and speak to who is due; or lead no longer."""
+        """Commit, update the in-force index and send due heartbeats; step down if the majority is lost."""
         state, roles = self.core.state, self.core.roles
         self.progress.on_persisted(state.name, self.core.persistence.persisted_index)
         self.echoed_at[state.name] = self.core.clock.now
         majority_heard_at = state.majority_of(self.echoed_at)
         if self._has_lost_majority(majority_heard_at):
-            # A majority may have another leader by now, and whoever calls here had better know.
+            # A majority may have another leader by now: clients must not take this member for the leader.
             roles.step_down()
             self.parts.elections.restart_timeout()
             return
@@ -214,8 +214,8 @@
             self._send_heartbeats(majority_heard_at)
             roles.step_down()
             return
-        self._follow_fan_out()
-        self._hold_lease(majority_heard_at)
+        self._on_fan_out_change()
+        self._extend_lease(majority_heard_at)
         self.update_in_force()
         if self.waiting_changes and self.is_settled():
             next_change = self.waiting_changes.pop(0)
@@ -224,67 +224,67 @@
         self._send_heartbeats(majority_heard_at)
 
     def _has_lost_majority(self, majority_heard_at: int) -> bool:
-        now, span = self.core.clock.now, LOST_AFTER_HEARTBEATS * self.core.state.heartbeat_us
-        return majority_heard_at < now - span and now > self.won_at + span
+        now, timeout_us = self.core.clock.now, LOST_AFTER_HEARTBEATS * self.core.state.heartbeat_us
+        return majority_heard_at < now - timeout_us and now > self.won_at + timeout_us
 
     def _commit(self) -> None:
-        """Commit what a majority has on disk, if it is of this term (Ongaro 2014, 3.6.2)."""
+        """Commit entries that a majority has on disk, if the last is of this term (Ongaro 2014, 3.6.2)."""
         state = self.core.state
         index = state.majority_of(self.progress.match_index)
         if index > state.commit_index and state.log.term_at(index) == state.term:
             self.parts.applier.advance_to(index)
             self.progress.hurry()
 
-    def _follow_fan_out(self) -> None:
-        """Once relays begin, go on speaking to each member until they do their part."""
+    def _on_fan_out_change(self) -> None:
+        """When the fan-out changes, send to each member directly until the relays have taken over."""
         state = self.core.state
         if state.fan_out != self.last_fan_out:
             self.last_fan_out = state.fan_out
             for name in state.members():
                 self.adopt(name)
 
-    def _hold_lease(self, majority_heard_at: int) -> None:
-        """Hold a lease, once it is known what is committed."""
+    def _extend_lease(self, majority_heard_at: int) -> None:
+        """Extend the leader's own lease, once all committed entries are known."""
         state = self.core.state
         if majority_heard_at > 0 and state.is_admitted() and self._knows_all_committed():
             self.parts.lease.extend(majority_heard_at, state.lease_us)
 
     def _knows_all_committed(self) -> bool:
-        """Return whether an entry of this term is committed, and so all that was before it."""
+        """Return whether an entry of this term is committed, and with it all entries before."""
         return self.core.state.commit_index >= self.first_index
 
     def update_in_force(self) -> None:
-        """Count up to which entry the state is in force."""
+        """Update the index up to which the state is in force."""
         lease, fan_out = self.parts.lease, self.core.state.fan_out
         if fan_out:
             reached = self.in_force.of_holders(lease.in_force_index)
         else:
             reached = self.in_force.of_all_members()
         if reached.index > lease.in_force_index and not fan_out:
-            self.progress.hurry()  # relays hear it with the next heartbeat: nobody acts on it
+            self.progress.hurry()  # with relays the next heartbeat carries it; nothing waits for it
         lease.record_in_force(reached.index, reached.all_by)
 
     def promote_learner(self) -> None:
-        """Return a vote to a member that has caught up, while voters are missing."""
+        """Make a caught-up learner a voter, if there are fewer voters than wanted."""
         state = self.core.state
         members = state.members()
         if len(state.voters()) >= wanted_voters(len(members)) or not self.is_settled():
             return
         for name, member in sorted(members.items()):
-            if name != state.name and self._may_vote(name, member):
+            if name != state.name and self._is_ready_to_vote(name, member):
                 incarnation = member["life"]
                 id = f"vote {name} {incarnation} {state.term}.{state.log.last_index}"
                 self.take(id, grant_vote(name, incarnation))
                 return
 
-    def _may_vote(self, name: str, member: dict) -> bool:
-        """Return whether a learner has caught up, on its disk, and answers."""
+    def _is_ready_to_vote(self, name: str, member: dict) -> bool:
+        """Return whether a learner answers and has this term's first entry on disk."""
         if member["votes"] or not member["life"]:
             return False
         if self.progress.match_index.get(name, 0) < self.first_index:
             return False
-        span = 2 * LEARNER_HEARTBEATS_PER_LEASE * self.core.state.heartbeat_us
-        return self.core.clock.now - self.echoed_at.get(name, 0) < span
+        timeout_us = 2 * LEARNER_HEARTBEATS_PER_LEASE * self.core.state.heartbeat_us
+        return self.core.clock.now - self.echoed_at.get(name, 0) < timeout_us
 
     def _send_heartbeats(self, majority_heard_at: int) -> None:
         state = self.core.state
@@ -295,20 +295,20 @@
         self.heartbeats.send_due(names, majority_heard_at if self._knows_all_committed() else None)
 
     def successor(self) -> str | None:
-        """Return the voter that is to lead next: it has all of the log, and was heard last."""
+        """Return the voter heard last among those with the whole log; None if there is none."""
         state, match_index = self.core.state, self.progress.match_index
-        ready = [
+        candidates = [
             name
             for name in state.voters()
             if name != state.name and match_index.get(name, 0) == state.log.last_index
         ]
-        return max(ready, key=lambda name: (self.echoed_at.get(name, 0), name), default=None)
+        return max(candidates, key=lambda name: (self.echoed_at.get(name, 0), name), default=None)
 
     def wake_at(self) -> int:
-        """Return when the leader has something to do."""
+        """Return the time at which `run` must be called again."""
         now, lease = self.core.clock.now, self.parts.lease
         times = [*self.progress.heartbeat_at.values(), now + self.core.state.heartbeat_us]
         if lease.in_force_index < self.core.state.commit_index:
             times.append(lease.in_force_by)
-        # What is due already has been looked at in this very step.
+        # Work already due was done in this step; waking at once would loop without a pause.
         return max(now + SOON_US, min(times))
--- a/mastledge/consensus/log.py
+++ b/mastledge/consensus/log.py
@@ -1,19 +1,19 @@
-"""The log of one member: entries numbered from 1, of which the oldest may be replaced by a snapshot."""
+"""The raft log of a member: entries numbered from 1; a snapshot may replace the oldest."""
 
 from collections.abc import Iterable
 
 from mastledge.consensus.messages import Entry
 
-MAX_ENTRIES_AT_ONCE = 64  # a long log must not become one frame
+MAX_ENTRIES_AT_ONCE = 64  # limits the size of a frame
 
 
 class Log:
-    """Entries after `base_index`, the last one that the snapshot stands for."""
+    """The entries after `base_index`, the last index that the snapshot covers."""
 
     __slots__ = ("base_index", "base_term", "entries")
 
     def __init__(self, base_index: int = 0, base_term: int = 0, entries: Iterable[Entry] = ()):
-        """Begin after a snapshot, or empty."""
+        """Initialize empty, or with the entries after a snapshot."""
         self.base_index, self.base_term, self.entries = base_index, base_term, list(entries)
 
     @property
@@ -27,36 +27,36 @@
         return self.entries[-1].term if self.entries else self.base_term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry; None where it is neither here nor the snapshot's last one."""
+        """Return the term of an entry; None if it is neither in the log nor the last one of the snapshot."""
         if index == self.base_index:
             return self.base_term
-        is_present = self.base_index < index <= self.last_index
-        return self.entries[index - self.base_index - 1].term if is_present else None
+        is_in_log = self.base_index < index <= self.last_index
+        return self.entries[index - self.base_index - 1].term if is_in_log else None
 
     def entry_at(self, index: int) -> Entry:
-        """Return an entry that is held here."""
+        """Return the entry at `index`, which must be in the log."""
         return self.entries[index - self.base_index - 1]
 
     def entries_after(self, index: int, limit: int = MAX_ENTRIES_AT_ONCE) -> list[Entry]:
-        """Return the entries after an index, `limit` of them at the most."""
+        """Return at most `limit` entries after `index`."""
         first = index - self.base_index
         return self.entries[first : first + limit]
 
     def all_after(self, index: int) -> list[Entry]:
-        """Return all entries after an index."""
+        """Return all entries after `index`."""
         return self.entries_after(index, len(self.entries))
 
     def append(self, entry: Entry) -> int:
-        """Add an entry and give its index."""
+        """Append an entry and return its index."""
         self.entries.append(entry)
         return self.last_index
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entries from `index` on."""
+        """Remove the entries from `index` on."""
         del self.entries[index - self.base_index - 1 :]
 
     def compact(self, index: int) -> None:
-        """Drop the entries up to `index`, for which a snapshot stands."""
+        """Remove the entries up to `index`, which a snapshot covers."""
         term = self.term_at(index)
         del self.entries[: index - self.base_index]
         self.base_index, self.base_term = index, term
--- a/mastledge/consensus/member.py
+++ b/mastledge/consensus/member.py
@@ -1,8 +1,8 @@
-"""One member of a fleet: a pure step from its state and an input to outputs, without I/O or a clock.
+"""A member of a fleet as a pure step function: state and input to outputs, without I/O or a clock.
 
 Raft as in Ongaro, "Consensus: Bridging Theory and Practice" (2014): terms, votes and a log (3.4 to 3.6), the
-pre-vote (9.6), members one at a time (4.1), snapshots (5.1). Leases, relays and what happens at a start are
-this project's; docs/consensus.md.
+pre-vote (9.6), single-server membership changes (4.1), snapshots (5.1). Leases, relays and the startup are
+extensions of raft; see docs/consensus.md.
 """
 
 from collections.abc import Callable
@@ -38,9 +38,9 @@
 
 
 class Member:
-    """Composes the parts, hands each input to the part that it is for, and runs what is due.
+    """Composes the parts of a member, dispatches each input to its part, and runs the work that is due.
 
-    The classes of parts that a laboratory replaces are attributes of this one.
+    The classes of the parts that tests and the lab replace are class attributes.
     """
 
     state_type = RaftState
@@ -51,7 +51,7 @@
     snapshot_interval = SNAPSHOT_INTERVAL
 
     def __init__(self, configuration: MemberConfiguration, persisted: PersistedMember | None, now: int):
-        """Begin with what the disk holds, None for an empty one; `now` is the own time in microseconds."""
+        """Initialize from the persisted state, None for an empty disk; `now` is local time in us."""
         self.configuration = configuration
         incarnation = configuration.new_incarnation
         self.clock = MemberClock(incarnation, now)
@@ -110,13 +110,13 @@
         self.roles.become_leader(leadership)
         leadership.begin(self.proposals.pending)
 
-    # One step
+    # Step
 
     def step(self, now: int, input: inputs.Input) -> list[Output]:
-        """Take one input at a time of the own clock; return what follows, in its order."""
+        """Process one input at local time `now` and return the outputs in order."""
         self.clock.now = now
         self.input_handlers[type(input)](input)
-        self._run()
+        self._run_due_work()
         self.persistence.finish_step(self.state.log.last_index)
         return self.outbox.take()
 
@@ -150,13 +150,13 @@
             messages.WorkerRestrictions: self._on_worker_restrictions,
         }
 
-    def _run(self) -> None:
-        """Do what is due."""
+    def _run_due_work(self) -> None:
+        """Run retries, timeouts and the work of the current role."""
         persistence, now = self.persistence, self.clock.now
         if persistence.is_retry_due(now) and self.state.state_machine:
             persistence.rewrite(self.state.all_records(), self.state.log.last_index)
         for proposal in self.proposals.due(now):
-            self._hand_in(proposal)
+            self._submit_to_leader(proposal)
         if self.phase != Phase.PARTICIPATING:
             self.bootstrap.run()
             return
@@ -172,42 +172,42 @@
         self.relay_children.run()
 
     def _on_election_timeout(self) -> None:
-        """Campaign, or look for the leader."""
+        """Start a campaign, or search for the leader."""
         self.elections.restart_timeout()
         if self.state.is_voter() and not self.persistence.failed and not self.applier.halt_reason:
             self.elections.campaign(pre_vote=True)
             return
         lost_at = self.roles.contact.heard_at + LOST_AFTER_HEARTBEATS * self.state.heartbeat_us
         if not self.state.is_admitted() or not self.roles.leader or self.clock.now > lost_at:
-            # Taken out while it was away, or known in another incarnation: who leads has to be found.
+            # This member was removed while away, or the fleet knows another incarnation: find the leader.
             self.discovery.ask_members()
 
     def wake_at(self) -> int:
-        """Return when `Tick` has to be the input at the latest."""
-        takes_part = self.phase == Phase.PARTICIPATING
-        times = [self.elections.timeout_at if takes_part else self.bootstrap.ask_at]
+        """Return the time by which the host must send a `Tick`."""
+        is_participating = self.phase == Phase.PARTICIPATING
+        times = [self.elections.timeout_at if is_participating else self.bootstrap.ask_at]
         if self.roles.leadership is not None:
             times = [self.roles.leadership.wake_at()]
-        times += [at for at in (self.persistence.retry_at, self.proposals.retry_at) if at is not None]
-        if self.fan_out and takes_part and self.roles.is_follower():
+        times += [time for time in (self.persistence.retry_at, self.proposals.retry_at) if time is not None]
+        if self.fan_out and is_participating and self.roles.is_follower():
             times += self.relay_children.wake_times() + self.relay_choice.wake_times()
         return min(times)
 
     # Inputs
 
     def _on_tick(self, tick: inputs.Tick) -> None:
-        """What is due is done after each input."""
+        """Do nothing: `step` runs the due work after each input."""
 
     def _on_message_received(self, received: inputs.MessageReceived) -> None:
         sender, message = received.sender, received.message
         if sender == self.configuration.name:
             return
         self.discovery.record_message(sender, message)
-        if self._takes(message):
+        if self._is_accepted(message):
             self.message_handlers[type(message)](sender, received.incarnation, message)
 
-    def _takes(self, message: messages.AnyMessage) -> bool:
-        """Return whether a message is heard in this phase."""
+    def _is_accepted(self, message: messages.AnyMessage) -> bool:
+        """Return whether a message is processed in the current phase."""
         match message:
             case messages.DiscoverRequest() | messages.DiscoverResponse() | messages.BootstrapCluster():
                 return True
@@ -221,7 +221,7 @@
             self.acknowledgements.send_persisted()
 
     def _on_disk_failed(self, failed: inputs.DiskFailed) -> None:
-        """Say nothing that depends on the disk from now on; what is heard is still acted on."""
+        """Step down and withhold messages that depend on the disk; received messages are still processed."""
         self.persistence.on_failed(self.clock.now)
         self.roles.step_down_if_active()
 
@@ -234,10 +234,10 @@
 
     def _on_proposal(self, proposal: inputs.Propose) -> None:
         self.proposals.add(proposal.id, proposal.change)
-        self._hand_in(messages.Propose(proposal.id, proposal.change))
+        self._submit_to_leader(messages.Propose(proposal.id, proposal.change))
         self.proposals.await_result(self.clock.now)
 
-    def _hand_in(self, proposal: messages.Propose) -> None:
+    def _submit_to_leader(self, proposal: messages.Propose) -> None:
         if self.roles.leadership is not None:
             self.roles.leadership.take(proposal.id, proposal.change)
         elif self.roles.leader is not None:
@@ -247,14 +247,14 @@
         self.proposals.forget(forget.id)
 
     def _on_restore(self, restore: inputs.Restore) -> None:
-        """Begin another fleet alone; nothing that members of the former one say counts from here on."""
+        """Start a new fleet alone; messages from the former fleet's members no longer count."""
         self.roles.step_down_if_active()
         self._forget_fleet(restore.incarnation)
         self.bootstrap.begin_fleet(restore.fleet, restore.state)
         self.elections.campaign_soon()
 
     def _on_abandon(self, abandon: inputs.Abandon) -> None:
-        """Come to the next fleet as a member with an empty disk does."""
+        """Leave the fleet and wait for the next one like a member with an empty disk."""
         self.roles.step_down_if_active()
         self.outbox.log_event("abandoned", fleet=self.fleet, life=self.incarnation)
         self._forget_fleet(abandon.incarnation)
@@ -272,18 +272,18 @@
         self._forget_relays()
 
     def _forget_relays(self) -> None:
-        """Hear and speak to no relay any more; what was granted goes on counting."""
+        """Stop using relays; leases already granted remain counted."""
         self.relay_children.release()
         self.relay_choice.forget()
         self.roles.contact.forget_sender()
 
     def _on_leave(self, leave: inputs.Leave) -> None:
-        """Have the voter that has all of the log lead, so that nobody waits for a timeout."""
+        """Transfer leadership to an up-to-date voter, which saves the election timeout."""
         successor = self.roles.leadership.successor() if self.roles.leadership is not None else None
         if successor is not None:
             self.outbox.send(successor, messages.TimeoutNow(self.state.term))
 
-    # Messages that are for one part or another, by the role
+    # Messages dispatched by role
 
     def _on_append_response(self, sender: str, incarnation: str, response: messages.AppendResponse) -> None:
         if response.term > self.state.term:
@@ -307,11 +307,11 @@
         elif self.roles.leader is not None:
             self.outbox.send(self.roles.leader, restrictions)
 
-    # What the host may know
+    # State visible to the host
 
     @property
     def fleet(self) -> str:
-        """The fleet that this member belongs to, "" for none."""
+        """The name of the fleet that this member belongs to; "" for none."""
         return self.state.fleet
 
     @property
@@ -321,78 +321,82 @@
 
     @property
     def phase(self) -> Phase:
-        """Whether it takes part in its fleet yet."""
+        """How far this member's startup has come."""
         return self.bootstrap.phase
 
     @property
     def role(self) -> Role:
-        """Raft's role."""
+        """The raft role of this member."""
         return self.roles.role
 
     @property
     def leader(self) -> str | None:
-        """Who leads, as far as is known."""
+        """The name of the current leader; None if unknown."""
         return self.roles.leader
 
     @property
     def leadership(self) -> Leadership | None:
-        """The state of a leader, while this member leads."""
+        """The leader's state; None unless this member leads."""
         return self.roles.leadership
 
     @property
     def term(self) -> int:
-        """Raft's term."""
+        """The current raft term."""
         return self.state.term
 
     @property
     def log(self) -> Log:
-        """Raft's log."""
+        """The raft log."""
         return self.state.log
 
     @property
     def commit_index(self) -> int:
-        """The last entry that is committed, as far as is known; it is applied."""
+        """The index of the last entry known to be committed, which is also applied."""
         return self.state.commit_index
 
     @property
     def state_machine(self) -> StateMachine | None:
-        """The committed state; None where there is no fleet."""
+        """The replicated state machine; None without a fleet."""
         return self.state.state_machine
 
     @property
     def lease_us(self) -> int:
-        """The span of a lease."""
+        """The duration of a lease in microseconds."""
         return self.state.lease_us
 
     @property
     def fan_out(self) -> int:
-        """How many members hear from one relay; 0: all from the leader."""
+        """The number of members per relay; 0: no relays, the leader sends to all members."""
         return self.state.fan_out
 
     def may_act(self, now: int) -> bool:
-        """Return whether what this member has applied may be acted on."""
+        """Return whether this member holds a lease, and so may act on its applied state."""
         return now < self.lease.lease_until and not self.applier.halt_reason
 
     def address_of(self, name: str) -> str | None:
-        """Return the address of a member, or of one that left; None where it is not known."""
+        """Return the address of a current or departed member; None if unknown."""
         member = self.state.members().get(name)
         if member is None:
             member = next((departed for departed in self.state.departed() if departed["name"] == name), None)
-        # One that was there from the start stands in each configuration, maybe under other addresses.
+        # Members of the initial fleet are in the configuration, whose address takes precedence.
         configured = self.configuration.members.get(name)
         if configured is not None and (member is None or member.get("listed")):
             return configured
         return member["address"] if member else None
 
     def no_lease_reason(self) -> str:
-        """Return why there is no lease, in a few words; "" where one is held."""
+        """Return a short reason why this member holds no lease; "" if it holds one."""
         name = self.configuration.name
         if self.applier.halt_reason:
             return self.applier.halt_reason
         if self.phase == Phase.WITHOUT_FLEET or not self.fleet:
             return self.bootstrap.waiting_reason()
         if self.phase == Phase.DISCOVERING:
-            return "asks the others what they know of this one"
+            return "asking the other members what they know of this incarnation"
         if self.state_machine and name not in self.state.members():
-            return f"{name} is no member of the fleet"
-        return "" if self.clock.now < self.lease.lease_until else "no lease: no majority is heard"
+            return f"{name} is not a member of the fleet"
+        return (
+            ""
+            if self.clock.now < self.lease.lease_until
+            else "no lease: no contact with a majority of the voters"
+        )
--- a/mastledge/consensus/messages.py
+++ b/mastledge/consensus/messages.py
@@ -1,17 +1,16 @@
-"""Messages between members. Times are whole microseconds of the clock of the member that wrote them.
+"""Messages between members. Times are whole microseconds of the sender's clock unless noted.
 
-A message is a list on the wire: its tag, then its fields in the order below, so that names of fields are
-free and their order is not. A field is only ever added at the end, with a default, as older versions neither
-send nor read it.
+On the wire a message is a list: its tag, then its fields in the order below. Field names may change, their
+order may not. New fields are added at the end with a default, as older versions neither send nor read them.
 """
 
 import msgspec
 
-VERSION = 1  # of the messages; no other one is spoken to
+VERSION = 1  # of the messages; members with another version are not connected to
 
 
 class Entry(msgspec.Struct, array_like=True):
-    """One entry of the log: the term that it was appended in, the id of its proposal, the change."""
+    """A log entry: the term in which it was appended, the id of its proposal, and the change."""
 
     term: int
     id: str
@@ -19,13 +18,14 @@
 
 
 class Message(msgspec.Struct, array_like=True):
-    """A message between members. The `tag` of each subclass is its name on the wire and stays."""
+    """Base class of messages. The `tag` of a subclass is its name on the wire and must not change."""
 
 
 class DiscoverRequest(Message, tag="Ask"):
-    """A member that starts asks who is there, and what is known of it; its own hard state besides.
+    """A starting member asks another one for its fleet and for what it has observed of the sender.
 
-    `members_digest` tells one list of configured members from another.
+    `members_digest` identifies the list of configured members. `term`, `last_term` and `last_index` are the
+    sender's persisted state.
     """
 
     fleet: str
@@ -38,7 +38,7 @@
 
 
 class DiscoverResponse(Message, tag="Told"):
-    """The answer: the fleet, and the highest term and log position heard of the asking incarnation."""
+    """The answer: the fleet, and the highest term and log position observed of the asking incarnation."""
 
     fleet: str
     empty: bool
@@ -51,14 +51,14 @@
 
 
 class BootstrapCluster(Message, tag="Form"):
-    """A fleet begins: the state that all start from, which names the incarnations that take part."""
+    """Bootstraps a fleet: its initial state, which contains the incarnations of its members."""
 
     fleet: str
     state: dict
 
 
 class VoteRequest(Message, tag="Poll"):
-    """Raft's RequestVote; `pre_vote`: only whether there would be a vote, which changes nothing."""
+    """Raft's RequestVote; with `pre_vote`, the receiver answers whether it would vote and changes nothing."""
 
     term: int
     last_term: int
@@ -75,14 +75,14 @@
 
 
 class AppendEntries(Message, tag="Append"):
-    """Raft's AppendEntries: entries after `prev_index`, what is committed, and a lease.
-
-    `sent_at` is a time of the leader, to be sent back. `lease_grant` is the latest time of the receiver's own
-    clock from which its lease runs, 0 for none; it holds only for who has applied `commit_index`.
-    `in_force_in_us` is how long until what is committed is in force at the latest, 0 where it is.
-    `observed` is what voters have promised: (incarnation, term, last term, last index) by name. `leader` is
-    who leads where a relay passes this on, "" from the leader itself. `list_generations` is up to which
-    generation the sender knows the endpoint list of each registry.
+    """Raft's AppendEntries: entries after `prev_index`, the commit index, and a lease grant.
+
+    `sent_at` is the leader's time, which the receiver sends back. `lease_grant` is the time on the receiver's
+    clock from which its lease runs, 0 for none; it is valid once the receiver has applied `commit_index`.
+    `in_force_in_us` is the longest time until all committed entries are in force, 0 if they are.
+    `observed` is the latest known state of voters: (incarnation, term, last term, last index) by name.
+    `leader` is the leader's name in a message that a relay passes on, "" from the leader itself.
+    `list_generations` is the latest endpoint list generation that the sender knows, by registry.
     """
 
     term: int
@@ -103,10 +103,10 @@
 class AppendResponse(Message, tag="Ack"):
     """The answer to AppendEntries and InstallSnapshot.
 
-    `persisted_index` is on this disk, `applied_index` is acted on here and by all that hear from here.
-    `sent_at` is the leader's time sent back, `clock` one of the sender's own. `commit_index` is where to send
-    from after a refusal. `process_id` tells one process of a member from the next; 0 where the version knows
-    no relays.
+    `persisted_index` is on the sender's disk; `applied_index` is applied by the sender and by its relay
+    children that may hold a lease. `sent_at` is the leader's time sent back, `clock` the sender's time. After
+    a refusal, the entries after `commit_index` are sent. `process_id` identifies the process of the member; 0
+    if its version does not support relays.
     """
 
     term: int
@@ -122,7 +122,7 @@
 
 
 class InstallSnapshot(Message, tag="Install"):
-    """Raft's InstallSnapshot, for who is behind the leader's log: the state as of one entry."""
+    """Raft's InstallSnapshot, for a member behind the leader's log: the state as of entry `last_index`."""
 
     term: int
     last_index: int
@@ -133,22 +133,23 @@
 
 
 class Propose(Message, tag="Propose"):
-    """A change that a follower hands to the leader; one that comes again under its id counts once."""
+    """A change that a follower forwards to the leader; a repeated id is applied once."""
 
     id: str
     change: dict
 
 
 class TimeoutNow(Message, tag="Lead"):
-    """A leader that ends has the receiver campaign at once (Ongaro 2014, 3.10)."""
+    """Raft's TimeoutNow: makes the receiver campaign at once, to transfer leadership (Ongaro 2014, 3.10)."""
 
     term: int
 
 
 class WorkerRestrictions(Message, tag="News"):
-    """Workers that a registry's list, of this generation, has as draining or gone: (id, state).
+    """Workers that a registry's list of this generation shows as draining or gone: (id, state).
 
-    `since`: only what has changed after this generation, also who is ready again; 0: all that are restricted.
+    With `since`, only the changes after that generation, including workers that are ready again; 0: all
+    restricted workers.
     """
 
     registry: str
--- a/mastledge/consensus/outbox.py
+++ b/mastledge/consensus/outbox.py
@@ -1,4 +1,4 @@
-"""The outputs of the running step, and what waits until records are on disk."""
+"""The outputs of the current step, and messages that wait until records are on disk."""
 
 from typing import NamedTuple
 
@@ -7,18 +7,18 @@
 from mastledge.consensus.records import Record, encode_record
 from mastledge.consensus.state_machine import ChangeResult
 
-DISK_RETRY_US = 1_000_000  # between two tries to write all anew after a failure
+DISK_RETRY_US = 1_000_000  # between two attempts to rewrite all records after a disk failure
 
 
 class Outbox:
-    """Outputs in the order in which they arise."""
+    """Collects the outputs of a step in order."""
 
     def __init__(self):
-        """Begin without outputs."""
+        """Initialize without outputs."""
         self.outputs: list[outputs.Output] = []
 
     def send(self, to: str, message: AnyMessage) -> None:
-        """Send a message that depends on no record which is not on disk yet."""
+        """Send a message that does not depend on unwritten records."""
         self.outputs.append(outputs.Send(to, message))
 
     def log_event(self, event: str, **fields) -> None:
@@ -26,68 +26,68 @@
         self.outputs.append(outputs.LogEvent(event, fields))
 
     def report_committed(self, id: str, index: int, result: ChangeResult) -> None:
-        """Tell the host what became of its proposal."""
+        """Report the result of a committed proposal to the host."""
         self.outputs.append(outputs.Committed(id, index, result))
 
     def deliver_restrictions(self, restrictions: WorkerRestrictions) -> None:
-        """Tell the host whom another member's registry restricts."""
+        """Pass another member's worker restrictions to the host."""
         self.outputs.append(outputs.RestrictionsReceived(restrictions))
 
     def take(self) -> list[outputs.Output]:
-        """Return the outputs of the step that ends."""
-        taken, self.outputs = self.outputs, []
-        return taken
+        """Return and clear the outputs of the step."""
+        step_outputs, self.outputs = self.outputs, []
+        return step_outputs
 
 
 class WaitingMessage(NamedTuple):
-    """A message that is sent once the write of this token is on disk."""
+    """A message to send once the write with this token is on disk."""
 
     token: int
     message: outputs.Send
 
 
 class Persistence:
-    """Records on their way to the disk, what the disk has, and whether it works.
+    """Tracks records being written, what is on disk, and disk failures.
 
-    Tokens number the writes. What is written at once is on disk as a whole, and writes are so in their order.
+    Tokens number the writes. Each write is atomic, and writes complete in order.
     """
 
     def __init__(self, outbox: Outbox):
-        """Begin with a disk that works and a log that is persisted up to nowhere."""
+        """Initialize with a working disk and no persisted log."""
         self.outbox = outbox
-        self.records: list[Record] = []  # of the running step
-        self.unsent: list[outputs.Send] = []  # messages of the step that need them on disk
-        self.waiting: list[WaitingMessage] = []  # in the order of their tokens
+        self.records: list[Record] = []  # of the current step
+        self.unsent: list[outputs.Send] = []  # messages of the step that wait for these records
+        self.waiting: list[WaitingMessage] = []  # in token order
         self.token = self.persisted_token = 0
-        self.last_indexes: dict[int, int] = {}  # of the log, by the token of a write that is under way
-        self.persisted_index = 0  # up to which entry the disk has the log
+        self.last_indexes: dict[int, int] = {}  # last log index by token of each pending write
+        self.persisted_index = 0  # index up to which the log is on disk
         self.failed = False
-        self.is_behind = False  # a failed disk lacks records that came while it was written anew
+        self.is_behind = False  # records arrived during a rewrite, which the failed disk lacks
         self.retry_at: int | None = None
 
     def load(self, last_index: int) -> None:
-        """The disk holds the log up to this entry at the start."""
+        """Set the last log index that the disk holds at startup."""
         self.persisted_index = last_index
 
     def is_waiting(self) -> bool:
-        """Return whether what is said in this step has to wait for records of it."""
+        """Return whether this step's messages have to wait for its records."""
         return bool(self.records) and not self.failed
 
     def record(self, record: Record) -> None:
-        """Have a record written at the end of this step."""
+        """Add a record to write at the end of this step."""
         self.records.append(record)
 
     def send_when_persisted(self, to: str, message: AnyMessage) -> None:
-        """Send a message once the records of this step, and all before, are on disk."""
+        """Send a message once the records of this step and all earlier ones are on disk."""
         self.unsent.append(outputs.Send(to, message))
 
     def limit_persisted(self, last_index: int) -> None:
-        """The log has lost its entries after this index."""
+        """Lower the persisted indexes after the log was truncated to `last_index`."""
         self.persisted_index = min(self.persisted_index, last_index)
-        self.last_indexes = {token: min(last, last_index) for token, last in self.last_indexes.items()}
+        self.last_indexes = {token: min(index, last_index) for token, index in self.last_indexes.items()}
 
     def finish_step(self, last_index: int) -> None:
-        """Write the records of the step, and send what has waited for former ones."""
+        """Write the records of the step, and send messages whose records are now on disk."""
         if self.records and not self.failed:
             self._write(last_index)
         self.is_behind = self.failed and (self.is_behind or bool(self.records))
@@ -105,13 +105,15 @@
         self.outbox.outputs.append(outputs.Persist(self.token, encoded))
 
     def on_persisted(self, token: int, now: int) -> None:
-        """A write is on disk, and all before it."""
+        """Handle that the write with `token` and all earlier writes are on disk."""
         if token > self.persisted_token:
             self.persisted_token = token
-            written = [last for write, last in self.last_indexes.items() if write <= token]
-            self.last_indexes = {write: last for write, last in self.last_indexes.items() if write > token}
-            if written:
-                self.persisted_index = max(self.persisted_index, written[-1])
+            written_indexes = [index for pending, index in self.last_indexes.items() if pending <= token]
+            self.last_indexes = {
+                pending: index for pending, index in self.last_indexes.items() if pending > token
+            }
+            if written_indexes:
+                self.persisted_index = max(self.persisted_index, written_indexes[-1])
         if self.failed and token >= self.token:
             if self.is_behind:
                 self.retry_at = now
@@ -120,32 +122,32 @@
                 self.outbox.log_event("disk_recovered")
 
     def on_failed(self, now: int) -> None:
-        """Send nothing more that depends on the disk, until all is written anew."""
+        """Drop messages that depend on the disk until all records are rewritten."""
         if not self.failed:
             self.outbox.log_event("disk_failed")
         self.failed, self.is_behind, self.waiting, self.last_indexes = True, True, [], {}
         self.retry_at = now + DISK_RETRY_US
 
     def is_retry_due(self, now: int) -> bool:
-        """Return whether all is to be written anew, and count that as done."""
+        """Return whether a rewrite is due, and schedule the next attempt if so."""
         if self.retry_at is None or now < self.retry_at:
             return False
         self.retry_at = now + DISK_RETRY_US
         return True
 
     def rewrite(self, encoded: list[tuple], last_index: int) -> None:
-        """Write all anew; what this step has recorded is part of it."""
+        """Replace the contents of the disk by `encoded`, which includes the records of this step."""
         self.token += 1
         self.last_indexes = {self.token: last_index}
         self.outbox.outputs.append(outputs.Rewrite(self.token, encoded))
         self.records, self.is_behind = [], False
 
     def erase(self) -> None:
-        """Leave nothing on disk."""
+        """Remove all records from the disk."""
         self.records, self.last_indexes = [], {}
         self.token += 1
         self.outbox.outputs.append(outputs.Rewrite(self.token, []))
 
     def forget_log(self) -> None:
-        """Another log begins: nothing of it is on disk, and nothing of the former one is sent any more."""
+        """Start a new log with nothing persisted; drop messages that waited for the former log."""
         self.waiting, self.persisted_index = [], 0
--- a/mastledge/consensus/outputs.py
+++ b/mastledge/consensus/outputs.py
@@ -1,4 +1,4 @@
-"""What follows from a step of a member: one class for each thing that its host has to do."""
+"""Outputs of `Member.step`: one class for each action that the host has to take."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """A message goes to another member; it may be lost."""
+    """Send a message to another member; it may be lost."""
 
     to: str
     message: AnyMessage
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Records are appended to the write-ahead log and synced; `Persisted` with the token follows."""
+    """Append records to the write-ahead log and sync; the host answers `Persisted` with the token."""
 
     token: int
     records: list[tuple]
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rewrite:
-    """These records replace all that is on disk; `Persisted` with the token follows."""
+    """Replace all records on disk by these; the host answers `Persisted` with the token."""
 
     token: int
     records: list[tuple]
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """The proposal of that id is committed as entry `index`; `result` is what became of it."""
+    """The proposal `id` is committed as entry `index`, with this result."""
 
     id: str
     index: int
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RestrictionsReceived:
-    """Another member has told whom its registry restricts."""
+    """Worker restrictions from another member's registry."""
 
     restrictions: WorkerRestrictions
 
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """An event for the log of the host."""
+    """An event to write to the host's log."""
 
     name: str
     fields: dict
--- a/mastledge/consensus/persisted_state.py
+++ b/mastledge/consensus/persisted_state.py
@@ -1,4 +1,4 @@
-"""What the disk of a member holds, from its records in their order."""
+"""A member's persisted state, rebuilt from the records of its write-ahead log."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 class PersistedMember(msgspec.Struct):
-    """What a member starts from: identity, hard state, the latest snapshot, and the log after it."""
+    """The state a member starts from: identity, hard state, the latest snapshot, and the log after it."""
 
     fleet: str
     incarnation: str
@@ -24,24 +24,24 @@
 
 
 def encoded_records(member: PersistedMember) -> list[tuple]:
-    """Return the fewest records that lead to this, in their form on disk."""
-    first = member.snapshot_index + 1
-    log = [records.LogEntry(index, entry) for index, entry in enumerate(member.entries, first)]
+    """Return the shortest sequence of encoded records that yields this state."""
+    first_index = member.snapshot_index + 1
+    log_entries = [records.LogEntry(index, entry) for index, entry in enumerate(member.entries, first_index)]
     snapshot = records.Snapshot(member.snapshot_index, member.snapshot_term, member.snapshot_state)
     identity = records.Identity(member.fleet, member.incarnation)
     hard_state = records.HardState(member.term, member.voted_for)
-    return [records.encode_record(record) for record in (identity, hard_state, snapshot, *log)]
+    return [records.encode_record(record) for record in (identity, hard_state, snapshot, *log_entries)]
 
 
 class PersistedState:
-    """The state that a member's write-ahead log is replayed into; see `storage.replayed_state`."""
+    """Replays a member's write-ahead log; see `storage.replayed_state`."""
 
     def __init__(self):
-        """Begin with an empty disk."""
+        """Initialize as for an empty disk."""
         self.reset()
 
     def reset(self) -> None:
-        """Forget all records, as if none had been applied."""
+        """Discard all records applied so far."""
         self.fleet = self.incarnation = self.voted_for = ""
         self.term = self.snapshot_index = self.snapshot_term = 0
         self.snapshot_state: dict | None = None
@@ -49,11 +49,11 @@
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry."""
+        """The index of the last log entry, or of the snapshot."""
         return self.snapshot_index + len(self.entries)
 
     def apply(self, record: Sequence[Any]) -> None:
-        """Apply one record in its form on disk; `RecordError` where it is unknown or cannot follow."""
+        """Apply an encoded record; raise `RecordError` if it is unknown or does not follow the log."""
         decoded = records.decode_record(record)
         match decoded:
             case records.Identity():
@@ -71,24 +71,24 @@
 
     def _apply_identity(self, identity: records.Identity) -> None:
         if identity.incarnation != self.incarnation:
-            self.reset()  # what the former incarnation had promised is not this one's
+            self.reset()  # votes and entries of the former incarnation do not bind this one
         self.fleet, self.incarnation = identity.fleet, identity.incarnation
 
     def _apply_snapshot(self, snapshot: records.Snapshot) -> None:
-        replaced = snapshot.last_index - self.snapshot_index  # entries that it stands for
-        keeps_log = 0 <= replaced <= len(self.entries)
-        if keeps_log and replaced and self.entries[replaced - 1].term != snapshot.last_term:
+        covered_count = snapshot.last_index - self.snapshot_index  # log entries that the snapshot replaces
+        keeps_log = 0 <= covered_count <= len(self.entries)
+        if keeps_log and covered_count and self.entries[covered_count - 1].term != snapshot.last_term:
             keeps_log = False
-        self.entries = self.entries[replaced:] if keeps_log else []
+        self.entries = self.entries[covered_count:] if keeps_log else []
         self.snapshot_index, self.snapshot_term = snapshot.last_index, snapshot.last_term
         self.snapshot_state = snapshot.state
 
     def compacted_records(self) -> list[tuple]:
-        """Return the fewest records that lead to the same state."""
+        """Return the shortest sequence of encoded records that yields the same state."""
         return encoded_records(self._member()) if self.fleet else []
 
     def value(self) -> PersistedMember | None:
-        """Return what a member starts from; None where the disk holds no fleet."""
+        """Return the state a member starts from; None if the disk holds no fleet."""
         return self._member() if self.fleet and self.snapshot_state is not None else None
 
     def _member(self) -> PersistedMember:
--- a/mastledge/consensus/raft_state.py
+++ b/mastledge/consensus/raft_state.py
@@ -1,4 +1,4 @@
-"""Raft's state of one member: identity, term and vote, log, what is committed, and the members by it."""
+"""The raft state of a member: identity, term and vote, log, commit index, and membership."""
 
 from bisect import insort
 from copy import deepcopy
@@ -17,23 +17,23 @@
 
 
 class RaftState:
-    """The state that survives a restart, and what is derived from it. Each change of it is recorded."""
+    """The persistent state and what is derived from it; each change is recorded for the write-ahead log."""
 
     def __init__(self, name: str, initial_lease_us: int, incarnation: str, persistence: Persistence):
-        """Begin without a fleet."""
+        """Initialize without a fleet."""
         self.name, self.initial_lease_us, self.persistence = name, initial_lease_us, persistence
         self.reset(incarnation)
 
     def reset(self, incarnation: str) -> None:
-        """Forget the fleet: this member counts as a new incarnation."""
+        """Reset to a new incarnation without a fleet."""
         self.fleet, self.incarnation, self.term, self.voted_for = "", incarnation, 0, ""
         self.log, self.commit_index = Log(), 0
         self.state_machine: StateMachine | None = None
-        self.snapshot_state: dict[str, Any] = {}  # as of the base of the log
+        self.snapshot_state: dict[str, Any] = {}  # as of `log.base_index`
         self._effective_members: dict[str, dict] | None = None
 
     def load(self, persisted: PersistedMember) -> None:
-        """Take up what the disk holds."""
+        """Load the state that the disk holds."""
         self.fleet, self.incarnation = persisted.fleet, persisted.incarnation
         self.term, self.voted_for = persisted.term, persisted.voted_for
         self.log = Log(persisted.snapshot_index, persisted.snapshot_term, persisted.entries)
@@ -44,7 +44,7 @@
         self.forget_effective_members()
 
     def bootstrap(self, fleet: str, state: dict) -> None:
-        """Begin a fleet with a state, which counts as entry 1 of term 1."""
+        """Start a fleet with an initial state, which counts as entry 1 of term 1."""
         self.fleet, self.state_machine, self.log = fleet, StateMachine(state, 1), Log(1, 1)
         self.snapshot_state = self.state_machine.snapshot()
         self.term = self.commit_index = 1
@@ -54,47 +54,47 @@
         self._record_snapshot()
 
     def join(self, fleet: str) -> None:
-        """Belong to a fleet from here on, of which a snapshot follows."""
+        """Join a fleet, whose snapshot is installed next."""
         self.fleet = fleet
         self.persistence.record(records.Identity(fleet, self.incarnation))
         self.persistence.record(records.HardState(self.term, self.voted_for))
 
     def set_hard_state(self, term: int, voted_for: str) -> None:
-        """Enter a term, or vote in it."""
+        """Set and record the term and the vote in it."""
         self.term, self.voted_for = term, voted_for
         self.persistence.record(records.HardState(term, voted_for))
 
     # The log
 
     def append(self, entry: Entry) -> None:
-        """Add an entry to the log."""
+        """Append an entry to the log."""
         index = self.log.append(entry)
         self.persistence.record(records.LogEntry(index, entry))
         if entry.change["kind"] in MEMBERSHIP_KINDS:
             self.forget_effective_members()
 
     def commit(self, index: int) -> ChangeResult:
-        """Apply the next entry, which is committed; raises what `StateMachine.apply` does."""
+        """Apply the next committed entry; raises the errors of `StateMachine.apply`."""
         result = self.state_machine.apply(index, self.log.entry_at(index))
         self.commit_index = index
         return result
 
     def truncate_from(self, index: int) -> None:
-        """Drop entries that the leader does not have."""
+        """Remove the entries from `index` on, which conflict with those of the leader."""
         self.log.truncate_from(index)
         self.persistence.limit_persisted(index - 1)
         self.persistence.record(records.Truncation(index))
         self.forget_effective_members()
 
     def compact(self) -> None:
-        """Replace all that is committed by a snapshot."""
+        """Replace all committed entries by a snapshot."""
         self.log.compact(self.commit_index)
         self.snapshot_state = self.state_machine.snapshot()
         self.forget_effective_members()
         self._record_snapshot()
 
     def install_snapshot(self, last_index: int, last_term: int, state: dict) -> None:
-        """Go on from the leader's snapshot; what the log has after it stays, as it may have counted."""
+        """Install the leader's snapshot; later entries of a matching log stay: they may be acknowledged."""
         if self.log.term_at(last_index) == last_term:
             self.log.compact(last_index)
         else:
@@ -110,7 +110,7 @@
         self.persistence.record(snapshot)
 
     def all_records(self) -> list[tuple]:
-        """Return the fewest records that lead to this state, in their form on disk."""
+        """Return the shortest sequence of encoded records that yields this state."""
         log = self.log
         identity, hard_state = (self.fleet, self.incarnation), (self.term, self.voted_for)
         snapshot = log.base_index, log.base_term, self.snapshot_state
@@ -119,7 +119,7 @@
     # The members
 
     def members(self) -> dict[str, dict]:
-        """Return the members as the last entry has them, committed or not (Ongaro 2014, 4.1)."""
+        """Return the members as of the last log entry, committed or not (Ongaro 2014, 4.1)."""
         if self._effective_members is None:
             self._effective_members = self._compute_members()
         return self._effective_members
@@ -137,11 +137,11 @@
         return members
 
     def forget_effective_members(self) -> None:
-        """The log or the state machine has changed."""
+        """Discard the cached members after the log or the state machine has changed."""
         self._effective_members = None
 
     def departed(self) -> list[dict]:
-        """Return the members that left and may still hold a lease, the longest gone first."""
+        """Return the removed members that may still hold a lease, the earliest removed first."""
         return self.state_machine.state["gone"] if self.state_machine else []
 
     def voters(self) -> list[str]:
@@ -149,45 +149,45 @@
         return [name for name, member in self.members().items() if member["votes"]]
 
     def is_voter(self) -> bool:
-        """Return whether this member votes, in its incarnation."""
-        me = self.members().get(self.name)
-        return me is not None and me["votes"] and me["life"] == self.incarnation
+        """Return whether this member is a voter in its current incarnation."""
+        member = self.members().get(self.name)
+        return member is not None and member["votes"] and member["life"] == self.incarnation
 
     def is_learner(self, name: str) -> bool:
-        """Return whether another is a member that does not vote."""
+        """Return whether `name` is a member without a vote."""
         member = self.members().get(name)
         return member is not None and not member["votes"]
 
     def is_admitted(self) -> bool:
-        """Return whether this is a member in the incarnation that the fleet knows, as committed."""
-        me = self.state_machine.members.get(self.name)
-        return me is not None and me["life"] == self.incarnation
+        """Return whether the committed members include this one in its current incarnation."""
+        member = self.state_machine.members.get(self.name)
+        return member is not None and member["life"] == self.incarnation
 
     def knows(self, name: str, incarnation: str) -> bool:
-        """Return whether another is a member in this incarnation."""
+        """Return whether `name` is a member in this incarnation."""
         member = self.members().get(name)
         return member is not None and member["life"] == incarnation
 
-    def majority_of(self, figures: dict[str, int]) -> int:
-        """Return the highest figure that a majority of the voters has reached; a missing one counts as -1."""
-        reached: list[int] = []
+    def majority_of(self, values: dict[str, int]) -> int:
+        """Return the highest value that a majority of voters has reached; a missing value counts as -1."""
+        sorted_values: list[int] = []
         for name in self.voters():
-            insort(reached, figures.get(name, -1))
-        return reached[(len(reached) - 1) // 2] if reached else -1
+            insort(sorted_values, values.get(name, -1))
+        return sorted_values[(len(sorted_values) - 1) // 2] if sorted_values else -1
 
-    # What is committed on
+    # Values from the committed state
 
     @property
     def lease_us(self) -> int:
-        """The span of a lease."""
+        """The duration of a lease in microseconds."""
         return self.state_machine.state["lease"] if self.state_machine else self.initial_lease_us
 
     @property
     def heartbeat_us(self) -> int:
-        """The span between two heartbeats to a voter."""
+        """The interval between heartbeats to a voter in microseconds."""
         return self.lease_us // HEARTBEATS_PER_LEASE
 
     @property
     def fan_out(self) -> int:
-        """How many members hear from one relay; 0: all from the leader."""
+        """The number of members per relay; 0: no relays, the leader sends to all members."""
         return self.state_machine.state.get("fan_out", 0) if self.state_machine else 0
--- a/mastledge/consensus/records.py
+++ b/mastledge/consensus/records.py
@@ -1,4 +1,4 @@
-"""Records of a member's write-ahead log: on disk a list of the kind and the fields (docs/formats.md)."""
+"""Records of a member's write-ahead log, encoded as a list of kind and fields (docs/formats.md)."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -10,21 +10,21 @@
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """The fleet and the incarnation that the following records belong to."""
+    """The fleet and incarnation to which the following records belong."""
 
     fleet: str
     incarnation: str
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """Raft's term, and who got this member's vote in it; "" for nobody."""
+    """Raft's term, and the candidate voted for in it; "" for none."""
 
     term: int
     voted_for: str
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """The state document as of one entry, in place of the log up to it."""
+    """The state document as of entry `last_index`, which replaces the log up to it."""
 
     last_index: int
     last_term: int
@@ -32,14 +32,14 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True):
-    """One entry of the log, and its index."""
+    """A log entry and its index."""
 
     index: int
     entry: Entry
 
 
 class Truncation(msgspec.Struct, frozen=True):
-    """The log loses its entries from this index on."""
+    """Removes the log entries from `first_index` on."""
 
     first_index: int
 
@@ -56,18 +56,18 @@
 
 
 def encode_record(record: Record) -> tuple:
-    """Return the form on disk."""
+    """Encode a record as it is stored on disk."""
     return (RECORD_KINDS[type(record)], *msgspec.structs.astuple(record))
 
 
 def decode_record(raw: Sequence[Any]) -> Record:
-    """Read the form on disk; raises `RecordError` for a record of a later version."""
+    """Decode a record from disk; raise `RecordError` for an unknown kind or number of fields."""
     kind, *fields = raw
     record_type = RECORD_TYPES.get(kind)
     if record_type is None:
-        raise RecordError(f"a record of a later version: {kind}")
+        raise RecordError(f"unknown record kind, written by a later version: {kind}")
     if len(fields) != len(record_type.__struct_fields__):
-        raise RecordError(f"a record {kind} of {len(fields)} fields")
+        raise RecordError(f"wrong number of fields in a record: {kind} of {len(fields)} fields")
     if record_type is LogEntry and not isinstance(fields[1], Entry):
         fields[1] = Entry(*fields[1])
     return record_type(*fields)
--- a/mastledge/consensus/role_state.py
+++ b/mastledge/consensus/role_state.py
@@ -1,4 +1,4 @@
-"""Which role a member has, who leads, and what is known of that leader."""
+"""The role of a member, the current leader, and the last contact with it."""
 
 from typing import TYPE_CHECKING
 
@@ -13,37 +13,37 @@
 
 
 class Candidacy:
-    """What there is only while a member campaigns."""
+    """The state of a candidate; it exists only during a campaign."""
 
     def __init__(self, pre_vote: bool, write_token: int):
-        """Begin without votes; an own vote counts once the write of that token is on disk."""
+        """Initialize without votes; the candidate's own vote counts once write `write_token` is on disk."""
         self.pre_vote, self.write_token = pre_vote, write_token
-        self.votes: dict[str, int] = {}  # 1 for each member that would vote, or votes, for this one
+        self.votes: dict[str, int] = {}  # by member: 1 for a granted vote or pre-vote
 
 
 class LeaderContact:
-    """When the leader was heard last, and by whom. Times are microseconds."""
+    """Time and sender of the leader's last message. Times are microseconds."""
 
     def __init__(self):
-        """Begin without a leader."""
+        """Initialize without a contact."""
         self.heard_at = 0
-        self.leader_time = 0  # of the leader's clock
-        self.sender: str | None = None  # the leader itself, or a relay
+        self.leader_time = 0  # on the leader's clock
+        self.sender: str | None = None  # the leader or a relay
 
     def record(self, now: int, leader_time: int, sender: str) -> None:
-        """The leader was heard."""
+        """Record a message from the leader, directly or through a relay."""
         self.heard_at, self.leader_time, self.sender = now, leader_time, sender
 
     def forget_sender(self) -> None:
-        """Whoever told of the leader is spoken to no more."""
+        """Forget the sender, which gets no further responses."""
         self.sender = None
 
 
 class RoleState:
-    """The role follows from what there is: a leadership, a candidacy, or neither."""
+    """The role of a member: leader with a leadership, candidate with a candidacy, otherwise follower."""
 
     def __init__(self, clock: MemberClock, outbox: Outbox, state: RaftState, proposals: Proposals):
-        """Begin as a follower without a leader."""
+        """Initialize as a follower without a leader."""
         self.clock, self.outbox, self.state, self.proposals = clock, outbox, state, proposals
         self.leader: str | None = None
         self.candidacy: Candidacy | None = None
@@ -52,26 +52,26 @@
 
     @property
     def role(self) -> Role:
-        """Raft's role."""
+        """The raft role of the member."""
         if self.leadership is not None:
             return Role.LEADER
         return Role.CANDIDATE if self.candidacy is not None else Role.FOLLOWER
 
     def forget_leader(self) -> None:
-        """Another fleet begins, in which nobody leads yet."""
+        """Clear the leader, as another fleet begins."""
         self.leader = None
 
     def is_follower(self) -> bool:
-        """Return whether this member follows, a known leader or not."""
+        """Return whether this member is a follower, with or without a known leader."""
         return self.leadership is None and self.candidacy is None
 
     def raise_term(self, term: int) -> None:
-        """Another member is in this term; a later one than the own is entered."""
+        """Become a follower in `term` if it is later than the current term."""
         if term > self.state.term:
             self.become_follower(term, None)
 
     def become_follower(self, term: int, leader: str | None) -> None:
-        """Follow a leader, or nobody, in a term that is not before the own."""
+        """Become a follower of `leader` (None if unknown) in the current or a later term."""
         if term > self.state.term:
             self.state.set_hard_state(term, "")
         if self.leadership is not None:
@@ -81,18 +81,18 @@
         self.leader, self.candidacy, self.leadership = leader, None, None
 
     def step_down(self) -> None:
-        """Follow nobody, in the own term."""
+        """Become a follower without a leader in the current term."""
         self.become_follower(self.state.term, None)
 
     def step_down_if_active(self) -> None:
-        """Follow nobody, where this member leads or campaigns."""
+        """Step down if this member leads or campaigns."""
         if not self.is_follower():
             self.step_down()
 
     def become_candidate(self, candidacy: Candidacy) -> None:
-        """Campaign."""
+        """Become a candidate."""
         self.leader, self.candidacy, self.leadership = None, candidacy, None
 
     def become_leader(self, leadership: "Leadership") -> None:
-        """Lead."""
+        """Become the leader."""
         self.leader, self.candidacy, self.leadership = self.state.name, None, leadership
--- a/mastledge/consensus/roles.py
+++ b/mastledge/consensus/roles.py
@@ -1,10 +1,10 @@
-"""The roles of raft, and how far a member that starts has come."""
+"""The roles of raft, and the startup phases of a member."""
 
 from enum import StrEnum
 
 
 class Role(StrEnum):
-    """Raft's role of a member (Ongaro 2014, 3.3)."""
+    """The raft role of a member (Ongaro 2014, 3.3)."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -12,8 +12,8 @@
 
 
 class Phase(StrEnum):
-    """Whether a member takes part in its fleet yet."""
+    """How far a starting member has come towards taking part in its fleet."""
 
-    DISCOVERING = "discovering"  # asks the others what they know of this incarnation
+    DISCOVERING = "discovering"  # asking the other members what they know of this incarnation
     WITHOUT_FLEET = "without fleet"
     PARTICIPATING = "participating"
--- a/mastledge/consensus/state_machine.py
+++ b/mastledge/consensus/state_machine.py
@@ -1,7 +1,7 @@
-"""The replicated state machine: the document that a fleet agrees on, and how committed entries change it.
+"""The replicated state machine: the state document of a fleet, and the changes that entries make to it.
 
-Settings, excluded workers, members and replicas of keys have a module each; the document is plain maps,
-lists, text and whole numbers, as it is stored, sent and shown to operators.
+Settings, excluded workers, members and replica placement have a module each. The document consists of dicts,
+lists, strings and integers, and is stored, sent and shown to operators in this form.
 """
 
 from collections.abc import Callable
@@ -14,15 +14,15 @@
 from mastledge.consensus.errors import ChangeRefusedError, RefusalStatus, UnknownChangeError
 from mastledge.consensus.messages import Entry
 
-MAX_HISTORY = 64  # versions in the history
-MAX_RESULTS = 512  # of changes, by which one that comes again is known
+MAX_HISTORY = 64  # versions kept in the history
+MAX_RESULTS = 512  # change results kept to recognize repeated changes
 FORMAT = 1
 
 
 class ChangeResult(msgspec.Struct, frozen=True):
-    """What became of a committed change: the version that it made, or that it met where it was refused.
+    """The result of a committed change, with the document version after it.
 
-    `reason` is why it was refused, "" where it was not; `status` is the one of the HTTP answer then, else 0.
+    `reason` is why the change was refused, "" if it was not; `status` is the HTTP status of a refusal or 0.
     """
 
     version: int
@@ -30,19 +30,19 @@
     status: int = 0
 
     def to_document(self) -> dict:
-        """Return its form in the state document."""
+        """Return the result as stored in the state document."""
         if not self.reason:
             return {"version": self.version}
         return {"version": self.version, "why": self.reason, "status": self.status}
 
     @classmethod
     def from_document(cls, document: dict) -> "ChangeResult":
-        """Read its form in the state document."""
+        """Return the result from its form in the state document."""
         return cls(document["version"], document.get("why", ""), document.get("status", 0))
 
 
 def initial_state(settings: dict, lease_us: int, members: dict[str, tuple[str, str]]) -> dict:
-    """Return the first version of the document; `members` are {name: (address, incarnation)}."""
+    """Return version 1 of the state document; `members` is {name: (address, incarnation)}."""
     voters = sorted(members)[: membership.wanted_voters(len(members))]
     return {
         "format": FORMAT,
@@ -64,7 +64,7 @@
 
 
 def change_fan_out(state: dict, change: dict) -> None:
-    """Apply how many members hear from one relay; 0: all hear from the leader."""
+    """Set the number of members per relay; 0: no relays, the leader sends to all members."""
     if state.get("fan_out", 0) == change["fan_out"]:
         raise ChangeRefusedError(f"the fan-out is {change['fan_out']} already", RefusalStatus.ALREADY_SO)
     state["fan_out"] = change["fan_out"]
@@ -90,43 +90,43 @@
     """The state document as of one log entry."""
 
     def __init__(self, state: dict, applied_index: int):
-        """Take over a document; it is changed in place from here on."""
+        """Initialize with a document, which is changed in place."""
         self.state, self.applied_index = state, applied_index
         self.results = {id: ChangeResult.from_document(result) for id, result in state["names"]}
 
     @property
     def version(self) -> int:
-        """The version of the document, as operators count it."""
+        """The version of the document."""
         return self.state["version"]
 
     @property
     def members(self) -> dict[str, dict]:
-        """The members by name, as committed."""
+        """The committed members by name."""
         return self.state["members"]
 
     def snapshot(self) -> dict:
-        """Return a copy of the document that later entries do not change."""
+        """Return a deep copy of the document."""
         return deepcopy(self.state)
 
     def apply(self, index: int, entry: Entry) -> ChangeResult:
-        """Apply one committed entry; its result is the same at each member.
+        """Apply a committed entry and return its result, which is the same on every member.
 
-        A change that comes twice counts once. Raises `UnknownChangeError` for a kind that this version does
-        not know: to leave it out would part the members.
+        A repeated change is applied once. Raise `UnknownChangeError` for a kind that this version does not
+        know, as skipping it would make the members' states diverge.
         """
         kind = entry.change["kind"]
         if kind != ChangeKind.NOOP and kind not in APPLIERS:
-            raise UnknownChangeError(f"a change of a later version: {kind}")
+            raise UnknownChangeError(f"unknown change kind, written by a later version: {kind}")
         self.applied_index = index
         if kind == ChangeKind.NOOP:
             return ChangeResult(self.version)
         if entry.id in self.results:
             return self.results[entry.id]
-        result = self._applied(entry.change)
-        self._remember(entry.id, result)
+        result = self._apply_change(entry.change)
+        self._record_result(entry.id, result)
         return result
 
-    def _applied(self, change: dict) -> ChangeResult:
+    def _apply_change(self, change: dict) -> ChangeResult:
         try:
             APPLIERS[change["kind"]](self.state, change)
         except ChangeRefusedError as refusal:
@@ -137,17 +137,17 @@
 
     def _begin_version(self, change: dict) -> None:
         self.state["version"] += 1
-        line = {
+        history_entry = {
             "version": self.state["version"],
             "what": describe(change),
             "by": change.get("by", ""),
             "at": change.get("at", 0),
         }
-        self.state["history"] = [*self.state["history"][1 - MAX_HISTORY :], line]
+        self.state["history"] = [*self.state["history"][1 - MAX_HISTORY :], history_entry]
 
-    def _remember(self, id: str, result: ChangeResult) -> None:
+    def _record_result(self, id: str, result: ChangeResult) -> None:
         self.results[id] = result
         self.state["names"].append([id, result.to_document()])
         if len(self.state["names"]) > MAX_RESULTS:
-            oldest, _ = self.state["names"].pop(0)
-            self.results.pop(oldest, None)
+            oldest_id, _ = self.state["names"].pop(0)
+            self.results.pop(oldest_id, None)
