--- a/mastledge/consensus/follower.py
+++ b/mastledge/consensus/follower.py
@@ -22,12 +22,12 @@
     acknowledgements: Acknowledgements
     applier: Applier
     bootstrap: Bootstrap
-    children: RelayChildren
-    choice: RelayChoice
+    relay_children: RelayChildren
+    relay_choice: RelayChoice
     elections: Elections
     lease: LeaseHolder
-    observed: ObservedState
-    sharing: RestrictionSharing
+    observed_state: ObservedState
+    restriction_sharing: RestrictionSharing
 
 
 class Follower:
@@ -43,18 +43,21 @@
         if not self._accept_leader(sender, append):
             return
         for name, observed in append.observed.items():
-            parts.observed.record(name, Observation(*observed))
+            parts.observed_state.record(name, Observation(*observed))
         for restrictions in append.restrictions:
-            parts.sharing.deliver(restrictions)
+            parts.restriction_sharing.deliver(restrictions)
         if not self._follows_log(append):
             parts.acknowledgements.send(sender, False, append.sent_at)
             return
         self._append_entries(append)
         parts.applier.advance_to(min(append.commit_index, append.prev_index + len(append.entries)))
         self._accept_lease(append)
-        if parts.choice.is_answered(sender, bool(append.leader)) and not self.core.persistence.is_waiting():
+        if (
+            parts.relay_choice.is_answered(sender, bool(append.leader))
+            and not self.core.persistence.is_waiting()
+        ):
             parts.acknowledgements.send(sender, True, append.sent_at)
-        parts.children.hurry()
+        parts.relay_children.hurry()
 
     def _accept_leader(self, sender: str, message: AppendEntries | InstallSnapshot) -> bool:
         """Follow the leader of a message; return False for a past term or an unsuitable relayed message."""
@@ -70,9 +73,9 @@
         roles.contact.record(self.core.clock.now, message.sent_at, sender)
         self.parts.elections.restart_timeout()
         if message.leader:
-            self.parts.choice.on_relayed(sender, message.term, message.sent_at)
+            self.parts.relay_choice.on_relayed(sender, message.term, message.sent_at)
         if state.fan_out and isinstance(message, AppendEntries):
-            self.parts.sharing.answer_report(sender, message.list_generations)
+            self.parts.restriction_sharing.answer_report(sender, message.list_generations)
         return True
 
     def _follows_log(self, append: AppendEntries) -> bool:
--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -36,12 +36,12 @@
     """The parts of a member that a leader uses."""
 
     applier: Applier
-    children: RelayChildren
-    choice: RelayChoice
+    relay_children: RelayChildren
+    relay_choice: RelayChoice
     elections: Elections
     lease: LeaseHolder
-    observed: ObservedState
-    sharing: RestrictionSharing
+    observed_state: ObservedState
+    restriction_sharing: RestrictionSharing
 
 
 class Leadership:
@@ -56,11 +56,13 @@
         state, self.won_at = core.state, core.clock.now
         self.leases = GrantedLeases(state.lease_us, self.won_at)
         self.progress = ReplicationProgress(state)
-        contents = HeartbeatContents(self.leases, parts.lease, parts.observed, parts.sharing)
+        contents = HeartbeatContents(
+            self.leases, parts.lease, parts.observed_state, parts.restriction_sharing
+        )
         self.heartbeats = Heartbeats(core, self.progress, contents)
         self.latest_restrictions = contents.latest_restrictions
-        self.direct_members = self.direct_members_type(core, self.leases, parts.choice.tree)
-        self.in_force = self.in_force_type(core, self.leases, parts.children)
+        self.direct_members = self.direct_members_type(core, self.leases, parts.relay_choice.tree)
+        self.in_force = self.in_force_type(core, self.leases, parts.relay_children)
         self.echoed_at: dict[str, int] = {}  # the latest time of this leader that each member has sent back
         self.process_ids: dict[str, int] = {}  # by member; 0: its version does not support relays
         self.waiting_changes: list[Propose] = []  # membership changes
@@ -71,9 +73,9 @@
         """Start the term by appending a no-op and this member's pending proposals, {id: change}."""
         state = self.core.state
         # Former relay children get messages from this leader until they have found another relay.
-        for name in self.parts.children.release():
+        for name in self.parts.relay_children.release():
             self.direct_members.adopt(name)
-        self.parts.choice.leave()
+        self.parts.relay_choice.leave()
         self.core.outbox.log_event("became_leader", term=state.term, last=state.log.last_index)
         self._append(Entry(state.term, "", noop()))
         self.first_index = state.log.last_index
@@ -175,14 +177,14 @@
         self.leases.record_report(sender, now, response.clock, applied, process_id)
 
     def _record_response(self, sender: str, incarnation: str, response: AppendResponse) -> None:
-        self.parts.sharing.lists.record_report(sender, response.list_generations)
+        self.parts.restriction_sharing.lists.record_report(sender, response.list_generations)
         self.process_ids[sender] = response.process_id
         self.echoed_at[sender] = max(self.echoed_at.get(sender, 0), response.sent_at)
         if not response.success:
             self.progress.on_refusal(sender, response)
             return
         position = response.persisted_term, response.persisted_index
-        self.parts.observed.record(sender, Observation(incarnation, 0, *position))
+        self.parts.observed_state.record(sender, Observation(incarnation, 0, *position))
         self.progress.on_success(sender, response)
 
     def on_restrictions(self, restrictions: WorkerRestrictions) -> None:
--- a/mastledge/consensus/member.py
+++ b/mastledge/consensus/member.py
@@ -87,24 +87,24 @@
                 acknowledgements=self.acknowledgements,
                 applier=self.applier,
                 bootstrap=self.bootstrap,
-                children=self.relay_children,
-                choice=self.relay_choice,
+                relay_children=self.relay_children,
+                relay_choice=self.relay_choice,
                 elections=self.elections,
                 lease=self.lease,
-                observed=self.observed,
-                sharing=self.sharing,
+                observed_state=self.observed,
+                restriction_sharing=self.sharing,
             ),
         )
 
     def _begin_leadership(self) -> None:
         parts = LeaderParts(
             applier=self.applier,
-            children=self.relay_children,
-            choice=self.relay_choice,
+            relay_children=self.relay_children,
+            relay_choice=self.relay_choice,
             elections=self.elections,
             lease=self.lease,
-            observed=self.observed,
-            sharing=self.sharing,
+            observed_state=self.observed,
+            restriction_sharing=self.sharing,
         )
         leadership = self.leadership_type(self.core, parts)
         self.roles.become_leader(leadership)
