--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -96,7 +96,9 @@
         if kind == ChangeKind.FAN_OUT and (unsupporting := self.members_without_relays()):
             self.core.outbox.log_event("relays_refused", members=unsupporting)
             return
-        if kind in MEMBERSHIP_KINDS and not (self.is_settled() and self._may_remove_member(change)):
+        if kind in MEMBERSHIP_KINDS and not (
+            self.can_change_membership() and self._may_remove_member(change)
+        ):
             self._queue_change(id, change)
             return
         self._append(Entry(self.core.state.term, id, change))
@@ -115,7 +117,7 @@
         self.core.state.append(entry)
         self.progress.hurry()
 
-    def is_settled(self) -> bool:
+    def can_change_membership(self) -> bool:
         """Return whether the membership may change (Ongaro 2014, 4.1, and its erratum).
 
         An entry of this term must be committed, and no membership change may be uncommitted.
@@ -143,7 +145,7 @@
 
     def admit(self, name: str, incarnation: str) -> None:
         """Propose a member's new incarnation, which is not bound by promises of the former one."""
-        if self.is_settled():
+        if self.can_change_membership():
             id = f"life {name} {incarnation} {self.core.state.log.last_index}"
             self.take(id, new_incarnation(name, incarnation))
 
@@ -219,7 +221,7 @@
         self._on_fan_out_change()
         self._extend_lease(majority_heard_at)
         self.update_in_force()
-        if self.waiting_changes and self.is_settled():
+        if self.waiting_changes and self.can_change_membership():
             next_change = self.waiting_changes.pop(0)
             self.take(next_change.id, next_change.change)
         self.promote_learner()
@@ -270,7 +272,7 @@
         """Make a caught-up learner a voter, if there are fewer voters than wanted."""
         state = self.core.state
         members = state.members()
-        if len(state.voters()) >= wanted_voters(len(members)) or not self.is_settled():
+        if len(state.voters()) >= wanted_voters(len(members)) or not self.can_change_membership():
             return
         for name, member in sorted(members.items()):
             if name != state.name and self._is_ready_to_vote(name, member):
