--- a/mastledge/consensus/applier.py
+++ b/mastledge/consensus/applier.py
@@ -24,7 +24,7 @@
                 return
         if state.commit_index - state.log.base_index >= self.snapshot_interval:
             state.compact()
-        state.forget_effective_members()
+        state.invalidate_members()
 
     def _apply_next(self) -> bool:
         state = self.state
@@ -45,7 +45,7 @@
             self.outbox.report_committed(entry.id, index, result)
         return True
 
-    def resume(self) -> None:
+    def clear_halt_reason(self) -> None:
         """Clear the halt reason: the state has been replaced."""
         self.halt_reason = ""
 
--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -128,7 +128,7 @@
         return self._knows_all_committed() and not is_changing
 
     def _may_remove_member(self, change: dict) -> bool:
-        """Return whether a member may be removed: beyond MAX_DEPARTED, the first one's lease must expire."""
+        """Return False for a removal that would drop a departed member whose lease may still be valid."""
         if change["kind"] != ChangeKind.REMOVE_MEMBER:
             return True
         departed = self.core.state.departed()
@@ -218,7 +218,7 @@
             self._send_heartbeats(majority_heard_at)
             roles.step_down()
             return
-        self._on_fan_out_change()
+        self._handle_fan_out_change()
         self._extend_lease(majority_heard_at)
         self.update_in_force()
         if self.waiting_changes and self.can_change_membership():
@@ -239,7 +239,7 @@
             self.parts.applier.advance_to(index)
             self.progress.hurry()
 
-    def _on_fan_out_change(self) -> None:
+    def _handle_fan_out_change(self) -> None:
         """When the fan-out changes, send to each member directly until the relays have taken over."""
         state = self.core.state
         if state.fan_out != self.last_fan_out:
--- a/mastledge/consensus/member.py
+++ b/mastledge/consensus/member.py
@@ -235,7 +235,7 @@
     def _on_proposal(self, proposal: inputs.Propose) -> None:
         self.proposals.add(proposal.id, proposal.change)
         self._submit_to_leader(messages.Propose(proposal.id, proposal.change))
-        self.proposals.await_result(self.clock.now)
+        self.proposals.schedule_retry(self.clock.now)
 
     def _submit_to_leader(self, proposal: messages.Propose) -> None:
         if self.roles.leadership is not None:
@@ -267,7 +267,7 @@
         self.discovery.forget()
         self.observed.clear()
         self.roles.forget_leader()
-        self.applier.resume()
+        self.applier.clear_halt_reason()
         self.lease.clear()
         self._forget_relays()
 
--- a/mastledge/consensus/outbox.py
+++ b/mastledge/consensus/outbox.py
@@ -62,7 +62,7 @@
         self.last_indexes: dict[int, int] = {}  # last log index by token of each pending write
         self.persisted_index = 0  # index up to which the log is on disk
         self.failed = False
-        self.is_behind = False  # records arrived during a rewrite, which the failed disk lacks
+        self.has_unwritten_records = False  # records arrived during a rewrite, which the failed disk lacks
         self.retry_at: int | None = None
 
     def load(self, last_index: int) -> None:
@@ -90,7 +90,7 @@
         """Write the records of the step, and send messages whose records are now on disk."""
         if self.records and not self.failed:
             self._write(last_index)
-        self.is_behind = self.failed and (self.is_behind or bool(self.records))
+        self.has_unwritten_records = self.failed and (self.has_unwritten_records or bool(self.records))
         self.records = []
         if not self.failed:
             self.waiting += [WaitingMessage(self.token, message) for message in self.unsent]
@@ -115,7 +115,7 @@
             if written_indexes:
                 self.persisted_index = max(self.persisted_index, written_indexes[-1])
         if self.failed and token >= self.token:
-            if self.is_behind:
+            if self.has_unwritten_records:
                 self.retry_at = now
             else:
                 self.failed, self.retry_at = False, None
@@ -125,7 +125,7 @@
         """Drop messages that depend on the disk until all records are rewritten."""
         if not self.failed:
             self.outbox.log_event("disk_failed")
-        self.failed, self.is_behind, self.waiting, self.last_indexes = True, True, [], {}
+        self.failed, self.has_unwritten_records, self.waiting, self.last_indexes = True, True, [], {}
         self.retry_at = now + DISK_RETRY_US
 
     def is_retry_due(self, now: int) -> bool:
@@ -140,7 +140,7 @@
         self.token += 1
         self.last_indexes = {self.token: last_index}
         self.outbox.outputs.append(outputs.Rewrite(self.token, encoded))
-        self.records, self.is_behind = [], False
+        self.records, self.has_unwritten_records = [], False
 
     def erase(self) -> None:
         """Remove all records from the disk."""
--- a/mastledge/consensus/proposals.py
+++ b/mastledge/consensus/proposals.py
@@ -17,7 +17,7 @@
         """Add a change that the host proposes."""
         self.pending[id] = change
 
-    def await_result(self, now: int) -> None:
+    def schedule_retry(self, now: int) -> None:
         """Schedule a retry after a proposal was sent, unless one is scheduled."""
         self.retry_at = self.retry_at or now + PROPOSAL_RETRY_US
 
--- a/mastledge/consensus/raft_state.py
+++ b/mastledge/consensus/raft_state.py
@@ -30,7 +30,7 @@
         self.log, self.commit_index = Log(), 0
         self.state_machine: StateMachine | None = None
         self.snapshot_state: dict[str, Any] = {}  # as of `log.base_index`
-        self._effective_members: dict[str, dict] | None = None
+        self._cached_members: dict[str, dict] | None = None
 
     def load(self, persisted: PersistedMember) -> None:
         """Load the state that the disk holds."""
@@ -41,14 +41,14 @@
         self.snapshot_state = deepcopy(persisted.snapshot_state)
         self.commit_index = persisted.snapshot_index
         self.persistence.load(self.log.last_index)
-        self.forget_effective_members()
+        self.invalidate_members()
 
     def bootstrap(self, fleet: str, state: dict) -> None:
         """Start a fleet with an initial state, which counts as entry 1 of term 1."""
         self.fleet, self.state_machine, self.log = fleet, StateMachine(state, 1), Log(1, 1)
         self.snapshot_state = self.state_machine.snapshot()
         self.term = self.commit_index = 1
-        self.forget_effective_members()
+        self.invalidate_members()
         self.persistence.record(records.Identity(fleet, self.incarnation))
         self.persistence.record(records.HardState(1, ""))
         self._record_snapshot()
@@ -71,7 +71,7 @@
         index = self.log.append(entry)
         self.persistence.record(records.LogEntry(index, entry))
         if entry.change["kind"] in MEMBERSHIP_KINDS:
-            self.forget_effective_members()
+            self.invalidate_members()
 
     def commit(self, index: int) -> ChangeResult:
         """Apply the next committed entry; raises the errors of `StateMachine.apply`."""
@@ -84,13 +84,13 @@
         self.log.truncate_from(index)
         self.persistence.limit_persisted(index - 1)
         self.persistence.record(records.Truncation(index))
-        self.forget_effective_members()
+        self.invalidate_members()
 
     def compact(self) -> None:
         """Replace all committed entries by a snapshot."""
         self.log.compact(self.commit_index)
         self.snapshot_state = self.state_machine.snapshot()
-        self.forget_effective_members()
+        self.invalidate_members()
         self._record_snapshot()
 
     def install_snapshot(self, last_index: int, last_term: int, state: dict) -> None:
@@ -102,7 +102,7 @@
             self.persistence.limit_persisted(last_index)
         self.state_machine = StateMachine(state, last_index)
         self.snapshot_state, self.commit_index = self.state_machine.snapshot(), last_index
-        self.forget_effective_members()
+        self.invalidate_members()
         self._record_snapshot()
 
     def _record_snapshot(self) -> None:
@@ -120,9 +120,9 @@
 
     def members(self) -> dict[str, dict]:
         """Return the members as of the last log entry, committed or not (Ongaro 2014, 4.1)."""
-        if self._effective_members is None:
-            self._effective_members = self._compute_members()
-        return self._effective_members
+        if self._cached_members is None:
+            self._cached_members = self._compute_members()
+        return self._cached_members
 
     def _compute_members(self) -> dict[str, dict]:
         if self.state_machine is None:
@@ -136,9 +136,9 @@
                     continue  # it will be refused once it is committed
         return members
 
-    def forget_effective_members(self) -> None:
+    def invalidate_members(self) -> None:
         """Discard the cached members after the log or the state machine has changed."""
-        self._effective_members = None
+        self._cached_members = None
 
     def departed(self) -> list[dict]:
         """Return the removed members that may still hold a lease, the earliest removed first."""
