--- a/mastledge/consensus/acknowledgements.py
+++ b/mastledge/consensus/acknowledgements.py
@@ -1,4 +1,4 @@
-"""Answers to the leader, or to the relay that this member hears from."""
+"""Append responses to the leader, or to the relay that this member follows."""
 
 from mastledge.consensus.core import Core
 from mastledge.consensus.messages import AppendResponse
@@ -7,15 +7,15 @@
 
 
 class Acknowledgements:
-    """Tells what is on disk and applied here, and by all that hear from here."""
+    """Reports the persisted index of this member, and the index applied by it and its relay children."""
 
     def __init__(self, core: Core, children: RelayChildren, sharing: RestrictionSharing):
-        """Begin with nothing acknowledged."""
+        """Start with nothing acknowledged."""
         self.core, self.children, self.sharing = core, children, sharing
-        self.acknowledged_index = 0  # what was on disk when that was last told
+        self.acknowledged_index = 0  # persisted index in the latest response
 
     def send(self, to: str, success: bool, sent_at: int) -> None:
-        """Answer a message; `sent_at` is the leader's time that it carried, 0 where there is none."""
+        """Answer a message; `sent_at` is the leader's time in that message, 0 if there is none."""
         state, clock, persisted = self.core.state, self.core.clock, self.core.persistence.persisted_index
         self.acknowledged_index = persisted
         response = AppendResponse(
@@ -26,7 +26,7 @@
             applied_index=self.children.covered_index(),
             sent_at=sent_at,
             clock=clock.reading(),
-            # Up to what is committed it is the leader's log; after that it may not be.
+            # Entries after the commit index may differ from the leader's log.
             commit_index=state.commit_index if state.state_machine else 0,
             process_id=clock.process_id,
             list_generations=self.sharing.generations(),
@@ -34,7 +34,7 @@
         self.core.outbox.send(to, response)
 
     def send_persisted(self) -> None:
-        """Tell the leader at once what has come onto the disk since the last answer."""
+        """Acknowledge newly persisted entries without waiting for the next heartbeat."""
         roles = self.core.roles
         if not roles.is_follower() or not roles.leader:
             return
--- a/mastledge/consensus/bootstrap.py
+++ b/mastledge/consensus/bootstrap.py
@@ -1,4 +1,4 @@
-"""What a member does until it takes part: it is taken in, or begins a fleet. See docs/consensus.md."""
+"""The start of a member until it joins an existing fleet or forms a new one. See docs/consensus.md."""
 
 from mastledge.consensus.configuration import MemberConfiguration
 from mastledge.consensus.core import Core
@@ -9,11 +9,11 @@
 from mastledge.consensus.roles import Phase
 from mastledge.consensus.state_machine import initial_state
 
-DISCOVERY_INTERVAL_US = 100_000  # between two times that a member asks the others at its start
+DISCOVERY_INTERVAL_US = 100_000  # between two rounds of discovery requests
 
 
 class Bootstrap:
-    """Owns the phase of the member: whether it takes part in a fleet yet."""
+    """Owns the phase of the member: whether it participates in a fleet yet."""
 
     def __init__(
         self,
@@ -23,21 +23,21 @@
         elections: Elections,
         observed: ObservedState,
     ):
-        """Begin by asking the others, whatever the disk holds."""
+        """Start by asking the other members, whatever is on disk."""
         self.core, self.configuration = core, configuration
         self.discovery, self.elections, self.observed = discovery, elections, observed
         self.phase = Phase.DISCOVERING
         self.ask_at = core.clock.now
 
-    # What others ask
+    # Requests of other members
 
     def on_discover_request(self, sender: str, incarnation: str, request: DiscoverRequest) -> None:
-        """Tell another member what is known of it; who is to hear of the fleet is helped to."""
+        """Answer a discovery request, and help its sender to join the fleet or follow the leader."""
         state, roles = self.core.state, self.core.roles
         if request.fleet and state.fleet and request.fleet != state.fleet:
             return
         self.discovery.record_contact(sender, incarnation, request)
-        # A member without a fleet knows nothing of members but what its configuration says.
+        # A member without a fleet knows the other members from its configuration only.
         is_member = sender in (state.members() if state.state_machine else self.discovery.configured)
         self._answer(sender, incarnation, is_member)
         if roles.leadership is not None and is_member:
@@ -63,7 +63,7 @@
         self.core.outbox.send(name, response)
 
     def _missed_bootstrap(self, name: str, incarnation: str) -> bool:
-        """Return whether a member was there when the fleet began and may not know of it."""
+        """Return whether a founding member may have missed the message that formed the fleet."""
         state = self.core.state
         is_new = (
             bool(state.fleet) and state.state_machine is not None and state.state_machine.applied_index <= 1
@@ -75,10 +75,10 @@
         message = BootstrapCluster(state.fleet, state.state_machine.snapshot())
         self.core.persistence.send_when_persisted(name, message)
 
-    # What others tell
+    # Responses of other members
 
     def on_discover_response(self, sender: str, incarnation: str, response: DiscoverResponse) -> None:
-        """Take part once a majority has told what it knows of this incarnation."""
+        """Participate once a majority has reported what it knows of this incarnation."""
         state = self.core.state
         if state.fleet and response.fleet and response.fleet != state.fleet:
             return
@@ -95,13 +95,13 @@
             )
 
     def _knows_more(self, response: DiscoverResponse) -> bool:
-        """Return whether this incarnation has promised what its disk, an old one, does not know."""
+        """Return whether this incarnation has acknowledged a term or entry that its disk lacks."""
         log = self.core.state.log
         observed = response.observed_last_term, response.observed_last_index
         return response.observed_term > self.core.state.term or observed > (log.last_term, log.last_index)
 
     def _begin_incarnation(self, sender: str, response: DiscoverResponse) -> None:
-        """Come as a new incarnation, which has promised nothing."""
+        """Continue as a new incarnation, which has acknowledged nothing."""
         state, outbox = self.core.state, self.core.outbox
         outbox.log_event(
             "data_directory_stale",
@@ -126,24 +126,24 @@
             heard.add(state.name)
         return len(heard) > len(voters) // 2
 
-    # A fleet begins, or takes this member in
+    # Forming or joining a fleet
 
     def on_bootstrap_cluster(self, sender: str, incarnation: str, message: BootstrapCluster) -> None:
-        """Another member has begun the fleet, with this incarnation in it."""
+        """Start in a fleet that another member has formed with this incarnation."""
         state = self.core.state
-        me = message.state["members"].get(state.name)
-        if not state.fleet and me and me["life"] == state.incarnation:
+        own_record = message.state["members"].get(state.name)
+        if not state.fleet and own_record and own_record["life"] == state.incarnation:
             self.begin_fleet(message.fleet, message.state)
 
     def begin_fleet(self, fleet: str, first_state: dict) -> None:
-        """Take part in a new fleet from its first state on."""
+        """Participate in a new fleet from its initial state."""
         self.core.state.bootstrap(fleet, first_state)
         self.phase = Phase.PARTICIPATING
         self.core.outbox.log_event("formed", fleet=fleet, members=len(first_state["members"]))
         self.elections.restart_timeout()
 
     def join_fleet_of(self, sender: str) -> bool:
-        """Take part in the fleet that a leader has sent a snapshot of, where its name is known."""
+        """Join the fleet whose leader sent a snapshot; return whether the id of that fleet is known."""
         state = self.core.state
         fleet = self.discovery.fleet_told_by(sender)
         if not fleet:
@@ -154,16 +154,16 @@
         return True
 
     def abandon(self) -> None:
-        """Wait for a fleet that others begin."""
+        """Wait for a fleet formed by others; never form one."""
         self.phase = Phase.WITHOUT_FLEET
         self.discovery.forbid_bootstrap()
 
     def run(self) -> None:
-        """Go on towards taking part."""
+        """Continue discovery, and form a fleet once all members are ready."""
         state, now = self.core.state, self.core.clock.now
         if self.phase == Phase.DISCOVERING and state.fleet:
             if state.voters() == [state.name] and state.is_voter():
-                self.phase = Phase.PARTICIPATING  # nobody else can know better
+                self.phase = Phase.PARTICIPATING  # a sole voter needs no other member's answer
                 self.elections.restart_timeout()
                 return
         elif self.phase == Phase.DISCOVERING:
@@ -175,7 +175,7 @@
             self._begin_if_all_are_ready()
 
     def _begin_if_all_are_ready(self) -> None:
-        """Begin a fleet, where all members are there without one; the first name does so for all."""
+        """Form a fleet if all configured members are present without one; only the first name does so."""
         state, configured = self.core.state, self.discovery.configured
         if not self.discovery.may_bootstrap or state.name not in configured or state.name != min(configured):
             return
@@ -191,17 +191,23 @@
             self._send_bootstrap(name)
 
     def waiting_reason(self) -> str:
-        """Return why a member without a fleet has none, in a few words."""
+        """Return why this member has no fleet, in a few words."""
         state, configured = self.core.state, self.discovery.configured
         fleets = [response for response in self.discovery.responses.values() if not response.empty]
         if fleets:
             is_known = any(response.is_member for response in fleets)
-            return "asks to be taken in again" if is_known else f"{state.name} is no member of the fleet"
+            return (
+                "waiting for the leader to admit this member again"
+                if is_known
+                else f"{state.name} is no member of the fleet"
+            )
         contacts = self.discovery.contacts
         if not self.discovery.may_bootstrap:
             empty = sum(contact.message.empty for contact in contacts.values())
-            return f"no fleet: {empty + 1} of {len(configured)} folders are empty, and form is not set"
+            return (
+                f"no fleet: {empty + 1} of {len(configured)} data directories are empty, and form is not set"
+            )
         missing = sorted(set(configured) - set(contacts) - {state.name})
         if missing:
-            return "a fleet is to be formed: nothing is heard of " + ", ".join(missing)
+            return "waiting to form a fleet: no message yet from " + ", ".join(missing)
         return "forming"
--- a/mastledge/consensus/direct_members.py
+++ b/mastledge/consensus/direct_members.py
@@ -1,4 +1,4 @@
-"""With relays: to whom the leader speaks itself."""
+"""The members to which the leader sends directly when relays are on."""
 
 from collections.abc import Callable
 
@@ -7,24 +7,24 @@
 from mastledge.consensus.membership import wanted_voters
 from mastledge.consensus.relay_tree import RelayTree
 
-ADOPTED_LEASES = 2  # for which the leader speaks to a follower that has asked
+ADOPTED_LEASES = 2  # how long, in leases, the leader sends directly to a follower that asked
 
 
 class DirectMembers:
-    """The voters, who has asked lately, and who is to become a voter."""
+    """The voters, the followers that asked for direct contact recently, and the next voters."""
 
     def __init__(self, core: Core, leases: GrantedLeases, tree: Callable[[], RelayTree]):
-        """Begin with nobody adopted; `tree` gives the levels of the fleet."""
+        """Start with no adopted followers; `tree` returns the current relay tree."""
         self.core, self.leases, self.tree = core, leases, tree
-        self.adopted: dict[str, int] = {}  # followers that hear from the leader, and until when
+        self.adopted: dict[str, int] = {}  # end of direct contact, by follower
 
     def adopt(self, name: str) -> None:
-        """Speak to a follower for a while."""
+        """Send directly to a follower for the next `ADOPTED_LEASES` leases."""
         state = self.core.state
         self.adopted[name] = self.core.clock.now + ADOPTED_LEASES * state.lease_us
 
     def names(self) -> set[str]:
-        """Return to whom the leader speaks now."""
+        """Return the members to which the leader sends directly now."""
         state, now = self.core.state, self.core.clock.now
         members = state.members()
         names = {name for name, member in members.items() if member["votes"]}
@@ -37,7 +37,7 @@
         return names | {name for name in departed if name in self.leases.holders}
 
     def recruits(self) -> list[str]:
-        """Return followers that may be made voters: the leader has to know what their disks hold."""
+        """Return followers that may become voters; the leader has to know their persisted index first."""
         state = self.core.state
         missing = wanted_voters(len(state.members())) - len(state.voters())
         if missing <= 0:
--- a/mastledge/consensus/discovery.py
+++ b/mastledge/consensus/discovery.py
@@ -1,4 +1,4 @@
-"""What a member asks the others at its start, and what they have told."""
+"""Discovery requests that a member sends to the other members at start, and the answers."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -8,12 +8,12 @@
 from mastledge.consensus.core import Core
 from mastledge.consensus.messages import DiscoverRequest, DiscoverResponse
 
-LEARNERS_AT_ONCE = 16  # of the members that do not vote, in turn
-CONTACT_VALIDITY_US = 1_000_000  # for which what a member has said of itself is relied on
+LEARNERS_AT_ONCE = 16  # non-voters asked per round, in rotation
+CONTACT_VALIDITY_US = 1_000_000  # a contact older than this is ignored
 
 
 class Presence(NamedTuple):
-    """When a member has sent its latest message, and whether that says that its disk is empty."""
+    """The time of a member's latest message, and whether the message says that its disk is empty."""
 
     at: int
     is_empty: bool
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Contact:
-    """What another member has said of itself, its incarnation, and when that came here."""
+    """The latest discovery message of another member, its time of receipt, and the sender's incarnation."""
 
     at: int
     incarnation: str
@@ -29,10 +29,10 @@
 
 
 class Discovery:
-    """Asks and answers of the members, by name."""
+    """Sends discovery requests and keeps the answers, by member name."""
 
     def __init__(self, core: Core, configuration: MemberConfiguration):
-        """Begin with nothing heard."""
+        """Start without any answers."""
         self.core, self.configured = core, configuration.members
         self.digest = crc32(repr(sorted(configuration.members)).encode())
         self.may_bootstrap = configuration.may_bootstrap
@@ -42,26 +42,26 @@
         self.learner_rotation = 0
 
     def forget(self) -> None:
-        """Another fleet begins, or the own incarnation is another one."""
+        """Discard all answers, when another fleet starts or this member gets a new incarnation."""
         self.responses, self.contacts = {}, {}
 
     def forbid_bootstrap(self) -> None:
-        """This member is to begin no fleet any more."""
+        """Stop this member from starting a fleet."""
         self.may_bootstrap = False
 
     def record_message(self, sender: str, message: object) -> None:
-        """A message of any kind has come."""
+        """Record the time of a message of any kind."""
         is_empty = isinstance(message, DiscoverRequest | DiscoverResponse) and message.empty
         self.presences[sender] = Presence(self.core.clock.now, is_empty)
 
     def record_contact(
         self, sender: str, incarnation: str, message: DiscoverRequest | DiscoverResponse
     ) -> None:
-        """Another member has said what it is."""
+        """Record a discovery message of another member."""
         self.contacts[sender] = Contact(self.core.clock.now, incarnation, message)
 
     def present_members(self, now: int) -> set[str]:
-        """Return who has said something lately and has not lost its disk."""
+        """Return the members that have sent a message recently and whose disk is not empty."""
         return {
             name
             for name, presence in self.presences.items()
@@ -69,7 +69,7 @@
         }
 
     def ask_members(self) -> None:
-        """Ask who is there, and what is known of this member."""
+        """Ask the other members for their state and what they know of this member."""
         state = self.core.state
         request = DiscoverRequest(
             fleet=state.fleet,
@@ -84,9 +84,9 @@
             self.core.outbox.send(name, request)
 
     def _members_to_ask(self) -> list[str]:
-        """Return the voters, the first name, which begins a fleet, and some of the others in turn.
+        """Return the voters, the first name, which starts a fleet, and a rotating share of the others.
 
-        All of them at each time would be as many messages as the square of the members.
+        Asking every member each time would send a number of messages quadratic in the number of members.
         """
         state = self.core.state
         first_name = [min(self.configured)] if self.configured else []
@@ -98,14 +98,14 @@
         return sorted({*always, *others})
 
     def fleet_told_by(self, name: str) -> str:
-        """Return the fleet that a member has told, else that any other has; "" where none has."""
+        """Return the fleet id reported by this member, else by any other; "" if none was reported."""
         response = self.responses.get(name)
         if response is not None and response.fleet:
             return response.fleet
         return next((other.fleet for other in self.responses.values() if other.fleet), "")
 
     def ready_members(self) -> dict[str, tuple[str, str]] | None:
-        """Return (address, incarnation) of the others once all are ready to begin a fleet; else None."""
+        """Return the others' (address, incarnation) if all are ready to start a fleet, else None."""
         members = {}
         for name, address in self.configured.items():
             if name == self.core.state.name:
--- a/mastledge/consensus/elections.py
+++ b/mastledge/consensus/elections.py
@@ -1,4 +1,4 @@
-"""Election timeouts, votes and pre-votes: Ongaro (2014), 3.4 and 9.6."""
+"""Election timeouts, votes and pre-votes (Ongaro 2014, 3.4 and 9.6)."""
 
 from collections.abc import Callable
 
@@ -13,30 +13,30 @@
 
 
 class Elections:
-    """When this member campaigns, and whom it votes for."""
+    """Decides when this member campaigns and for which candidate it votes."""
 
     def __init__(
         self, core: Core, draws: RandomDraws, observed: ObservedState, begin_leadership: Callable[[], None]
     ):
-        """Begin with a first timeout; `begin_leadership` is called when an election is won."""
+        """Start the first election timeout; `begin_leadership` is called when an election is won."""
         self.core, self.draws, self.observed, self.begin_leadership = core, draws, observed, begin_leadership
         self.timeout_at = 0
         self.restart_timeout()
 
     def restart_timeout(self) -> None:
-        """Draw anew how long this member waits for a leader."""
+        """Restart the election timeout with a new random length."""
         spread = MAX_ELECTION_TIMEOUT - MIN_ELECTION_TIMEOUT
         heartbeats = MIN_ELECTION_TIMEOUT + spread * self.draws.next()
         self.timeout_at = self.core.clock.now + int(heartbeats * self.core.state.heartbeat_us)
 
     def campaign_soon(self) -> None:
-        """Wait for one heartbeat only: nobody else can lead yet."""
+        """Campaign after one heartbeat, as there can be no other leader yet."""
         self.timeout_at = self.core.clock.now + self.core.state.heartbeat_us
 
     # As a voter
 
     def on_vote_request(self, sender: str, incarnation: str, request: VoteRequest) -> None:
-        """Vote for a candidate whose log has all that may be committed."""
+        """Vote for a candidate whose log is at least as up to date as the local log."""
         if request.pre_vote:
             self._answer_pre_vote(sender, request)
             return
@@ -70,9 +70,9 @@
         self.core.outbox.send(sender, VoteResponse(term, granted, pre_vote=True))
 
     def _has_leader(self) -> bool:
-        """Return whether a leader was heard within the shortest election timeout, less a heartbeat."""
-        roles, span = self.core.roles, (MIN_ELECTION_TIMEOUT - 1) * self.core.state.heartbeat_us
-        return roles.leader is not None and self.core.clock.now < roles.contact.heard_at + span
+        """Return whether a leader was heard within the minimum election timeout, less one heartbeat."""
+        roles, contact_us = self.core.roles, (MIN_ELECTION_TIMEOUT - 1) * self.core.state.heartbeat_us
+        return roles.leader is not None and self.core.clock.now < roles.contact.heard_at + contact_us
 
     def _is_up_to_date(self, request: VoteRequest) -> bool:
         log = self.core.state.log
@@ -81,14 +81,14 @@
     # As a candidate
 
     def on_timeout_now(self, sender: str, incarnation: str, request: TimeoutNow) -> None:
-        """The leader hands its leadership to this member."""
+        """Campaign at once, as the leader transfers its leadership to this member."""
         state = self.core.state
         is_leader = request.term == state.term and sender == self.core.roles.leader
         if is_leader and state.is_voter() and not self.core.persistence.failed:
             self.campaign(pre_vote=False)
 
     def campaign(self, pre_vote: bool) -> None:
-        """Ask the voters for their votes, or whether they would vote."""
+        """Ask the voters for their votes; a pre-vote only asks whether they would vote."""
         state, persistence = self.core.state, self.core.persistence
         self.core.roles.become_candidate(Candidacy(pre_vote, persistence.token + 1))
         if not pre_vote:
@@ -105,14 +105,14 @@
         self.count_votes()
 
     def on_vote_response(self, sender: str, incarnation: str, response: VoteResponse) -> None:
-        """Count a vote of the campaign that runs."""
+        """Record a vote for the current campaign."""
         if not response.granted:
             self.core.roles.raise_term(response.term)
             return
         if not response.pre_vote:
             self.observed.record(sender, Observation(incarnation, response.term, 0, 0))
         candidacy, state = self.core.roles.candidacy, self.core.state
-        # An incarnation that forgot what it had voted must not count as the one that remembers.
+        # A new incarnation may have forgotten its vote in this term, so its vote must not count.
         if candidacy is None or not state.knows(sender, incarnation):
             return
         asked_term = state.term + 1 if candidacy.pre_vote else state.term
@@ -120,7 +120,7 @@
             candidacy.votes[sender] = VOTE
 
     def count_votes(self) -> None:
-        """Go on with the campaign, or lead, once a majority is for it."""
+        """Start the election after a won pre-vote, or lead after a won election."""
         candidacy, state = self.core.roles.candidacy, self.core.state
         if candidacy.pre_vote or self.core.persistence.persisted_token >= candidacy.write_token:
             candidacy.votes[state.name] = VOTE
--- a/mastledge/consensus/exclusions.py
+++ b/mastledge/consensus/exclusions.py
@@ -1,10 +1,10 @@
-"""Workers that operators keep from new jobs."""
+"""Workers that operators have excluded from new jobs."""
 
 from mastledge.consensus.errors import ChangeRefusedError, RefusalStatus
 
 
 def exclude_worker(state: dict, change: dict) -> None:
-    """Apply a committed exclusion to the state document."""
+    """Apply a committed exclusion of a worker to the state document."""
     worker = change["worker"]
     if worker in state["out"]:
         raise ChangeRefusedError("it is out already", RefusalStatus.ALREADY_SO)
@@ -13,12 +13,17 @@
 
 
 def include_worker(state: dict, change: dict) -> None:
-    """Apply a committed end of an exclusion; `at` and `cold_for` are microseconds, `at` since 1970."""
+    """Apply the committed end of a worker's exclusion to the state document.
+
+    `at` is in microseconds since 1970, `cold_for` a duration in microseconds.
+    """
     worker = change["worker"]
     if worker not in state["out"]:
         raise ChangeRefusedError("it is not out", RefusalStatus.ALREADY_SO)
     state["out"].remove(worker)
-    # It may have restarted unseen and counts as cold from then on; who came back earlier is not remembered.
+    # The worker may have restarted while excluded, so it counts as cold; older entries are dropped.
     oldest = change["at"] - change["cold_for"]
-    state["back"] = {other: at for other, at in state["back"].items() if at > oldest}
+    state["back"] = {
+        other: included_at for other, included_at in state["back"].items() if included_at > oldest
+    }
     state["back"][worker] = change["at"]
--- a/mastledge/consensus/heartbeats.py
+++ b/mastledge/consensus/heartbeats.py
@@ -1,4 +1,4 @@
-"""What a leader sends: AppendEntries with leases, or a snapshot to who is behind its log."""
+"""Messages of the leader: AppendEntries with leases, or a snapshot for a member behind the leader's log."""
 
 from mastledge.consensus.core import Core
 from mastledge.consensus.latest_restrictions import LatestRestrictions
@@ -10,46 +10,48 @@
 from mastledge.consensus.restriction_sharing import RestrictionSharing
 from mastledge.consensus.timing import HEARTBEATS_PER_LEASE, LEARNER_HEARTBEATS_PER_LEASE, SOON_US
 
-HEARTBEATS_TO_LEARNER = HEARTBEATS_PER_LEASE // LEARNER_HEARTBEATS_PER_LEASE  # between two of its own
+HEARTBEATS_TO_LEARNER = (
+    HEARTBEATS_PER_LEASE // LEARNER_HEARTBEATS_PER_LEASE
+)  # heartbeats to voters per heartbeat to a learner
 
 
 class HeartbeatContents:
-    """What goes with heartbeats besides the log."""
+    """The contents of heartbeats besides log entries: leases, observations and worker restrictions."""
 
     def __init__(
         self, leases: GrantedLeases, lease: LeaseHolder, observed: ObservedState, sharing: RestrictionSharing
     ):
-        """Begin with no restrictions to share."""
+        """Start with no restrictions to share."""
         self.leases, self.lease, self.observed, self.sharing = leases, lease, observed, sharing
         self.latest_restrictions = LatestRestrictions()
 
     def restrictions_for(self, name: str, now: int) -> list[WorkerRestrictions]:
-        """Return the restrictions that go with the next message to a member."""
+        """Return the restrictions to include in the next message to a member."""
         if self.sharing.state.fan_out:
             return self.sharing.lists.restrictions_for(name)
         return self.latest_restrictions.current(now)
 
     def observations_of(self, members: dict[str, dict]) -> dict[str, Observation]:
-        """Return what voters have promised, which a new leader has to know of."""
+        """Return the observations of the voters, which the next leader needs."""
         observations = self.observed.observations
         return {
-            name: observed
-            for name, observed in observations.items()
+            name: observation
+            for name, observation in observations.items()
             if name in members and members[name]["votes"]
         }
 
 
 class Heartbeats:
-    """Speaks to each member when it is due."""
+    """Sends a heartbeat to each member when one is due."""
 
     def __init__(self, core: Core, progress: ReplicationProgress, contents: HeartbeatContents):
-        """Begin with everybody due."""
+        """Start with a heartbeat due to every member."""
         self.core, self.progress, self.contents = core, progress, contents
 
     def send_due(self, names: set[str], granted_at: int | None) -> None:
-        """Speak to those of these members that are due, and to nobody else later on.
+        """Send the heartbeats that are due to the members in `names`, and forget all other members.
 
-        Leases are granted as of when a majority was heard, `granted_at`; none where that is None.
+        Leases are granted as of `granted_at`, when a majority was last heard; None grants no leases.
         """
         state, progress, now = self.core.state, self.progress, self.core.clock.now
         members = state.members()
@@ -68,8 +70,8 @@
         self, name: str, is_voter: bool, granted_at: int | None, observations: dict[str, Observation]
     ) -> None:
         log, progress = self.core.state.log, self.progress
-        unknown = (log.last_index if is_voter else self.core.state.commit_index) + 1
-        next_index = progress.next_index.get(name, unknown)
+        initial_index = (log.last_index if is_voter else self.core.state.commit_index) + 1
+        next_index = progress.next_index.get(name, initial_index)
         if next_index <= log.base_index:
             self._send_snapshot(name)
             return
@@ -105,7 +107,10 @@
         )
 
     def _grant(self, name: str, granted_at: int | None) -> int:
-        """Return the time from which a member's lease runs; only what it gets with it makes that good."""
+        """Return the start of a member's lease by the member's clock; 0 for none.
+
+        The grant is safe only in a message that also carries the commit index.
+        """
         state = self.core.state
         if granted_at is None or name not in state.state_machine.members:
             return 0
--- a/mastledge/consensus/in_force.py
+++ b/mastledge/consensus/in_force.py
@@ -1,4 +1,4 @@
-"""Up to which entry what is committed is in force: applied by each member that holds a lease."""
+"""The in-force index: committed entries up to it have been applied by every member that holds a lease."""
 
 from typing import NamedTuple
 
@@ -8,24 +8,24 @@
 
 
 class InForce(NamedTuple):
-    """Up to which entry the state is in force, and when all that is committed is at the latest."""
+    """The in-force index, and the latest time at which everything committed will be in force."""
 
     index: int
     all_by: int
 
 
 class InForceTracker:
-    """The leader's side of it, in its own time."""
+    """Computes the in-force index at the leader; times are by the leader's clock."""
 
     def __init__(self, core: Core, leases: GrantedLeases, children: RelayChildren):
-        """Begin as a leader does."""
+        """Start when this member has won an election."""
         self.core, self.leases, self.children = core, leases, children
         self.won_at = core.clock.now
 
     def of_all_members(self) -> InForce:
-        """Without relays: each member, and each that left, is waited for by its name."""
+        """Return the in-force index without relays: every current and departed member is considered."""
         state, now = self.core.state, self.core.clock.now
-        reached = self._own()
+        reached = self._of_leader()
         departed = {member["name"] for member in state.departed()}
         for name in {*state.state_machine.members, *state.members(), *departed} - {state.name}:
             covered = self.leases.covered_index(name, now)
@@ -34,13 +34,13 @@
         return reached
 
     def of_holders(self, in_force_index: int) -> InForce:
-        """With relays: those that the leader has granted to are waited for; they tell of their children."""
+        """Return the in-force index with relays: direct lease holders report for their relay children too."""
         state, now = self.core.state, self.core.clock.now
         former_leases_end = self.won_at + longest_lease_us(state.lease_us)
         if now < former_leases_end:
-            # Whoever led before has granted, directly or by relays, to whom is not known here.
+            # Former leaders may have granted leases, directly or through relays, that are unknown here.
             return InForce(in_force_index, former_leases_end)
-        reached = self._own()
+        reached = self._of_leader()
         for name in list(self.leases.holders):
             covered = self.leases.covered_index(name, now)
             if covered is not None:
@@ -49,7 +49,7 @@
                 del self.leases.holders[name]
         return reached
 
-    def _own(self) -> InForce:
+    def _of_leader(self) -> InForce:
         index = min(self.core.state.commit_index, self.children.covered_index())
         return InForce(index, self.core.clock.now)
 
--- a/mastledge/consensus/leases.py
+++ b/mastledge/consensus/leases.py
@@ -1,74 +1,74 @@
-"""Leases that a member grants to others, in its own time; all times are whole microseconds.
+"""Leases that a member has granted to others, by the granting member's clock, in whole microseconds.
 
-A lease runs from a time of the holder's own that the leader received before a majority last heard the leader.
-So whoever leads next is elected after that time in truth, and has waited out all former leases once it has
-led for one of them (Gray and Cheriton, "Leases", 1989, section 3; drift as in section 5 there).
+A lease starts at a reading of the holder's clock that the leader received before a majority last heard from
+the leader. The next leader is therefore elected after that time, and every former lease has expired once the
+next leader has led for one lease (Gray and Cheriton, "Leases", 1989, section 3; clock drift as in section 5).
 """
 
 from collections import deque
 from typing import NamedTuple
 
-DRIFT_DIVISOR = 100  # a clock gains or loses one part in so many at the most
-MAX_CLOCK_REPORTS = 16  # of one holder that wait for a majority
+DRIFT_DIVISOR = 100  # a clock gains or loses at most one part in this many
+MAX_CLOCK_REPORTS = 16  # per holder, waiting until a majority has heard from the leader
 
 
 def shortest_lease_us(lease_us: int) -> int:
-    """Return how long a holder counts on its lease by its own clock."""
+    """Return how long the holder relies on a lease, by the holder's clock, in microseconds."""
     return lease_us - lease_us // DRIFT_DIVISOR
 
 
 def longest_lease_us(lease_us: int) -> int:
-    """Return after how long, by its own clock, who granted a lease takes it that nobody counts on it."""
+    """Return how long the granting member treats a lease as held, by the granting member's clock."""
     return lease_us + lease_us // DRIFT_DIVISOR
 
 
 class ClockReport(NamedTuple):
-    """A time that a holder has told of its own clock, and when it came here."""
+    """A reading of the holder's clock, and the local time at which the report was received."""
 
     clock: int
     received_at: int
 
 
 class Grant(NamedTuple):
-    """A lease that was granted to who had applied the log up to an entry."""
+    """A lease that requires the holder to have applied the log up to `index`."""
 
     index: int
     expires_at: int
 
 
 class Holder:
-    """What is known of one member that may hold a lease."""
+    """The applied index, clock reports and grants of one member that may hold a lease."""
 
     __slots__ = ("applied_index", "clock_reports", "grants", "latest_clock", "latest_grant", "process_id")
 
     def __init__(self, expires_at: int):
-        """Take it that somebody before has granted a lease until then."""
+        """Assume that an earlier leader or process granted a lease that lasts until `expires_at`."""
         self.clock_reports: deque[ClockReport] = deque((), MAX_CLOCK_REPORTS)
         self.grants: deque[Grant] = deque((Grant(0, expires_at),))
         self.applied_index = self.latest_grant = self.latest_clock = self.process_id = 0
 
     def forget_clock(self) -> None:
-        """Another process of this name has begun, on a clock of its own."""
+        """Discard the clock reports of an earlier process, which used another clock."""
         self.clock_reports.clear()
         self.latest_grant = 0
 
 
 class GrantedLeases:
-    """Who may hold a lease that was granted here, until when, and what it knows."""
+    """The members that may hold a lease granted by this member, with the expiry times and applied indexes."""
 
     def __init__(self, lease_us: int, now: int):
-        """Begin without a knowledge of former grants: everybody may hold one from `now`."""
+        """Start with former grants unknown: any member may hold a lease that runs from `now`."""
         self.lease_us, self.began_at = lease_us, now
         self.holders: dict[str, Holder] = {}
 
     def holder(self, name: str) -> Holder:
-        """Return what is known of a member, from here on if nothing was."""
+        """Return the entry of a member, which is created if missing."""
         if name not in self.holders:
             self.holders[name] = Holder(self.began_at + longest_lease_us(self.lease_us))
         return self.holders[name]
 
     def record_report(self, name: str, now: int, clock: int, applied_index: int, process_id: int = 0) -> None:
-        """Take over what a holder tells: its clock, what it has applied, and which process it is."""
+        """Record the clock reading, applied index and process id that a holder has reported."""
         holder = self.holder(name)
         if process_id != holder.process_id:
             holder.forget_clock()
@@ -76,13 +76,13 @@
             holder.process_id, holder.latest_clock = process_id, clock
         holder.applied_index = max(holder.applied_index, applied_index)
         if clock < holder.latest_clock:
-            holder.forget_clock()  # a process of a version that tells no process id
+            holder.forget_clock()  # a new process of a version that reports no process id
         holder.latest_clock = clock
         if not holder.clock_reports or clock > holder.clock_reports[-1].clock:
             holder.clock_reports.append(ClockReport(clock, now))
 
     def grant(self, name: str, majority_heard_at: int, commit_index: int) -> int:
-        """Return the time of the holder's own clock from which its lease runs; 0 for none yet."""
+        """Return the reading of the holder's clock from which its lease runs; 0 if there is no lease yet."""
         holder = self.holder(name)
         while holder.clock_reports and holder.clock_reports[0].received_at <= majority_heard_at:
             holder.latest_grant, received_at = holder.clock_reports.popleft()
@@ -94,7 +94,7 @@
         return holder.latest_grant
 
     def covered_index(self, name: str, now: int) -> int | None:
-        """Return up to which entry this holder cannot act on older state; None: it holds no lease at all."""
+        """Return an index that any state the holder acts on includes; None if it holds no lease."""
         holder = self.holder(name)
         while holder.grants and holder.grants[0].expires_at <= now:
             holder.grants.popleft()
@@ -103,10 +103,10 @@
         return max(holder.applied_index, holder.grants[0].index)
 
     def expires_at(self, name: str, commit_index: int) -> int:
-        """Return when the last lease of this holder is over that was granted before `commit_index`."""
+        """Return when the last of the holder's leases granted before `commit_index` expires; 0 if none."""
         grants = self.holder(name).grants
         return max((grant.expires_at for grant in grants if grant.index < commit_index), default=0)
 
     def has_expired(self, name: str, now: int) -> bool:
-        """Return whether this holder holds no lease."""
+        """Return whether the member holds no lease any more."""
         return self.covered_index(name, now) is None
--- a/mastledge/consensus/membership.py
+++ b/mastledge/consensus/membership.py
@@ -1,25 +1,25 @@
-"""Who is a member of the fleet, and who of them votes."""
+"""Changes of the fleet's members and voters."""
 
 from mastledge.consensus.changes import ChangeKind
 from mastledge.consensus.errors import ChangeRefusedError, RefusalStatus
 from mastledge.consensus.replica_placement import remove_replica
 
-MAX_DEPARTED = 8  # members that left and may still hold a lease
+MAX_DEPARTED = 8  # departed members kept in the state, as they may still hold a lease
 MIN_REDUNDANT, MAX_VOTERS = 3, 7
 
 
 def wanted_voters(count: int) -> int:
-    """Return how many of so many members vote: 3 to 7, and odd.
+    """Return the number of voters among `count` members: odd, 3 to 7, or all of fewer than 3 members.
 
-    An even number needs one more for a majority and survives no more failures.
+    An even number of voters needs a larger majority but tolerates no more failures.
     """
     return count if count < MIN_REDUNDANT else min(MAX_VOTERS, count - 1 + count % 2)
 
 
 def members_after(members: dict[str, dict], change: dict) -> dict[str, dict]:
-    """Return the members after a change of them, committed or not.
+    """Return the members after a membership change, committed or not.
 
-    Raises `ChangeRefusedError` where it does not fit; each member comes to the same.
+    Raise `ChangeRefusedError` if the change does not apply; the result is the same on every member.
     """
     kind, name = change["kind"], change["name"]
     if kind == ChangeKind.ADD_MEMBER:
@@ -30,7 +30,7 @@
     if kind == ChangeKind.REMOVE_MEMBER:
         if len(members) == 1:
             raise ChangeRefusedError(f"{name} is the last member", RefusalStatus.CONFLICT)
-        return {other: one for other, one in members.items() if other != name}
+        return {other: record for other, record in members.items() if other != name}
     if kind == ChangeKind.NEW_INCARNATION:
         return {**members, name: {**member, "life": change["life"], "votes": False}}
     if member["life"] != change["life"] or member["votes"]:
@@ -47,7 +47,7 @@
 
 
 def change_membership(state: dict, change: dict) -> None:
-    """Apply a committed change of the members to the state document."""
+    """Apply a committed membership change to the state document."""
     name, before = change["name"], state["members"]
     after = members_after(before, change)
     if change["kind"] == ChangeKind.REMOVE_MEMBER:
@@ -55,5 +55,5 @@
         state["gone"] = [*state["gone"][1 - MAX_DEPARTED :], departed]
         remove_replica(state, name)
     elif change["kind"] == ChangeKind.ADD_MEMBER:
-        state["gone"] = [one for one in state["gone"] if one["name"] != name]
+        state["gone"] = [former for former in state["gone"] if former["name"] != name]
     state["members"] = after
--- a/mastledge/consensus/observed_state.py
+++ b/mastledge/consensus/observed_state.py
@@ -1,10 +1,10 @@
-"""What members are heard to have promised, so that one whose disk has lost some of it is noticed."""
+"""Terms and log positions seen in messages of members, which reveal a disk that has lost records."""
 
 from typing import NamedTuple
 
 
 class Observation(NamedTuple):
-    """The highest term, and log position, that an incarnation's disk must know."""
+    """The highest term and log position that an incarnation must have on disk."""
 
     incarnation: str
     term: int
@@ -13,25 +13,25 @@
 
 
 class ObservedState:
-    """Observations by the name of the member."""
+    """The observations of each member, by name."""
 
     def __init__(self):
-        """Begin without any."""
+        """Start without observations."""
         self.observations: dict[str, Observation] = {}
 
     def clear(self) -> None:
-        """Another fleet begins."""
+        """Discard all observations, when another fleet starts."""
         self.observations = {}
 
     def of(self, name: str, incarnation: str) -> Observation:
-        """Return what is known of this incarnation; zeros for nothing."""
+        """Return the observation of an incarnation; term and position are 0 if unknown."""
         known = self.observations.get(name)
         if known is not None and known.incarnation == incarnation:
             return known
         return Observation(incarnation, 0, 0, 0)
 
     def record(self, name: str, observed: Observation) -> None:
-        """Take over something heard; the highest of each counts."""
+        """Merge an observation: the highest term and the highest log position are kept."""
         known = self.of(name, observed.incarnation)
         position = max((known.last_term, known.last_index), (observed.last_term, observed.last_index))
         term = max(known.term, observed.term)
--- a/mastledge/consensus/relay_children.py
+++ b/mastledge/consensus/relay_children.py
@@ -1,13 +1,13 @@
-"""The members that hear from this one as their relay. docs/consensus.md has the design and the proof.
-
-- A grant is a time of the receiver's own clock after which, in truth, a majority has heard the leader. A
-  relay that holds such a time may grant to a child the latest time that the child told it before that. So
-  each lease is as good as one of the leader's own, however many relays stand between.
-- A relay reports as applied the least of what it has applied and of what those have that may hold a lease
-  of it (`covered_index`). So a change is in force for the leader once all that it granted to, directly or
-  not, have it or hold no lease granted before it.
-- A new process of a relay does not know whom the one before granted to, and reports nothing for a lease's
-  time.
+"""The members that use this member as their relay. docs/consensus.md has the design and the proof.
+
+- A grant is a reading of the receiver's clock after which a majority has heard from the leader. A relay with
+  such a grant may grant to a child the latest clock reading that the child reported before it. A lease that
+  passed through any number of relays is therefore as safe as one granted by the leader.
+- A relay reports as applied the lowest index among its own and those of the children that may hold a lease
+  from it (`covered_index`). The leader therefore counts a change as in force once all direct and indirect
+  lease holders have applied it or hold no lease granted before it.
+- A new process of a relay does not know which leases the previous process granted, and reports index 0 until
+  those leases have expired.
 """
 
 from dataclasses import dataclass
@@ -19,39 +19,39 @@
 from mastledge.consensus.restriction_sharing import RestrictionSharing
 from mastledge.consensus.timing import LOST_AFTER_HEARTBEATS, SOON_US
 
-MAX_CHILDREN_PER_FAN_OUT = 4  # times the fan-out that one relay takes, while others are away
-MIN_PAUSE_QUARTER_HEARTBEATS = 3  # between two messages to the same child
-CHILD_HEARTBEATS = 2  # of the leader, between two messages to a child that has nothing new to hear
+MAX_CHILDREN_PER_FAN_OUT = 4  # leaves room for the children of relays that are down
+MIN_PAUSE_QUARTER_HEARTBEATS = 3  # minimum interval between messages to one child
+CHILD_HEARTBEATS = 2  # leader heartbeats between messages to a child when nothing is new
 
 
 @dataclass(slots=True)
 class Child:
-    """One that hears from here: the next entry for it, and when it was last spoken to and heard."""
+    """A follower that uses this member as its relay: the next entry to send, and message times."""
 
     next_index: int
     heard_at: int
     due_at: int = 0
     sent_at: int = 0
-    resent_for: int = 0  # the leader's time that its latest refusal was about
+    resent_for: int = 0  # leader's time of the latest message that was resent after a refusal
 
 
 class RelayChildren:
-    """Passes on what this member has applied, with leases as far as its own goes."""
+    """Forwards committed entries to relay children, with leases based on the lease granted to this member."""
 
     def __init__(self, core: Core, lease: LeaseHolder, sharing: RestrictionSharing):
-        """Begin without children."""
+        """Start without children."""
         self.core, self.lease, self.sharing = core, lease, sharing
         self.children: dict[str, Child] = {}
-        self.granted: GrantedLeases | None = None  # leases that came through here
+        self.granted: GrantedLeases | None = None  # leases granted to children
 
     def release(self) -> list[str]:
-        """Have no children any more, and return their names; what was granted to them goes on counting."""
+        """Drop all children and return their names; leases granted to them still count in `covered_index`."""
         names = list(self.children)
         self.children = {}
         return names
 
     def covered_index(self) -> int:
-        """Return the entry up to which nobody acts on older state by a lease that came through here."""
+        """Return the entry that this member and every holder of a lease granted by it have applied."""
         state_machine, now = self.core.state.state_machine, self.core.clock.now
         if state_machine is None:
             return 0
@@ -61,7 +61,7 @@
         if "fan_out" not in state_machine.state:
             return applied
         if now < self.core.clock.started_at + longest_lease_us(self.core.state.lease_us):
-            return 0  # whom the process before has granted to is not known here
+            return 0  # the previous process may have granted leases that are unknown here
         return applied if self.granted is None else self._covered_by_children(applied, now)
 
     def _covered_by_children(self, applied: int, now: int) -> int:
@@ -74,7 +74,7 @@
         return applied
 
     def on_response(self, sender: str, incarnation: str, response: AppendResponse) -> None:
-        """A follower has chosen this one as its relay, or answers it."""
+        """Handle a response from a follower that uses, or wants to use, this member as its relay."""
         state = self.core.state
         if not state.fan_out or not state.knows(sender, incarnation) or not state.is_learner(sender):
             return
@@ -95,7 +95,7 @@
             child.resent_for, child.due_at = response.sent_at, 0
 
     def _child(self, name: str, response: AppendResponse) -> Child | None:
-        """Return a child, a new one where there is room for it."""
+        """Return the child of this name, added if there is room; None if there is no room."""
         if name not in self.children:
             if len(self.children) >= MAX_CHILDREN_PER_FAN_OUT * self.core.state.fan_out:
                 return None
@@ -103,13 +103,13 @@
         return self.children[name]
 
     def hurry(self) -> None:
-        """There is something new for them."""
+        """Send to all children soon, as there is something new for them."""
         pause = self.core.state.heartbeat_us * MIN_PAUSE_QUARTER_HEARTBEATS // 4
         for child in self.children.values():
             child.due_at = min(child.due_at, child.sent_at + pause)
 
     def run(self) -> None:
-        """Tell the children what has been heard here."""
+        """Send to the children whose messages are due."""
         state, roles, now = self.core.state, self.core.roles, self.core.clock.now
         if not state.fan_out or not roles.is_follower() or not roles.leader:
             return
@@ -128,7 +128,7 @@
                 self.sharing.lists.forget(name)
 
     def send_to(self, name: str, child: Child) -> None:
-        """Send what this one has applied, and nothing that is not committed."""
+        """Send a child the committed entries that it lacks, or a snapshot; nothing uncommitted is relayed."""
         state, now = self.core.state, self.core.clock.now
         if child.next_index <= state.log.base_index:
             self._send_snapshot(name, child)
@@ -156,7 +156,7 @@
             child.due_at = now + SOON_US
 
     def _grant(self, name: str) -> int:
-        """Grant a lease to a child, as far as the own one goes; 0 for none."""
+        """Return the start of a child's lease by its clock, limited by this member's grant; 0 for none."""
         state = self.core.state
         if name not in state.state_machine.members or not state.is_admitted():
             return 0
@@ -170,6 +170,6 @@
         child.next_index = state.log.base_index + 1
 
     def wake_times(self) -> list[int]:
-        """Return when a child has to be spoken to."""
+        """Return the times at which messages to children are due."""
         soonest = self.core.clock.now + SOON_US
         return [max(soonest, child.due_at) for child in self.children.values()]
--- a/mastledge/consensus/relay_choice.py
+++ b/mastledge/consensus/relay_choice.py
@@ -1,4 +1,4 @@
-"""The relay that a follower hears from, and its search for another one when nothing new comes from it."""
+"""The choice of a follower's relay, and the switch to another relay when the current one falls silent."""
 
 from collections.abc import Callable
 
@@ -8,13 +8,13 @@
 from mastledge.consensus.relay_tree import EffectiveTree, RelayTree
 from mastledge.consensus.restriction_sharing import RestrictionSharing
 
-RELAY_TIMEOUT_HALF_HEARTBEATS = 5  # without the leader, after which a follower of the first level looks
-LEVEL_TIMEOUT_HEARTBEATS = 1  # more for each level below, as the one above may find another relay first
-RETURN_US = 20_000_000  # half to one and a half of it after a move, the first relay is tried again
+RELAY_TIMEOUT_HALF_HEARTBEATS = 5  # without contact, until a follower of level 1 tries another relay
+LEVEL_TIMEOUT_HEARTBEATS = 1  # added per further level, so that the level above can switch relays first
+RETURN_US = 20_000_000  # mean time until the preferred relay is tried again; drawn from 0.5 to 1.5 of it
 
 
 class RelayChoice:
-    """Which relay this member has told that it wants to hear from it."""
+    """The relay that this member follows."""
 
     def __init__(
         self,
@@ -24,37 +24,37 @@
         sharing: RestrictionSharing,
         ask_members: Callable[[], None],
     ):
-        """Begin without a relay; `ask_members` has the leader speak to this member itself for a while."""
+        """Start without a relay; `ask_members` makes the leader send to this member directly for a while."""
         self.core, self.draws, self.sharing = core, draws, sharing
         self.acknowledgements, self.ask_members = acknowledgements, ask_members
         self.relay: str | None = None
         self.joined_at = core.clock.now
-        self.failed_relays = 0  # tried one after the other since the leader was last heard of
-        self.latest_contact = (0, 0)  # term and time of the leader
+        self.failed_relays = 0  # tried in a row without news from the leader
+        self.latest_contact = (0, 0)  # (term, leader's time) of the latest relayed message
         self.leader_heard_at = core.clock.now
         self.relay_has_spoken = False
         self._tree = EffectiveTree()
 
     def forget(self) -> None:
-        """Relays are turned off, or another fleet begins."""
+        """Reset the choice when relays are turned off or another fleet starts."""
         self.relay, self.latest_contact, self.relay_has_spoken = None, (0, 0), False
 
     def leave(self) -> None:
-        """Hear from no relay, as this member leads."""
+        """Follow no relay, as this member leads."""
         self.relay = None
 
     def tree(self) -> RelayTree:
-        """Return the levels of the fleet."""
+        """Return the relay tree of the current members."""
         return self._tree.of(self.core.state.members(), self.core.state.fan_out)
 
     def hears_relays(self) -> bool:
-        """Return whether this member is a follower that is to hear from a relay."""
+        """Return whether this member is a follower that should use a relay."""
         state = self.core.state
         is_learner = self.core.roles.is_follower() and not state.is_voter()
         return bool(state.fan_out) and is_learner and state.is_admitted()
 
     def run(self) -> None:
-        """Choose a relay, and another one when it is time."""
+        """Choose a relay, switch to the next one after a timeout, or return to the preferred one."""
         if not self.hears_relays():
             return
         now = self.core.clock.now
@@ -66,7 +66,7 @@
         elif now > self._timeout_at():
             self._try_next(relays)
         elif self.relay != relays[0] and now > self.joined_at + int(RETURN_US * (0.5 + self.draws.next())):
-            # The first one may be back by now, and each has its part of the followers.
+            # The preferred relay may be back; returning to it keeps the followers spread evenly.
             self._join(relays[0])
 
     def _timeout_at(self) -> int:
@@ -84,14 +84,14 @@
         self._join(relays[(relays.index(self.relay) + 1) % len(relays)])
 
     def _join(self, relay: str) -> None:
-        """Say to a relay that this one wants to hear from it."""
+        """Switch to a relay and ask it to send to this member."""
         if self.relay is not None and self.relay != relay:
             self.sharing.lists.forget(self.relay)
         self.relay, self.joined_at, self.relay_has_spoken = relay, self.core.clock.now, False
         self.acknowledgements.send(relay, success=False, sent_at=0)
 
     def on_relayed(self, sender: str, term: int, leader_time: int) -> None:
-        """A relay has passed on a message of the leader; a repeated one does not count."""
+        """Record a relayed message of the leader; a repeated message does not count as contact."""
         if sender != self.relay:
             return
         self.relay_has_spoken = True
@@ -103,11 +103,11 @@
             )
 
     def is_answered(self, sender: str, is_relayed: bool) -> bool:
-        """Return whether a message is answered; a former relay stops speaking once it hears nothing more."""
+        """Return whether to answer a message; a former relay stops sending once it gets no more answers."""
         return not is_relayed or sender == self.relay or not self.relay_has_spoken
 
     def wake_times(self) -> list[int]:
-        """Return when another relay has to be looked for."""
+        """Return the time at which another relay has to be tried."""
         if self.relay is None or not self.hears_relays():
             return []
         return [self._timeout_at() + 1]
--- a/mastledge/consensus/relay_tree.py
+++ b/mastledge/consensus/relay_tree.py
@@ -1,7 +1,7 @@
-"""Who may hear from whom: the levels of a fleet with relays.
+"""The tree of relays: which members may relay for which followers.
 
-Voters are the first level. Below them the followers form levels, each `fan_out` times as wide as the one
-above; who stands in one level hears from one member of the level above.
+Voters form level 0. The followers form further levels, each `fan_out` times as wide as the level above; each
+member of a level uses one member of the level above as its relay.
 """
 
 from typing import NamedTuple
@@ -9,20 +9,20 @@
 
 
 class Place(NamedTuple):
-    """Where a member stands: its level, 0 for voters, and its position there."""
+    """The position of a member in the tree: its level, 0 for voters, and its index within the level."""
 
     level: int
     position: int
 
 
-FIRST_PLACE = Place(0, 0)  # also of who is no member
+FIRST_PLACE = Place(0, 0)  # also used for names that are not members
 
 
 class RelayTree:
-    """By the members alone, so that it is the same at each member."""
+    """The levels of a fleet; they depend only on the members, so every member computes the same tree."""
 
     def __init__(self, members: dict[str, dict], fan_out: int):
-        """Make the levels of these members."""
+        """Compute the levels of these members."""
         self.fan_out = fan_out
         voters = sorted(name for name, member in members.items() if member["votes"])
         followers = sorted(set(members) - set(voters), key=lambda name: (crc32(name.encode()), name))
@@ -36,42 +36,42 @@
             for level, names in enumerate(self.levels)
             for position, name in enumerate(names)
         }
-        self._latest: dict[tuple[str, str | None], list[str]] = {}
+        self._cached_relays: dict[tuple[str, str | None], list[str]] = {}  # of the latest (name, leader)
 
     def level(self, name: str) -> int:
-        """Return 0 for voters and for who is no member, 1 for those who hear from voters, and so on."""
+        """Return the level of a member; 0 for voters and for names that are not members."""
         return self.places.get(name, FIRST_PLACE).level
 
     def relays(self, name: str, leader: str | None) -> list[str]:
-        """Return those from whom a follower may hear, the first to be tried first."""
-        if (name, leader) not in self._latest:
-            self._latest = {(name, leader): self._relays_of(name, leader)}
-        return self._latest[name, leader]
+        """Return the relays that a follower may use, the preferred one first."""
+        if (name, leader) not in self._cached_relays:
+            self._cached_relays = {(name, leader): self._relays_of(name, leader)}
+        return self._cached_relays[name, leader]
 
     def _relays_of(self, name: str, leader: str | None) -> list[str]:
         level, position = self.places.get(name, FIRST_PLACE)
         above = self.levels[level - 1] if level else []
         if not above:
             return []
-        first = above[position % len(above)]
+        preferred = above[position % len(above)]
         others = sorted(
-            (other for other in above if other != first),
+            (other for other in above if other != preferred),
             key=lambda other: (crc32(f"{other} {name}".encode()), other),
         )
-        # The leader has the voters to speak to, and another one takes its place.
-        return [other for other in (first, *others) if other != leader] or [first]
+        # The leader sends to the voters and relays for nobody, unless there is no other relay.
+        return [other for other in (preferred, *others) if other != leader] or [preferred]
 
 
 class EffectiveTree:
-    """The tree of the members as they are, made anew when they change."""
+    """The relay tree of the current members, recomputed when the members or the fan-out change."""
 
     def __init__(self):
-        """Begin without a tree."""
+        """Start with an empty tree."""
         self._members: dict[str, dict] | None = None
         self._tree = RelayTree({}, 0)
 
     def of(self, members: dict[str, dict], fan_out: int) -> RelayTree:
-        """Return the tree; `members` is the same object for as long as they are the same."""
+        """Return the tree; `members` must be a new object whenever the members change."""
         if self._members is not members or self._tree.fan_out != fan_out:
             self._members, self._tree = members, RelayTree(members, fan_out)
         return self._tree
--- a/mastledge/consensus/replica_placement.py
+++ b/mastledge/consensus/replica_placement.py
@@ -1,32 +1,32 @@
-"""Which dispatchers are replicas of keys: its part of the state document ("copies"). See docs/replication.md.
+"""The placement of key replicas on dispatchers ("copies" in the state document). See docs/replication.md.
 
-"now" are the replicas that count, "next" those that are to, once each of them is in "caught"; "starts" is how
-often each data directory was opened; "after" is the count of replicas of each key that "next" brings.
+"now" holds the current replicas, "next" those that replace them once all of them are in "caught"; "starts" is
+the directory id and start count of each dispatcher; "after" is the replica count per key that "next" brings.
 """
 
 from mastledge.consensus.errors import ChangeRefusedError, RefusalStatus
 
 
 def start_replica(state: dict, change: dict) -> None:
-    """Apply that a dispatcher has opened its replica directory for the `starts`th time.
+    """Record that a dispatcher has opened its replica directory for the `starts`th time.
 
-    Another id stands for an empty directory.
+    A new directory id means that the directory was empty. Raise `ChangeRefusedError` for an outdated copy.
     """
-    name, directory, starts = change["name"], change["id"], change["starts"]
+    name, directory_id, starts = change["name"], change["id"], change["starts"]
     if name not in state["members"]:
         raise ChangeRefusedError(f"{name} is no member", RefusalStatus.CONFLICT)
     placement = state.setdefault("copies", _empty_placement(change["count"]))
     known = placement["starts"].get(name)
-    if known is not None and known[0] == directory and known[1] >= starts:
+    if known is not None and known[0] == directory_id and known[1] >= starts:
         reason = f"the folder of {name} is old: it was opened {known[1]} times, not {starts - 1}"
         raise ChangeRefusedError(reason, RefusalStatus.CONFLICT)
-    placement["starts"][name] = [directory, starts]
+    placement["starts"][name] = [directory_id, starts]
     if not placement["epoch"]:
         _begin_if_enough(state, placement)
         return
     latest = placement["next"] or placement["now"]
-    if latest.get(name) != directory:
-        _begin_epoch(placement, {**latest, name: directory})
+    if latest.get(name) != directory_id:
+        _begin_epoch(placement, {**latest, name: directory_id})
 
 
 def _empty_placement(count: int) -> dict:
@@ -34,21 +34,21 @@
 
 
 def _begin_if_enough(state: dict, placement: dict) -> None:
-    """Begin the first epoch once as many replicas are there as have to hold each key."""
+    """Start the first epoch once there are enough replicas to hold each key."""
     if len(placement["starts"]) >= min(placement["count"], len(state["members"])):
         placement["epoch"] = 1
         placement["now"] = {name: start[0] for name, start in placement["starts"].items()}
 
 
 def _begin_epoch(placement: dict, latest: dict[str, str]) -> None:
-    """Have other replicas from here on; the old ones count until each new one has caught up."""
+    """Start an epoch with new replicas; the old ones stay in force until every new one has caught up."""
     placement["epoch"] += 1
     differs = latest != placement["now"] or "after" in placement
     placement["next"], placement["caught"] = (latest if differs else None), []
 
 
 def remove_replica(state: dict, name: str) -> None:
-    """Take a member that leaves from the replicas."""
+    """Remove a departing member from the replicas."""
     placement = state.get("copies")
     if placement is None:
         return
@@ -60,7 +60,7 @@
 
 
 def change_replica_count(state: dict, change: dict) -> None:
-    """Apply another count of replicas of each key: the same dispatchers hold more of them, or fewer."""
+    """Change the number of replicas per key; the set of dispatchers that hold replicas stays the same."""
     placement, count = state.get("copies"), change["count"]
     if placement is None:
         raise ChangeRefusedError("no dispatcher holds copies of keys", RefusalStatus.CONFLICT)
@@ -76,7 +76,7 @@
 
 
 def complete_catch_up(state: dict, change: dict) -> None:
-    """Apply that a replica of the next epoch has read all that it is to hold."""
+    """Record that a replica of the next epoch has copied its keys; the last one completes the epoch."""
     placement, name = state.get("copies"), change["name"]
     if placement is None or placement["epoch"] != change["epoch"] or placement["next"] is None:
         raise ChangeRefusedError("the holders have changed since", RefusalStatus.CONFLICT)
--- a/mastledge/consensus/restriction_sharing.py
+++ b/mastledge/consensus/restriction_sharing.py
@@ -1,4 +1,4 @@
-"""Restrictions of workers that members tell one another, on their way to the host."""
+"""Exchange of worker restrictions between members, and their delivery to the host."""
 
 from mastledge.consensus.messages import WorkerRestrictions
 from mastledge.consensus.outbox import Outbox
@@ -7,25 +7,25 @@
 
 
 class RestrictionSharing:
-    """With relays, what each member knows of each list goes with the heartbeats, whichever way it is new."""
+    """Shares worker restrictions; with relays, heartbeats and responses carry the known list generations."""
 
     def __init__(self, state: RaftState, outbox: Outbox):
-        """Begin without lists."""
+        """Start without lists."""
         self.state, self.outbox = state, outbox
         self.lists = ListExchange()
 
     def deliver(self, restrictions: WorkerRestrictions) -> None:
-        """Take over what another member tells; the host hears what is new to it."""
+        """Apply restrictions from another member and deliver the new ones to the host."""
         new = self.lists.receive(restrictions) if self.state.fan_out else restrictions
         if new is not None:
             self.outbox.deliver_restrictions(new)
 
     def generations(self) -> dict[str, int]:
-        """Return up to which generation each list is known here, where that is told at all."""
+        """Return the known generation of each list; empty without relays, where generations are not sent."""
         return self.lists.generations() if self.state.fan_out else {}
 
     def answer_report(self, name: str, generations: dict[str, int]) -> None:
-        """The sender of a heartbeat is told what it could have heard the last time and has not."""
+        """Record the generations that a peer reported, and send it the restrictions that it still lacks."""
         self.lists.record_report(name, generations)
         for restrictions in self.lists.restrictions_for(name):
             self.outbox.send(name, restrictions)
--- a/mastledge/consensus/settings_history.py
+++ b/mastledge/consensus/settings_history.py
@@ -1,19 +1,22 @@
-"""The settings of the fleet, and the versions of them that can be gone back to."""
+"""Changes of the fleet's settings, and the earlier versions that can be restored."""
 
 from mastledge.consensus.errors import ChangeRefusedError, RefusalStatus, SettingsPatchError
 from mastledge.consensus.settings_patch import patched
 
-MAX_DOCUMENTS = 16
+MAX_DOCUMENTS = 16  # versions of the settings that are kept
 
 
 def change_settings(state: dict, change: dict) -> None:
-    """Apply a committed settings document; it has to name the version that it follows."""
+    """Apply a committed settings document; raise `ChangeRefusedError` if it expects another version."""
     _check_expected(state, change)
     _replace(state, change["settings"])
 
 
 def patch_settings(state: dict, change: dict) -> None:
-    """Apply a committed patch of the settings; a path that is not there refuses all of it."""
+    """Apply a committed patch of the settings.
+
+    Raise `ChangeRefusedError` if the patch expects another version or a path does not exist.
+    """
     _check_expected(state, change)
     try:
         settings = patched(state["settings"], change["changes"])
@@ -31,7 +34,7 @@
 
 
 def _replace(state: dict, settings: dict) -> None:
-    version = state["version"] + 1  # the one that this change makes
+    version = state["version"] + 1  # the version after this change
     state["settings"], state["settings_version"] = settings, version
     state["documents"][str(version)] = settings
     for old in sorted(state["documents"], key=int)[:-MAX_DOCUMENTS]:
--- a/mastledge/consensus/worker_restrictions.py
+++ b/mastledge/consensus/worker_restrictions.py
@@ -1,7 +1,7 @@
-"""Which workers an endpoint list keeps from new jobs, and who has to hear of it.
+"""Workers that an endpoint list restricts, which get no new jobs, and how members share restrictions.
 
-A dispatcher keeps off the workers that a newer list than its own restricts. A newer list never lets anybody
-in: a worker that it has as ready is only no longer kept off by what it said before.
+A dispatcher sends no new jobs to a worker that a peer's newer list restricts. A peer's list never admits a
+worker: a worker that is ready there only loses the restrictions from earlier states of that list.
 """
 
 from collections.abc import Sequence
@@ -11,12 +11,12 @@
 from mastledge.consensus.messages import WorkerRestrictions
 
 READY = "ready"  # the state of a worker that gets new jobs
-MAX_REGISTRIES = 8  # whose lists are passed on; one for each discovery that dispatchers go by
-MAX_RESTRICTED = 4096  # workers that are draining or gone; the oldest ones are forgotten beyond that
+MAX_REGISTRIES = 8  # registries whose lists are shared; one for each discovery source
+MAX_RESTRICTED = 4096  # workers kept as draining or gone; beyond that the oldest are dropped
 
 
 class ListUpdateKind(StrEnum):
-    """What a registry has told: its whole list, the one that was kept of the last run, or a change."""
+    """The kind of an update: the whole list, the list saved by the previous run, or changes to the list."""
 
     WHOLE = "whole"
     CACHED = "cached"
@@ -27,23 +27,23 @@
 
 
 class OwnRestrictions:
-    """Whom the list of a dispatcher's own registry restricts."""
+    """The workers that the endpoint list of this dispatcher's registry restricts."""
 
     def __init__(self):
-        """Begin without a list."""
+        """Start without a list."""
         self.restricted: dict[str, str] = {}
         self.generation = 0
 
     def update(self, kind: str, entries: WorkerStates, generation: int | None) -> bool:
-        """Take over a whole list or a change; return whether it is a newer one.
+        """Apply a whole list or changes; return whether the list is newer than before.
 
-        `generation` is that of the list, None where it is not known.
+        `generation` is the generation of the list, None if unknown.
         """
         if kind == ListUpdateKind.WHOLE:
-            # Who is not named any more may be gone, and stays restricted.
-            named = {worker for worker, _ in entries}
+            # A restricted worker that is missing from the list may be gone, so it stays restricted.
+            listed = {worker for worker, _ in entries}
             self.restricted = {
-                worker: state for worker, state in self.restricted.items() if worker not in named
+                worker: state for worker, state in self.restricted.items() if worker not in listed
             }
         for worker, state in entries:
             self._set_state(worker, state)
@@ -61,36 +61,36 @@
             del self.restricted[next(iter(self.restricted))]
 
     def to_message(self, registry: str) -> WorkerRestrictions:
-        """Return what others of the same registry have to hear."""
+        """Return the message that shares these restrictions with members that use the same registry."""
         return WorkerRestrictions(registry, self.generation, sorted(self.restricted.items()))
 
     def kept_off_by(self, restrictions: WorkerRestrictions | None) -> frozenset[str]:
-        """Return whom another's list keeps off here: nobody once the own list is as new."""
+        """Return the workers that a peer's list restricts here; none once the local list is as new."""
         if restrictions is None or restrictions.generation <= self.generation:
             return frozenset()
         return frozenset(worker for worker, _ in restrictions.workers)
 
 
 class WorkerChange(NamedTuple):
-    """The state that a worker has come to, and the generation of the list that it came with."""
+    """The latest state of a worker, and the list generation that set it."""
 
     state: str
     generation: int
 
 
 class ListKnowledge:
-    """What is known of one registry's list, by the own watch or by others: who has changed since when."""
+    """The known state of one registry's list, from the local watch or from peers, with recent changes."""
 
     def __init__(self):
-        """Begin without a list."""
+        """Start without a list."""
         self.generation = 0
-        self.oldest_generation = 0  # who has not heard this one gets all that are restricted
-        self.changes: dict[str, WorkerChange] = {}  # the latest one last
+        self.oldest_generation = 0  # members behind this one get all restricted workers
+        self.changes: dict[str, WorkerChange] = {}  # in order of change
 
     def update_own(self, kind: str, entries: WorkerStates, generation: int) -> None:
-        """Take over what the own registry has told, a list or a change of it."""
+        """Apply a list or changes from the local registry."""
         if generation < self.generation or kind == ListUpdateKind.CHANGES and not self.generation:
-            return  # nobody knows what a change alone follows
+            return  # changes cannot be applied without the list before them
         if kind == ListUpdateKind.CHANGES:
             self._record(entries, generation)
         else:
@@ -98,14 +98,14 @@
         self.generation = generation
 
     def _replace(self, entries: WorkerStates, generation: int) -> None:
-        named = {worker for worker, _ in entries}
-        unnamed = {
+        listed = {worker for worker, _ in entries}
+        unlisted = {
             worker: WorkerChange(state, generation)
             for worker, (state, _) in self.changes.items()
-            if worker not in named and state != READY
+            if worker not in listed and state != READY
         }
         restricted = {worker: WorkerChange(state, generation) for worker, state in entries if state != READY}
-        self.changes, self.oldest_generation = {**unnamed, **restricted}, generation
+        self.changes, self.oldest_generation = {**unlisted, **restricted}, generation
 
     def _record(self, entries: WorkerStates, generation: int) -> None:
         for worker, state in entries:
@@ -116,7 +116,7 @@
             self.oldest_generation = max(self.oldest_generation, self.changes.pop(oldest).generation)
 
     def receive(self, restrictions: WorkerRestrictions) -> bool:
-        """Take over what another member tells; return whether that was new here."""
+        """Apply restrictions from another member; return whether they were new."""
         if restrictions.generation <= self.generation or restrictions.since > self.generation:
             return False
         if not restrictions.since:
@@ -126,38 +126,42 @@
         return True
 
     def since(self, generation: int, registry: str) -> WorkerRestrictions:
-        """Return what a member has to hear that knows a generation."""
+        """Return the message that brings a member from `generation` to the current generation."""
         if generation < self.oldest_generation or not generation:
             workers = [(worker, state) for worker, (state, _) in self.changes.items() if state != READY]
             return WorkerRestrictions(registry, self.generation, workers)
-        workers = [(worker, state) for worker, (state, at) in self.changes.items() if at > generation]
+        workers = [
+            (worker, state) for worker, (state, changed_at) in self.changes.items() if changed_at > generation
+        ]
         return WorkerRestrictions(registry, self.generation, workers, generation)
 
     def restricted_since(self, generation: int, registry: str) -> WorkerRestrictions:
-        """Return who is restricted by what came after a generation, for the own host."""
+        """Return the restrictions set after `generation`, for the local host."""
         workers = [
             (worker, state)
-            for worker, (state, at) in self.changes.items()
-            if state != READY and at > generation
+            for worker, (state, changed_at) in self.changes.items()
+            if state != READY and changed_at > generation
         ]
         return WorkerRestrictions(registry, self.generation, sorted(workers))
 
 
 class ListExchange:
-    """What a member knows of lists, and what each of those that it speaks to knows.
+    """The known lists of a member, and the generations that its peers have reported.
 
-    Nothing is told to who was not behind the last time: mostly its own watch tells it meanwhile.
+    A peer gets a list only if it is still behind what it was offered before: usually its own watch is faster.
     """
 
     def __init__(self):
-        """Begin without lists."""
+        """Start without lists."""
         self.registries: dict[str, ListKnowledge] = {}
-        self.peer_generations: dict[str, dict[str, int]] = {}  # as each peer has reported them
-        self.offered_generations: dict[str, dict[str, int]] = {}  # as they were here when it was last told
-        self.own_generations: dict[str, int] = {}  # as the own registry has told them
+        self.peer_generations: dict[str, dict[str, int]] = {}  # latest report of each peer
+        self.offered_generations: dict[
+            str, dict[str, int]
+        ] = {}  # local generations when each peer was last considered
+        self.own_generations: dict[str, int] = {}  # latest from the local registry
 
     def update_own(self, registry: str, kind: str, entries: WorkerStates, generation: int | None) -> None:
-        """Take over what the own registry has told; nothing where the generation is not known."""
+        """Apply an update from the local registry; ignore it if the generation is unknown."""
         if generation is None or kind not in (
             ListUpdateKind.WHOLE,
             ListUpdateKind.CACHED,
@@ -175,7 +179,7 @@
         return self.registries[registry]
 
     def receive(self, restrictions: WorkerRestrictions) -> WorkerRestrictions | None:
-        """Take over what another member tells; return what is new to the own host, None if nothing is."""
+        """Apply restrictions from another member; return those new to the local host, None if not new."""
         registry = restrictions.registry
         known = self._list_of(registry)
         if not known.receive(restrictions):
@@ -183,24 +187,24 @@
         return known.restricted_since(self.own_generations.get(registry, 0), registry)
 
     def generations(self) -> dict[str, int]:
-        """Return up to which generation each list is known here."""
+        """Return the known generation of each list, by registry."""
         return {registry: known.generation for registry, known in self.registries.items()}
 
     def record_report(self, name: str, generations: dict[str, int]) -> None:
-        """Take over up to which generation another member knows each list."""
+        """Record the list generations that another member has reported."""
         self.peer_generations[name] = generations
 
     def restrictions_for(self, name: str) -> list[WorkerRestrictions]:
-        """Return what to tell a member that is still behind what it could have heard the last time."""
+        """Return the restrictions for a member that is still behind the generations it was offered before."""
         known, offered = self.peer_generations.get(name, {}), self.offered_generations.get(name, {})
         self.offered_generations[name] = self.generations()
         return [
-            one.since(known.get(registry, 0), registry)
-            for registry, one in self.registries.items()
+            knowledge.since(known.get(registry, 0), registry)
+            for registry, knowledge in self.registries.items()
             if known.get(registry, 0) < offered.get(registry, 0)
         ]
 
     def forget(self, name: str) -> None:
-        """A member is not spoken to any more."""
+        """Forget a member that gets no more messages."""
         self.peer_generations.pop(name, None)
         self.offered_generations.pop(name, None)
