--- a/mastledge/consensus/bootstrap.py
+++ b/mastledge/consensus/bootstrap.py
@@ -175,7 +175,7 @@
             self._begin_if_all_are_ready()
 
     def _begin_if_all_are_ready(self) -> None:
-        """Form a fleet if all configured members are present without one; only the first name does so."""
+        """Form a fleet if no configured member has one and all are present; only the first name does so."""
         state, configured = self.core.state, self.discovery.configured
         if not self.discovery.may_bootstrap or state.name not in configured or state.name != min(configured):
             return
--- a/mastledge/consensus/heartbeats.py
+++ b/mastledge/consensus/heartbeats.py
@@ -10,9 +10,7 @@
 from mastledge.consensus.restriction_sharing import RestrictionSharing
 from mastledge.consensus.timing import HEARTBEATS_PER_LEASE, LEARNER_HEARTBEATS_PER_LEASE, SOON_US
 
-HEARTBEATS_TO_LEARNER = (
-    HEARTBEATS_PER_LEASE // LEARNER_HEARTBEATS_PER_LEASE
-)  # heartbeats to voters per heartbeat to a learner
+HEARTBEATS_TO_LEARNER = HEARTBEATS_PER_LEASE // LEARNER_HEARTBEATS_PER_LEASE  # interval in heartbeats
 
 
 class HeartbeatContents:
--- a/mastledge/consensus/leases.py
+++ b/mastledge/consensus/leases.py
@@ -62,7 +62,7 @@
         self.holders: dict[str, Holder] = {}
 
     def holder(self, name: str) -> Holder:
-        """Return the entry of a member, which is created if missing."""
+        """Return the holder of this name, created if missing."""
         if name not in self.holders:
             self.holders[name] = Holder(self.began_at + longest_lease_us(self.lease_us))
         return self.holders[name]
--- a/mastledge/consensus/relay_children.py
+++ b/mastledge/consensus/relay_children.py
@@ -51,7 +51,7 @@
         return names
 
     def covered_index(self) -> int:
-        """Return the entry that this member and every holder of a lease granted by it have applied."""
+        """Return an index such that neither this member nor its lease holders act on an older state."""
         state_machine, now = self.core.state.state_machine, self.core.clock.now
         if state_machine is None:
             return 0
