--- a/mastledge/consensus/relay_tree.py
+++ b/mastledge/consensus/relay_tree.py
@@ -15,7 +15,7 @@
     position: int
 
 
-FIRST_PLACE = Place(0, 0)  # also used for names that are not members
+DEFAULT_PLACE = Place(0, 0)  # also used for names that are not members
 
 
 class RelayTree:
@@ -40,7 +40,7 @@
 
     def level(self, name: str) -> int:
         """Return the level of a member; 0 for voters and for names that are not members."""
-        return self.places.get(name, FIRST_PLACE).level
+        return self.places.get(name, DEFAULT_PLACE).level
 
     def relays(self, name: str, leader: str | None) -> list[str]:
         """Return the relays that a follower may use, the preferred one first."""
@@ -49,7 +49,7 @@
         return self._cached_relays[name, leader]
 
     def _relays_of(self, name: str, leader: str | None) -> list[str]:
-        level, position = self.places.get(name, FIRST_PLACE)
+        level, position = self.places.get(name, DEFAULT_PLACE)
         above = self.levels[level - 1] if level else []
         if not above:
             return []
@@ -58,7 +58,7 @@
             (other for other in above if other != preferred),
             key=lambda other: (crc32(f"{other} {name}".encode()), other),
         )
-        # The leader sends to the voters and relays for nobody, unless there is no other relay.
+        # The leader already sends to the voters, so it serves as a relay only if there is no other.
         return [other for other in (preferred, *others) if other != leader] or [preferred]
 
 
