--- a/mastledge/consensus/bootstrap.py
+++ b/mastledge/consensus/bootstrap.py
@@ -86,7 +86,7 @@
         self.discovery.record_contact(sender, incarnation, response)
         if self.phase != Phase.DISCOVERING or not state.fleet or response.empty:
             return
-        if self._knows_more(response):
+        if self._is_disk_stale(response):
             self._begin_incarnation(sender, response)
         elif self._has_majority():
             self.phase = Phase.PARTICIPATING
@@ -94,7 +94,7 @@
                 "joined", life=state.incarnation, term=state.term, last=state.log.last_index
             )
 
-    def _knows_more(self, response: DiscoverResponse) -> bool:
+    def _is_disk_stale(self, response: DiscoverResponse) -> bool:
         """Return whether this incarnation has acknowledged a term or entry that its disk lacks."""
         log = self.core.state.log
         observed = response.observed_last_term, response.observed_last_index
@@ -145,7 +145,7 @@
     def join_fleet_of(self, sender: str) -> bool:
         """Join the fleet whose leader sent a snapshot; return whether the id of that fleet is known."""
         state = self.core.state
-        fleet = self.discovery.fleet_told_by(sender)
+        fleet = self.discovery.reported_fleet(sender)
         if not fleet:
             return False
         state.join(fleet)
--- a/mastledge/consensus/discovery.py
+++ b/mastledge/consensus/discovery.py
@@ -97,7 +97,7 @@
             others = [*others[start:], *others[:start]][:LEARNERS_AT_ONCE]
         return sorted({*always, *others})
 
-    def fleet_told_by(self, name: str) -> str:
+    def reported_fleet(self, name: str) -> str:
         """Return the fleet id reported by this member, else by any other; "" if none was reported."""
         response = self.responses.get(name)
         if response is not None and response.fleet:
