--- a/mastledge/consensus/relay_children.py
+++ b/mastledge/consensus/relay_children.py
@@ -32,7 +32,7 @@
     heard_at: int
     due_at: int = 0
     sent_at: int = 0
-    resent_for: int = 0  # leader's time of the latest message that was resent after a refusal
+    resent_message_time: int = 0  # leader's time of the latest message that was resent after a refusal
 
 
 class RelayChildren:
@@ -91,8 +91,8 @@
             child.next_index = max(child.next_index, persisted + 1)
             return
         child.next_index = max(1, min(response.commit_index, state.commit_index) + 1)
-        if not response.sent_at or child.resent_for != response.sent_at:
-            child.resent_for, child.due_at = response.sent_at, 0
+        if not response.sent_at or child.resent_message_time != response.sent_at:
+            child.resent_message_time, child.due_at = response.sent_at, 0
 
     def _child(self, name: str, response: AppendResponse) -> Child | None:
         """Return the child of this name, added if there is room; None if there is no room."""
--- a/mastledge/consensus/replication_progress.py
+++ b/mastledge/consensus/replication_progress.py
@@ -13,7 +13,7 @@
         self.next_index: dict[str, int] = {}  # index of the next entry to send
         self.match_index: dict[str, int] = {}  # the member has persisted this log up to here
         self.heartbeat_at: dict[str, int] = {}  # due time of the next heartbeat
-        self._resent_for: dict[str, int] = {}  # sent_at of the latest message that was resent after a refusal
+        self._resent_message_time: dict[str, int] = {}  # sent_at of the latest message resent after a refusal
 
     def hurry(self) -> None:
         """Make the next heartbeat to every member due at once."""
@@ -40,8 +40,8 @@
         """Step back to the member's commit index, as its log does not match the entries that were sent."""
         previous = min(response.commit_index, self.next_index.get(name, 1) - 1, self.state.log.last_index)
         self.next_index[name] = max(1, previous + 1)
-        if response.sent_at and self._resent_for.get(name) != response.sent_at:
-            self._resent_for[name] = response.sent_at
+        if response.sent_at and self._resent_message_time.get(name) != response.sent_at:
+            self._resent_message_time[name] = response.sent_at
             self.schedule(name, 0)
 
     def on_success(self, name: str, response: AppendResponse) -> None:
