--- a/mastledge/consensus/relay_choice.py
+++ b/mastledge/consensus/relay_choice.py
@@ -10,7 +10,7 @@
 
 RELAY_TIMEOUT_HALF_HEARTBEATS = 5  # without contact, until a follower of level 1 tries another relay
 LEVEL_TIMEOUT_HEARTBEATS = 1  # added per further level, so that the level above can switch relays first
-RETURN_US = 20_000_000  # mean time until the preferred relay is tried again; drawn from 0.5 to 1.5 of it
+PREFERRED_RELAY_RETRY_US = 20_000_000  # mean delay before returning; drawn from 0.5 to 1.5 of it
 
 
 class RelayChoice:
@@ -32,12 +32,12 @@
         self.failed_relays = 0  # tried in a row without news from the leader
         self.latest_contact = (0, 0)  # (term, leader's time) of the latest relayed message
         self.leader_heard_at = core.clock.now
-        self.relay_has_spoken = False
+        self.relay_has_sent = False
         self._tree = EffectiveTree()
 
     def forget(self) -> None:
         """Reset the choice when relays are turned off or another fleet starts."""
-        self.relay, self.latest_contact, self.relay_has_spoken = None, (0, 0), False
+        self.relay, self.latest_contact, self.relay_has_sent = None, (0, 0), False
 
     def leave(self) -> None:
         """Follow no relay, as this member leads."""
@@ -47,7 +47,7 @@
         """Return the relay tree of the current members."""
         return self._tree.of(self.core.state.members(), self.core.state.fan_out)
 
-    def hears_relays(self) -> bool:
+    def uses_relay(self) -> bool:
         """Return whether this member is a follower that should use a relay."""
         state = self.core.state
         is_learner = self.core.roles.is_follower() and not state.is_voter()
@@ -55,7 +55,7 @@
 
     def run(self) -> None:
         """Choose a relay, switch to the next one after a timeout, or return to the preferred one."""
-        if not self.hears_relays():
+        if not self.uses_relay():
             return
         now = self.core.clock.now
         relays = self.tree().relays(self.core.state.name, self.core.roles.leader)
@@ -65,7 +65,9 @@
             self._join(relays[0])
         elif now > self._timeout_at():
             self._try_next(relays)
-        elif self.relay != relays[0] and now > self.joined_at + int(RETURN_US * (0.5 + self.draws.next())):
+        elif self.relay != relays[0] and now > self.joined_at + int(
+            PREFERRED_RELAY_RETRY_US * (0.5 + self.draws.next())
+        ):
             # The preferred relay may be back; returning to it keeps the followers spread evenly.
             self._join(relays[0])
 
@@ -87,14 +89,14 @@
         """Switch to a relay and ask it to send to this member."""
         if self.relay is not None and self.relay != relay:
             self.sharing.lists.forget(self.relay)
-        self.relay, self.joined_at, self.relay_has_spoken = relay, self.core.clock.now, False
+        self.relay, self.joined_at, self.relay_has_sent = relay, self.core.clock.now, False
         self.acknowledgements.send(relay, success=False, sent_at=0)
 
     def on_relayed(self, sender: str, term: int, leader_time: int) -> None:
         """Record a relayed message of the leader; a repeated message does not count as contact."""
         if sender != self.relay:
             return
-        self.relay_has_spoken = True
+        self.relay_has_sent = True
         if (term, leader_time) > self.latest_contact:
             self.latest_contact, self.leader_heard_at, self.failed_relays = (
                 (term, leader_time),
@@ -104,10 +106,10 @@
 
     def is_answered(self, sender: str, is_relayed: bool) -> bool:
         """Return whether to answer a message; a former relay stops sending once it gets no more answers."""
-        return not is_relayed or sender == self.relay or not self.relay_has_spoken
+        return not is_relayed or sender == self.relay or not self.relay_has_sent
 
     def wake_times(self) -> list[int]:
         """Return the time at which another relay has to be tried."""
-        if self.relay is None or not self.hears_relays():
+        if self.relay is None or not self.uses_relay():
             return []
         return [self._timeout_at() + 1]
