--- a/mastledge/consensus/worker_restrictions.py
+++ b/mastledge/consensus/worker_restrictions.py
@@ -78,7 +78,7 @@
     generation: int
 
 
-class ListKnowledge:
+class KnownList:
     """The known state of one registry's list, from the local watch or from peers, with recent changes."""
 
     def __init__(self):
@@ -153,7 +153,7 @@
 
     def __init__(self):
         """Start without lists."""
-        self.registries: dict[str, ListKnowledge] = {}
+        self.registries: dict[str, KnownList] = {}
         self.peer_generations: dict[str, dict[str, int]] = {}  # latest report of each peer
         self.offered_generations: dict[
             str, dict[str, int]
@@ -171,11 +171,11 @@
         self._list_of(registry).update_own(kind, entries, generation)
         self.own_generations[registry] = generation
 
-    def _list_of(self, registry: str) -> ListKnowledge:
+    def _list_of(self, registry: str) -> KnownList:
         if registry not in self.registries:
             if len(self.registries) >= MAX_REGISTRIES:
                 del self.registries[next(iter(self.registries))]
-            self.registries[registry] = ListKnowledge()
+            self.registries[registry] = KnownList()
         return self.registries[registry]
 
     def receive(self, restrictions: WorkerRestrictions) -> WorkerRestrictions | None:
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -14,7 +14,7 @@
 from mastledge.consensus.restriction_sharing import RestrictionSharing
 from mastledge.consensus.settings_patch import difference, patched
 from mastledge.consensus.state_machine import ChangeResult, StateMachine, initial_state
-from mastledge.consensus.worker_restrictions import ListExchange, ListKnowledge
+from mastledge.consensus.worker_restrictions import KnownList, ListExchange
 from mastledge.lab import relay_schedules
 from mastledge.lab.consensus_schedules import LEASE, Broken, Fleet
 from mastledge.lab.sized_fleets import (
@@ -421,7 +421,7 @@
 
 
 def test_restrictions_after_a_gap_are_not_applied():
-    known = ListKnowledge()
+    known = KnownList()
     known.update_own("whole", [("w0", "draining")], 3)
     assert not known.receive(m.WorkerRestrictions("r", 9, [("w1", "gone")], 5)) and known.generation == 3
     assert known.receive(m.WorkerRestrictions("r", 9, [("w1", "gone")]))
