--- a/mastledge/protocol/client_connection.py
+++ b/mastledge/protocol/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection, from its accept to its close: requests in, answers out."""
+"""Serves the requests of one client connection."""
 
 from typing import TYPE_CHECKING
 
@@ -16,34 +16,34 @@
     from mastledge.protocol.client_listener import ClientListener
 
 REQUEST_TIMEOUT_US = (
-    10_000_000  # for a whole request after its first byte, for the first one after the connect
+    10_000_000  # for a complete request from its first byte; the first request counts from the connect
 )
-MAX_SILENCE_US = 3_000_000  # inside a request: some are written slowly, others never to an end
-SEND_TIMEOUT_US = 5_000_000  # an answer that its client does not read is held for this long
+MAX_SILENCE_US = 3_000_000  # between two reads of one request
+SEND_TIMEOUT_US = 5_000_000  # for a response that the client does not read
 MAX_IDLE_US = 120_000_000
-MIN_UNFINISHED_US = 1_000_000  # before half a request gives way
-LINGER_US = 1_000_000  # what is still under way is read, or closing would reset the answer to it
+MIN_UNFINISHED_US = 1_000_000  # before a partial request may be evicted
+LINGER_US = 1_000_000  # input is read for this long: closing with unread bytes would reset the response
 MAX_LINGER_BYTES = 16 * http.MAX_BODY_BYTES
 READY_PATH, LIVE_PATH = b"/health/ready", b"/health/live"
 
 
 class ClientConnection:
-    """Serves one connection for a listener, which owns what all connections share.
+    """Serves one connection of a ClientListener, which holds the state shared by all connections.
 
-    `over_budget`: no descriptor was left for it, so each job on it is rejected.
+    `over_budget`: the connection exceeds the descriptor budget, so every job on it is rejected.
     """
 
     __slots__ = ("listener", "conn", "loop", "over_budget", "group", "request_deadline")
 
     def __init__(self, listener: "ClientListener", conn: Connection, over_budget: bool = False) -> None:
-        """Nothing has come on it."""
+        """Initialize a connection that has received no data."""
         self.listener, self.conn, self.loop, self.over_budget = listener, conn, listener.loop, over_budget
-        # Who connects and says nothing, or never all of it, goes before any client that has had an answer.
+        # Connections without a complete request are evicted before clients that have been answered.
         self.group = "unused"
         self.request_deadline = 0
 
     def serve(self) -> Coroutine:
-        """Answers requests until the connection ends."""
+        """Serve requests until the connection ends."""
         self.request_deadline = self.loop.now() + REQUEST_TIMEOUT_US
         try:
             while (yield from self._serve_request()):
@@ -54,7 +54,7 @@
             self._close()
 
     def serve_resumed(self, exchange: Exchange) -> Coroutine:
-        """Goes on with a client whose job another process has handed on, up to its answer."""
+        """Serve a connection whose job was handed off by another process, until its response is sent."""
         self.listener.clients.add(self.conn)
         try:
             reply = yield from self.listener.jobs.resume(self.conn, exchange)
@@ -69,7 +69,7 @@
             self.conn.close()
 
     def _serve_request(self):
-        """Serves the next request; whether the connection goes on."""
+        """Serve the next request and return whether the connection stays open."""
         self._set_group(self.group)
         if not (yield from self._wait_for_request()):
             return False
@@ -89,7 +89,7 @@
         return (yield (conn.fd, READ, until)) or not conn.is_quiet()
 
     def _reply(self):
-        """The answer to the next request, whatever becomes of it; None where there is nobody to answer."""
+        """Return the response to the next request, errors included; None if no response can be sent."""
         try:
             reply = yield from self._read_request()
         except BadRequestError as error:
@@ -103,7 +103,7 @@
         except (OSError, WaitTimeoutError):
             return None
         except Exception as error:
-            # Who is closed on with no answer sends again, while what is out for it may run.
+            # Without a response the client would retry while a launch of its job may still be running.
             self.listener.log("internal_error", call="serve", why=f"{type(error).__name__}: {error}")
             return KILLED, [], b""
         self.group = "clients"
@@ -131,13 +131,13 @@
             raise BadRequestError(408, "request not complete in time") from None
 
     def _respond(self, head, content):
-        """The answer to a whole request, or None where the client has gone."""
+        """Return the response to a complete request, or None if the client has disconnected."""
         conn, listener = self.conn, self.listener
         self._set_group(None)
-        has_left = http.has_left(conn)
+        client_disconnected = http.has_left(conn)
         if not http.may_be_followed(conn):
-            # A length that is too small cuts a body off, and its rest would be read as the next request.
-            raise BadRequestError(400, "bytes beyond the stated length")
+            # With a Content-Length that is too small, the rest of the body would be read as the next request.
+            raise BadRequestError(400, "unexpected bytes after the request body")
         if head.method == b"HEAD":
             raise BadRequestError(405, "")
         path = head.target.partition(b"?")[0]
@@ -147,7 +147,7 @@
         if path == LIVE_PATH:
             return 200, [], b"live"
         exchange, arrival = listener.requests.job(head, content, self.loop.now())
-        if has_left:
+        if client_disconnected:
             return None
         rejection = listener.rejection_of(exchange, self.over_budget)
         if rejection is not None:
@@ -158,17 +158,17 @@
         return (yield from listener.gate.serve(conn, exchange, arrival, resent))
 
     def _send(self, status, headers, content):
-        """Sends an answer; whether the connection goes on."""
+        """Send a response and return whether the connection stays open."""
         conn, listener = self.conn, self.listener
-        is_bad = 400 <= status < 500
-        if is_bad:
+        is_client_error = 400 <= status < 500
+        if is_client_error:
             listener.log("bad_request", status=status, why=content[:200].decode("latin-1"))
-        # Nothing that follows what could not be read, or not be used, can be trusted.
+        # After an invalid request the start of the next one cannot be trusted, so the connection is closed.
         last = (
             self.over_budget
             or listener.closing
             or listener.draining
-            or is_bad
+            or is_client_error
             or conn.discards_input
             or conn.http.their_state is not h11.DONE
         )
@@ -181,18 +181,18 @@
         return True
 
     def _set_group(self, group):
-        """Where it stands among those that give way when descriptors run short; None: not among them."""
+        """Set the eviction group of the connection; None exempts it from eviction."""
         budget, conn = self.listener.budget, self.conn
-        for each in CLIENT_EVICTION_ORDER:
-            budget.remove_idle(each, conn)
+        for known_group in CLIENT_EVICTION_ORDER:
+            budget.remove_idle(known_group, conn)
         if group is not None:
             budget.add_idle(group, conn, self._close_idle)
 
     def _on_piece(self, count):
-        """So many pieces of a request are here, the last one now; called with 0 while it is awaited."""
+        """Update the eviction group after `count` pieces of a request; 0 while the first is awaited."""
         self._set_group("begun")
         if count < 2:
-            # Half a request of a moment ago may be whole in the next; of long ago, hardly ever.
+            # A recent partial request is likely to be completed soon, so it is not evicted at first.
             closable_from = self.loop.now() + MIN_UNFINISHED_US
             self.listener.budget.add_idle(
                 "unfinished",
@@ -201,7 +201,7 @@
             )
 
     def _close_idle(self):
-        """Closes it unless a request is under way, which a client would have to send again."""
+        """Close the connection unless request bytes are waiting, and return whether it was closed."""
         if not self.conn.is_quiet():
             return False
         self.loop.cancel(self.conn.owner)
@@ -211,10 +211,10 @@
         self.conn.shutdown_write()
         until, remaining = self.loop.now() + LINGER_US, MAX_LINGER_BYTES
         while remaining > 0:
-            part = yield from self.conn.receive(until)
-            if not part:
+            data = yield from self.conn.receive(until)
+            if not data:
                 return
-            remaining -= len(part)
+            remaining -= len(data)
 
     def _close(self):
         self._set_group(None)
--- a/mastledge/protocol/client_jobs.py
+++ b/mastledge/protocol/client_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs of clients that are in hand: from their admission to the one answer."""
+"""Tracks admitted client jobs until each is answered."""
 
 from collections import deque
 from collections.abc import Callable
@@ -9,45 +9,45 @@
 from mastledge.transport.connection import Connection
 from mastledge.transport.loop import CONNECTION_ENDED, READ, Coroutine, Loop, Queue
 
-LAST_WORD_US = 5_000  # after the end of a walltime
-LATE = ()  # in place of an answer: none came in time
+LAST_WORD_US = 5_000  # grace time after the end of a walltime
+LATE = ()  # returned by `wait_for_answer` when no answer came in time
 
 
 class ClientJobs:
-    """Puts jobs into the queue of the decisions, waits for their answers and counts these.
+    """Queues jobs for the scheduler, waits for their answers and counts the outcomes.
 
-    `idempotency` is set where keys are kept: what becomes of a job whose key has come before.
+    `idempotency`, if set, handles the jobs that carry an idempotency key.
     """
 
     def __init__(self, loop: Loop, inbox: Queue, log: Callable) -> None:
-        """`inbox` takes `JobArrived`, and `JobAbandoned` for who has left."""
+        """`inbox` receives `JobArrived`, and `JobAbandoned` when the client disconnects."""
         self.loop, self.inbox, self.log = loop, inbox, log
         self.in_hand = 0
-        self.ended = {what: {} for what in ("passed", "dropped", "bad_gateway")}
+        self.ended = {result: {} for result in ("passed", "dropped", "bad_gateway")}
         self.idempotency = None
-        self._names = set()
-        self._expiries = deque()  # (end of the walltime, name) of what is in _names
+        self._recent_ids = set()
+        self._expiries = deque()  # (end of the walltime, job id) of each entry of _recent_ids
 
     def configure(self, queue_types: list[dict]) -> None:
-        """Counts jobs of these queue types as well."""
+        """Add counters for these queue types; existing counts are kept."""
         for counts in self.ended.values():
-            counts.update({each["name"]: counts.get(each["name"], 0) for each in queue_types})
+            counts.update({entry["name"]: counts.get(entry["name"], 0) for entry in queue_types})
 
     def count(self, kind: str | None, status: int) -> None:
-        """Each job under one count, also what was answered by the listener alone. 4xx: it was none."""
+        """Count a job under one result, also if the listener answered it; 4xx responses are not counted."""
         if kind in self.ended["passed"] and (status == REJECTED or not 400 <= status < 500):
-            what = {COMPLETED: "passed", REJECTED: "dropped"}.get(status, "bad_gateway")
-            self.ended[what][kind] += 1
+            result = {COMPLETED: "passed", REJECTED: "dropped"}.get(status, "bad_gateway")
+            self.ended[result][kind] += 1
 
     def is_new(self, exchange: Exchange) -> bool:
-        """Whether no job of this id was taken in the time that its client can wait for it."""
+        """Return whether no admitted job whose walltime is still running has this id."""
         expiries, now = self._expiries, self.loop.now()
         while expiries and expiries[0][0] <= now:
-            self._names.discard(expiries.popleft()[1])
-        return exchange.name not in self._names
+            self._recent_ids.discard(expiries.popleft()[1])
+        return exchange.name not in self._recent_ids
 
     def take(self, conn: Connection, exchange: Exchange, arrival: tuple) -> Coroutine:
-        """A job that is let in: its answer, or None where its client has gone."""
+        """Run an admitted job and return its answer, or None if the client has disconnected."""
         self._begin(exchange)
         if self.idempotency is not None and exchange.key is not None:
             try:
@@ -68,7 +68,7 @@
                 self.inbox.put(JobAbandoned(exchange))
 
     def resume(self, conn: Connection, exchange: Exchange) -> Coroutine:
-        """The answer of a job that another process has handed on, or None where its client has gone."""
+        """Return the answer of a job handed off by another process, or None if the client disconnected."""
         self._begin(exchange)
         try:
             reply = yield from self.answer(conn, exchange)
@@ -78,32 +78,33 @@
         return self._counted(exchange, reply)
 
     def answer(self, conn: Connection, exchange: Exchange) -> Coroutine:
-        """The answer as (status, headers, content), or None where the client has left."""
+        """Return the answer as (status, headers, content), or None if the client has disconnected."""
         reply = yield from self.wait_for_answer(conn, exchange.until)
         if reply != LATE:
             return reply
-        # The decisions end each job before this; should they fail at it, the client still gets its answer.
+        # The scheduler ends each job before this; if it fails to, the client still gets an answer.
         self.log("answer_late", job=exchange.name)
         return KILLED, [], b""
 
     def wait_for_answer(self, conn: Connection, until: int) -> Coroutine:
-        """The answer that its coroutine is woken with; None: the client has left; LATE: none came."""
+        """Return the answer passed to wake(), None if the client disconnected, LATE if none came in time."""
         for _ in range(2):
-            got = READ
-            while got:
-                got = yield (conn.fd, READ, until)  # the end is read as well, and no other mask costs a call
-                if isinstance(got, tuple):
-                    return got
-                # Who ends only its sending has left as well: the two are not to be told apart.
-                if got & CONNECTION_ENDED or got and http.has_left(conn):
+            received = READ
+            while received:
+                # READ also reports the end of the connection; another mask would cost a system call.
+                received = yield (conn.fd, READ, until)
+                if isinstance(received, tuple):
+                    return received
+                # A half-close cannot be told from a full close, so both count as a disconnect.
+                if received & CONNECTION_ENDED or received and http.has_left(conn):
                     return None
-            # What came in this very iteration is still on its way through the decisions.
+            # An answer from this iteration may still be on its way through the scheduler.
             until = self.loop.now() + LAST_WORD_US
         return LATE
 
     def _begin(self, exchange):
         self.in_hand += 1
-        self._names.add(exchange.name)
+        self._recent_ids.add(exchange.name)
         self._expiries.append((exchange.until, exchange.name))
 
     def _counted(self, exchange, reply):
--- a/mastledge/protocol/client_listener.py
+++ b/mastledge/protocol/client_listener.py
@@ -1,4 +1,4 @@
-"""Accepts clients and decides, before the decisions hear of a job, whether it is let in."""
+"""Accepts client connections and admits or rejects jobs before the scheduler sees them."""
 
 import socket
 from collections.abc import Callable
@@ -15,27 +15,27 @@
 from mastledge.transport.listening import accept
 from mastledge.transport.loop import READ, Coroutine, Loop, Queue
 
-MIN_AGE_US = 250_000  # before it is closed: a connection is opened for a request, which may be on its way
-MAX_RETRY_AFTER_US = 250_000  # after which it may come again where there was no place for it
-FREE_CONNECTIONS = 3  # of clients, while leaving: a burst comes before a rejection has freed one
+MIN_AGE_US = 250_000  # a younger connection is not closed: its first request may be on its way
+MAX_RETRY_AFTER_US = 250_000  # of the Retry-After for jobs rejected here
+FREE_CONNECTIONS = 3  # idle client connections kept while leaving; a burst can precede the next rejection
 FEW_DISPATCHERS = 2
-KEEPS_FREE_AFTER_US = 250_000  # after SIGTERM; from then on new connections go to others
-SHORTAGE_PAUSE_US = 20_000  # where descriptors are short
-MAX_ACCEPTS = 32  # in an iteration: a crowd that comes at once must not hold up who is there
-# After the call to drain (docs/operations.md): idle ones are closed, jobs rejected, half requests closed.
+KEEPS_FREE_AFTER_US = 250_000  # after SIGTERM; later new connections go to other dispatchers
+SHORTAGE_PAUSE_US = 20_000  # before the next accept when descriptors are exhausted
+MAX_ACCEPTS = 32  # per loop iteration, so that a burst does not delay existing clients
+# After a drain call (docs/operations.md): close idle connections, reject jobs, close partial requests.
 CLOSES_AFTER_US, REJECTS_AFTER_US, HANGS_UP_AFTER_US = 500_000, 1_700_000, 3_000_000
 
 
 class ClientListener:
-    """What clients' connections share: the door to the decisions, and the phases that close it.
+    """Accepts client connections and holds what they share: admission and the shutdown phases.
 
     The program sets `ready`, `closing` and `succeeded` (by another process), and `leaving` and `draining` to
-    the time of the signal or call. `rule` is set where dispatchers agree (whether what is in force is known
-    here), `gate` where a start is gradual (who is admitted, by `serve`, round `jobs.take`).
+    the time of the signal or call. `rule`, if set, tells whether this dispatcher knows the agreed state;
+    `gate`, if set, limits admission during startup: its `serve` wraps `jobs.take`.
     """
 
     def __init__(self, loop: Loop, budget: Budget, inbox: Queue, settings: dict, log: Callable) -> None:
-        """Not ready, and nobody is connected."""
+        """Initialize a listener that is not ready and has no clients."""
         self.loop, self.budget, self.log = loop, budget, log
         self.jobs = ClientJobs(loop, inbox, log)
         self.clients, self.ready = set(), False
@@ -44,7 +44,7 @@
         self.configure(settings)
 
     def configure(self, settings: dict) -> None:
-        """For what comes from now on; who waits for an answer goes on doing so."""
+        """Apply settings to new requests; jobs in hand are not affected."""
         self.requests, self.most_held = Requests(settings), settings["most_held"]
         self.jobs.configure(settings["queue_types"])
         self.few_dispatchers = settings["dispatchers"] <= FEW_DISPATCHERS
@@ -52,35 +52,35 @@
         self.rejection = REJECTED, retry_after_headers(retry_after_us), b""
 
     def is_ready(self) -> bool:
-        """Whether jobs are wanted here."""
+        """Return whether this dispatcher accepts jobs."""
         return self.ready and not self.leaving and not self.draining and self.may_act()
 
     def is_ready_or_succeeded(self) -> bool:
-        """As clients ask: they mean the dispatcher, which goes on in another process that has taken over."""
+        """Return the readiness that clients see: a successor process counts as the same dispatcher."""
         return self.is_ready() or self.succeeded and not self.draining
 
     def may_act(self) -> bool:
-        """Whether what dispatchers have agreed on is known here."""
+        """Return whether this dispatcher knows the agreed state."""
         return self.rule is None or self.rule.may_act(self.loop.now())
 
     def close_while_draining(self) -> None:
-        """Most have left with an answer; the others are closed where that crosses nothing."""
+        """Close the remaining connections, group by group, where no request is lost by it."""
         drained_for = self.loop.now() - self.draining
-        for group, after in (
+        for group, delay_us in (
             ("unused", CLOSES_AFTER_US),
             ("clients", CLOSES_AFTER_US),
             ("begun", HANGS_UP_AFTER_US),
         ):
-            if drained_for >= after:
+            if drained_for >= delay_us:
                 self._close_group(group)
 
     def close_all_idle(self) -> None:
-        """Closes all connections on which no whole request is in hand or on its way."""
+        """Close all connections without a complete request in hand or on its way."""
         for group in ("unused", "unfinished", "clients"):
             self._close_group(group)
 
     def listen(self, sock: socket.socket) -> Coroutine:
-        """Accepts clients for ever."""
+        """Accept client connections forever."""
         while True:
             yield (sock.fileno(), READ, None)
             if self.accept_waiting(sock, MAX_ACCEPTS):
@@ -88,7 +88,7 @@
                 yield (-1, 0, self.loop.now() + SHORTAGE_PAUSE_US)
 
     def accept_waiting(self, sock: socket.socket, max_accepts: int = 0) -> bool:
-        """Takes in what waits, or the most (0: all); True where descriptors do not suffice."""
+        """Accept up to `max_accepts` waiting connections (0: all); return whether descriptors ran out."""
         while not self.budget.is_exhausted("clients"):
             accepted, is_short = accept(sock, self.budget)
             if accepted is None:
@@ -96,7 +96,7 @@
             try:
                 self._serve(accepted)
             except OSError as error:
-                # It may be gone before it is looked at.
+                # The client may disconnect between the accept and the first system call on the socket.
                 self.log("client_lost", why=str(error))
             max_accepts -= 1
             if not max_accepts:
@@ -104,33 +104,33 @@
         return True
 
     def serve_resumed(self, conn: Connection, exchange: Exchange) -> Coroutine:
-        """Goes on with a client whose job another process has handed on, up to its answer."""
+        """Serve a connection whose job was handed off by another process, until its response is sent."""
         return ClientConnection(self, conn).serve_resumed(exchange)
 
     def reject_for_memory(self, head: h11.Request) -> tuple:
-        """The answer to a request for which there is no memory."""
+        """Return the rejection of a request that exceeds the memory limit."""
         self.log("memory_limit", held=self.budget.request_bytes, clients=len(self.clients))
         self.jobs.count(self.requests.queue_type_name(head), REJECTED)
         return self.rejection
 
     def rejection_of(self, exchange: Exchange, over_budget: bool) -> tuple | None:
-        """The answer to a job that is not let in, else None; BadRequestError where its id is in use."""
+        """Return the rejection of a job, or None to admit it; raise BadRequestError if its id is in use."""
         if not self.jobs.is_new(exchange):
-            # An id is new with every request, so this is another's, and that job goes on untouched.
+            # Ids are unique per request, so the id belongs to another job, which must not be affected.
             raise BadRequestError(409, "X-Txn is in use")
         is_full = over_budget or self.jobs.in_hand >= self.most_held
         if not is_full and not self.is_crowded() and self.may_act():
             return None
-        # Nothing of it was sent anywhere, so trying again is harmless.
+        # Nothing was sent to a worker, so a retry is safe.
         self.log("connection_limit", job=exchange.name, clients=len(self.clients))
         self.jobs.count(exchange.kind, REJECTED)
         return self.rejection
 
     def is_crowded(self) -> bool:
-        """Who finds all its connections busy opens one more, and that comes to nobody where all are leaving.
+        """Return whether jobs are rejected to keep some client connections idle while leaving.
 
-        So some are kept free, and what would take them comes again in a moment. Where there are more than
-        two dispatchers, some other is up and takes at once what does not come here.
+        A client whose connections are all busy opens a new one, which nobody accepts while all dispatchers
+        are leaving. With more than two dispatchers another one is up and accepts it.
         """
         if self.draining and self.loop.now() >= self.draining + REJECTS_AFTER_US:
             return True
@@ -143,14 +143,14 @@
         return keeps_free and len(self.budget.idle["clients"]) < FREE_CONNECTIONS
 
     def _close_group(self, group):
-        """Closes who is idle in a group and will close now, but for who has only just come."""
+        """Close the idle connections of a group, except those opened within MIN_AGE_US."""
         opened_before = self.loop.now() - MIN_AGE_US
         for conn, close in list(self.budget.idle[group].items()):
             if conn.opened_us <= opened_before:
                 close()
 
     def _serve(self, sock):
-        # Its request may count as taken already, so beyond the budget it still gets a proper rejection.
+        # The client may already have sent its request, so a connection over budget still gets a rejection.
         over_budget = not self.budget.acquire("clients")
         if over_budget:
             self.budget.used["clients"] += 1
--- a/mastledge/protocol/control.py
+++ b/mastledge/protocol/control.py
@@ -1,4 +1,4 @@
-"""The second address, for operators alone: one call to a connection, taken up before what clients send."""
+"""HTTP listener for operator calls: one call per connection, served before client requests."""
 
 import socket
 from collections.abc import Callable
@@ -16,14 +16,14 @@
 from mastledge.transport.listening import accept
 from mastledge.transport.loop import READ, Coroutine, Loop
 
-CALL_TIMEOUT_US = 2_000_000  # in which a call must have come; a caller waits for its answer for half of that
-LINGER_US = 200_000  # what is still under way is read, or closing would reset the answer to it
+CALL_TIMEOUT_US = 2_000_000  # for a call to arrive; a caller waits half of that for the answer
+LINGER_US = 200_000  # input is read for this long: closing with unread bytes would reset the answer
 TEXT = "text/plain; charset=utf-8"
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a call is answered: a status, a text of this content type and more headers."""
+    """Holds the answer to a call: status, text, additional headers and content type (`kind`)."""
 
     status: int
     text: str
@@ -32,29 +32,29 @@
 
 
 class Request:
-    """What a call brings beside its path."""
+    """Holds the headers and the body of a call."""
 
     def __init__(self, head: h11.Request, body: bytes) -> None:
-        """`headers` are by their name in lower case."""
+        """`headers` maps lower-case names to values."""
         self.headers, self.body = dict(head.headers), body
 
 
 class Control:
-    """Answers operators' calls.
+    """Serves operator calls.
 
-    `calls` maps a path, or its beginning up to the id, to the method and what carries it out, or methods
-    to what carries them out and wants the request as well. That gives back the text of a yes or an Answer, or
-    raises CallRefusedError; where it takes time it is a coroutine.
+    `calls` maps a path, or a path prefix before a worker id, to (method, handler), or to handlers by method,
+    which also take the Request. A handler returns the text of a 200 answer or an Answer, or raises
+    CallRefusedError; a handler that takes time is a coroutine.
     """
 
     def __init__(self, loop: Loop, budget: Budget, calls: dict[str, Any], log: Callable) -> None:
-        """Connections are counted as "operators" in the budget."""
+        """The budget counts the connections as "operators"."""
         self.loop, self.budget, self.calls, self.log = loop, budget, calls, log
-        self.callers = {}  # connection: whether its call has come as a whole and is not answered
+        self.callers = {}  # connection: whether its call is complete and not yet answered
         self.max_body_bytes = http.MAX_BODY_BYTES
 
     def listen(self, sock: socket.socket) -> Coroutine:
-        """Accepts callers for ever."""
+        """Accept operator connections forever."""
         while True:
             yield (sock.fileno(), READ, None)
             self._accept_all(sock)
@@ -75,16 +75,19 @@
             conn.owner = self.loop.spawn(self._serve(conn), first=True)
 
     def _make_place(self):
-        """Whether one more may come: a call that is under way ends by itself, who only stands there goes."""
+        """Make room for one more connection and return whether there is any.
+
+        A connection without a complete call is closed for it; a call in progress is not interrupted.
+        """
         if self.budget.used["operators"] < self.budget.limits["operators"]:
             return True
-        silent = [conn for conn, whole in self.callers.items() if not whole]
-        if not silent:
+        evictable = [conn for conn, in_progress in self.callers.items() if not in_progress]
+        if not evictable:
             return False
-        # One that has not run yet would not give back what it holds by itself.
-        self.loop.cancel(silent[0].owner)
-        self.callers.pop(silent[0], None)
-        silent[0].close()
+        # A task that has not started yet does not run its finally clause when it is cancelled.
+        self.loop.cancel(evictable[0].owner)
+        self.callers.pop(evictable[0], None)
+        evictable[0].close()
         return True
 
     def _serve(self, conn):
@@ -119,11 +122,11 @@
         return result if isinstance(result, Answer) else Answer(200, result)
 
     def _call(self, head, content):
-        """What the call of a path and method returns: a text, an Answer or a coroutine."""
+        """Run the handler of a path and method; return its result: a text, an Answer or a coroutine."""
         path = head.target.partition(b"?")[0].decode("latin-1")
-        start, _, rest = path.rpartition("/")
-        worker = (unquote(rest),) if start + "/" in self.calls else ()
-        call = self.calls.get(start + "/" if worker else path)
+        prefix, _, last_segment = path.rpartition("/")
+        worker = (unquote(last_segment),) if prefix + "/" in self.calls else ()
+        call = self.calls.get(prefix + "/" if worker else path)
         if call is None or worker == ("",):
             raise CallRefusedError(404, "no such call")
         if isinstance(call, dict):
@@ -131,10 +134,10 @@
                 methods = " or ".join(method.decode() for method in call)
                 raise CallRefusedError(405, f"this call goes by {methods}")
             return call[head.method](*worker, Request(head, content))
-        method, carry_out = call
+        method, handler = call
         if head.method != method:
             raise CallRefusedError(405, f"this call goes by {method.decode()}")
-        return carry_out(*worker)
+        return handler(*worker)
 
     def _send(self, conn, answer, head_only):
         headers = [*answer.headers, (b"content-type", answer.kind.encode())]
@@ -143,17 +146,17 @@
         yield from conn.send(response, self.loop.now() + CALL_TIMEOUT_US)
         self.callers[conn] = False
         conn.shutdown_write()
-        last = self.loop.now() + LINGER_US
-        while (yield from conn.receive(last)):
+        until = self.loop.now() + LINGER_US
+        while (yield from conn.receive(until)):
             pass
 
 
 def refusal(conn: Connection, error: Exception) -> Answer | None:
-    """The answer to a call that failed, None where its connection can carry none."""
+    """Return the answer to a failed call, or None if none can be sent on its connection."""
     if isinstance(error, CallRefusedError):
         return Answer(error.status, error.why)
     if isinstance(error, WaitTimeoutError):
-        return Answer(408, "call not complete in time")
+        return Answer(408, "call was not complete in time")
     if isinstance(error, BodyTooLargeError):
         return Answer(413, "body too large")
     if conn.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
--- a/mastledge/protocol/discovery.py
+++ b/mastledge/protocol/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the endpoint list, and the watch on its changes."""
+"""Client of the discovery service: reads the endpoint list and watches its changes."""
 
 import contextlib
 from collections.abc import Callable
@@ -14,32 +14,32 @@
 from mastledge.transport.errors import OutOfDescriptorsError, WaitTimeoutError
 from mastledge.transport.loop import Loop, Queue
 
-# What discovery holds counts as notified 6 s after it is reachable (4 s after SIGHUP, which starts a call at
-# once). The call that is out then ends within MAX_SILENCE_US, as a watch and a whole list are given up after
-# that, a connect and a head (ANSWER_TIMEOUT_US) sooner; another begins within MAX_RETRY_US and is answered at
+# The endpoint list must be current within 6 s after discovery becomes reachable (4 s after SIGHUP, which
+# starts a call at once). A call in progress ends within MAX_SILENCE_US (a watch or a list; a connect or a
+# response head sooner, after ANSWER_TIMEOUT_US); the next call starts within MAX_RETRY_US and is answered at
 # once: 3.0 s in all.
-# Where lists are polled, the calls of all dispatchers wait in turn. One that is given up has cost its
-# answer for nothing, and where all give up early most hear nothing. So it has as long as 6 s leave: 5.5 s.
-# One that is refused comes again within MAX_RETRY_US, before the queue has run dry: all have been answered
-# once discovery has done the work for all (docs/incidents/calls-in-turn.md).
-MAX_SILENCE_US = 2_600_000  # while nothing changes an empty line comes every 2 s
-ANSWER_TIMEOUT_US = 1_000_000  # the list is held on this machine and is given at once, or not at all
-POLL_TIMEOUT_US = 2_500_000  # where it is asked for
-# A watch that broke is taken up again soon, but not in a rush.
+# Polled lists: discovery answers the dispatchers one after the other. An abandoned call wastes its answer,
+# and if all calls are abandoned early, most dispatchers get no list. So a call may take what the 6 s leave:
+# 5.5 s. A refused call is retried within MAX_RETRY_US, before the queue is empty, so that discovery answers
+# all dispatchers without a pause (docs/incidents/calls-in-turn.md).
+MAX_SILENCE_US = 2_600_000  # an unchanged watch sends an empty line every 2 s
+ANSWER_TIMEOUT_US = 1_000_000  # discovery on this machine answers at once or not at all
+POLL_TIMEOUT_US = 2_500_000  # if lists are polled
+# Delay before a broken watch is restarted, doubled with each failure.
 MIN_RETRY_US, MAX_RETRY_US = 50_000, 400_000
 MAX_LIST_BYTES = 16 * 1024 * 1024
 STATES = {"ready", "draining", "gone"}
-STATE = 3  # its place in an entry
-MALFORMED = (KeyError, TypeError, AttributeError, ValueError)  # what JSON of another shape ends in
+STATE = 3  # index of the state in a parsed entry
+MALFORMED = (KeyError, TypeError, AttributeError, ValueError)  # raised for JSON of an unexpected shape
 
 
 class Discovery:
-    """Keeps the endpoint list up to date and puts its changes into the queue of the decisions.
+    """Keeps the endpoint list up to date and queues its changes for the scheduler.
 
-    `inbox` takes `EndpointsChanged`.
+    `inbox` receives `EndpointsChanged`.
     """
 
-    def __init__(  # noqa: PLR0913 - the program wires it once, each part is another owner's
+    def __init__(  # noqa: PLR0913 - constructed once, from parts with different owners
         self,
         loop: Loop,
         budget: Budget,
@@ -48,19 +48,19 @@
         settings: dict[str, Any],
         log: Callable,
     ) -> None:
-        """`settings` holds `zones`, `kinds`, `asked` (lists are polled) and `unix_now` in microseconds."""
+        """`settings` holds `zones`, `kinds`, `asked` (lists are polled) and `unix_now` (microseconds)."""
         self.loop, self.budget, self.inbox, self.address, self.log = loop, budget, inbox, address, log
         self.zones = {name: number for number, name in enumerate(settings["zones"])}
         self.kinds = {name: number for number, name in enumerate(settings["kinds"])}
-        self.since = settings["unix_now"] - Loop.now()  # Unix time less the monotonic clock
-        self.generation = None  # of the list that is held; None: the whole list is to be read
-        self.task = None  # that keeps the watch up
-        self.trouble = None  # what was logged last while discovery fails
+        self.since = settings["unix_now"] - Loop.now()  # Unix time minus the monotonic clock, in microseconds
+        self.generation = None  # of the current list; None: the whole list must be read
+        self.task = None  # runs the watch
+        self.trouble = None  # last logged error, None once the watch works again
         self.answered = False
         self.answer_timeout_us = POLL_TIMEOUT_US if settings["asked"] else ANSWER_TIMEOUT_US
 
     def configure(self, settings: dict[str, Any]) -> tuple[list[int], list[int]]:
-        """The numbers of the zones and kinds that settings name; those in use stay as they are."""
+        """Return the numbers of the zones and kinds named in the settings; existing numbers stay the same."""
         self.answer_timeout_us = POLL_TIMEOUT_US if settings["asked"] else ANSWER_TIMEOUT_US
         return (
             [self.zones.setdefault(name, len(self.zones)) for name in settings["zones"]],
@@ -68,13 +68,13 @@
         )
 
     def parse_entry(self, entry: dict) -> tuple:
-        """A worker of a list; raises one of MALFORMED."""
+        """Return the values of a list entry; raise one of MALFORMED for an invalid entry."""
         zone, kind, started_at_ms = entry["zone"], entry["machineType"], entry["startedAtMs"]
         if entry["lifecycle"] not in STATES or not isinstance(entry["instanceId"], str):
-            raise ValueError(f"no worker: {entry!r}"[:200])
-        # The clock of the decisions is monotonic, so a start is moved to it by one fixed difference.
+            raise ValueError(f"invalid entry: {entry!r}"[:200])
+        # The scheduler uses the monotonic clock, so start times are converted by a fixed offset.
         started_at = (round(started_at_ms * 1000) - self.since or 1) if started_at_ms else 0
-        # A zone or kind that the settings do not name is a new one, unlike all others.
+        # A zone or kind that is not in the settings gets a new number.
         return (
             entry["instanceId"],
             address_of(entry["hostPort"]),
@@ -87,9 +87,9 @@
         )
 
     def apply(self, message: dict, whole: str | None = None) -> None:
-        """Takes over a change, or under the kind `whole` a list.
+        """Apply a change, or a whole list if `whole` is set, which is then the kind of the event.
 
-        One bad entry spoils a change, which raises EndpointListError; in a whole list it is left out.
+        An invalid entry is skipped in a whole list. In a change it raises EndpointListError.
         """
         try:
             generation, reset = message["generation"], bool(message["reset"])
@@ -102,15 +102,15 @@
             self.inbox.put(EndpointsChanged(whole or ("whole" if reset else "changes"), entries))
 
     def follow(self) -> None:
-        """Starts the watch unless it is kept up already."""
+        """Start the watch unless it is already running."""
         if self.task is None or self.task.ended:
-            self.task = self.loop.spawn(self._keep_up())
+            self.task = self.loop.spawn(self._run_watch())
 
     def move(self, address: tuple[str, int]) -> None:
-        """Asks elsewhere from now on. What is held stays in force until that place has told its list."""
+        """Switch to another discovery address. The current list stays in force until a new one is read."""
         if address == self.address:
             return
-        # A generation is its registry's own: changes counted from another's could leave some out unseen.
+        # Generations of different registries are unrelated: continuing from one could miss changes.
         self.address, self.generation, self.trouble = address, None, None
         if self.task is not None:
             self.loop.cancel(self.task)
@@ -118,9 +118,9 @@
 
     def _check_generation(self, generation, is_whole):
         if not isinstance(generation, int):
-            raise ValueError(f"no generation: {generation!r}")
+            raise ValueError(f"generation is not an integer: {generation!r}")
         if not is_whole and generation < (self.generation or generation):
-            # An older change may free a worker that a newer one has named as draining.
+            # An older change could make a worker ready that a newer change has reported as draining.
             raise ValueError(f"generation {generation} behind {self.generation}")
 
     def _parse_entries(self, instances, skip_malformed):
@@ -134,22 +134,22 @@
                 self.log("discovery_entry_invalid", why=f"{type(error).__name__}: {error}")
         return entries
 
-    def _keep_up(self):
+    def _run_watch(self):
         failures = 0
         while True:
-            began = self.loop.now()
+            started_at = self.loop.now()
             yield from self._attempt(self._watch())
-            failures = 0 if self.loop.now() - began > MAX_SILENCE_US else failures + 1
+            failures = 0 if self.loop.now() - started_at > MAX_SILENCE_US else failures + 1
             yield (-1, 0, self.loop.now() + min(MIN_RETRY_US << min(failures, 8), MAX_RETRY_US))
 
     def _attempt(self, call):
-        """Runs a call of discovery; whatever becomes of it, the list that is held stays in force."""
+        """Run a call to discovery; if it fails, the current list stays in force."""
         try:
             yield from call
             return
         except EndpointListError as error:
-            # What comes after it cannot be trusted to build on what is held.
-            self.generation, why = None, f"bad list: {error}"
+            # Later changes may not apply to the current list, so the whole list is read again.
+            self.generation, why = None, f"invalid endpoint list: {error}"
         except (
             OSError,
             WaitTimeoutError,
@@ -159,13 +159,13 @@
         ) as error:
             why = str(error) or type(error).__name__
         if why != self.trouble:
-            # Taken up again several times a second, it must not fill the log while it is down.
+            # Retries run several times a second: the same error is logged once.
             self.trouble = why
             self.log("discovery_watch_failed", why=why, generation=self.generation)
         self.inbox.put(EndpointsChanged("failed", ()))
 
     def _open(self, target):
-        """A connection on which a call has been answered by 200."""
+        """Return a connection on which a request was answered with status 200."""
         until = self.loop.now() + self.answer_timeout_us
         conn = yield from connect(self.loop, self.budget, "discovery", self.address, until)
         try:
@@ -187,7 +187,7 @@
         try:
             self.trouble, self.answered = None, True
             self.log("discovery_watch_started", generation=self.generation)
-            # That it answers is news as well: it ends a failure.
+            # An empty change reports that discovery answers again.
             self.inbox.put(EndpointsChanged("changes", ()))
             while (change := (yield from self._next_change(conn))) is not None:
                 if change:
@@ -213,24 +213,27 @@
             conn.close()
 
     def _next_change(self, conn):
-        """The next object of a watch, in one line or indented; {} for an empty line, None at the end."""
+        """Return the next JSON object of a watch, {} for an empty line, None at the end.
+
+        An object may be on one line or indented over several. Raises EndpointListError if it is incomplete.
+        """
         lines, size, until = [], 0, self.loop.now() + MAX_SILENCE_US
         while (line := (yield from http.next_line(conn, until, MAX_LIST_BYTES))) is not None:
             if not lines and not line.strip():
                 return {}
             size += len(line) + 1
             if lines and not line[:1].isspace() and not line.startswith(b"}") or size > MAX_LIST_BYTES:
-                raise EndpointListError(f"cut off: {lines[0][:80]!r}")
+                raise EndpointListError(f"incomplete or too large: {lines[0][:80]!r}")
             lines.append(line)
-            # An indented one opens in a line of its own, and all up to its end is further in.
+            # An indented object starts with a line "{", and all lines up to its closing brace are indented.
             if line.startswith(b"}") or line.strip() != b"{" and len(lines) == 1:
                 return parse_message(b"\n".join(lines))
         return None
 
     def _apply_restrictions(self, conn):
-        """Who is draining or gone by what stands behind a bad change: that counts as notified as well.
+        """Apply the draining and gone workers from the input received after an invalid change.
 
-        The whole list that is asked for now frees who is not.
+        That input counts as notified. The whole list, which is read next, corrects the other workers.
         """
         with contextlib.suppress(h11.RemoteProtocolError):
             while isinstance(event := conn.http.next_event(), h11.Data):
@@ -245,7 +248,7 @@
 
 
 def parse_message(raw: bytes) -> dict:
-    """A list or a change; EndpointListError where it is no JSON object."""
+    """Parse a list or a change; raise EndpointListError if it is not a JSON object."""
     try:
         return http.parse_object(raw)
     except ValueError as error:
--- a/mastledge/protocol/errors.py
+++ b/mastledge/protocol/errors.py
@@ -1,20 +1,20 @@
-"""Errors of requests, answers, launches and calls. What h11 finds wrong stays an h11.RemoteProtocolError."""
+"""Errors of requests, answers, launches and operator calls. HTTP errors are h11.RemoteProtocolError."""
 
 
 class ProtocolError(Exception):
-    """Base of the errors that this package raises itself."""
+    """Base class of the errors defined by this package."""
 
 
 class BodyTooLargeError(ProtocolError):
-    """A body, a line or a list is beyond what the protocol allows."""
+    """A body, a line or a list exceeds its size limit."""
 
     def __init__(self) -> None:
-        """One text for all of them, so that a log that drops repeats tells of it once."""
+        """Use one text for all cases, so that a log that drops repeats shows it once."""
         super().__init__("too large")
 
 
 class BadRequestError(ProtocolError):
-    """A client's request is answered by the listener itself, with this status."""
+    """A client request is invalid and is answered with this status."""
 
     def __init__(self, status: int, why: str) -> None:
         """`why` is the answer's body."""
@@ -23,7 +23,7 @@
 
 
 class CallRefusedError(ProtocolError):
-    """An operator's call is refused, with this status."""
+    """An operator call is refused with this status."""
 
     def __init__(self, status: int, why: str) -> None:
         """`why` is the answer's body."""
@@ -32,12 +32,12 @@
 
 
 class EndpointListError(ProtocolError, ValueError):
-    """An endpoint list, or a line of the watch on it, cannot be understood."""
+    """An endpoint list, or a change to it, is invalid."""
 
 
 class LaunchWithheldError(ProtocolError):
-    """Not all of a launch was sent, as the rules by which it was decided may no longer hold."""
+    """A launch was not sent completely because the state it was decided on may no longer hold."""
 
 
 class ClientLeftError(ProtocolError):
-    """Not all of a launch was sent, as nobody waits for its answer any more."""
+    """A launch was not sent completely because its client has disconnected."""
--- a/mastledge/protocol/events.py
+++ b/mastledge/protocol/events.py
@@ -1,7 +1,7 @@
-"""What the protocol side puts into the queue of the decisions: one class for each kind of news.
+"""Events that the protocol layer queues for the scheduler, one class per kind.
 
-They are named tuples and no dataclasses: several are made for each job, and a frozen dataclass takes more
-than twice as long to make. Launches and jobs are those of the queue's reader, which alone knows their type.
+They are named tuples because several are created for each job, and creating a frozen dataclass takes more
+than twice as long. Launches and jobs are objects of the queue's reader, which alone knows their type.
 """
 
 from typing import Any, NamedTuple
@@ -12,9 +12,9 @@
 class EndpointsChanged(NamedTuple):
     """The endpoint list was read or has changed.
 
-    `kind` is "whole", "changes", "failed" or the name that a caller of `Discovery.apply` gave. An entry is
-    (id, address, zone, state, start, machine type, cell, weight), the start in microseconds of the monotonic
-    clock, 0 for none.
+    `kind` is "whole", "changes", "failed" or the name passed to `Discovery.apply`. An entry is (id, address,
+    zone, state, start, machine type, cell, weight); the start is in microseconds of the monotonic clock, 0 if
+    unknown.
     """
 
     kind: str
@@ -22,47 +22,47 @@
 
 
 class JobArrived(NamedTuple):
-    """A job was let in; `terms` are what the decisions are told of it, as `Requests.job` gives them."""
+    """A job was admitted; `terms` are its properties as returned by `Requests.job`."""
 
     exchange: Exchange
     terms: tuple
 
 
 class JobAbandoned(NamedTuple):
-    """Nobody waits for the job's answer, and it is not to go on."""
+    """No client waits for the job's answer any more, and the job is to be stopped."""
 
     exchange: Exchange
 
 
 class ClientLeft(NamedTuple):
-    """A client of the job has gone; others may wait for the same answer."""
+    """A client of the job has disconnected; others may wait for the same answer."""
 
     exchange: Exchange
 
 
 class LaunchStarted(NamedTuple):
-    """The worker tells that it has begun."""
+    """The worker reports that the launch has started."""
 
     launch: Any
 
 
 class LaunchSilent(NamedTuple):
-    """The worker has not even told that it has the launch, in a time in which it should have."""
+    """The worker has not confirmed the launch in the expected time."""
 
     launch: Any
 
 
 class LaunchProgressed(NamedTuple):
-    """The worker tells the share that is done."""
+    """The worker reports the share of the work that is done."""
 
     launch: Any
     share: float
 
 
 class LaunchEnded(NamedTuple):
-    """A launch ended, once for each; `outcome` is one of `scheduling.outcomes.Outcome` or its value.
+    """A launch ended; sent once per launch. `outcome` is a `scheduling.outcomes.Outcome` or its value.
 
-    `report` is the worker's load, empty where none was told.
+    `report` is the worker's load report, empty if there was none.
     """
 
     launch: Any
--- a/mastledge/protocol/http.py
+++ b/mastledge/protocol/http.py
@@ -1,4 +1,4 @@
-"""h11 on a connection: events in, bytes out."""
+"""HTTP/1.1 on a connection: reads h11 events and formats messages."""
 
 import re
 from collections.abc import Callable
@@ -12,11 +12,11 @@
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 32 * 1024
-MAX_CHUNKS = 1024  # of one body: a byte in each costs a hundred times its worth to read
-MAX_PIPELINED_BYTES = 16 * 1024  # held of the requests behind one that is not answered yet
-MAX_READS_FOR_END = 4  # of 16 KiB each, for the end that stands behind pipelined requests
-MAX_LINE_BYTES = 8 * MAX_BODY_BYTES  # a result is text inside JSON, where a byte may take six
-# Headers that speak of one connection only, or are written anew on the next one.
+MAX_CHUNKS = 1024  # per body: one-byte chunks cost a hundred times as much to read as large ones
+MAX_PIPELINED_BYTES = 16 * 1024  # buffered of the requests that follow an unanswered one
+MAX_READS_FOR_END = 4  # of 16 KiB each, to find a disconnect after pipelined requests
+MAX_LINE_BYTES = 8 * MAX_BODY_BYTES  # a result is JSON text, in which a byte may take six
+# Headers that apply to one connection only, or are generated for each request.
 HOP_BY_HOP_HEADERS = {
     b"connection",
     b"keep-alive",
@@ -29,40 +29,40 @@
     b"host",
     b"expect",
 }
-# How another request can begin behind a whole one, as far as it has come.
+# The beginning of a pipelined request, which may be incomplete.
 NEXT_REQUEST = re.compile(rb"\s*(?:(?:GET|HEAD|POST|PUT|PATCH|DELETE|OPTIONS) [!-~]|[A-Z]{0,7} ?$)")
 
 
 def attach(conn: Connection, role: type[h11.CLIENT] | type[h11.SERVER]) -> Connection:
-    """Gives a connection its parser."""
+    """Attach an h11 parser to a connection and return the connection."""
     conn.http = h11.Connection(role, max_incomplete_event_size=MAX_HEAD_BYTES)
     return conn
 
 
 class PieceDeadlines:
-    """Bounds the time for a whole request and for the silence between two pieces of it, and counts them.
+    """Limits the time for a whole request and the time between two pieces of it, and counts the pieces.
 
-    `on_piece` is called with the number of pieces that have come, at each one.
+    `on_piece` is called with the number of pieces received, once per piece.
     """
 
     __slots__ = ("until", "max_silence_us", "on_piece", "count")
 
     def __init__(self, until: int, max_silence_us: int, on_piece: Callable[[int], None]) -> None:
-        """No piece has come."""
+        """`until` is the deadline of the whole request, in microseconds of the monotonic clock."""
         self.until, self.max_silence_us, self.on_piece, self.count = until, max_silence_us, on_piece, 0
 
     def next_deadline(self, now: int) -> int:
-        """When the next piece has to be there."""
+        """Return the deadline of the next piece."""
         return min(self.until, now + self.max_silence_us)
 
     def record_piece(self) -> None:
-        """Counts a piece."""
+        """Count a received piece."""
         self.count += 1
         self.on_piece(self.count)
 
 
 def next_event(conn: Connection, until: "int | PieceDeadlines") -> Coroutine:
-    """The next event of h11, waiting for bytes as needed: until a time, or for one piece after the other.
+    """Return the next h11 event; `until` is a deadline or the deadlines of the pieces of a request.
 
     Raises WaitTimeoutError, OSError or h11.RemoteProtocolError.
     """
@@ -74,24 +74,24 @@
         if pieces is not None:
             until = pieces.next_deadline(conn.loop.now())
         if parser.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            yield from conn.send(parser.send(go_on), until)
+            continue_response = h11.InformationalResponse(status_code=100, headers=[])
+            yield from conn.send(parser.send(continue_response), until)
         parser.receive_data((yield from conn.receive(until)))
         if pieces is not None:
             pieces.record_piece()
 
 
 def body_limit(head: h11.Request, max_bytes: int = MAX_BODY_BYTES) -> int:
-    """How many bytes the body of a request can hold.
+    """Return the maximum number of bytes of a request body.
 
-    Refuses by h11.RemoteProtocolError what others could bound otherwise, as it may hide a second request, and
-    by BodyTooLargeError what states more than `max_bytes`.
+    Raises h11.RemoteProtocolError if the length is ambiguous, as the body could hide a second request, and
+    BodyTooLargeError if the stated length exceeds `max_bytes`.
     """
     names = [name for name, _ in head.headers]
     if head.http_version not in (b"1.0", b"1.1"):
-        raise h11.RemoteProtocolError("no HTTP/1.1")
+        raise h11.RemoteProtocolError("HTTP version is neither 1.0 nor 1.1")
     if b"transfer-encoding" in names and (b"content-length" in names or head.http_version == b"1.0"):
-        raise h11.RemoteProtocolError("Transfer-Encoding beside another length")
+        raise h11.RemoteProtocolError("Transfer-Encoding with Content-Length or in HTTP/1.0")
     size = next((int(value) for name, value in head.headers if name == b"content-length"), 0)
     if size > max_bytes:
         raise BodyTooLargeError
@@ -99,42 +99,42 @@
 
 
 def queue_type_in_path(head: h11.Request) -> bytes:
-    """The queue type that a path names, as it stands there."""
+    """Return the first path segment, which names the queue type, without decoding it."""
     return head.target.partition(b"?")[0][1:].partition(b"/")[0]
 
 
 def has_left(conn: Connection) -> bool:
-    """Whether a client has ended its sending, or its connection broke, while its request is in hand.
+    """Return whether a client has disconnected while its request is in hand.
 
-    That stands behind whatever else it has sent, so this is read: what can be the next requests is held, up
-    to a bound, and what is beyond that is dropped, as the bound of a socket's own buffer would hide the end.
+    The end of the connection follows any pipelined requests, so these are read first. They are buffered up to
+    MAX_PIPELINED_BYTES and dropped beyond: left in a full socket buffer, they would hide the disconnect.
     """
     for _ in range(MAX_READS_FOR_END):
         try:
-            part = conn.buffer.receive(conn.sock)
+            data = conn.buffer.receive(conn.sock)
         except BlockingIOError:
             return False
         except OSError:
             return True
-        if not part:
+        if not data:
             return True
-        held = len(conn.http.trailing_data[0])
-        if not conn.discards_input and held + len(part) <= MAX_PIPELINED_BYTES:
-            conn.http.receive_data(part)
+        buffered = len(conn.http.trailing_data[0])
+        if not conn.discards_input and buffered + len(data) <= MAX_PIPELINED_BYTES:
+            conn.http.receive_data(data)
         else:
             conn.discards_input = True
     return False
 
 
 def may_be_followed(conn: Connection) -> bool:
-    """Whether what has come behind a whole request is nothing, or may begin another."""
+    """Return whether the bytes after a complete request are empty or may begin another request."""
     return NEXT_REQUEST.match(conn.http.trailing_data[0]) is not None
 
 
 def read_body(conn: Connection, until: int | PieceDeadlines, max_bytes: int = MAX_BODY_BYTES) -> Coroutine:
-    """A whole body, in the connection's buffer until it is complete.
+    """Return a complete body; it is collected in the connection's buffer.
 
-    Raises BodyTooLargeError, and what next_event() raises.
+    Raises BodyTooLargeError and the errors of next_event().
     """
     conn.buffer.clear()
     chunks = 0
@@ -152,9 +152,9 @@
 
 
 def next_line(conn: Connection, until: int, max_bytes: int = MAX_LINE_BYTES) -> Coroutine:
-    """The next line of a chunked answer, or None where the answer has ended. `until` bounds the silence.
+    """Return the next line of a response body, or None at its end. `until` is the deadline of each read.
 
-    Raises BodyTooLargeError, and what next_event() raises.
+    Raises BodyTooLargeError and the errors of next_event().
     """
     while True:
         line = conn.buffer.next_line()
@@ -171,19 +171,19 @@
 
 
 def response_head(conn: Connection, until: int) -> Coroutine:
-    """The head of an answer, past what only says that one will come; raises what next_event() raises."""
+    """Return the head of a response, skipping informational ones. Raises the errors of next_event()."""
     while True:
         event = yield from next_event(conn, until)
         if isinstance(event, h11.Response):
             return event
         if not isinstance(event, h11.InformationalResponse):
-            raise h11.RemoteProtocolError("ended before an answer")
+            raise h11.RemoteProtocolError("connection ended before a response")
 
 
 def request_bytes(
     conn: Connection, method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], content: bytes = b""
 ) -> bytes:
-    """The bytes of a whole request."""
+    """Return the bytes of a complete request."""
     send = conn.http.send
     head = send(h11.Request(method=method, target=target, headers=headers))
     return head + (send(h11.Data(data=content)) if content else b"") + send(h11.EndOfMessage())
@@ -192,7 +192,7 @@
 def response_bytes(
     conn: Connection, status: int, headers: list[tuple[bytes, bytes]], content: bytes, last: bool
 ) -> bytes:
-    """The bytes of a whole answer; `last` tells the other side that the connection ends with it."""
+    """Return the bytes of a complete response; `last` adds "Connection: close"."""
     headers = [*headers, (b"content-length", b"%d" % len(content))]
     if last:
         headers.append((b"connection", b"close"))
@@ -202,7 +202,11 @@
 
 
 def resume_parsers(client: Connection, worker: Connection, headed: bool) -> None:
-    """Parsers for connections taken over: a whole request behind the one, an answer to come on the other."""
+    """Set the parsers of handed-off connections to the state they had in the other process.
+
+    The client's parser has read a complete request. The worker's parser awaits a response; `headed`: its head
+    has been read.
+    """
     client.http.receive_data(b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
     while not isinstance(client.http.next_event(), h11.EndOfMessage):
         pass
@@ -213,7 +217,7 @@
 
 
 def start_next_cycle(parser: h11.Connection) -> bool:
-    """Whether its connection can carry another request, and made ready for it."""
+    """Prepare a parser for the next request; return whether its connection can carry one."""
     if parser.our_state is h11.DONE and parser.their_state is h11.DONE:
         parser.start_next_cycle()
         return True
@@ -221,8 +225,8 @@
 
 
 def parse_object(raw: bytes) -> dict:
-    """One JSON object; ValueError for anything else."""
+    """Parse a JSON object; raise ValueError for anything else."""
     value = orjson.loads(raw)
     if not isinstance(value, dict):
-        raise ValueError(f"no object: {raw[:80]!r}")
+        raise ValueError(f"not a JSON object: {raw[:80]!r}")
     return value
--- a/mastledge/protocol/idle_connections.py
+++ b/mastledge/protocol/idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections to workers: kept for the next launch, given up before the worker closes them."""
+"""Pool of idle connections to workers, closed before the worker's own idle timeout."""
 
 from mastledge.protocol.worker_endpoint import WorkerEndpoint
 from mastledge.transport.budget import Budget
@@ -6,46 +6,46 @@
 from mastledge.transport.loop import READ, Loop
 
 IDLE_SHARE = (
-    0.7  # of the time after which a worker may close an idle connection; a launch must not cross that
+    0.7  # of a worker's idle timeout: a launch must not be sent while the worker closes the connection
 )
-MAX_BREAK_RATE = 1 / 64  # of the launches on reused connections; above, run-once jobs get new ones
-BREAK_RATE_GAIN = 1 / 32
+MAX_BREAK_RATE = 1 / 64  # per launch on a reused connection; above it, run-once jobs get new connections
+BREAK_RATE_GAIN = 1 / 32  # weight of the newest sample
 
 
 class ReuseRate:
-    """How often connections that had been idle break at the next launch, as a moving average."""
+    """Tracks how often reused connections break, as a moving average."""
 
     def __init__(self) -> None:
-        """None has broken."""
+        """Start with a break rate of 0."""
         self.break_rate = 0.0
 
     def record(self, conn: Connection, broke: bool) -> None:
-        """Counts the first that is seen of a reused connection; nothing for others."""
+        """Count the first result of a reused connection; new connections are not counted."""
         if conn.reused:
             conn.reused = False
             self.break_rate += BREAK_RATE_GAIN * (broke - self.break_rate)
 
     def decay(self) -> None:
-        """Reused connections are tried again in time, though none of them is counted meanwhile."""
+        """Lower the break rate while reused connections are avoided, so that they are tried again."""
         self.break_rate -= BREAK_RATE_GAIN / 2 * self.break_rate
 
 
 class IdleConnections:
-    """Takes idle connections from worker endpoints and keeps them there."""
+    """Adds idle connections to worker endpoints and takes them for launches."""
 
     def __init__(self, loop: Loop, budget: Budget) -> None:
-        """The budget may close what is kept here."""
+        """The budget may evict the idle connections."""
         self.loop, self.budget = loop, budget
         self.reuse = ReuseRate()
 
     def configure(self, settings: dict) -> None:
-        """Takes over the settings that count for what is kept from now on."""
+        """Apply settings to connections that become idle from now on."""
         self.max_idle_us = int(settings["conn_idle"] * IDLE_SHARE)
 
     def take(self, endpoint: WorkerEndpoint, run_once: bool) -> Connection | None:
-        """The connection used last, as the others get old and go; None where a new one is wanted."""
+        """Return the most recently used idle connection, or None if a new one is needed."""
         if run_once and self.reuse.break_rate > MAX_BREAK_RATE:
-            # Some break at the last byte, too late to tell that nothing ran.
+            # A connection that breaks at the last byte leaves unknown whether the job ran.
             self.reuse.decay()
             return None
         while endpoint.idle:
@@ -59,7 +59,7 @@
         return None
 
     def keep(self, endpoint: WorkerEndpoint, conn: Connection, incarnation: tuple) -> None:
-        """Keeps a connection to this incarnation, or closes it where the worker is another or excluded."""
+        """Keep an idle connection, or close it if the worker is excluded or no longer this incarnation."""
         if endpoint.excluded or incarnation != endpoint.incarnation() or not conn.is_quiet():
             conn.close()
             return
@@ -70,7 +70,7 @@
         self.budget.add_idle("workers", conn, lambda: self._drop(endpoint, conn))
 
     def close_all(self, endpoint: WorkerEndpoint) -> None:
-        """Closes all that is kept to a worker."""
+        """Close all idle connections to a worker."""
         for conn, _ in list(endpoint.idle):
             self._drop(endpoint, conn)
 
--- a/mastledge/protocol/load_messages.py
+++ b/mastledge/protocol/load_messages.py
@@ -1,8 +1,8 @@
-"""Messages between dispatchers: what one has out at each worker, and which keys its jobs wanted.
+"""Load messages between dispatchers: the sender's load on each worker, and the work requested per key.
 
-The layout, big endian: a mark of four bytes, the number of loads (u16) and the sender's time (u64); then
-for each load the worker's number (u32) and four times its load (u8); then for each key its hash (u64) and
-the work that it wanted in milliseconds (u16).
+Layout, big endian: a magic number of four bytes, the number of loads (u16) and the sender's time (u64); then
+for each load the worker's number (u32) and four times the load (u8); then for each key its hash (u64) and the
+requested work in milliseconds (u16).
 """
 
 from collections.abc import Sequence
@@ -11,14 +11,14 @@
 MARK = b"mst1"
 MAX_MESSAGE_BYTES = 256
 HEAD, LOAD, KEY_WORK = Struct(">4sHQ"), Struct(">IB"), Struct(">QH")
-LOAD_UNITS = 4  # of a load of one job
+LOAD_UNITS = 4  # encoded value of a load of one job
 MAX_LOAD, MAX_WORK_MS = 255, 65535
 
 
 def encoded(sent_at: int, loads: Sequence[tuple[int, float]], wants: Sequence[tuple[int, float]]) -> bytes:
-    """The message of loads by worker and work in microseconds by key.
+    """Encode loads by worker and work in microseconds by key.
 
-    What does not fit is left out; the decisions name no more than that usually.
+    Entries that do not fit are left out; the scheduler rarely passes that many.
     """
     loads = loads[: (MAX_MESSAGE_BYTES - HEAD.size) // LOAD.size]
     loads = [LOAD.pack(worker, min(MAX_LOAD, round(LOAD_UNITS * load))) for worker, load in loads]
@@ -28,15 +28,15 @@
 
 
 def decoded(content: bytes) -> tuple[int, list[tuple[int, float]], list[tuple[int, int]]] | None:
-    """When it was sent, loads by worker and work in microseconds by key; None where it is no such message."""
+    """Return the send time, loads by worker and work in microseconds by key; None if it is malformed."""
     if not HEAD.size <= len(content) <= MAX_MESSAGE_BYTES:
         return None
     mark, count, sent_at = HEAD.unpack_from(content)
-    middle = HEAD.size + count * LOAD.size
-    if mark != MARK or middle > len(content) or (len(content) - middle) % KEY_WORK.size:
+    loads_end = HEAD.size + count * LOAD.size
+    if mark != MARK or loads_end > len(content) or (len(content) - loads_end) % KEY_WORK.size:
         return None
     return (
         sent_at,
-        [(worker, load / LOAD_UNITS) for worker, load in LOAD.iter_unpack(content[HEAD.size : middle])],
-        [(key, work * 1000) for key, work in KEY_WORK.iter_unpack(content[middle:])],
+        [(worker, load / LOAD_UNITS) for worker, load in LOAD.iter_unpack(content[HEAD.size : loads_end])],
+        [(key, work * 1000) for key, work in KEY_WORK.iter_unpack(content[loads_end:])],
     )
--- a/mastledge/protocol/load_report.py
+++ b/mastledge/protocol/load_report.py
@@ -1,8 +1,8 @@
-"""The load report that comes with a worker's answer, in a header or in a line."""
+"""Parses the load report in a worker's answer, from a header or a JSON line."""
 
 from collections.abc import Sequence
 
-# What a worker may call a field: the name by which settings and decisions know it.
+# Field names used by workers, mapped to the names in settings and the scheduler.
 FIELD_NAMES = {
     "inflight": "outstanding",
     "queue": "backlog",
@@ -13,25 +13,25 @@
     "x0": "free_slots",
     "x1": "free_memory",
 }
-NOT_REPORTED = -1.0  # no figure of a report is below zero
+NOT_REPORTED = -1.0  # reported values are never negative
 NO_REPORT = ()
 
 
 def report_of_header(value: bytes, fields: Sequence[str]) -> tuple[float, ...]:
-    """The figures of a header `TEXT name=figure,...` in the order of `fields`; () where it is no report."""
+    """Return the values of a header `TEXT name=value,...` in the order of `fields`; () if malformed."""
     pairs = (pair.partition(b"=") for pair in value.removeprefix(b"TEXT ").split(b","))
     try:
-        load = {name.strip().decode(): float(figure) for name, _, figure in pairs if figure}
+        load = {name.strip().decode(): float(number) for name, _, number in pairs if number}
     except ValueError:
         return NO_REPORT
     return report_of_object(load, fields)
 
 
 def report_of_object(load: dict, fields: Sequence[str]) -> tuple[float, ...]:
-    """The figures of a JSON object in the order of `fields`; () where it holds none."""
-    figures = {
-        FIELD_NAMES.get(name, name): float(figure)
-        for name, figure in load.items()
-        if isinstance(figure, int | float)
+    """Return the values of a JSON object in the order of `fields`; () if it has no numbers."""
+    values = {
+        FIELD_NAMES.get(name, name): float(number)
+        for name, number in load.items()
+        if isinstance(number, int | float)
     }
-    return tuple(figures.get(name, NOT_REPORTED) for name in fields) if figures else NO_REPORT
+    return tuple(values.get(name, NOT_REPORTED) for name in fields) if values else NO_REPORT
--- a/mastledge/protocol/worker_answers.py
+++ b/mastledge/protocol/worker_answers.py
@@ -1,4 +1,4 @@
-"""Reads what a worker answers to a launch: a head, then lines of JSON about the job."""
+"""Reads a worker's answer to a launch: an HTTP head, then JSON lines about the job."""
 
 from typing import Any, NamedTuple
 
@@ -13,16 +13,18 @@
 from mastledge.transport.errors import WaitTimeoutError
 from mastledge.transport.loop import Coroutine, Loop, Queue
 
-ANSWER_TAIL_US = 1_000_000  # for the end of an answer whose last line has come
+ANSWER_TAIL_US = 1_000_000  # for the rest of an answer after its last line
 MIN_PATIENCE_US = 100_000
-# A worker says that a job never ran, by its head or by a line: no outcome yet, as it takes a proof.
+# The head or a line says that the job was not run. This is not an outcome yet: it must be proven first.
 HEAD_SAYS_REJECTED, LINE_SAYS_REJECTED = "turned away", "returned"
 OUTCOME_OF_STATE = {"failed": Outcome.ERROR, "returned": LINE_SAYS_REJECTED, "lost": Outcome.LOST}
-ENDING_STATES = tuple(OUTCOME_OF_STATE)  # a state may be anything, also what no dict can look up
+ENDING_STATES = tuple(OUTCOME_OF_STATE)  # a tuple, as a malformed state may be unhashable
 
 
 class LaunchAnswer(NamedTuple):
-    """How a launch ended (an `Outcome`, or one of the two that still take a proof), its result and load."""
+    """Holds the outcome of a launch, its result and its load report.
+
+    `outcome` is an `Outcome`, or HEAD_SAYS_REJECTED or LINE_SAYS_REJECTED, which are still unproven."""
 
     outcome: str
     result: bytes | None = None
@@ -30,45 +32,45 @@
 
 
 class WorkerAnswers:
-    """Reads answers of workers and passes on what they tell before the end.
+    """Reads answers of workers and queues events for the progress they report.
 
-    `reuse` is told whether connections that had been idle hold.
+    `reuse` records whether reused connections work.
     """
 
     def __init__(self, loop: Loop, inbox: Queue, reuse: ReuseRate) -> None:
-        """`inbox` takes `LaunchSilent`, `LaunchStarted` and `LaunchProgressed`."""
+        """`inbox` receives `LaunchSilent`, `LaunchStarted` and `LaunchProgressed`."""
         self.loop, self.inbox, self.reuse = loop, inbox, reuse
 
     def configure(self, settings: dict) -> None:
-        """Takes over the settings that count for answers that come from now on."""
+        """Apply settings to answers that are read from now on."""
         self.report_fields = settings["report_fields"]
         self.patience_us = max(settings["connect_timeout"], MIN_PATIENCE_US)
 
     def read(self, conn: Connection, launch: Any, until: int) -> Coroutine:
-        """The LaunchAnswer to what was sent on a connection.
+        """Return the LaunchAnswer to the request that was sent on a connection.
 
-        A head names no job: on a connection that has carried another one it may be a second answer to that,
-        come late, while this launch runs. A line names its job.
+        A line names its job, but a head does not: on a reused connection it may be a late second answer to
+        the previous job while this launch runs.
 
-        Raises WaitTimeoutError at `until`, OSError or h11.RemoteProtocolError where the connection or its
-        HTTP breaks, ValueError or BodyTooLargeError for lines that cannot be understood.
+        Raises WaitTimeoutError at `until`, OSError or h11.RemoteProtocolError if the connection or its HTTP
+        breaks, ValueError or BodyTooLargeError for invalid lines.
         """
         report = NO_REPORT
         if not launch.headed:
             head = yield from self._read_head(conn, launch, until)
             fields = dict(head.headers)
             launch.headed = True
-            # Only between two chunks it is known from outside how far the parser is.
+            # A hand-off can restore the parser's state only between two chunks.
             conn.at_chunk_end = fields.get(b"transfer-encoding") == b"chunked"
             report = report_of_header(fields.get(b"x-pressure", b""), self.report_fields)
             if head.status_code != 200:
-                says = [value for name, value in head.headers if name == b"x-turned-away"]
-                rejected = head.status_code in (503, 504) and says == [b"1"]
+                rejections = [value for name, value in head.headers if name == b"x-turned-away"]
+                rejected = head.status_code in (503, 504) and rejections == [b"1"]
                 return LaunchAnswer(HEAD_SAYS_REJECTED if rejected else Outcome.ERROR, None, report)
         return (yield from self._read_lines(conn, launch, until, report))
 
     def is_whole_and_alone(self, conn: Connection, names_job: bool, until: int) -> Coroutine:
-        """Whether an answer is whole and the only one: else it is no proof that its job never ran."""
+        """Return whether the answer is complete and the only one; otherwise the job may have run."""
         until = min(until, self.loop.now() + ANSWER_TAIL_US)
         try:
             if conn.buffer.peek().strip():
@@ -82,12 +84,12 @@
             return False
 
     def read_to_end(self, conn: Connection) -> Coroutine:
-        """Reads the rest of an answer; whether the connection can carry another request."""
+        """Read the rest of an answer; return whether the connection can carry another request."""
         try:
             until = self.loop.now() + ANSWER_TAIL_US
             while conn.http.their_state is h11.SEND_BODY:
                 yield from http.next_event(conn, until)
-            # Bytes beyond the answer belong to nothing that was asked.
+            # Bytes after the answer belong to no request, so the connection is not reused.
             return conn.http.trailing_data == (b"", False) and http.start_next_cycle(conn.http)
         except (OSError, WaitTimeoutError, h11.RemoteProtocolError):
             return False
@@ -97,7 +99,7 @@
             try:
                 head = yield from http.response_head(conn, min(until, self.loop.now() + self.patience_us))
             except WaitTimeoutError:
-                # A worker tells at once that it has taken a job, also where that has to wait there.
+                # A worker confirms a job at once, even if the job waits in the worker's queue.
                 if self.loop.now() >= until:
                     raise
                 self.inbox.put(LaunchSilent(launch))
@@ -106,7 +108,7 @@
             return head
 
     def _read_lines(self, conn, launch, until, report):
-        begun = False
+        started = False
         while True:
             line = yield from http.next_line(conn, until)
             if line is None:
@@ -116,20 +118,20 @@
             message = http.parse_object(line)
             state = message.get("state")
             if message.get("id") != launch.name:
-                raise ValueError(f"news of another job: {line[:80]!r}")
+                raise ValueError(f"line about another job: {line[:80]!r}")
             if state in ("started", "running"):
-                begun = True
-                self._pass_on(launch, state, message)
+                started = True
+                self._report_progress(launch, state, message)
             elif state == "done":
                 return LaunchAnswer(COMPLETED, result_of(message, line), self._report(message, report))
             elif state not in ENDING_STATES:
                 raise ValueError(f"unknown state: {line[:80]!r}")
-            elif state == "returned" and begun:
-                raise ValueError("returned unstarted, behind its start")
+            elif state == "returned" and started:
+                raise ValueError("job was returned as not started after it had started")
             else:
                 return LaunchAnswer(OUTCOME_OF_STATE[state], None, self._report(message, report))
 
-    def _pass_on(self, launch, state, message):
+    def _report_progress(self, launch, state, message):
         if state == "started":
             self.inbox.put(LaunchStarted(launch))
         elif isinstance(share := message.get("share"), int | float):
@@ -141,8 +143,8 @@
 
 
 def result_of(message: dict, line: bytes) -> bytes:
-    """The result that a line brings; ValueError where it has none."""
+    """Return the result in a line; raise ValueError if there is none."""
     result = message.get("result")
     if not isinstance(result, str):
-        raise ValueError(f"no result: {line[:80]!r}")
+        raise ValueError(f"result is missing or not a string: {line[:80]!r}")
     return result.encode()
--- a/mastledge/protocol/worker_connections.py
+++ b/mastledge/protocol/worker_connections.py
@@ -1,4 +1,4 @@
-"""Launches on workers: writes a job's request to a worker and tells what becomes of it."""
+"""Sends launches to workers and reports their outcomes."""
 
 from collections.abc import Callable
 from typing import Any
@@ -23,16 +23,16 @@
 from mastledge.transport.loop import WRITE, Coroutine, Loop, Queue
 
 REFUSAL_US = (
-    2_000  # beside a round trip, in which a connection that is dead already breaks at what is written
+    2_000  # added to the round trip time: a dead connection reports a reset for the written bytes by then
 )
 REUSABLE_AFTER = (COMPLETED, Outcome.ERROR, Outcome.FULL)
 
 
 class WorkerConnections:
-    """Sends launches on new or idle connections. `rule` may forbid it where dispatchers agree (consensus)."""
+    """Sends launches on new or idle connections. `rule`, if set, may forbid it (consensus)."""
 
     def __init__(self, loop: Loop, budget: Budget, inbox: Queue, settings: dict, log: Callable) -> None:
-        """`inbox` takes one `LaunchEnded` a launch, and what comes before."""
+        """`inbox` receives the events of each launch; the last one is `LaunchEnded`."""
         self.loop, self.budget, self.inbox, self.log = loop, budget, inbox, log
         self.idle = IdleConnections(loop, budget)
         self.answers = WorkerAnswers(loop, inbox, self.idle.reuse)
@@ -41,19 +41,19 @@
         self.configure(settings)
 
     def configure(self, settings: dict) -> None:
-        """Takes over the settings that count for launches from now on; times are microseconds."""
+        """Apply settings to launches from now on; times are in microseconds."""
         self.connect_timeout = settings["connect_timeout"]
         self.idle.configure(settings)
         self.answers.configure(settings)
 
     def close_idle(self, endpoint: WorkerEndpoint) -> None:
-        """Closes the idle connections to a worker."""
+        """Close the idle connections to a worker."""
         self.idle.close_all(endpoint)
 
     def launch(self, endpoint: WorkerEndpoint, launch: Any, exchange: Any, until: int) -> Coroutine:
-        """Runs a launch, of which it uses `name`, `sent` and `send_by`, the last time for its last byte.
+        """Run a launch and queue its events, ending with one `LaunchEnded`.
 
-        Tells what is heard of it, and one `LaunchEnded`.
+        Uses `name`, `sent` and `send_by` of the launch; `send_by` is the deadline for its last byte.
         """
         conn = None
         incarnation = endpoint.incarnation()
@@ -66,18 +66,18 @@
                 answer = yield from self._answer(conn, endpoint, launch, until)
             reusable = conn is not None and conn.fd >= 0 and answer.outcome in REUSABLE_AFTER
             if conn is not None and not reusable:
-                # Still out for its worker until the connection ends, and the job may go elsewhere at once.
+                # The worker may run the job until the connection closes, and a relaunch may follow at once.
                 conn.close()
             self.inbox.put(LaunchEnded(launch, *answer))
             if reusable and (yield from self.answers.read_to_end(conn)):
-                kept, conn = conn, None
-                self.idle.keep(endpoint, kept, incarnation)
+                idle_conn, conn = conn, None
+                self.idle.keep(endpoint, idle_conn, incarnation)
         finally:
             if conn is not None:
                 conn.close()
 
     def send(self, endpoint: WorkerEndpoint, launch: Any, exchange: Any, until: int) -> Coroutine:
-        """The connection on which the whole request was written, or None, and how the launch ended then."""
+        """Return (connection, None) once the whole request is written, else (None, outcome)."""
         conn, incarnation = self.idle.take(endpoint, exchange.run_once), endpoint.incarnation()
         is_new, sent = conn is None, False
         try:
@@ -85,7 +85,7 @@
                 conn = yield from self._connect(endpoint, launch.send_by)
             content = self._request(conn, endpoint, exchange, until)
             if incarnation != endpoint.incarnation():
-                # A drain counts from its news, and a new incarnation takes less: both before the first byte.
+                # No byte may go to a worker that is draining, or to a new incarnation with less capacity.
                 self.log("launch_withheld", worker=endpoint.id)
                 raise LaunchWithheldError
             if exchange.run_once:
@@ -98,7 +98,7 @@
         except LaunchWithheldError:
             return None, Outcome.UNSENT
         except ClientLeftError:
-            # Its connection tells that as well, but where the loop is busy not before this one is up.
+            # The client connection reports the disconnect too, but a busy loop may read it later.
             self.inbox.put(ClientLeft(exchange))
             return None, Outcome.UNSENT
         except OutOfDescriptorsError:
@@ -113,7 +113,7 @@
     def write_while_lawful(
         self, conn: Connection, endpoint: WorkerEndpoint, content: bytes, until: int, exchange: Any = None
     ) -> Coroutine:
-        """Writes, and asks at each write whether it may: this process may have been stopped for seconds.
+        """Write, checking before each write whether it is allowed: the process may have been suspended.
 
         Raises OSError, WaitTimeoutError, LaunchWithheldError or ClientLeftError.
         """
@@ -132,8 +132,8 @@
                     raise WaitTimeoutError from None
 
     def _connect(self, endpoint, send_by):
-        before = min(send_by, self.loop.now() + self.connect_timeout)
-        conn = yield from connect(self.loop, self.budget, "workers", endpoint.address, before)
+        deadline = min(send_by, self.loop.now() + self.connect_timeout)
+        conn = yield from connect(self.loop, self.budget, "workers", endpoint.address, deadline)
         return http.attach(conn, h11.CLIENT)
 
     def _request(self, conn, endpoint, exchange, until):
@@ -147,16 +147,16 @@
         return http.request_bytes(conn, exchange.method, exchange.target, headers, exchange.body)
 
     def _write_up_to_last_byte(self, conn, endpoint, content, send_by, exchange):
-        # No worker begins before the last byte, and what broke before it may be launched again.
+        # A worker starts a job at its last byte: if the connection breaks earlier, a relaunch is safe.
         yield from self.write_while_lawful(conn, endpoint, content[:-1], send_by, exchange)
         if not (yield from conn.stays_quiet(REFUSAL_US)):
-            raise OSError("broke before the last byte")
+            raise OSError("connection broke before the last byte")
 
     def _not_sent(self, endpoint, conn, is_new, send_by, error):
-        """The outcome of a launch of which not all was written, so that it cannot have run.
+        """Return the outcome of a launch that was not written completely, so it cannot have run.
 
-        That a connection which stood idle breaks, or that the job's time was too short to connect, says
-        nothing of the worker.
+        A broken idle connection, or a job with too little time left to connect, does not count against the
+        worker.
         """
         self.log("launch_not_sent", worker=endpoint.id, why=str(error) or type(error).__name__)
         in_time = self.loop.now() < send_by
@@ -164,7 +164,7 @@
             self.idle.reuse.record(conn, broke=True)
         if not is_new or self.loop.now() >= send_by:
             return Outcome.UNSENT
-        # What stands idle to a machine that takes no connection would only swallow the next launch.
+        # Idle connections to a machine that accepts no new ones would lose the next launch.
         self.close_idle(endpoint)
         return Outcome.UNREACHABLE
 
@@ -178,7 +178,7 @@
         except WaitTimeoutError:
             return LaunchAnswer(Outcome.TIMEOUT)
         except (OSError, h11.RemoteProtocolError) as error:
-            # One that stood idle may long have ended at the other side, in good health or not.
+            # The worker may have closed a reused connection long ago, which says nothing about its health.
             outcome = Outcome.DROPPED if conn.reused else Outcome.LOST
             self.idle.reuse.record(conn, broke=True)
             why = str(error) or type(error).__name__
@@ -186,14 +186,14 @@
             return LaunchAnswer(outcome)
         except (ValueError, BodyTooLargeError) as error:
             self.log("worker_answer_malformed", worker=endpoint.id, why=str(error))
-            conn.close()  # what follows cannot be trusted, unlike behind an error that was told in order
+            conn.close()  # after malformed input, unlike after a reported error, the rest cannot be trusted
             return LaunchAnswer(Outcome.ERROR)
 
     def _prove_rejection(self, conn, endpoint, answer, reused, until):
         names_job = answer.outcome == LINE_SAYS_REJECTED
-        proof = (names_job or not reused) and (
+        proven = (names_job or not reused) and (
             yield from self.answers.is_whole_and_alone(conn, names_job, until)
         )
-        if not proof:
+        if not proven:
             self.log("rejection_doubted", worker=endpoint.id, kept=reused)
-        return answer._replace(outcome=Outcome.FULL if proof else Outcome.DOUBTED)
+        return answer._replace(outcome=Outcome.FULL if proven else Outcome.DOUBTED)
--- a/mastledge/protocol/worker_endpoint.py
+++ b/mastledge/protocol/worker_endpoint.py
@@ -1,23 +1,23 @@
-"""One worker as this dispatcher's sockets know it."""
+"""The network state of one worker."""
 
 
 class WorkerEndpoint:
-    """The address of a worker and the idle connections to it. Decisions name the worker by this object."""
+    """Holds a worker's address and idle connections. The scheduler identifies the worker by this object."""
 
     __slots__ = ("id", "address", "idle", "started_at", "state", "excluded")
 
     def __init__(self, worker_id: str, excluded: bool = False) -> None:
-        """`excluded`: an operator keeps new jobs from it."""
+        """`excluded`: an operator has excluded the worker from new jobs."""
         self.id, self.excluded = worker_id, excluded
         self.address = None
-        self.idle = []  # (connection, the task that watches it), the one used last at the end
-        self.started_at = 0  # of its incarnation, in microseconds of the monotonic clock; 0 where not known
+        self.idle = []  # (connection, task that watches it), most recently used last
+        self.started_at = 0  # of the incarnation, in microseconds of the monotonic clock; 0 if unknown
         self.state = "ready"
 
     def incarnation(self) -> tuple:
-        """What a launch is decided for: the list may name another one while its connection comes up."""
+        """Return the incarnation that a launch is decided for; it may change while connecting."""
         return self.state, self.address, self.started_at
 
     def __str__(self) -> str:
-        """The worker's id, the same at all dispatchers: they agree on homes for keys by it."""
+        """Return the worker's id, which all dispatchers use to agree on the home workers of keys."""
         return self.id
