--- a/mastledge/transport/__init__.py
+++ b/mastledge/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets and time: one thread in which generators wait for them. Knows no protocol."""
+"""Event loop, connections, buffers and descriptor budget. Independent of any protocol."""
--- a/mastledge/transport/buffer.py
+++ b/mastledge/transport/buffer.py
@@ -1,42 +1,42 @@
-"""The bytes of one connection that are held: appended at the end, taken from the front."""
+"""Byte buffer of one connection: appended at the end, consumed from the front."""
 
 import socket
 
 INITIAL_BYTES = 4096
 MIN_READ_BYTES = INITIAL_BYTES // 2
 MAX_READ_BYTES = 16384
-MAX_KEPT_BYTES = 4 * INITIAL_BYTES  # of an empty buffer
+MAX_KEPT_BYTES = 4 * INITIAL_BYTES  # allocated size that an emptied buffer may keep
 
 
 class Buffer:
-    """Held bytes stand at `data[start:end]`; what is behind `end` is free."""
+    """Holds its content in `data[start:end]`; the bytes after `end` are free."""
 
     __slots__ = ("data", "start", "end", "searched")
 
     def __init__(self) -> None:
-        """An empty buffer."""
+        """Create an empty buffer."""
         self.data, self.start, self.end = bytearray(INITIAL_BYTES), 0, 0
-        self.searched = 0  # no line ends before this
+        self.searched = 0  # position up to which there is no line end
 
     def __len__(self) -> int:
-        """How many bytes are held."""
+        """Return the number of bytes in the buffer."""
         return self.end - self.start
 
     def ensure_free(self, size: int) -> None:
-        """Makes at least so many bytes free behind what is held."""
+        """Make at least `size` bytes free after the content."""
         data = self.data
         if len(data) - self.end < size and self.start:
-            held = self.end - self.start
-            data[:held] = data[self.start : self.end]
+            content_bytes = self.end - self.start
+            data[:content_bytes] = data[self.start : self.end]
             self.searched -= self.start
-            self.start, self.end = 0, held
+            self.start, self.end = 0, content_bytes
         if len(data) - self.end < size:
             data.extend(bytes(max(size, len(data))))
 
     def receive(self, sock: socket.socket) -> bytes:
-        """What the socket has now, b"" at its end. It passes through the free part; only append() holds it.
+        """Read from the socket, b"" at its end. The bytes are only returned, not added to the content.
 
-        Raises BlockingIOError where nothing has come, another OSError where the connection is broken.
+        Raises BlockingIOError if there is no data, another OSError if the connection is broken.
         """
         self.ensure_free(MIN_READ_BYTES)
         with memoryview(self.data) as whole, whole[self.end : self.end + MAX_READ_BYTES] as free:
@@ -44,13 +44,13 @@
             return bytes(free[:size])
 
     def append(self, part: bytes) -> None:
-        """Holds more bytes behind the others."""
+        """Add bytes at the end."""
         self.ensure_free(len(part))
         self.data[self.end : self.end + len(part)] = part
         self.end += len(part)
 
     def next_line(self) -> bytes | None:
-        """The next whole line without its end, or None. What was searched is not searched again."""
+        """Remove and return the next complete line without its line end, or None. Searches each byte once."""
         line_end = self.data.find(b"\n", max(self.searched, self.start), self.end)
         if line_end < 0:
             self.searched = self.end
@@ -60,18 +60,18 @@
         return line
 
     def peek(self) -> bytes:
-        """All that is held, which stays."""
+        """Return the content without removing it."""
         return bytes(self.data[self.start : self.end])
 
     def take(self) -> bytes:
-        """All that is held; the buffer is empty then."""
+        """Remove and return the content."""
         content = bytes(self.data[self.start : self.end])
         self.clear()
         return content
 
     def clear(self) -> None:
-        """Drops what is held."""
+        """Remove the content."""
         self.start = self.end = self.searched = 0
         if len(self.data) > MAX_KEPT_BYTES:
-            # Hundreds of idle connections must not each keep the memory of their largest body.
+            # Otherwise hundreds of idle connections would each keep the memory of their largest body.
             self.data = bytearray(INITIAL_BYTES)
--- a/mastledge/transport/connection.py
+++ b/mastledge/transport/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection: its socket, its buffer, its place in the budget."""
+"""TCP connections with their buffer and their budget entry."""
 
 import contextlib
 import errno
@@ -18,10 +18,10 @@
 
 
 class Connection:
-    """A connected socket that a coroutine reads and writes.
+    """Wraps a connected socket for reads and writes by a coroutine.
 
-    Some fields are for the layers above: `http` (the parser), `owner` (the task or endpoint that holds it),
-    `reused`, `at_chunk_end` and `discards_input`.
+    Higher layers use the fields `http` (the parser), `owner` (the task or endpoint that holds it), `reused`,
+    `at_chunk_end` and `discards_input`.
     """
 
     __slots__ = (
@@ -42,27 +42,27 @@
     )
 
     def __init__(self, loop: Loop, sock: socket.socket, budget: Budget, kind: str) -> None:
-        """Takes over a socket for which the budget has been asked."""
+        """Take ownership of a socket that has been acquired from the budget."""
         self.loop, self.sock, self.fd = loop, sock, sock.fileno()
         self.budget, self.kind = budget, kind
         self.opened_us = loop.now()
         self.buffer = Buffer()
         self.unsent_bytes = 0
-        self.read_iteration = -1  # of the loop, in which it was read last
-        self.at_chunk_end = True  # what has come of an answer ends with a whole chunk
-        self.discards_input = False  # bytes behind a request: nothing that follows can be read any more
-        self.reused = False  # it was idle, and nothing has come on it since
+        self.read_iteration = -1  # loop iteration of the last read
+        self.at_chunk_end = True  # the received part of an answer ends with a complete chunk
+        self.discards_input = False  # pipelined bytes were dropped, so no further request can be read
+        self.reused = False  # taken from the idle pool, and nothing received since
         self.http = self.owner = None
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def receive(self, until: int | None) -> Coroutine:
-        """The next bytes, b"" at the end.
+        """Return the next bytes, b"" at the end of the connection.
 
-        Raises OSError when the connection breaks, WaitTimeoutError at `until`.
+        Raises OSError if the connection breaks, WaitTimeoutError at `until`.
         """
         while True:
-            # Once an iteration: who sends at full speed must not hold up all the others.
+            # Read once per loop iteration, so that a fast sender does not starve other connections.
             if self.read_iteration != self.loop.iterations:
                 self.read_iteration = self.loop.iterations
                 try:
@@ -73,9 +73,9 @@
                 raise WaitTimeoutError
 
     def send(self, data: bytes, until: int | None) -> Coroutine:
-        """Writes all of it.
+        """Write all data.
 
-        Raises OSError or WaitTimeoutError; `unsent_bytes` tells then how much was not written.
+        Raises OSError or WaitTimeoutError; `unsent_bytes` is then the number of bytes not written.
         """
         view = memoryview(data)
         self.unsent_bytes = len(view)
@@ -87,7 +87,7 @@
                     raise WaitTimeoutError from None
 
     def is_quiet(self) -> bool:
-        """Nothing unread and not ended: only then may it be used again, or closed as idle."""
+        """Return whether the connection is open with nothing to read, so it may be reused or evicted."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -97,21 +97,21 @@
         return False
 
     def stays_quiet(self, margin_us: int) -> Coroutine:
-        """Whether nothing comes back for what was written, within a round trip and a margin.
+        """Return whether nothing is received within a round trip time plus a margin after a write.
 
-        A machine that refuses it tells so in that time.
+        A machine that refuses the written bytes resets the connection within that time.
         """
         info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
         round_trip_us = int.from_bytes(info[TCP_INFO_RTT], sys.byteorder)
         return not (yield (self.fd, READ | PEER_SHUTDOWN, self.loop.now() + margin_us + round_trip_us))
 
     def shutdown_write(self) -> None:
-        """Ends the sending; what the other side still sends can be read."""
+        """Shut down the write side; data from the other side can still be read."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
-        """Closes the socket and gives its place back; a second call does nothing."""
+        """Close the socket and release its budget entry; a second call does nothing."""
         if self.fd >= 0:
             self.loop.forget(self.fd)
             self.fd = -1
@@ -120,9 +120,9 @@
 
 
 def address_of(text: str) -> tuple[str, int]:
-    """Address and port of ADDRESS:PORT; ValueError for anything else.
+    """Parse ADDRESS:PORT; raise ValueError for anything else.
 
-    A name is no address: to look it up would hold up all connections.
+    Host names are refused: a name lookup would block the event loop.
     """
     host, _, port = text.rpartition(":")
     host = host.strip("[]")
@@ -136,15 +136,15 @@
 
 
 def socket_for(address: tuple[str, int]) -> socket.socket:
-    """A new TCP socket of the family of an address; OSError where the system has none."""
+    """Create a TCP socket for the family of an address; raise OSError if the system has none left."""
     return socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
 
 
 def connect(loop: Loop, budget: Budget, kind: str, address: tuple[str, int], until: int) -> Coroutine:
-    """A new Connection.
+    """Connect to an address and return the Connection.
 
-    Raises OSError or WaitTimeoutError when it does not come up, OutOfDescriptorsError when none may be
-    opened.
+    Raises OSError or WaitTimeoutError if the connect fails, OutOfDescriptorsError if the budget or the system
+    has no descriptor left.
     """
     if not budget.acquire(kind):
         raise OutOfDescriptorsError
--- a/mastledge/transport/descriptor_passing.py
+++ b/mastledge/transport/descriptor_passing.py
@@ -1,4 +1,4 @@
-"""Connections handed from one process to another on this machine, with a few bytes about each."""
+"""Passes connected sockets, with a short message, to another process on this machine."""
 
 import contextlib
 import os
@@ -9,7 +9,7 @@
 
 
 def open_receiver(path: str) -> socket.socket:
-    """The socket to which another process sends them; OSError where the path cannot be had."""
+    """Open the socket that receives them from another process; raise OSError if the path cannot be bound."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
     try:
         sock.setblocking(False)
@@ -24,17 +24,17 @@
 
 
 def send_sockets(path: str, message: bytes, sockets: Sequence[socket.socket]) -> None:
-    """Hands them on; OSError where nobody is there or no more can wait there now."""
+    """Send a message with sockets; raise OSError if there is no receiver or its queue is full."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as sock:
         sock.setblocking(False)
         sock.connect(path)
-        socket.send_fds(sock, [message], [one.fileno() for one in sockets])
+        socket.send_fds(sock, [message], [sock_to_pass.fileno() for sock_to_pass in sockets])
 
 
 def receive_sockets(receiver: socket.socket, count: int) -> tuple[bytes, list[socket.socket]] | None:
-    """The next message and its sockets; None where none waits.
+    """Return the next message and its sockets, or None if there is no message.
 
-    Of a message that came without all of them, the sockets are closed and (b"", []) is returned.
+    If a message arrives truncated or without all `count` sockets, close those received and return (b"", []).
     """
     try:
         message, fds, flags, _ = socket.recv_fds(receiver, MAX_MESSAGE_BYTES, count)
@@ -43,6 +43,6 @@
     sockets = [socket.socket(fileno=fd) for fd in fds]
     if len(sockets) == count and not flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
         return message, sockets
-    for one in sockets:
-        one.close()
+    for received_socket in sockets:
+        received_socket.close()
     return b"", []
--- a/mastledge/transport/errors.py
+++ b/mastledge/transport/errors.py
@@ -1,21 +1,21 @@
-"""Errors of sockets and waits. What the kernel refuses stays an OSError."""
+"""Errors of sockets and waits. Errors of system calls stay OSError."""
 
 
 class TransportError(Exception):
-    """Base of the errors that this package raises itself."""
+    """Base class of the errors defined by this package."""
 
 
 class WaitTimeoutError(TransportError):
-    """The time given for a connect, a read or a write is over."""
+    """The deadline of a connect, a read or a write has passed."""
 
     def __init__(self) -> None:
-        """One text for all waits, so that a log that drops repeats tells of it once."""
+        """Use one text for all waits, so that a log that drops repeats shows it once."""
         super().__init__("timed out")
 
 
 class OutOfDescriptorsError(TransportError):
-    """The budget or the system has no descriptor for one more connection."""
+    """The budget or the system has no descriptor for another connection."""
 
     def __init__(self) -> None:
-        """One text, as above."""
-        super().__init__("no descriptor for one more connection")
+        """Use one text for all cases, so that a log that drops repeats shows it once."""
+        super().__init__("no descriptor left for another connection")
--- a/mastledge/transport/listening.py
+++ b/mastledge/transport/listening.py
@@ -1,4 +1,4 @@
-"""Listening sockets: binding, accepting, and which of two processes gets the new connections."""
+"""Listening sockets: bind, accept, and select the process that gets new connections."""
 
 import socket
 import struct
@@ -12,7 +12,7 @@
 
 
 def bind_socket(address: tuple[str, int], reuse_port: bool = False) -> socket.socket:
-    """A socket that holds the address, with `reuse_port` beside other processes of this user that hold it so.
+    """Bind a socket to an address; `reuse_port` shares it with other processes of this user.
 
     Raises OSError.
     """
@@ -30,7 +30,7 @@
 
 
 def listen(address: tuple[str, int], backlog: int = BACKLOG) -> socket.socket:
-    """A listening socket; OSError where the address cannot be had."""
+    """Open a listening socket; raise OSError if the address cannot be bound."""
     sock = bind_socket(address)
     try:
         sock.listen(backlog)
@@ -41,9 +41,10 @@
 
 
 def select_listener(sock: socket.socket, index: int) -> bool:
-    """Sends new connections to the listener of this index among those that share the address.
+    """Direct new connections to the listener with this index among those that share the address.
 
-    Without such a listener the kernel deals them out as before. False where it knows no such filter.
+    If there is no such listener, the kernel distributes them as before. Returns False if the kernel does not
+    support the filter.
     """
     program = array("B", struct.pack("HBBI", BPF_RET, 0, 0, index))
     filter_option = struct.pack("HP", 1, program.buffer_info()[0])
@@ -55,13 +56,13 @@
 
 
 def accept(sock: socket.socket, budget: Budget) -> tuple[socket.socket | None, bool]:
-    """The next connection that waits, or None, and whether to wait a little before the next call."""
+    """Return the next waiting connection or None, and whether to pause before the next call."""
     while True:
         try:
             return sock.accept()[0], False
         except BlockingIOError:
             return None, False
         except OSError as error:
-            # Whatever became of one connection that waited, the next ones must still be taken.
+            # An error of one waiting connection must not stop the accepting of others.
             if error.errno not in DESCRIPTOR_SHORTAGE or not budget.evict(*SHORTAGE_EVICTION_ORDER):
                 return None, True
--- a/mastledge/transport/loop.py
+++ b/mastledge/transport/loop.py
@@ -1,7 +1,7 @@
-"""An event loop: generators as coroutines over select.epoll, in one thread.
+"""Single-threaded event loop over select.epoll, with generators as coroutines.
 
-A coroutine yields (descriptor or -1, epoll events, deadline or None) and is resumed with the events that
-came, with 0 when the deadline has passed, or with what wake() handed it. Times are whole microseconds of the
+A coroutine yields (descriptor or -1, epoll events, deadline or None). It is resumed with the events that
+occurred, with 0 after the deadline, or with the value passed to wake(). Times are whole microseconds of the
 monotonic clock.
 """
 
@@ -14,30 +14,32 @@
 
 READ, WRITE, PEER_SHUTDOWN = select.EPOLLIN, select.EPOLLOUT, select.EPOLLRDHUP
 CONNECTION_ENDED = PEER_SHUTDOWN | select.EPOLLHUP | select.EPOLLERR
-MAX_EVENTS = 64  # taken up in an iteration: what goes ahead of the others waits for one iteration
-MIN_STALE_TIMERS = 256  # fewer are not worth a compaction
+MAX_EVENTS = 64  # per poll and iteration; bounds how long priority events wait
+MIN_STALE_TIMERS = 256  # before the timer heap is compacted
 
 Coroutine = Generator[tuple[int, int, int | None], Any, Any]
 
 
 class Task:
-    """A coroutine of the loop and the wait that it is in."""
+    """Holds a coroutine of the loop and the state of its current wait."""
 
     __slots__ = ("coroutine", "fd", "wait_number", "mailbox", "ended", "has_timer", "epoll")
 
     def __init__(self, coroutine: Coroutine, epoll: select.epoll) -> None:
-        """A task that has not begun; `epoll` is where its descriptors are registered."""
+        """Create a task that has not started; its descriptors are registered with `epoll`."""
         self.coroutine, self.epoll = coroutine, epoll
-        self.fd = -1  # the descriptor it waits for, if any
-        self.wait_number = 0  # tells a timer or a ready entry of an earlier wait from those of this one
+        self.fd = -1  # descriptor that the task waits for, -1 for none
+        self.wait_number = (
+            0  # identifies the current wait; timers and ready entries of earlier ones are stale
+        )
         self.mailbox = deque()
         self.ended = self.has_timer = False
 
 
 class Loop:
-    """Runs tasks as their descriptors become ready, their deadlines pass or others wake them.
+    """Runs tasks when their descriptors become ready, their deadlines pass or other tasks wake them.
 
-    An iteration takes up all that is ready, then events, then deadlines that have passed.
+    An iteration runs the ready tasks, then handles events, then expired deadlines.
     """
 
     def __init__(self, on_error: Callable[[Exception], object]) -> None:
@@ -46,22 +48,22 @@
         self.priority_epoll = None  # descriptors of tasks spawned with `first`
         self.on_error = on_error
         self.waiters = {}  # task by descriptor
-        self.masks = {}  # events by descriptor that epoll is asked for
-        self.closed_fds = set()  # in this iteration
-        self.ready = deque()  # (task, its wait, value or the task's mailbox)
-        self.timers = []  # heap of (deadline, number of the timer, task, its wait)
+        self.masks = {}  # events registered with epoll, by descriptor
+        self.closed_fds = set()  # closed in this iteration
+        self.ready = deque()  # (task, wait number, value or the task's mailbox)
+        self.timers = []  # heap of (deadline, timer number, task, wait number)
         self.timer_count = 0
-        self.stale_timers = 0  # of waits that have ended
+        self.stale_timers = 0  # timers in the heap whose wait has ended
         self.running = True
         self.iterations = 0
 
     @staticmethod
     def now() -> int:
-        """The monotonic clock in microseconds."""
+        """Return the monotonic clock in microseconds."""
         return time.monotonic_ns() // 1000
 
     def spawn(self, coroutine: Coroutine, first: bool = False) -> Task:
-        """Starts a coroutine. `first`: its descriptors are looked at before all others in each iteration."""
+        """Start a coroutine. `first`: its events are handled before all others in each iteration."""
         if first and self.priority_epoll is None:
             self.priority_epoll = select.epoll()
             self.epoll.register(self.priority_epoll.fileno(), READ)
@@ -70,7 +72,7 @@
         return task
 
     def wake(self, task: Task, value: Any = None) -> None:
-        """Hands a value to a coroutine, now or when it next waits."""
+        """Pass a value to a task, which resumes its current or next wait."""
         if task.ended:
             return
         task.mailbox.append(value)
@@ -78,7 +80,7 @@
             self.ready.append((task, task.wait_number, task.mailbox))
 
     def cancel(self, task: Task) -> None:
-        """Ends a coroutine where it waits; its finally clauses give back what it held."""
+        """End a coroutine at its current wait; its finally clauses release its resources."""
         if not task.ended:
             self._end_wait(task)
             task.ended = True
@@ -88,23 +90,23 @@
                 self.on_error(error)
 
     def forget(self, fd: int) -> None:
-        """To be called before a descriptor is closed: its number may be another's at once."""
+        """Drop a descriptor; call this before closing it, as its number may be reused at once."""
         self.masks.pop(fd, None)
         self.waiters.pop(fd, None)
         self.closed_fds.add(fd)
 
     def unregister(self, fd: int) -> None:
-        """To be called in place of forget() where another process holds the socket too.
+        """Drop a descriptor whose socket another process holds too; call this instead of forget().
 
-        The close does not end epoll's interest then, and it would go on reporting a number that is soon
-        another's.
+        Closing such a socket does not remove it from epoll, which would go on reporting events under a number
+        that may have been reused.
         """
         if fd in self.masks:
             self.epoll.unregister(fd)
         self.forget(fd)
 
     def step(self, task: Task, value: Any) -> None:
-        """Resumes a coroutine with a value and takes up its next wait."""
+        """Resume a coroutine with a value and register its next wait."""
         self._end_wait(task)
         try:
             fd, mask, until = task.coroutine.send(value)
@@ -112,15 +114,15 @@
             task.ended = True
             return
         except Exception as error:
-            # One connection's error is its own end and nobody else's.
+            # An error ends only the task in which it was raised.
             task.ended = True
             self.on_error(error)
             return
-        # In line, as this runs at each wait of each job.
+        # Inlined, as this runs at every wait of every job.
         if fd >= 0:
             task.fd, self.waiters[fd] = fd, task
-            known = self.masks.get(fd)
-            if known != mask and not self._watch(task, fd, mask, known):
+            registered_mask = self.masks.get(fd)
+            if registered_mask != mask and not self._register(task, fd, mask, registered_mask):
                 return
         if until is not None:
             self.timer_count += 1
@@ -130,12 +132,12 @@
             self.ready.append((task, task.wait_number, task.mailbox))
 
     def run_once(self, max_wait_us: int | None = None) -> None:
-        """One iteration: what is ready, then events and deadlines, waiting for these so long at the most."""
+        """Run one iteration, waiting at most `max_wait_us` for events and deadlines; None: without limit."""
         ready = self.ready
         while ready:
             task, wait_number, value = ready.popleft()
             if task.ended or wait_number != task.wait_number:
-                # It was resumed for another reason meanwhile, so mail it had was seen when it next waited.
+                # The task was resumed since; step() then queued its mailbox again if it was not empty.
                 continue
             self.step(task, value.popleft() if value is task.mailbox else value)
         self._compact_timers()
@@ -151,7 +153,7 @@
         self._expire_timers()
 
     def run(self) -> None:
-        """Iterates until `running` is False."""
+        """Run iterations until `running` is False."""
         while self.running:
             self.run_once()
 
@@ -164,12 +166,12 @@
             task.has_timer = False
             self.stale_timers += 1
 
-    def _watch(self, task, fd, mask, known):
-        """Asks epoll for events of a descriptor; False where it refuses and the task has been ended."""
+    def _register(self, task, fd, mask, registered_mask):
+        """Register events of a descriptor with epoll; on failure cancel the task and return False."""
         try:
-            (task.epoll.register if known is None else task.epoll.modify)(fd, mask)
+            (task.epoll.register if registered_mask is None else task.epoll.modify)(fd, mask)
         except OSError as error:
-            # The kernel watches only so many; the others go on.
+            # The kernel limits the number of registrations; other tasks are not affected.
             self.cancel(task)
             self.on_error(error)
             return False
@@ -178,24 +180,24 @@
 
     def _dispatch(self, fd, events, epoll):
         if fd in self.closed_fds:
-            return  # it was meant for who had this number when the kernel was asked
+            return  # the event belongs to the closed descriptor, not to a new one with the same number
         task = self.waiters.get(fd)
         if task is not None:
             self.step(task, events)
         elif fd in self.masks:
-            # Nobody waits for it now, and epoll would report it again and again.
+            # No task waits for the descriptor, and epoll would report it in every iteration.
             epoll.unregister(fd)
             del self.masks[fd]
 
     def _compact_timers(self):
-        """Most waits end before their deadline, and what is due in minutes would pile up until then."""
+        """Remove stale timers, which would accumulate: most waits end long before their deadline."""
         if self.stale_timers > MIN_STALE_TIMERS and self.stale_timers > len(self.timers) // 2:
             self.timers = [timer for timer in self.timers if timer[3] == timer[2].wait_number]
             heapify(self.timers)
             self.stale_timers = 0
 
     def _time_to_wait(self, max_wait_us):
-        """Microseconds up to the next deadline, bounded; None for no bound."""
+        """Return the microseconds until the next deadline, at most `max_wait_us`; None for no limit."""
         timers = self.timers
         while timers and timers[0][3] != timers[0][2].wait_number:
             heappop(timers)
@@ -206,7 +208,7 @@
         return remaining if max_wait_us is None else min(max_wait_us, remaining)
 
     def _expire_timers(self):
-        # The heap as it is now: a step does not replace it.
+        # step() does not replace the heap, so the local reference stays valid.
         timers, now = self.timers, self.now()
         while timers and timers[0][0] <= now:
             _, _, task, wait_number = heappop(timers)
@@ -218,25 +220,25 @@
 
 
 class Queue:
-    """Many put, one coroutine takes; the only way from sockets to the decisions.
+    """Queue with one reader task, the only path from sockets to the scheduler.
 
-    An entry is of a class of its own for each kind of news; who takes it goes by the class.
+    Each kind of event has its own class, by which the reader dispatches.
     """
 
     def __init__(self, loop: Loop) -> None:
-        """An empty queue; `reader` is set to the task that takes from it."""
+        """Create an empty queue; `reader` is set later to the task that reads it."""
         self.loop, self.items, self.reader = loop, deque(), None
         self.reader_woken = False
 
     def put(self, entry: Any) -> None:
-        """Adds an entry and wakes the reader."""
+        """Add an entry and wake the reader."""
         self.items.append(entry)
         if self.reader is not None and not self.reader_woken:
             self.reader_woken = True
             self.loop.wake(self.reader)
 
     def wait(self, until: int | None) -> Coroutine:
-        """Returns once something is there or the deadline has passed."""
+        """Return once the queue has an entry or the deadline has passed."""
         if not self.items:
             yield (-1, 0, until)
         self.reader_woken = False
