--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""Loop, buffer, budget, connection."""
+"""Tests of the event loop, buffers, the budget, connections and listening sockets."""
 
 import pytest
 from helpers import HERE, Rig
@@ -12,7 +12,7 @@
 @pytest.mark.parametrize(
     "parts", [[b"one\ntwo\nthr", b"ee\n"], [b"o", b"ne\n", b"two\nthree\n"], [b"one\ntwo\nthree\n"]]
 )
-def test_lines_come_whole_however_their_bytes_came(parts):
+def test_lines_are_complete_however_the_bytes_are_split(parts):
     buffer, lines = Buffer(), []
     for part in parts:
         buffer.append(part)
@@ -21,7 +21,7 @@
     assert lines == [b"one", b"two", b"three"] and len(buffer) == 0
 
 
-def test_what_was_read_makes_room_in_place():
+def test_consumed_bytes_are_reused_without_growing_the_buffer():
     buffer = Buffer()
     for n in range(4 * INITIAL_BYTES // 100):
         buffer.append(b"%099d\n" % n)
@@ -30,58 +30,58 @@
 
 
 @pytest.mark.parametrize("size", [INITIAL_BYTES - 1, INITIAL_BYTES + 1, 20 * INITIAL_BYTES])
-def test_room_grows_as_needed_and_is_given_back(size):
+def test_buffer_grows_as_needed_and_shrinks_when_emptied(size):
     buffer = Buffer()
     buffer.append(b"a" * size)
     buffer.append(b"b")
     assert buffer.take() == b"a" * size + b"b" and len(buffer.data) <= 4 * INITIAL_BYTES
 
 
-def test_one_coroutine_s_error_is_its_own():
-    rig, seen = Rig(), []
+def test_error_in_one_coroutine_does_not_affect_others():
+    rig, finished = Rig(), []
 
-    def bad():
+    def failing():
         yield (-1, 0, rig.loop.now())
         raise ValueError("one")
 
-    def good():
+    def succeeding():
         yield (-1, 0, rig.loop.now() + 1000)
-        seen.append("good")
+        finished.append("good")
 
-    rig.loop.spawn(bad())
-    rig.loop.spawn(good())
-    assert rig.turn(lambda: seen) and [str(error) for error in rig.errors] == ["one"]
+    rig.loop.spawn(failing())
+    rig.loop.spawn(succeeding())
+    assert rig.turn(lambda: finished) and [str(error) for error in rig.errors] == ["one"]
 
 
-def test_a_wait_ends_with_events_or_time_or_what_it_was_handed():
-    rig, got = Rig(), []
-    conn, theirs = rig.pair()
+def test_wait_ends_with_events_deadline_or_wake_value():
+    rig, results = Rig(), []
+    conn, peer_sock = rig.pair()
 
-    def waits():
-        got.append((yield (conn.fd, READ, rig.loop.now() + 1000)))
-        theirs.send(b"x")
-        got.append((yield (conn.fd, READ, None)))
+    def waiting():
+        results.append((yield (conn.fd, READ, rig.loop.now() + 1000)))
+        peer_sock.send(b"x")
+        results.append((yield (conn.fd, READ, None)))
         rig.loop.wake(task, "news")
         rig.loop.wake(task, "more")
-        got.append((yield (-1, 0, None)))
-        got.append((yield (-1, 0, None)))
+        results.append((yield (-1, 0, None)))
+        results.append((yield (-1, 0, None)))
 
-    task = rig.loop.spawn(waits())
+    task = rig.loop.spawn(waiting())
     rig.turn(lambda: task.ended)
-    assert got == [0, READ, "news", "more"]
+    assert results == [0, READ, "news", "more"]
 
 
-def test_a_cancelled_coroutine_gives_back_what_it_held():
+def test_cancelled_coroutine_releases_its_connection():
     rig = Rig()
     conn, _ = rig.pair()
 
-    def holds():
+    def holding():
         try:
             yield (conn.fd, READ, None)
         finally:
             conn.close()
 
-    task = rig.loop.spawn(holds())
+    task = rig.loop.spawn(holding())
     rig.loop.run_once(0)
     rig.loop.cancel(task)
     assert rig.budget.used["clients"] == 0 and conn.fd == -1
@@ -90,49 +90,51 @@
 @pytest.mark.parametrize(
     ("closes", "taken"), [([True, True], ["first"]), ([False, True], ["first", "second"])]
 )
-def test_the_longest_idle_goes_first_and_one_that_may_not_is_passed_over(closes, taken):
-    rig, asked = Rig(), []
-    for name, does in zip(("first", "second"), closes, strict=True):
-        rig.budget.add_idle("workers", name, lambda name=name, does=does: asked.append(name) or does)
+def test_longest_idle_is_evicted_first_and_unclosable_is_skipped(closes, taken):
+    rig, close_calls = Rig(), []
+    for name, closed in zip(("first", "second"), closes, strict=True):
+        rig.budget.add_idle(
+            "workers", name, lambda name=name, closed=closed: close_calls.append(name) or closed
+        )
     rig.budget.evict("workers")
-    assert asked == taken
+    assert close_calls == taken
 
 
-def test_nothing_is_opened_beyond_the_budget_while_all_is_busy():
+def test_acquire_fails_beyond_limit_without_idle_connections():
     budget = Rig(sockets=0).budget
     assert [budget.acquire("clients") for _ in range(5)] == [True] * 3 + [False] * 2
 
 
-def test_a_sender_knows_what_was_not_written():
-    rig, ends = Rig(), []
+def test_send_timeout_leaves_number_of_unsent_bytes():
+    rig, unsent = Rig(), []
     conn, _ = rig.pair()
 
-    def sends():
+    def sending():
         try:
             yield from conn.send(bytes(8_000_000), rig.loop.now() + 1000)
         except WaitTimeoutError:
-            ends.append(conn.unsent_bytes)
+            unsent.append(conn.unsent_bytes)
 
-    rig.loop.spawn(sends())
-    assert rig.turn(lambda: ends) and 0 < ends[0] < 8_000_000
+    rig.loop.spawn(sending())
+    assert rig.turn(lambda: unsent) and 0 < unsent[0] < 8_000_000
 
 
-def test_running_out_of_descriptors_at_the_door_asks_for_a_pause():
-    class Full:
+def test_accept_without_descriptors_requests_a_pause():
+    class ExhaustedSocket:
         def accept(self):
             raise OSError(24, "too many open files")
 
-    assert accept(Full(), Rig().budget) == (None, True)
+    assert accept(ExhaustedSocket(), Rig().budget) == (None, True)
 
 
-def test_waits_that_ended_early_do_not_pile_up():
+def test_timers_of_waits_ended_early_do_not_accumulate():
     rig = Rig()
 
-    def waits():
+    def waiting():
         while True:
             yield (-1, 0, rig.loop.now() + 60_000_000)
 
-    tasks = [rig.loop.spawn(waits()) for _ in range(3)]
+    tasks = [rig.loop.spawn(waiting()) for _ in range(3)]
     for _ in range(2_000):
         for task in tasks:
             rig.loop.wake(task)
@@ -141,34 +143,34 @@
     assert sum(wait_number == task.wait_number for _, _, task, wait_number in rig.loop.timers) == len(tasks)
 
 
-def test_a_wait_that_cannot_be_had_ends_its_coroutine_only():
-    rig, seen = Rig(), []
+def test_wait_on_invalid_descriptor_ends_only_its_coroutine():
+    rig, ended = Rig(), []
 
-    def bad():
+    def failing():
         try:
             yield (10_000, READ, None)
         finally:
-            seen.append("ended")
+            ended.append("ended")
 
-    rig.loop.spawn(bad())
+    rig.loop.spawn(failing())
     rig.loop.run_once(0)
-    assert seen == ["ended"] and len(rig.errors) == 1 and not rig.loop.waiters
+    assert ended == ["ended"] and len(rig.errors) == 1 and not rig.loop.waiters
 
 
-def test_a_sender_at_full_speed_is_read_once_a_turn():
-    # Read until nothing was left, a body of 60 MB or of countless chunks held up all other connections.
+def test_fast_sender_is_read_once_per_iteration():
+    # Reading until the socket was empty, a body of 60 MB or of many chunks blocked all other connections.
     rig = Rig()
-    conn, theirs = rig.pair()
-    theirs.sendall(bytes(40_000))
+    conn, peer_sock = rig.pair()
+    peer_sock.sendall(bytes(40_000))
     rig.turn(lambda: not conn.is_quiet())
-    with pytest.raises(StopIteration) as first:
+    with pytest.raises(StopIteration) as first_read:
         next(conn.receive(None))
-    assert first.value.value and next(conn.receive(7)) == (conn.fd, READ, 7)
+    assert first_read.value.value and next(conn.receive(7)) == (conn.fd, READ, 7)
     rig.loop.run_once(0)
     with pytest.raises(StopIteration):
         next(conn.receive(None))
 
 
-def test_nobody_at_the_door_is_no_reason_to_pause():
+def test_accept_without_waiting_connection_requests_no_pause():
     sock = listen((HERE, 0))
     assert accept(sock, Rig().budget) == (None, False)
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -1,4 +1,4 @@
-"""Launches on workers, and the list of them."""
+"""Tests of launches on workers and of the endpoint list from discovery."""
 
 import socket
 import struct
@@ -28,30 +28,30 @@
         self.send_by = send_by
 
 
-def line(state, job_id="9b1f", **more):
+def chunked_line(state, job_id="9b1f", **more):
     raw = orjson.dumps({"id": job_id, "from": "s-1", "state": state, **more}) + b"\n"
     return b"%x\r\n%s\r\n" % (len(raw), raw)
 
 
-def plain(status, extra=b""):
+def empty_response(status, extra=b""):
     return b"HTTP/1.1 %d X\r\nContent-Length: 0\r\n%s\r\n" % (status, extra)
 
 
 def exchange(body=b"x", once=False):
-    made = Exchange()
-    made.run_once = once
-    made.method, made.target, made.headers, made.body = b"POST", b"/render?a=1", [(b"x-txn", b"9b1f")], body
-    return made
+    job = Exchange()
+    job.run_once = once
+    job.method, job.target, job.headers, job.body = b"POST", b"/render?a=1", [(b"x-txn", b"9b1f")], body
+    return job
 
 
-def launched(rig, made, peer, patience=5_000_000, body=b"x", once=False):
+def start_launch(rig, connections, endpoint, patience=5_000_000, body=b"x", once=False):
     until = rig.loop.now() + patience
     launch = Launch(until)
-    rig.loop.spawn(made.launch(peer, launch, exchange(body, once), until))
+    rig.loop.spawn(connections.launch(endpoint, launch, exchange(body, once), until))
     return launch
 
 
-def outcome(rig):
+def ended_launch(rig):
     assert rig.turn(lambda: any(isinstance(item, LaunchEnded) for item in rig.inbox.items))
     return [item[1:] for item in rig.inbox.items if isinstance(item, LaunchEnded)][0]
 
@@ -60,110 +60,114 @@
     ("answer", "how", "kept"),
     [
         (
-            CHUNKED + line("started") + line("running", share=0.5) + line("done", result="r") + b"0\r\n\r\n",
+            CHUNKED
+            + chunked_line("started")
+            + chunked_line("running", share=0.5)
+            + chunked_line("done", result="r")
+            + b"0\r\n\r\n",
             "completed",
             True,
         ),
-        (CHUNKED + line("failed") + b"0\r\n\r\n", "error", True),
-        (CHUNKED + line("returned") + b"0\r\n\r\n", "full", True),
-        (CHUNKED + line("lost") + b"0\r\n\r\n", "lost", False),
-        (CHUNKED + line("started") + b"0\r\n\r\n", "lost", False),
-        (CHUNKED + line("started"), "lost", False),
-        (CHUNKED + line("started").replace(b"\n\r\n", b" \r\n") + b"0\r\n\r\n", "lost", None),
-        (b"HTTP/1.1 102 Processing\r\n\r\n" + plain(500), "error", True),
+        (CHUNKED + chunked_line("failed") + b"0\r\n\r\n", "error", True),
+        (CHUNKED + chunked_line("returned") + b"0\r\n\r\n", "full", True),
+        (CHUNKED + chunked_line("lost") + b"0\r\n\r\n", "lost", False),
+        (CHUNKED + chunked_line("started") + b"0\r\n\r\n", "lost", False),
+        (CHUNKED + chunked_line("started"), "lost", False),
+        (CHUNKED + chunked_line("started").replace(b"\n\r\n", b" \r\n") + b"0\r\n\r\n", "lost", None),
+        (b"HTTP/1.1 102 Processing\r\n\r\n" + empty_response(500), "error", True),
         (b"", "lost", False),
         (b"HTTP/1.1 200 OK\r\nTransfer-Enc", "lost", False),
         (b"no HTTP at all\r\n\r\n", "lost", False),
-        (plain(500), "error", True),
-        (plain(503, b"X-Turned-Away: 1\r\n"), "full", True),
-        (plain(504, b"X-Turned-Away: 1\r\n"), "full", True),
-        (plain(503), "error", True),
-        (plain(400), "error", True),
+        (empty_response(500), "error", True),
+        (empty_response(503, b"X-Turned-Away: 1\r\n"), "full", True),
+        (empty_response(504, b"X-Turned-Away: 1\r\n"), "full", True),
+        (empty_response(503), "error", True),
+        (empty_response(400), "error", True),
         (CHUNKED + b"3\r\n{]\n\r\n", "error", None),
         (CHUNKED + b"4\r\n[1]\n\r\n", "error", None),
-        (CHUNKED + line("done", "other", result="r"), "error", None),
-        (CHUNKED + line("done"), "error", None),
-        (CHUNKED + line("dreaming"), "error", None),
-        (CHUNKED + line("started") + b"zz\r\n", "lost", False),
+        (CHUNKED + chunked_line("done", "other", result="r"), "error", None),
+        (CHUNKED + chunked_line("done"), "error", None),
+        (CHUNKED + chunked_line("dreaming"), "error", None),
+        (CHUNKED + chunked_line("started") + b"zz\r\n", "lost", False),
         (OPEN, "timeout", False),
     ],
     ids=range(23),
 )
-def test_each_end_of_a_launch_is_told_once(answer, how, kept):
+def test_each_launch_ends_with_one_event(answer, how, kept):
     rig = Rig()
-    peer, sock = peer_at()
-    launched(rig, workers(rig), peer, 100_000 if answer is OPEN else 5_000_000)
-    theirs, request = rig.called(sock)
+    endpoint, sock = peer_at()
+    start_launch(rig, workers(rig), endpoint, 100_000 if answer is OPEN else 5_000_000)
+    worker_sock, request = rig.called(sock)
     assert request.startswith(b"POST /render?a=1 HTTP/1.1\r\n")
     if answer is not OPEN:
-        theirs.sendall(answer)
+        worker_sock.sendall(answer)
         if kept is False:
-            theirs.close()
-    assert outcome(rig)[0] == how
-    rig.turn(lambda: bool(peer.idle) == bool(kept) == bool(rig.budget.used["workers"]))
+            worker_sock.close()
+    assert ended_launch(rig)[0] == how
+    rig.turn(lambda: bool(endpoint.idle) == bool(kept) == bool(rig.budget.used["workers"]))
     assert [type(item) for item in rig.inbox.items].count(LaunchEnded) == 1
-    assert len(peer.idle) == bool(kept) == rig.budget.used["workers"] and not rig.errors
+    assert len(endpoint.idle) == bool(kept) == rig.budget.used["workers"] and not rig.errors
 
 
-def test_a_launch_that_a_worker_does_not_even_take_is_told_as_silent():
-    # Its connection may be dead: until its walltime it was taken for a job in a long queue.
+def test_launch_without_confirmation_is_reported_silent():
+    # The connection may be dead; such a launch counted as queued at the worker until its walltime ended.
     rig = Rig()
-    peer, sock = peer_at()
-    made = workers(rig)
-    made.answers.patience_us = 20_000
-    launch = launched(rig, made, peer)
-    theirs, _ = rig.called(sock)
+    endpoint, sock = peer_at()
+    connections = workers(rig)
+    connections.answers.patience_us = 20_000
+    launch = start_launch(rig, connections, endpoint)
+    worker_sock, _ = rig.called(sock)
     assert rig.turn(lambda: len(rig.inbox.items) > 1)
     assert {(type(item), *item) for item in rig.inbox.items} == {(LaunchSilent, launch)}
-    theirs.sendall(CHUNKED + line("done", result="r") + b"0\r\n\r\n")
-    assert outcome(rig)[0] == "completed"
+    worker_sock.sendall(CHUNKED + chunked_line("done", result="r") + b"0\r\n\r\n")
+    assert ended_launch(rig)[0] == "completed"
 
 
-def test_a_refused_connection_is_unreachable():
+def test_refused_connection_is_unreachable():
     rig = Rig()
-    peer, sock = peer_at()
+    endpoint, sock = peer_at()
     sock.close()
-    launch = launched(rig, workers(rig), peer)
-    assert outcome(rig)[0] == "unreachable" and not launch.sent and rig.budget.used["workers"] == 0
+    launch = start_launch(rig, workers(rig), endpoint)
+    assert ended_launch(rig)[0] == "unreachable" and not launch.sent and rig.budget.used["workers"] == 0
 
 
-def test_a_request_not_wholly_written_never_ran():
+def test_partly_written_request_counts_as_unsent():
     rig = Rig()
-    peer, sock = peer_at()
-    launch = launched(rig, workers(rig), peer, body=bytes(8_000_000))
+    endpoint, sock = peer_at()
+    launch = start_launch(rig, workers(rig), endpoint, body=bytes(8_000_000))
     rig.called(sock)[0].close()
-    assert outcome(rig)[0] == "unreachable" and not launch.sent
+    assert ended_launch(rig)[0] == "unreachable" and not launch.sent
 
 
 @pytest.mark.parametrize("how", ["no socket", "no time"])
-def test_what_says_nothing_of_the_worker_is_unsent(how):
-    # Without descriptors or time left no worker must be taken for dead.
+def test_launch_without_descriptor_or_time_is_unsent(how):
+    # A shortage of descriptors or time must not count against the worker.
     rig = Rig(sockets=0)
-    peer, _ = peer_at()
+    endpoint, _ = peer_at()
     while how == "no socket" and rig.budget.acquire("workers"):
         pass
-    launched(rig, workers(rig), peer, 500_000 if how == "no socket" else 1_000, bytes(8_000_000))
-    assert outcome(rig)[0] == "unsent"
+    start_launch(rig, workers(rig), endpoint, 500_000 if how == "no socket" else 1_000, bytes(8_000_000))
+    assert ended_launch(rig)[0] == "unsent"
 
 
-def idle(rig, made, peer, sock):
-    launched(rig, made, peer)
-    theirs, _ = rig.called(sock)
-    theirs.sendall(plain(500))
-    assert rig.turn(lambda: peer.idle)
+def open_idle_connection(rig, connections, endpoint, sock):
+    start_launch(rig, connections, endpoint)
+    worker_sock, _ = rig.called(sock)
+    worker_sock.sendall(empty_response(500))
+    assert rig.turn(lambda: endpoint.idle)
     rig.inbox.items.clear()
-    return theirs
+    return worker_sock
 
 
-def test_an_idle_connection_carries_the_next_launch():
+def test_idle_connection_is_reused_by_next_launch():
     rig = Rig()
-    peer, sock = peer_at()
-    made = workers(rig)
-    theirs = idle(rig, made, peer, sock)
-    launched(rig, made, peer)
-    assert rig.reply(theirs).startswith(b"POST")
-    theirs.sendall(plain(500))
-    assert outcome(rig)[0] == "error" and rig.budget.used["workers"] == 1
+    endpoint, sock = peer_at()
+    connections = workers(rig)
+    worker_sock = open_idle_connection(rig, connections, endpoint, sock)
+    start_launch(rig, connections, endpoint)
+    assert rig.reply(worker_sock).startswith(b"POST")
+    worker_sock.sendall(empty_response(500))
+    assert ended_launch(rig)[0] == "error" and rig.budget.used["workers"] == 1
 
 
 @pytest.mark.parametrize(
@@ -171,100 +175,100 @@
     [
         (True, None, "unsent", False),
         (False, None, "dropped", True),
-        (False, CHUNKED + line("started"), "lost", True),
+        (False, CHUNKED + chunked_line("started"), "lost", True),
     ],
 )
-def test_a_kept_connection_that_breaks_at_the_next_launch(once, answer, how, sent, monkeypatch):
-    # Workers end idle connections at will: what may run once only must not count as run for that, and no
-    # worker is to be set aside for it. One that has begun to answer is another matter.
+def test_outcome_when_reused_connection_breaks(once, answer, how, sent, monkeypatch):
+    # Workers may close idle connections at any time: a run-once job must not count as run for that, and it
+    # must not count against the worker. After the start of an answer the launch is lost.
     rig = Rig()
-    peer, sock = peer_at()
-    made = workers(rig)
-    theirs = idle(rig, made, peer, sock)
+    endpoint, sock = peer_at()
+    connections = workers(rig)
+    worker_sock = open_idle_connection(rig, connections, endpoint, sock)
     monkeypatch.setattr(protocol_workers, "REFUSAL_US", 1_000_000)
-    launch = launched(rig, made, peer, once=once)
-    request = rig.reply(theirs)
+    launch = start_launch(rig, connections, endpoint, once=once)
+    request = rig.reply(worker_sock)
     if answer:
-        theirs.sendall(answer)
+        worker_sock.sendall(answer)
         assert rig.turn(lambda: rig.inbox.items)
         rig.inbox.items.clear()
-    theirs.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    theirs.close()
-    assert outcome(rig)[0] == how and launch.sent == sent
+    worker_sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    worker_sock.close()
+    assert ended_launch(rig)[0] == how and launch.sent == sent
     assert request.endswith(b"\r\n\r\n" + (b"" if once else b"x"))
 
 
 @pytest.mark.parametrize(
     ("once", "breaks", "fresh"), [(True, 0.0, False), (True, 0.1, True), (False, 0.1, False)]
 )
-def test_run_once_jobs_get_new_connections_while_kept_ones_break(once, breaks, fresh):
-    # A kept one that breaks at the last byte leaves a run-once job that may have run, and it is killed.
+def test_run_once_jobs_get_new_connections_while_reused_ones_break(once, breaks, fresh):
+    # If a reused connection breaks at the last byte, a run-once job may have run and is killed.
     rig = Rig()
-    peer, sock = peer_at()
-    made = workers(rig)
-    theirs = idle(rig, made, peer, sock)
-    made.idle.reuse.break_rate = breaks
-    launched(rig, made, peer, once=once)
+    endpoint, sock = peer_at()
+    connections = workers(rig)
+    worker_sock = open_idle_connection(rig, connections, endpoint, sock)
+    connections.idle.reuse.break_rate = breaks
+    start_launch(rig, connections, endpoint, once=once)
     if fresh:
-        assert rig.called(sock)[1].startswith(b"POST") and 0 < made.idle.reuse.break_rate < breaks
+        assert rig.called(sock)[1].startswith(b"POST") and 0 < connections.idle.reuse.break_rate < breaks
     else:
-        assert rig.reply(theirs).startswith(b"POST")
+        assert rig.reply(worker_sock).startswith(b"POST")
 
 
-def test_breaks_of_kept_connections_are_counted_and_fade():
+def test_break_rate_rises_with_breaks_and_falls_with_successes():
     rig = Rig()
-    peer, sock = peer_at()
-    made = workers(rig)
-    idle(rig, made, peer, sock).close()
-    rig.turn(lambda: not peer.idle)
-    theirs = idle(rig, made, peer, sock)
-    assert made.idle.reuse.break_rate == 0
-    launched(rig, made, peer)
-    rig.reply(theirs)
-    theirs.close()
-    assert outcome(rig)[0] == "dropped" and made.idle.reuse.break_rate > MAX_BREAK_RATE
-    before = made.idle.reuse.break_rate
-    theirs = idle(rig, made, peer, sock)
-    launched(rig, made, peer)
-    rig.reply(theirs)
-    theirs.sendall(plain(500))
-    assert outcome(rig)[0] == "error" and made.idle.reuse.break_rate < before
-
-
-def test_the_last_byte_of_a_run_once_job_follows_when_the_connection_holds():
+    endpoint, sock = peer_at()
+    connections = workers(rig)
+    open_idle_connection(rig, connections, endpoint, sock).close()
+    rig.turn(lambda: not endpoint.idle)
+    worker_sock = open_idle_connection(rig, connections, endpoint, sock)
+    assert connections.idle.reuse.break_rate == 0
+    start_launch(rig, connections, endpoint)
+    rig.reply(worker_sock)
+    worker_sock.close()
+    assert ended_launch(rig)[0] == "dropped" and connections.idle.reuse.break_rate > MAX_BREAK_RATE
+    previous_rate = connections.idle.reuse.break_rate
+    worker_sock = open_idle_connection(rig, connections, endpoint, sock)
+    start_launch(rig, connections, endpoint)
+    rig.reply(worker_sock)
+    worker_sock.sendall(empty_response(500))
+    assert ended_launch(rig)[0] == "error" and connections.idle.reuse.break_rate < previous_rate
+
+
+def test_last_byte_of_run_once_job_is_sent_when_connection_stays_open():
     rig = Rig()
-    peer, sock = peer_at()
-    launch = launched(rig, workers(rig), peer, once=True)
-    theirs, request = rig.called(sock)
-    assert not launch.sent and (request + rig.reply(theirs)).endswith(b"\r\n\r\nx") and launch.sent
+    endpoint, sock = peer_at()
+    launch = start_launch(rig, workers(rig), endpoint, once=True)
+    worker_sock, request = rig.called(sock)
+    assert not launch.sent and (request + rig.reply(worker_sock)).endswith(b"\r\n\r\nx") and launch.sent
 
 
 @pytest.mark.parametrize("why", ["closed by the worker", "said something", "old", "hung up", "evicted"])
-def test_an_idle_connection_that_may_not_last_is_given_up(why):
+def test_unusable_idle_connection_is_closed(why):
     rig = Rig()
-    peer, sock = peer_at()
-    made = workers(rig)
-    made.idle.max_idle_us = 20_000 if why == "old" else made.idle.max_idle_us
-    theirs = idle(rig, made, peer, sock)
+    endpoint, sock = peer_at()
+    connections = workers(rig)
+    connections.idle.max_idle_us = 20_000 if why == "old" else connections.idle.max_idle_us
+    worker_sock = open_idle_connection(rig, connections, endpoint, sock)
     if why == "closed by the worker":
-        theirs.close()
+        worker_sock.close()
     elif why == "said something":
-        theirs.sendall(b"x")
+        worker_sock.sendall(b"x")
     elif why == "hung up":
-        made.close_idle(peer)
+        connections.close_idle(endpoint)
     elif why == "evicted":
         rig.budget.evict("workers")
-    assert rig.turn(lambda: not peer.idle) and rig.budget.used["workers"] == 0
+    assert rig.turn(lambda: not endpoint.idle) and rig.budget.used["workers"] == 0
     assert not rig.budget.idle["workers"] and not rig.errors
 
 
 def discovery(rig, address=("127.0.0.1", 1), asked=False):
-    words = {"zones": ["z"], "kinds": ["k"], "unix_now": rig.loop.now() + 5_000_000_000, "asked": asked}
-    return Discovery(rig.loop, rig.budget, rig.inbox, address, words, rig.log)
+    settings = {"zones": ["z"], "kinds": ["k"], "unix_now": rig.loop.now() + 5_000_000_000, "asked": asked}
+    return Discovery(rig.loop, rig.budget, rig.inbox, address, settings, rig.log)
 
 
-def told(generation=3, reset=False, **changed):
-    one = {
+def endpoint_message(generation=3, reset=False, **changed):
+    instance = {
         "instanceId": "s-1",
         "hostPort": "10.1.0.18:7070",
         "zone": "z",
@@ -275,18 +279,20 @@
         "startedAtMs": 0,
         **changed,
     }
-    return {"generation": generation, "reset": reset, "instances": [one]}
+    return {"generation": generation, "reset": reset, "instances": [instance]}
 
 
 @pytest.mark.parametrize(
     ("zone", "kind", "started", "says"),
     [("z", "k", 0, (0, 0, 0)), ("new", "k", 0, (1, 0, 0)), ("z", "new", 5_001_000, (0, 1, 1_000_000))],
 )
-def test_an_entry_becomes_plain_values(zone, kind, started, says):
+def test_entry_is_parsed_to_values(zone, kind, started, says):
     rig = Rig()
-    made = discovery(rig)
-    made.since = 5_000_000_000
-    entry = made.parse_entry(told(zone=zone, machineType=kind, startedAtMs=started)["instances"][0])
+    client = discovery(rig)
+    client.since = 5_000_000_000
+    entry = client.parse_entry(
+        endpoint_message(zone=zone, machineType=kind, startedAtMs=started)["instances"][0]
+    )
     assert entry == ("s-1", ("10.1.0.18", 7070), says[0], "ready", says[2], says[1], 2, 1.5)
 
 
@@ -303,16 +309,16 @@
     ],
 )
 @pytest.mark.parametrize("whole", [None, "whole"])
-def test_a_bad_entry_spoils_a_change_but_not_a_whole_list(changed, whole):
+def test_invalid_entry_fails_a_change_but_is_skipped_in_a_whole_list(changed, whole):
     rig = Rig()
-    made, list_ = discovery(rig), told(**changed)
-    list_["instances"].append(told(instanceId="s-2")["instances"][0])
+    client, message = discovery(rig), endpoint_message(**changed)
+    message["instances"].append(endpoint_message(instanceId="s-2")["instances"][0])
     if whole is None:
         with pytest.raises(EndpointListError):
-            made.apply(list_)
-        assert not rig.inbox.items and made.generation is None
+            client.apply(message)
+        assert not rig.inbox.items and client.generation is None
     else:
-        made.apply(list_, whole)
+        client.apply(message, whole)
         assert [entry[0] for entry in rig.inbox.items[0].entries] == ["s-2"]
 
 
@@ -326,7 +332,7 @@
         {"generation": 1, "reset": False, "instances": [[]]},
     ],
 )
-def test_a_list_of_another_shape_is_bad(list_):
+def test_malformed_list_raises_endpoint_list_error(list_):
     rig = Rig()
     with pytest.raises(EndpointListError):
         discovery(rig).apply(list_)
@@ -337,37 +343,41 @@
     ("answers", "kinds", "asks"),
     [
         ([CHUNKED + b"1\r\n\n\r\n"], ["changes"], [b"follow=1&since=7"]),
-        ([CHUNKED + b"5\r\n{bad\n\r\n", plain(200)], ["changes", "failed"], [b"since=7", b"instances HTTP"]),
-        ([plain(500), CHUNKED], ["failed", "changes"], [b"follow=1&since=7", b"follow=1&since=7"]),
+        (
+            [CHUNKED + b"5\r\n{bad\n\r\n", empty_response(200)],
+            ["changes", "failed"],
+            [b"since=7", b"instances HTTP"],
+        ),
+        ([empty_response(500), CHUNKED], ["failed", "changes"], [b"follow=1&since=7", b"follow=1&since=7"]),
         ([b"", CHUNKED], ["failed", "changes"], [b"follow=1&since=7", b"follow=1&since=7"]),
     ],
     ids=["empty line", "bad line", "refused", "broken"],
 )
-def test_the_watch_is_taken_up_again_where_it_broke(answers, kinds, asks):
+def test_watch_resumes_after_failure(answers, kinds, asks):
     rig = Rig()
-    peer, sock = peer_at()
-    made = discovery(rig, peer.address)
-    made.generation = 7
-    made.follow()
-    for answer, ask in zip(answers, asks, strict=True):
-        theirs, request = rig.called(sock)
-        assert ask in request
-        theirs.sendall(answer)
+    endpoint, sock = peer_at()
+    client = discovery(rig, endpoint.address)
+    client.generation = 7
+    client.follow()
+    for answer, expected_request in zip(answers, asks, strict=True):
+        worker_sock, request = rig.called(sock)
+        assert expected_request in request
+        worker_sock.sendall(answer)
         if answer != CHUNKED:
-            theirs.close()
+            worker_sock.close()
     rig.turn(lambda: len([item for item in rig.inbox.items if item.kind in kinds]) >= len(kinds), 500_000)
     assert [item.kind for item in rig.inbox.items][: len(kinds)] == kinds
 
 
-def test_idle_connections_to_an_unreachable_worker_are_not_kept():
+def test_idle_connections_to_unreachable_worker_are_closed():
     rig = Rig()
-    peer, sock = peer_at()
-    made = workers(rig)
-    theirs = idle(rig, made, peer, sock)
+    endpoint, sock = peer_at()
+    connections = workers(rig)
+    worker_sock = open_idle_connection(rig, connections, endpoint, sock)
     sock.close()
-    made.idle.take = lambda peer, run_once: None
-    launched(rig, made, peer)
-    assert outcome(rig)[0] == "unreachable" and not peer.idle and theirs.recv(1) == b""
+    connections.idle.take = lambda endpoint, run_once: None
+    start_launch(rig, connections, endpoint)
+    assert ended_launch(rig)[0] == "unreachable" and not endpoint.idle and worker_sock.recv(1) == b""
 
 
 @pytest.mark.parametrize(
@@ -378,12 +388,12 @@
         (True, False, 0, WaitTimeoutError),
     ],
 )
-def test_the_last_byte_is_withheld_without_lease_from_who_is_out_and_after_its_time(lawful, out, left, how):
-    # A process that was stopped may wake with the walltime over, and its lease not.
-    rig, peer = Rig(), WorkerEndpoint("s-1", out)
-    made = workers(rig)
-    made.rule = type("Rule", (), {"may_act": lambda self, now: lawful})()
-    near, far = socket.socketpair()
-    with near, far, pytest.raises(how):
-        conn = type("Conn", (), {"sock": near, "fd": near.fileno()})()
-        next(made.write_while_lawful(conn, peer, b"x", rig.loop.now() + left))
+def test_write_is_withheld_without_lease_to_excluded_worker_and_after_deadline(lawful, out, left, how):
+    # A suspended process may resume after the end of the walltime while its lease is still valid.
+    rig, endpoint = Rig(), WorkerEndpoint("s-1", out)
+    connections = workers(rig)
+    connections.rule = type("Rule", (), {"may_act": lambda self, now: lawful})()
+    local_sock, remote_sock = socket.socketpair()
+    with local_sock, remote_sock, pytest.raises(how):
+        conn = type("Conn", (), {"sock": local_sock, "fd": local_sock.fileno()})()
+        next(connections.write_while_lawful(conn, endpoint, b"x", rig.loop.now() + left))
