--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""The door: what clients send, and what becomes of it."""
+"""Tests of client connections: validation, admission, answers, timeouts and eviction."""
 
 import socket
 
@@ -21,7 +21,7 @@
         (b"GET /nothing HTTP/1.1\r\nHost: h\r\n\r\n", 404, False),
         (b"GET /render HTTP/1.1\r\nHost: h\r\n\r\n", 405, False),
         (b"HEAD /health/live HTTP/1.1\r\nHost: h\r\n\r\n", 405, False),
-        # A second job in the body of a first one, and bodies that end elsewhere than stated.
+        # A second job inside the body of the first, and bodies with a wrong or ambiguous length.
         (job(body=b"0\r\n\r\n" + job(), Transfer_Encoding="chunked"), 400, False),
         (job(Content_Length=b"1, 2"), 400, False),
         (job(body=b"xyz", Content_Length=1), 400, False),
@@ -30,7 +30,7 @@
         (job(Content_Length=None, Transfer_Encoding="gzip"), 400, False),
         (job(Content_Length=None, Transfer_Encoding="chunked").replace(b"/1.1", b"/1.0"), 400, False),
         (b"PRI * HTTP/2.0\r\nHost: h\r\n\r\n", 400, False),
-        # An id, a queue type or a walltime that cannot be used, or that two could read as two.
+        # An invalid or duplicated id, queue type or walltime.
         (job(X_Txn=""), 400, False),
         (job(X_Txn="two words"), 400, False),
         (job().replace(b"X-Txn: 9b1f", b"X-Txn: 9b1f\r\nX-Txn: 9b20"), 400, False),
@@ -51,14 +51,14 @@
     ],
     ids=range(30),
 )
-def test_what_cannot_be_taken_is_answered_at_once(raw, status, left_open):
+def test_request_without_a_job_is_answered_by_the_listener(raw, status, left_open):
     rig = Rig()
-    made = door(
+    listener = door(
         rig, [queue_type(name="render"), queue_type("deduplicated", name="store"), queue_type(name="other")]
     )
-    theirs = client(rig, made)
-    theirs.sendall(raw)
-    reply = rig.reply(theirs)
+    client_sock = client(rig, listener)
+    client_sock.sendall(raw)
+    reply = rig.reply(client_sock)
     assert reply.startswith(b"HTTP/1.1 %d " % status) and not rig.inbox.items and not rig.errors
     assert (b"connection: close" not in reply.lower()) == left_open
 
@@ -80,11 +80,11 @@
         ("a%20b", "/a%2520b", None),
     ],
 )
-def test_a_queue_type_is_known_by_its_name_as_it_stands_or_quoted(name, path, lane):
-    # Another customer's names: those that a path can hold only quoted were answered 404.
+def test_queue_type_name_is_accepted_raw_or_percent_encoded(name, path, lane):
+    # Names that a path can hold only percent-encoded used to be answered with 404.
     rig = Rig()
-    theirs = client(rig, door(rig, [queue_type(name="other"), queue_type(name=name)]))
-    theirs.sendall(job(path, X_Lane=lane).decode().encode("latin-1"))
+    client_sock = client(rig, door(rig, [queue_type(name="other"), queue_type(name=name)]))
+    client_sock.sendall(job(path, X_Lane=lane).decode().encode("latin-1"))
     assert rig.turn(lambda: rig.inbox.items)
     event = rig.inbox.items[0]
     exchange, queue = event.exchange, event.terms[0]
@@ -109,10 +109,10 @@
         ),
     ],
 )
-def test_a_job_goes_to_the_queue_as_one_call(headers, says):
+def test_job_arrives_as_one_event_with_its_properties(headers, says):
     rig = Rig()
-    theirs = client(rig, door(rig))
-    theirs.sendall(job(**headers))
+    client_sock = client(rig, door(rig))
+    client_sock.sendall(job(**headers))
     assert rig.turn(lambda: rig.inbox.items)
     event = rig.inbox.items[0]
     exchange = event.exchange
@@ -128,80 +128,87 @@
         (lambda ex: ex.rejected(250_000), b"retry-after: 0.250"),
     ],
 )
-def test_a_job_gets_one_answer(answer, says):
+def test_job_gets_exactly_one_answer(answer, says):
     rig = Rig()
-    theirs = client(rig, door(rig))
-    theirs.sendall(job())
+    client_sock = client(rig, door(rig))
+    client_sock.sendall(job())
     rig.turn(lambda: rig.inbox.items)
     exchange = rig.inbox.items.popleft().exchange
     answer(exchange)
     exchange.killed()
-    reply = rig.reply(theirs)
+    reply = rig.reply(client_sock)
     assert says in reply and reply.count(b"HTTP/1.1") == 1 and not rig.inbox.items
 
 
-def test_a_client_that_closes_has_abandoned_its_job():
+def test_closed_client_abandons_its_job():
     rig = Rig()
-    made = door(rig)
-    theirs = client(rig, made)
-    theirs.sendall(job())
+    listener = door(rig)
+    client_sock = client(rig, listener)
+    client_sock.sendall(job())
     rig.turn(lambda: rig.inbox.items)
-    theirs.close()
-    assert rig.turn(lambda: not made.clients)
+    client_sock.close()
+    assert rig.turn(lambda: not listener.clients)
     assert [type(item) for item in rig.inbox.items] == [JobArrived, JobAbandoned]
     assert rig.budget.used["clients"] == 0
 
 
-def test_a_job_that_the_decisions_forgot_is_killed_when_its_time_is_over():
+def test_unanswered_job_is_killed_at_the_end_of_its_walltime():
     rig = Rig()
-    theirs = client(rig, door(rig))
-    theirs.sendall(job(X_Remaining_Ms=20))
+    client_sock = client(rig, door(rig))
+    client_sock.sendall(job(X_Remaining_Ms=20))
     assert rig.turn(lambda: len(rig.inbox.items) == 2) and isinstance(rig.inbox.items[1], JobAbandoned)
-    assert rig.reply(theirs).startswith(b"HTTP/1.1 500 ")
+    assert rig.reply(client_sock).startswith(b"HTTP/1.1 500 ")
 
 
 @pytest.mark.parametrize(("beyond", "most_held"), [(True, 100), (False, 0)])
-def test_what_is_beyond_the_limits_is_rejected_untouched(beyond, most_held):
+def test_job_beyond_the_limits_is_rejected_without_an_event(beyond, most_held):
     rig = Rig()
-    theirs = client(rig, door(rig, most_held=most_held), beyond)
-    theirs.sendall(job())
-    reply = rig.reply(theirs)
+    client_sock = client(rig, door(rig, most_held=most_held), beyond)
+    client_sock.sendall(job())
+    reply = rig.reply(client_sock)
     assert reply.startswith(b"HTTP/1.1 503 ") and b"retry-after: 0.250" in reply and not rig.inbox.items
 
 
-def test_bodies_that_never_end_leave_memory_to_whole_ones(monkeypatch):
-    # Hundreds of them could fill it otherwise; the oldest go, and who finds no room is rejected untouched.
+def test_partial_request_is_evicted_when_memory_is_short(monkeypatch):
+    # Hundreds of partial bodies could fill the memory: the oldest are evicted, and without one to evict a new
+    # request is rejected.
     monkeypatch.setattr(client_connection, "MIN_UNFINISHED_US", 0)
     rig = Rig(memory=8 * 100_000)
-    made = door(rig)
-    slow, usual = client(rig, made), client(rig, made)
-    slow.sendall(job(body=b"y" * 60_000)[:30_000])
+    listener = door(rig)
+    partial, complete = client(rig, listener), client(rig, listener)
+    partial.sendall(job(body=b"y" * 60_000)[:30_000])
     assert rig.turn(
-        lambda: rig.budget.request_bytes == 60_000 and all(conn.is_quiet() for conn in made.clients)
+        lambda: rig.budget.request_bytes == 60_000 and all(conn.is_quiet() for conn in listener.clients)
     )
-    usual.sendall(job(body=b"x" * 50_000))
-    assert rig.turn(lambda: rig.inbox.items) and rig.budget.request_bytes == 50_000 and len(made.clients) == 1
-    late = client(rig, made)
+    complete.sendall(job(body=b"x" * 50_000))
+    assert (
+        rig.turn(lambda: rig.inbox.items)
+        and rig.budget.request_bytes == 50_000
+        and len(listener.clients) == 1
+    )
+    late = client(rig, listener)
     late.sendall(job(body=b"z" * 60_000, X_Txn="9b20"))
     assert rig.reply(late).startswith(b"HTTP/1.1 503 ")
     rig.inbox.items[0].exchange.killed()
-    assert rig.reply(usual).startswith(b"HTTP/1.1 500 ") and rig.budget.request_bytes == 0 and not rig.errors
+    assert (
+        rig.reply(complete).startswith(b"HTTP/1.1 500 ") and rig.budget.request_bytes == 0 and not rig.errors
+    )
 
 
-def test_a_body_of_countless_chunks_is_turned_away():
+def test_body_with_too_many_chunks_is_refused():
     rig = Rig()
-    theirs = client(rig, door(rig))
-    theirs.sendall(job(body=b"1\r\nx\r\n" * 2_000, Content_Length=None, Transfer_Encoding="chunked"))
-    assert rig.reply(theirs).startswith(b"HTTP/1.1 413 ") and not rig.inbox.items
+    client_sock = client(rig, door(rig))
+    client_sock.sendall(job(body=b"1\r\nx\r\n" * 2_000, Content_Length=None, Transfer_Encoding="chunked"))
+    assert rig.reply(client_sock).startswith(b"HTTP/1.1 413 ") and not rig.inbox.items
 
 
-def test_answers_of_a_leaving_dispatcher_end_their_connections():
+def test_leaving_dispatcher_closes_connections_after_their_answer():
     rig = Rig()
-    made = door(rig)
-    made.leaving = made.closing = True
-    theirs = client(rig, made)
-    theirs.sendall(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-    reply = rig.reply(theirs)
+    listener = door(rig)
+    listener.leaving = listener.closing = True
+    client_sock = client(rig, listener)
+    client_sock.sendall(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+    reply = rig.reply(client_sock)
     assert reply.startswith(b"HTTP/1.1 503 ") and b"connection: close" in reply.lower()
 
 
@@ -215,68 +222,70 @@
         (3, 300_000, 0, True),
     ],
 )
-def test_while_leaving_some_client_connections_are_kept_free(dispatchers, since, idle, taken):
-    # Once all were busy their clients went to the other dispatcher, which was down as well.
+def test_leaving_dispatcher_keeps_some_client_connections_idle(dispatchers, since, idle, taken):
+    # With all connections busy, clients turned to the other dispatcher, which was down as well.
     rig = Rig()
-    made = door(rig, dispatchers=dispatchers)
-    theirs = client(rig, made)
-    others = [client(rig, made) for _ in range(idle)]
+    listener = door(rig, dispatchers=dispatchers)
+    client_sock = client(rig, listener)
+    others = [client(rig, listener) for _ in range(idle)]
     for other in others:
         other.sendall(b"GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
     assert rig.turn(lambda: len(rig.budget.idle["clients"]) == idle)
-    made.leaving = rig.loop.now() - since
-    theirs.sendall(job())
+    listener.leaving = rig.loop.now() - since
+    client_sock.sendall(job())
     if taken:
         assert rig.turn(lambda: rig.inbox.items)
     else:
-        assert b"retry-after" in rig.reply(theirs) and not rig.inbox.items
+        assert b"retry-after" in rig.reply(client_sock) and not rig.inbox.items
 
 
 @pytest.mark.parametrize("unread", [b"", job()])
-def test_an_idle_client_is_closed_only_when_nothing_is_under_way(unread):
+def test_idle_client_is_closed_only_without_unread_bytes(unread):
     rig = Rig()
-    made = door(rig)
-    theirs = client(rig, made)
+    listener = door(rig)
+    client_sock = client(rig, listener)
     rig.loop.run_once(0)
-    theirs.sendall(unread)
-    (conn,) = made.clients
+    client_sock.sendall(unread)
+    (conn,) = listener.clients
     assert rig.budget.idle["unused"][conn]() == (not unread)
 
 
 @pytest.mark.parametrize(
     ("raw", "goes"), [(b"", True), (job()[:-1], True), (job(), False)], ids=["idle", "unfinished", "taken"]
 )
-def test_a_client_gives_way_until_its_job_is_taken(raw, goes, monkeypatch):
-    # Requests that never become whole could hold all descriptors otherwise.
+def test_client_can_be_evicted_until_its_job_is_admitted(raw, goes, monkeypatch):
+    # Otherwise partial requests could hold all descriptors.
     monkeypatch.setattr(client_connection, "MIN_UNFINISHED_US", 0)
     rig = Rig(sockets=0)
-    made = door(rig)
-    theirs = client(rig, made)
-    theirs.sendall(raw)
-    place = {job(): None, b"": "unused"}.get(raw, "unfinished")
-    assert rig.turn(lambda: rig.inbox.items if place is None else rig.budget.idle[place])
-    if place == "unfinished":
-        # Bytes that wait to be read keep it for a moment longer.
-        rig.turn(lambda: rig.loop.waiters and all(conn.is_quiet() for conn in made.clients))
+    listener = door(rig)
+    client_sock = client(rig, listener)
+    client_sock.sendall(raw)
+    group = {job(): None, b"": "unused"}.get(raw, "unfinished")
+    assert rig.turn(lambda: rig.inbox.items if group is None else rig.budget.idle[group])
+    if group == "unfinished":
+        # A connection with unread bytes is not evicted, so wait until they have been read.
+        rig.turn(lambda: rig.loop.waiters and all(conn.is_quiet() for conn in listener.clients))
     while rig.budget.used["clients"] < rig.budget.limits["clients"]:
         rig.budget.used["clients"] += 1
     assert rig.budget.acquire("clients") == goes and not rig.errors
 
 
-def test_requests_sent_one_behind_the_other_are_answered_in_order():
+def test_pipelined_requests_are_answered_in_order():
     rig = Rig()
-    theirs = client(rig, door(rig))
-    theirs.sendall(b"GET /health/live HTTP/1.1\r\nHost: h\r\n\r\nGET /nothing HTTP/1.1\r\nHost: h\r\n\r\n")
-    reply = rig.reply(theirs)
+    client_sock = client(rig, door(rig))
+    client_sock.sendall(
+        b"GET /health/live HTTP/1.1\r\nHost: h\r\n\r\nGET /nothing HTTP/1.1\r\nHost: h\r\n\r\n"
+    )
+    reply = rig.reply(client_sock)
     assert 0 < reply.index(b" 200 ") < reply.index(b" 404 ")
 
 
 @pytest.mark.parametrize("answered", [None, "completed", "rejected"])
-def test_the_id_of_another_job_is_turned_away_and_that_job_goes_on(answered):
-    # Launched again under the same id it would be a second effect; the retry of a rejected job has a new one.
+def test_duplicate_id_is_refused_and_first_job_continues(answered):
+    # A second launch under the same id could repeat the effect; the retry of a rejected job has a new id.
     rig = Rig()
-    made = door(rig)
-    first, second = client(rig, made), client(rig, made)
+    listener = door(rig)
+    first, second = client(rig, listener), client(rig, listener)
     first.sendall(job())
     rig.turn(lambda: rig.inbox.items)
     exchange = rig.inbox.items.popleft().exchange
@@ -292,88 +301,101 @@
     ("raw", "answer"),
     [(b"", b""), (job()[:-1], b"HTTP/1.1 408 "), (b"POST /render HTTP/1.1\r\nA: ", b"HTTP/1.1 408 ")],
 )
-def test_who_never_sends_a_whole_request_goes_in_time(raw, answer, monkeypatch):
-    # Bytes that come one by one must not prolong it, and who had an answer stays.
+def test_incomplete_request_times_out(raw, answer, monkeypatch):
+    # Single bytes must not extend the timeout, and a client that has been answered stays connected.
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_US", 60_000)
     rig = Rig()
-    made = door(rig)
-    usual, theirs = client(rig, made), client(rig, made)
-    usual.sendall(b"GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
-    theirs.sendall(raw[:5])
-    assert rig.reply(usual).startswith(b"HTTP/1.1 200 ")
-    theirs.sendall(raw[5:])
-    assert rig.reply(theirs).startswith(answer)
-    rig.turn(lambda: len(made.clients) == 1, 500_000)
-    theirs.settimeout(1)
-    assert theirs.recv(1) == b"" and usual.send(b"G") and len(made.clients) >= 1 and not rig.inbox.items
-
-
-def test_one_walltime_without_end_does_not_move_that_of_others():
+    listener = door(rig)
+    served, client_sock = client(rig, listener), client(rig, listener)
+    served.sendall(b"GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
+    client_sock.sendall(raw[:5])
+    assert rig.reply(served).startswith(b"HTTP/1.1 200 ")
+    client_sock.sendall(raw[5:])
+    assert rig.reply(client_sock).startswith(answer)
+    rig.turn(lambda: len(listener.clients) == 1, 500_000)
+    client_sock.settimeout(1)
+    assert (
+        client_sock.recv(1) == b""
+        and served.send(b"G")
+        and len(listener.clients) >= 1
+        and not rig.inbox.items
+    )
+
+
+def test_walltime_is_limited_to_that_of_the_queue_type():
     rig = Rig()
-    theirs = client(rig, door(rig))
-    theirs.sendall(job(X_Remaining_Ms=10**11))
+    client_sock = client(rig, door(rig))
+    client_sock.sendall(job(X_Remaining_Ms=10**11))
     assert rig.turn(lambda: rig.inbox.items) and rig.inbox.items[0].terms[-1] == queue_type()["walltime"]
 
 
 @pytest.mark.parametrize("waiting", [0, 3])
-def test_what_the_machine_accepted_is_taken_in_before_the_door_closes(waiting):
+def test_connections_in_the_backlog_are_accepted_before_the_listener_closes(waiting):
     rig = Rig()
-    made, sock = door(rig), listen((HERE, 0))
-    theirs = [socket.create_connection(sock.getsockname(), 2) for _ in range(waiting)]
-    assert not made.accept_waiting(sock) and len(made.clients) == len(theirs) == rig.budget.used["clients"]
+    listener, sock = door(rig), listen((HERE, 0))
+    client_sock = [socket.create_connection(sock.getsockname(), 2) for _ in range(waiting)]
+    assert (
+        not listener.accept_waiting(sock)
+        and len(listener.clients) == len(client_sock) == rig.budget.used["clients"]
+    )
 
 
 @pytest.mark.parametrize(
     ("gap", "silent", "answer"), [(0.06, 1_000_000, None), (0.3, 100_000, b"HTTP/1.1 408 ")]
 )
-def test_a_request_in_pieces_is_read_to_its_end_unless_it_falls_silent(gap, silent, answer, monkeypatch):
-    # All had 2 s from the connect, which cut off jobs that were written in 2 s, with room or without.
+def test_request_in_pieces_is_read_completely_unless_it_stalls(gap, silent, answer, monkeypatch):
+    # A limit of 2 s from the connect cut off jobs that took 2 s to write.
     monkeypatch.setattr(client_connection, "MAX_SILENCE_US", silent)
     rig = Rig()
-    made = door(rig)
-    theirs, raw = client(rig, made), job(body=b"x" * 50)
+    listener = door(rig)
+    client_sock, raw = client(rig, listener), job(body=b"x" * 50)
     for start in range(0, len(raw), 30):
-        if rig.inbox.items or not made.clients:
+        if rig.inbox.items or not listener.clients:
             break
-        theirs.sendall(raw[start : start + 30])
+        client_sock.sendall(raw[start : start + 30])
         rig.turn(lambda: False, int(gap * 1e6))
     if answer is None:
         assert rig.turn(lambda: rig.inbox.items)
     else:
-        assert rig.reply(theirs).startswith(answer) and not rig.inbox.items
+        assert rig.reply(client_sock).startswith(answer) and not rig.inbox.items
 
 
-def test_crowds_give_way_before_clients_and_those_before_what_still_comes(monkeypatch):
+def test_unused_and_partial_connections_are_evicted_before_served_and_receiving_ones(monkeypatch):
     monkeypatch.setattr(client_connection, "MIN_UNFINISHED_US", 100_000)
     rig = Rig()
-    made = door(rig)
-    slow, half, usual, unused = (client(rig, made) for _ in range(4))
-    slow.sendall(job()[:40])
-    half.sendall(job()[:40])
-    usual.sendall(b"GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
-    assert rig.reply(usual).startswith(b"HTTP/1.1 200 ")
+    listener = door(rig)
+    receiving, partial, served, unused = (client(rig, listener) for _ in range(4))
+    receiving.sendall(job()[:40])
+    partial.sendall(job()[:40])
+    served.sendall(b"GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
+    assert rig.reply(served).startswith(b"HTTP/1.1 200 ")
     rig.turn(lambda: False, 120_000)
-    slow.sendall(job()[40:80])
+    receiving.sendall(job()[40:80])
     rig.turn(lambda: False, 20_000)
-    went = []
+    evicted = []
     for _ in range(4):
         assert rig.budget.evict(*CLIENT_EVICTION_ORDER)
         rig.turn(lambda: False, 5_000)
-        went.append(
+        evicted.append(
             next(
                 name
-                for name, one in (("unused", unused), ("half", half), ("usual", usual), ("slow", slow))
-                if name not in went and not waits(one)
+                for name, sock in (
+                    ("unused", unused),
+                    ("half", partial),
+                    ("usual", served),
+                    ("slow", receiving),
+                )
+                if name not in evicted and not is_open(sock)
             )
         )
-    assert went == ["unused", "half", "usual", "slow"] and not made.clients and not rig.errors
+    assert evicted == ["unused", "half", "usual", "slow"] and not listener.clients and not rig.errors
 
 
-def waits(theirs):
-    """Whether its connection is still open."""
-    theirs.setblocking(False)
+def is_open(client_sock):
+    """Return whether the connection of a client socket is still open."""
+    client_sock.setblocking(False)
     try:
-        return theirs.recv(1) != b""
+        return client_sock.recv(1) != b""
     except BlockingIOError:
         return True
     except OSError:
