--- a/mastledge/protocol/client_listener.py
+++ b/mastledge/protocol/client_listener.py
@@ -17,9 +17,9 @@
 
 MIN_AGE_US = 250_000  # a younger connection is not closed: its first request may be on its way
 MAX_RETRY_AFTER_US = 250_000  # of the Retry-After for jobs rejected here
-FREE_CONNECTIONS = 3  # idle client connections kept while leaving; a burst can precede the next rejection
-FEW_DISPATCHERS = 2
-KEEPS_FREE_AFTER_US = 250_000  # after SIGTERM; later new connections go to other dispatchers
+MIN_IDLE_CONNECTIONS = 3  # of clients, kept while leaving; a burst can precede the next rejection
+MAX_DISPATCHERS_KEEPING_IDLE = 2
+KEEPS_IDLE_AFTER_US = 250_000  # after SIGTERM; later new connections go to other dispatchers
 SHORTAGE_PAUSE_US = 20_000  # before the next accept when descriptors are exhausted
 MAX_ACCEPTS = 32  # per loop iteration, so that a burst does not delay existing clients
 # After a drain call (docs/operations.md): close idle connections, reject jobs, close partial requests.
@@ -47,7 +47,7 @@
         """Apply settings to new requests; jobs in hand are not affected."""
         self.requests, self.most_held = Requests(settings), settings["most_held"]
         self.jobs.configure(settings["queue_types"])
-        self.few_dispatchers = settings["dispatchers"] <= FEW_DISPATCHERS
+        self.keeps_idle_when_leaving = settings["dispatchers"] <= MAX_DISPATCHERS_KEEPING_IDLE
         retry_after_us = min(settings["hold_off"], MAX_RETRY_AFTER_US)
         self.rejection = REJECTED, retry_after_headers(retry_after_us), b""
 
@@ -119,14 +119,14 @@
             # Ids are unique per request, so the id belongs to another job, which must not be affected.
             raise BadRequestError(409, "X-Txn is in use")
         is_full = over_budget or self.jobs.in_hand >= self.most_held
-        if not is_full and not self.is_crowded() and self.may_act():
+        if not is_full and not self.is_shedding_load() and self.may_act():
             return None
         # Nothing was sent to a worker, so a retry is safe.
         self.log("connection_limit", job=exchange.name, clients=len(self.clients))
         self.jobs.count(exchange.kind, REJECTED)
         return self.rejection
 
-    def is_crowded(self) -> bool:
+    def is_shedding_load(self) -> bool:
         """Return whether jobs are rejected to keep some client connections idle while leaving.
 
         A client whose connections are all busy opens a new one, which nobody accepts while all dispatchers
@@ -134,13 +134,13 @@
         """
         if self.draining and self.loop.now() >= self.draining + REJECTS_AFTER_US:
             return True
-        keeps_free = (
-            self.few_dispatchers
+        keeps_idle = (
+            self.keeps_idle_when_leaving
             and self.leaving
             and not self.succeeded
-            and self.loop.now() >= self.leaving + KEEPS_FREE_AFTER_US
+            and self.loop.now() >= self.leaving + KEEPS_IDLE_AFTER_US
         )
-        return keeps_free and len(self.budget.idle["clients"]) < FREE_CONNECTIONS
+        return keeps_idle and len(self.budget.idle["clients"]) < MIN_IDLE_CONNECTIONS
 
     def _close_group(self, group):
         """Close the idle connections of a group, except those opened within MIN_AGE_US."""
