--- a/mastledge/protocol/client_jobs.py
+++ b/mastledge/protocol/client_jobs.py
@@ -9,8 +9,8 @@
 from mastledge.transport.connection import Connection
 from mastledge.transport.loop import CONNECTION_ENDED, READ, Coroutine, Loop, Queue
 
-LAST_WORD_US = 5_000  # grace time after the end of a walltime
-LATE = ()  # returned by `wait_for_answer` when no answer came in time
+ANSWER_GRACE_US = 5_000  # grace time after the end of a walltime
+NO_ANSWER = ()  # returned by `wait_for_answer` when no answer came in time
 
 
 class ClientJobs:
@@ -80,14 +80,14 @@
     def answer(self, conn: Connection, exchange: Exchange) -> Coroutine:
         """Return the answer as (status, headers, content), or None if the client has disconnected."""
         reply = yield from self.wait_for_answer(conn, exchange.until)
-        if reply != LATE:
+        if reply != NO_ANSWER:
             return reply
         # The scheduler ends each job before this; if it fails to, the client still gets an answer.
         self.log("answer_late", job=exchange.name)
         return KILLED, [], b""
 
     def wait_for_answer(self, conn: Connection, until: int) -> Coroutine:
-        """Return the answer passed to wake(), None if the client disconnected, LATE if none came in time."""
+        """Return the answer passed to wake(), None on a disconnect, NO_ANSWER if none came in time."""
         for _ in range(2):
             received = READ
             while received:
@@ -99,8 +99,8 @@
                 if received & CONNECTION_ENDED or received and http.has_left(conn):
                     return None
             # An answer from this iteration may still be on its way through the scheduler.
-            until = self.loop.now() + LAST_WORD_US
-        return LATE
+            until = self.loop.now() + ANSWER_GRACE_US
+        return NO_ANSWER
 
     def _begin(self, exchange):
         self.in_hand += 1
