--- a/mastledge/protocol/client_connection.py
+++ b/mastledge/protocol/client_connection.py
@@ -135,7 +135,7 @@
         conn, listener = self.conn, self.listener
         self._set_group(None)
         client_disconnected = http.has_left(conn)
-        if not http.may_be_followed(conn):
+        if not http.has_valid_trailing_data(conn):
             # With a Content-Length that is too small, the rest of the body would be read as the next request.
             raise BadRequestError(400, "unexpected bytes after the request body")
         if head.method == b"HEAD":
--- a/mastledge/protocol/http.py
+++ b/mastledge/protocol/http.py
@@ -126,7 +126,7 @@
     return False
 
 
-def may_be_followed(conn: Connection) -> bool:
+def has_valid_trailing_data(conn: Connection) -> bool:
     """Return whether the bytes after a complete request are empty or may begin another request."""
     return NEXT_REQUEST.match(conn.http.trailing_data[0]) is not None
 
