--- a/mastledge/protocol/control.py
+++ b/mastledge/protocol/control.py
@@ -60,7 +60,7 @@
             self._accept_all(sock)
 
     def _accept_all(self, sock):
-        while self._make_place():
+        while self._make_room():
             accepted, _ = accept(sock, self.budget)
             if accepted is None:
                 return
@@ -74,7 +74,7 @@
             self.callers[conn] = False
             conn.owner = self.loop.spawn(self._serve(conn), first=True)
 
-    def _make_place(self):
+    def _make_room(self):
         """Make room for one more connection and return whether there is any.
 
         A connection without a complete call is closed for it; a call in progress is not interrupted.
@@ -97,7 +97,7 @@
                 head = yield from http.next_event(conn, until)
                 if isinstance(head, h11.ConnectionClosed):
                     return
-                answer = yield from self._carry_out(conn, head, until)
+                answer = yield from self._execute(conn, head, until)
             except (CallRefusedError, WaitTimeoutError, BodyTooLargeError, h11.RemoteProtocolError) as error:
                 answer = refusal(conn, error)
                 if answer is None:
@@ -112,7 +112,7 @@
             self.callers.pop(conn, None)
             conn.close()
 
-    def _carry_out(self, conn, head, until):
+    def _execute(self, conn, head, until):
         http.body_limit(head, self.max_body_bytes)
         content = yield from http.read_body(conn, until, self.max_body_bytes)
         self.callers[conn] = True
