--- a/mastledge/protocol/load_messages.py
+++ b/mastledge/protocol/load_messages.py
@@ -15,7 +15,7 @@
 MAX_LOAD, MAX_WORK_MS = 255, 65535
 
 
-def encoded(sent_at: int, loads: Sequence[tuple[int, float]], wants: Sequence[tuple[int, float]]) -> bytes:
+def encoded(sent_at: int, loads: Sequence[tuple[int, float]], key_work: Sequence[tuple[int, float]]) -> bytes:
     """Encode loads by worker and work in microseconds by key.
 
     Entries that do not fit are left out; the scheduler rarely passes that many.
@@ -23,8 +23,8 @@
     loads = loads[: (MAX_MESSAGE_BYTES - HEAD.size) // LOAD.size]
     loads = [LOAD.pack(worker, min(MAX_LOAD, round(LOAD_UNITS * load))) for worker, load in loads]
     space = (MAX_MESSAGE_BYTES - HEAD.size - LOAD.size * len(loads)) // KEY_WORK.size
-    wants = [KEY_WORK.pack(key, min(MAX_WORK_MS, round(work / 1000))) for key, work in wants[:space]]
-    return b"".join((HEAD.pack(MARK, len(loads), sent_at), *loads, *wants))
+    key_work = [KEY_WORK.pack(key, min(MAX_WORK_MS, round(work / 1000))) for key, work in key_work[:space]]
+    return b"".join((HEAD.pack(MARK, len(loads), sent_at), *loads, *key_work))
 
 
 def decoded(content: bytes) -> tuple[int, list[tuple[int, float]], list[tuple[int, int]]] | None:
