--- a/mastledge/scheduling/__init__.py
+++ b/mastledge/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of one dispatcher, without I/O and without a clock of its own: see `Scheduler`."""
+"""The scheduling decisions of one dispatcher; they do no I/O and read no clock (see `Scheduler`)."""
--- a/mastledge/scheduling/affinity.py
+++ b/mastledge/scheduling/affinity.py
@@ -1,6 +1,6 @@
-"""Key affinity: the home workers at which the data of a key is expected to be cached.
+"""Key affinity: the home workers on which the data of a key is expected to be cached.
 
-All dispatchers order the workers of a key alike, as the order is a hash over the ids' texts.
+All dispatchers order the workers of a key alike, as the order is a hash of the key and the worker ids.
 """
 
 from collections import Counter
@@ -11,17 +11,20 @@
 from mastledge.scheduling.fleet_view import FleetView
 from mastledge.scheduling.state import Launch, Worker
 
-MOST_SHARE_OF_KEYS = 1.1  # times its part of the work, above which a worker is home to no more keys
+MOST_SHARE_OF_KEYS = 1.1  # times an equal share of the work, above which a worker gets no more keys
 HASH_MULTIPLIER, HASH_VALUES = 0x9E3779B1, 1 << 32
-WANTS_KEPT_OF_60 = 59  # of what keys wanted, each second
-CACHED_RUNS = 2  # mean running times for which the data of the last key is surely still there
+WANTS_KEPT_OF_60 = 59  # decay of the work per key, in 60ths per second
+CACHED_RUNS = 2  # mean running times for which the data of the last key surely stays cached
 
 
 class KeyAffinity:
-    """Homes of keys. `key_work`: smoothed work that each key wanted. `fetch`: the time that a fetch takes."""
+    """The home workers of each key.
+
+    `key_work`: smoothed work of the jobs with each key. `fetch`: the time to fetch a key's data.
+    """
 
     def __init__(self, fleet: FleetView, estimates: FleetEstimates):
-        """A fetch takes a mean job's time, until more is learned."""
+        """Start with the mean running time as the estimate of a fetch."""
         self._fleet, self._estimates = fleet, estimates
         self.fetch = Estimate(estimates.running_time.mean, 0.0, 1)
         self.key_work: Counter = Counter()
@@ -29,23 +32,23 @@
         self.homes: dict[int, list] = {}
 
     def job_arrived(self, key: int, work: float) -> None:
-        """A job wants the data of this key."""
+        """Add the work of a job with this key."""
         self.key_work[key] += work
 
     def add_wants(self, wants: Iterable[tuple[int, float]]) -> None:
-        """Another dispatcher's jobs wanted these keys, as (key, work)."""
+        """Add the work per key that another dispatcher reported, as (key, work)."""
         self.key_work.update(dict(wants))
 
     def fleet_changed(self) -> None:
-        """Other workers are ready."""
+        """Recompute orders and homes after the set of ready workers changed."""
         self.orders = {}
         self.assign_homes()
 
     def order(self, key: int) -> list:
-        """The ready workers in the order of this key."""
+        """Return the ready workers in the order of this key."""
         if key not in self.orders:
             salt = crc32(str(key).encode())
-            # Multiplied, as sums of this kind alone would give like keys like orders.
+            # Multiplied, as CRC-32 values alone would give similar keys similar orders.
             self.orders[key] = sorted(
                 self._fleet.ready,
                 key=lambda worker: (worker.name_hash ^ salt) * HASH_MULTIPLIER % HASH_VALUES,
@@ -53,18 +56,18 @@
         return self.orders[key]
 
     def homes_of(self, key: int) -> list | tuple:
-        """The home workers of a key; none for 0."""
+        """Return the home workers of a key; none for key 0."""
         return self.homes.get(key) or self.order(key)[:1] if key else ()
 
     def fetch_time(self, key: int, worker: Worker, homes: Iterable[Worker]) -> float:
-        """The time that a job of this key would spend there on fetching its data, in microseconds."""
+        """Return the time, in microseconds, that a job of this key would spend on fetching its data."""
         return 0.0 if worker in homes or worker.last_key[0] == key else self.fetch.mean
 
     def launched(self, launch: Launch, now: int) -> None:
-        """Sets what the launch has to fetch, and that its key is now the last one there."""
+        """Set the expected fetch of the launch, and record its key as the last one on the worker."""
         key, worker = launch.job.key, launch.worker
         last_key, last_at = worker.last_key
-        # Just used there, so it cannot have been put out yet.
+        # Used so recently that it cannot have been evicted yet.
         launch.fetch_certain = (
             last_key == key and now - last_at < CACHED_RUNS * self._estimates.running_time.mean
         )
@@ -72,22 +75,24 @@
         worker.last_key = (key, now)
 
     def assign_homes(self) -> None:
-        """Each key gets as many homes as its jobs fill, the first in its order that are not crowded."""
-        workers, crowd = len(self._fleet.ready), Counter()
-        # The first jobs tell little: as much is added as a job of another key for each worker.
-        known = sum(self.key_work.values()) + workers * self._estimates.running_time.mean
-        whole = max(1.0, known)
+        """Give each key as many homes as its jobs fill: the first uncrowded workers in its order."""
+        workers, share_of_worker = len(self._fleet.ready), Counter()
+        # Adds one mean job of other keys per worker, so that the first jobs do not dominate the shares.
+        smoothed_work = sum(self.key_work.values()) + workers * self._estimates.running_time.mean
+        total_work = max(1.0, smoothed_work)
         self.homes = {}
         for key, work in self.key_work.most_common():
-            share, order = work / whole, self.order(key)
+            share, order = work / total_work, self.order(key)
             count = 1 + int(share * workers)
-            most = MOST_SHARE_OF_KEYS / workers if workers else 0.0
-            homes = [worker for worker in order if crowd[worker] + share / count <= most][:count]
+            max_share = MOST_SHARE_OF_KEYS / workers if workers else 0.0
+            homes = [worker for worker in order if share_of_worker[worker] + share / count <= max_share][
+                :count
+            ]
             self.homes[key] = homes = homes or order[:1]
-            crowd.update(dict.fromkeys(homes, share / count))
+            share_of_worker.update(dict.fromkeys(homes, share / count))
 
     def fade(self) -> None:
-        """Once a second: keys that are not wanted any more go, at the most so many are kept."""
+        """Decay the work per key once a second, and keep only the `MOST_KEYS` keys with the most work."""
         if not self.key_work:
             return
         kept = self.key_work.most_common(MOST_KEYS)
--- a/mastledge/scheduling/decisions.py
+++ b/mastledge/scheduling/decisions.py
@@ -1,4 +1,4 @@
-"""What a host has to carry out. Ids are those that the host gave; times are whole microseconds."""
+"""The decisions that a host carries out. Ids are those that the host gave; times are whole microseconds."""
 
 from collections.abc import Hashable
 from dataclasses import dataclass
@@ -6,9 +6,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LaunchJob:
-    """Send the job to the worker, the last byte within this time or not at all; 0: while the job is open.
+    """Send the job to the worker, its last byte `within` this time or not at all; 0: while the job is open.
 
-    The launches of a job count from 0.
+    The launches of a job are numbered from 0.
     """
 
     job: Hashable
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectJob:
-    """Final: trying again is harmless, best after this time."""
+    """Answer that the job is rejected: a retry is harmless, best after `retry_after`."""
 
     job: Hashable
     retry_after: int
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KillJob:
-    """Final: nothing is promised."""
+    """Answer that the job is killed: it may have run, so a retry may run it twice."""
 
     job: Hashable
 
 
 @dataclass(frozen=True, slots=True)
 class RevokeLaunch:
-    """Stop waiting for that launch; its end still has to be told."""
+    """Revoke the launch; the host still has to report its end."""
 
     job: Hashable
     number: int
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendLoadMessage:
-    """Tell all other dispatchers: loads by name hash, and the work that keys wanted."""
+    """Send all other dispatchers the loads by worker name hash, and the work per key."""
 
     told_at: int
     loads: list[tuple[int, float]]
--- a/mastledge/scheduling/eligibility.py
+++ b/mastledge/scheduling/eligibility.py
@@ -1,4 +1,4 @@
-"""Which workers a job may go to at all: machine kind, group, ejections, former launches, slow start."""
+"""Worker eligibility of a job: machine kind, group, ejections, earlier launches and slow start."""
 
 from mastledge.scheduling.fleet_view import FleetView
 from mastledge.scheduling.outliers import OutlierDetector
@@ -7,14 +7,17 @@
 
 
 class Eligibility:
-    """Asked for workers of which it is not plain."""
+    """Checks whether a job may be launched on a worker.
+
+    The selector skips the check where it can tell that the worker is eligible.
+    """
 
     def __init__(self, fleet: FleetView, outliers: OutlierDetector, slow_start: SlowStart):
-        """Asks these parts, and keeps nothing itself."""
+        """Use the given parts; no state is kept here."""
         self._fleet, self._outliers, self._slow_start = fleet, outliers, slow_start
 
     def allows(self, worker: Worker, job: Job, now: int, group_of: Worker | None) -> bool:
-        """Whether the job may go to that worker now."""
+        """Return whether the job may be launched on the worker now."""
         queue_type = job.queue_type
         if queue_type.kind >= 0 and worker.kind != queue_type.kind:
             return False
@@ -31,6 +34,6 @@
         return not slow_start.is_warming_up(worker, now) or slow_start.within_budget(worker, job, now)
 
     def _was_tried(self, worker, job) -> bool:
-        """Whether a launch of the job went there; once all workers have been tried, only if it still runs."""
+        """Return whether the job was launched on the worker; if all were tried, only one that still runs."""
         all_tried = len(job.launches) >= len(self._fleet.ready)
         return any(launch.worker is worker and not (launch.ended and all_tried) for launch in job.launches)
--- a/mastledge/scheduling/fleet_view.py
+++ b/mastledge/scheduling/fleet_view.py
@@ -1,4 +1,4 @@
-"""The workers that this dispatcher knows: the endpoint list, who is excluded, when to ask for the list."""
+"""The workers that this dispatcher knows: the endpoint list, excluded workers, and polling for the list."""
 
 from collections.abc import Collection, Iterable
 from enum import StrEnum
@@ -6,40 +6,40 @@
 from mastledge.scheduling.random_source import RandomSource
 from mastledge.scheduling.state import Worker
 
-FIRST_SLOTS = 8.0  # the paper's start where no worker has shown its slots
-FIRST_POLL_STEPS = 100  # steps of the clock over which first polls are spread
+FIRST_SLOTS = 8.0  # initial slots of a worker while no other worker is known (as in the paper)
+FIRST_POLL_STEPS = 100  # clock steps over which first polls are spread
 RETRY_US, MOST_DOUBLINGS = 250_000, 6
 RETRY_WITHOUT_LIMIT_US, POLL_WITHOUT_LIMIT_US = 1_000_000, 5_000_000
 
 
 class ListKind(StrEnum):
-    """What a host has heard of the endpoint list; members equal the plain strings."""
+    """Kind of an endpoint list update; members equal the plain strings."""
 
-    CACHED = "cached"  # from a former incarnation of the dispatcher
+    CACHED = "cached"  # saved by an earlier incarnation of the dispatcher
     WHOLE = "whole"
     CHANGES = "changes"
     FAILED = "failed"
 
 
 class FleetView:
-    """Workers by id, and those of them that may get jobs, in the list's order."""
+    """Workers by id, and the ready ones, in the order of the endpoint list."""
 
     def __init__(self):
-        """No worker is known."""
+        """Start with no worker."""
         self.workers: dict = {}
         self.ready: list[Worker] = []
         self.ready_by_name_hash: dict[int, Worker] = {}
-        # By the text of ids: excluded by an operator, and when exclusion was last taken back.
+        # By worker id as text: workers excluded by an operator, and when an exclusion was last undone.
         self.excluded, self.called_back = (), {}
 
     def update(self, now: int, whole: bool, entries: Iterable[tuple]) -> None:
-        """Takes over entries of the endpoint list; of a whole one, who is not named is gone."""
-        named = {entry[1] for entry in entries}
+        """Apply entries of the endpoint list; workers missing from a whole list are gone."""
+        listed_ids = {entry[1] for entry in entries}
         for entry in entries:
-            self._take(now, *entry)
+            self._apply_entry(now, *entry)
         for worker in self.workers.values() if whole else ():
-            worker.state = worker.state if worker.id in named else "gone"
-        # Each release brings new ids: who has gone is forgotten, once nothing is in flight there.
+            worker.state = worker.state if worker.id in listed_ids else "gone"
+        # Each release brings new ids, so workers that are gone are dropped once nothing is in flight there.
         self.workers = {
             worker.id: worker
             for worker in self.workers.values()
@@ -48,9 +48,9 @@
         self._refresh_ready()
 
     def set_excluded(self, now: int, excluded: Collection[str], called_back: dict[str, int]) -> None:
-        """Excluded workers get nothing whatever the list says; who is called back begins an incarnation.
+        """Set the excluded workers, which get no jobs, and the times at which exclusions were undone.
 
-        It may have been restarted unseen.
+        A worker whose exclusion was undone begins an incarnation, as it may have been restarted meanwhile.
         """
         self.excluded, self.called_back = excluded, called_back
         for worker in self.workers.values():
@@ -59,14 +59,14 @@
         self._refresh_ready()
 
     def count_skipped(self, now: int) -> int:
-        """How many workers of the list get nothing now: draining, excluded, or ejected."""
+        """Return how many listed workers get no jobs now: draining, excluded or ejected ones."""
         return sum(
             worker not in self.ready or any(now < ejection.ends_at for ejection in worker.ejections.values())
             for worker in self.workers.values()
             if worker.state != "gone"
         )
 
-    def _take(self, now, zone, worker_id, state, born, kind, cell, units):  # noqa: PLR0913 - one entry of the list
+    def _apply_entry(self, now, zone, worker_id, state, born, kind, cell, units):  # noqa: PLR0913 - the fields of a list entry
         worker, born = self.workers.get(worker_id), max(born, self.called_back.get(str(worker_id), 0))
         if worker is None:
             others = [other.slots for other in self.ready] or [FIRST_SLOTS]
@@ -83,35 +83,35 @@
 
 
 class EndpointPoll:
-    """When the endpoint list has to be asked for. `ask_at`: the next time; None: news come by themselves."""
+    """Schedules polls of the endpoint list. `ask_at`: time of the next poll; None: changes are pushed."""
 
     def __init__(self, settings: dict, random: RandomSource):
-        """`begin` says when the first time is."""
+        """Start with no poll due; `begin` schedules the first one."""
         self._settings, self._random = settings, random
         self.ask_at, self._failures = None, 0
 
     def begin(self, now: int) -> None:
-        """Starts as the settings say: at once pushed, or to be asked for."""
+        """Start over: schedule the first poll, unless the settings say that the list is pushed."""
         self.ask_at, self._failures = None, 0
         if self._settings["follow"] != "pushed":
-            # Dispatchers restarted together must not ask in step.
+            # Jitter, so that dispatchers restarted together do not poll at the same time.
             self.ask_at = now + int(self._random.chance() * FIRST_POLL_STEPS * self._settings["step"])
 
     def failed(self, now: int) -> None:
-        """Asks again after a backoff with jitter, well inside the time in which the list has to be had."""
+        """Schedule a retry after a backoff with jitter, well within the `ask_within` setting."""
         self._failures += 1
-        most = self._settings["ask_within"] // 4 or RETRY_WITHOUT_LIMIT_US
-        wait = min((1 << min(self._failures, MOST_DOUBLINGS)) * RETRY_US, most)
-        self.ask_at = now + int(wait * (0.5 + self._random.chance() / 2))
+        max_backoff = self._settings["ask_within"] // 4 or RETRY_WITHOUT_LIMIT_US
+        backoff = min((1 << min(self._failures, MOST_DOUBLINGS)) * RETRY_US, max_backoff)
+        self.ask_at = now + int(backoff * (0.5 + self._random.chance() / 2))
 
     def answered(self) -> None:
-        """The list has come, and news of it will."""
+        """Stop polling: the list was received, and its changes will be pushed."""
         self.ask_at, self._failures = None, 0
 
     def is_due(self, now: int) -> bool:
-        """Whether to ask now, where `ask_at` is set.
+        """Return whether to poll now; `ask_at` must not be None.
 
-        Asking counts even when the answer is lost, so the next time is set.
+        A poll schedules the next one, as its answer may be lost.
         """
         if self.ask_at > now:
             return False
--- a/mastledge/scheduling/gossip.py
+++ b/mastledge/scheduling/gossip.py
@@ -1,6 +1,7 @@
-"""Load messages between dispatchers: what each has in flight at each worker, and the keys that were wanted.
+"""Load messages between dispatchers: the load that each has in flight at each worker, and the work per key.
 
-Messages go to all, so they are as rare as their price asks for. Times are whole microseconds.
+Each message goes to all dispatchers, so its cost limits how often one is sent. Times are whole
+microseconds.
 """
 
 from collections import Counter
@@ -10,16 +11,16 @@
 from mastledge.scheduling.estimation import MOST_KEYS
 from mastledge.scheduling.fleet_view import FleetView
 
-PRICE_SHARE = 0.005  # of all utility, what messages may cost
+PRICE_SHARE = 0.005  # share of all utility that messages may cost
 SHORTEST_INTERVAL_US = 100_000
-LONGEST_INTERVAL_US = 2_000_000  # above it what messages tell is too old to be worth them
-EXPIRY_INTERVALS = 2  # longest intervals after which a silent dispatcher has nothing in flight
-MOST_LOADS, MOST_WANTS = 30, 9  # in a message
+LONGEST_INTERVAL_US = 2_000_000  # above it messages would be too old to be useful
+EXPIRY_INTERVALS = 2  # longest intervals after which the load of a silent dispatcher is dropped
+MOST_LOADS, MOST_WANTS = 30, 9  # entries in a message
 
 
 @dataclass(frozen=True, slots=True)
 class PeerLoad:
-    """What another dispatcher told last: (worker, its incarnation then, load)."""
+    """The last load message of another dispatcher; `loads`: (worker, its incarnation then, load)."""
 
     told_at: int
     received_at: int
@@ -27,31 +28,32 @@
 
 
 class LoadGossip:
-    """Sends and takes load messages. `peers`: what each other dispatcher told last, by its number.
+    """Schedules, builds and applies load messages.
 
-    `message_at`: when the next message is due; None: none is. `interval`: 0: no messages.
+    `peers`: last message of each dispatcher, by its number. `message_at`: when the next message is due; None:
+    none is. `interval`: time between messages; 0: no messages.
     """
 
     def __init__(self, settings: dict, fleet: FleetView):
-        """Nothing was told."""
+        """Start with no message sent or received."""
         self._settings, self._fleet = settings, fleet
         self.peers: dict[int, PeerLoad] = {}
         self.message_at, self.interval = None, 0
         self.untold_wants: Counter = Counter()
 
     def job_arrived(self, key: int, work: float, now: int) -> None:
-        """A job wants the data of this key; 0: of none."""
+        """Add the work of a job with this key (0: no key), and schedule a message."""
         if key and len(self.untold_wants) < MOST_KEYS:
             self.untold_wants[key] += work
         if self.message_at is None and self.interval:
             self.message_at = now + self.interval
 
     def receive(self, now: int, sender: int, told_at: int, loads: Iterable[tuple[int, float]]) -> bool:
-        """Takes over loads by name hash; False for one's own message, and for an older one."""
-        before = self.peers.get(sender)
-        if sender == self._settings["me"] or before and before.told_at >= told_at:
+        """Apply the loads by worker name hash; return False for an old message or this dispatcher's own."""
+        previous = self.peers.get(sender)
+        if sender == self._settings["me"] or previous and previous.told_at >= told_at:
             return False
-        if before:
+        if previous:
             self._forget(sender)
         by_name_hash = self._fleet.ready_by_name_hash
         known = [(by_name_hash[name], load) for name, load in loads if name in by_name_hash]
@@ -61,15 +63,15 @@
         return True
 
     def expire(self, now: int) -> None:
-        """Dispatchers that are not heard any more have nothing in flight."""
-        most = EXPIRY_INTERVALS * LONGEST_INTERVAL_US
-        for sender in [sender for sender, told in self.peers.items() if now - told.received_at > most]:
+        """Drop the loads of dispatchers that have been silent for too long."""
+        max_age = EXPIRY_INTERVALS * LONGEST_INTERVAL_US
+        for sender in [sender for sender, load in self.peers.items() if now - load.received_at > max_age]:
             self._forget(sender)
 
     def is_due(self, now: int, any_open: bool) -> bool:
-        """Whether to send a message now, where `message_at` is set.
+        """Return whether to send a message now; `message_at` must not be None.
 
-        The next one is due only while jobs are open.
+        The next message is scheduled only while jobs are open.
         """
         if self.message_at > now:
             return False
@@ -77,20 +79,20 @@
         return True
 
     def message(self) -> tuple[list, list]:
-        """Loads of the workers with the most in flight, and the keys wanted most since the last message."""
+        """Return the loads of the busiest workers, and the keys with the most work since the last message."""
         busiest = sorted(self._fleet.ready, key=lambda worker: -worker.load)[:MOST_LOADS]
         loads = [(worker.name_hash, worker.load) for worker in busiest if worker.load]
         most_wanted = self.untold_wants.most_common(MOST_WANTS)
         return loads, [(key, self.untold_wants.pop(key)) for key, _ in most_wanted]
 
     def survey(self, arrival_rate: float) -> None:
-        """Once a second: how often messages go at this many jobs a second."""
+        """Set the interval between messages for this arrival rate (jobs per second), once a second."""
         settings = self._settings
         others = settings["dispatchers"] - 1
         price = max(1.0, settings["price_peer"] / PRICE_SHARE)
-        wait = max(SHORTEST_INTERVAL_US, int(price * others / arrival_rate * 1e6))
-        sends = settings["may_message"] and others > 0 and wait <= LONGEST_INTERVAL_US
-        self.interval = wait if sends else 0
+        interval = max(SHORTEST_INTERVAL_US, int(price * others / arrival_rate * 1e6))
+        sends = settings["may_message"] and others > 0 and interval <= LONGEST_INTERVAL_US
+        self.interval = interval if sends else 0
 
     def _forget(self, sender: int) -> None:
         for worker, born, load in self.peers.pop(sender).loads:
--- a/mastledge/scheduling/intake.py
+++ b/mastledge/scheduling/intake.py
@@ -1,4 +1,4 @@
-"""Takes a job that has arrived: what it is expected to need, and by when it has to be answered."""
+"""Intake of arriving jobs: sets their estimates, latency objectives and deadlines."""
 
 from mastledge.scheduling.affinity import KeyAffinity
 from mastledge.scheduling.estimation import FleetEstimates
@@ -6,11 +6,11 @@
 from mastledge.scheduling.state import Job
 from mastledge.scheduling.traffic import Traffic
 
-ANSWER_STEPS = 2  # steps of the clock by which a final answer comes before the end of the attempt
+ANSWER_STEPS = 2  # clock steps between the final answer and the end of the attempt
 
 
 class JobIntake:
-    """Completes the records of new jobs."""
+    """Completes the records of arriving jobs."""
 
     def __init__(
         self,
@@ -20,25 +20,25 @@
         gossip: LoadGossip,
         traffic: Traffic,
     ):
-        """Tells these parts of each job, and keeps nothing itself."""
+        """Use the given parts, which are informed of each job; no state is kept here."""
         self._settings, self._estimates = settings, estimates
         self._affinity, self._gossip, self._traffic = affinity, gossip, traffic
 
     def take(self, job: Job, patience: int, now: int, shutdown_at: int | None) -> None:
-        """Sets the job's estimates and times; `patience`: what is left of this attempt, in microseconds."""
-        terms, key = job.queue_type, job.key
-        # Early: a timer is rung at a step's end, and the answer takes effect there.
+        """Set the job's estimates and times; `patience`: time left of this attempt, in microseconds."""
+        queue_type, key = job.queue_type, job.key
+        # Early, as a timer fires at the end of a clock step, and the answer takes effect only then.
         answer_by = now + max(0, patience - ANSWER_STEPS * self._settings["step"])
         job.deadline = min(answer_by, shutdown_at or now + patience)
-        terms.most_patience = max(terms.most_patience, patience)
+        queue_type.most_patience = max(queue_type.most_patience, patience)
         self._estimates.estimate(job)
         work = job.expected_work()
-        # A small rough hint is mostly error, so it counts halfway to a mean job where a worker warms up.
+        # A small hint is mostly error, so the slow-start budget counts it halfway to a mean job.
         job.work = max(work, (work + self._estimates.mean_work) / 2) * job.load
         if key:
             self._affinity.job_arrived(key, work)
         self._gossip.job_arrived(key, work, now)
-        objective = min(terms.target + int(terms.stretch * work), terms.walltime)
-        # A later attempt's time is counted from the client's first one.
-        job.target_at = now + objective - max(0, terms.most_patience - patience)
+        objective = min(queue_type.target + int(queue_type.stretch * work), queue_type.walltime)
+        # Counted from the client's first attempt, as far as the remaining patience shows when that was.
+        job.target_at = now + objective - max(0, queue_type.most_patience - patience)
         self._traffic.job_arrived(job.tenant)
--- a/mastledge/scheduling/launching.py
+++ b/mastledge/scheduling/launching.py
@@ -1,4 +1,4 @@
-"""Sends a job to a worker: its launch weighs on the worker's load curve and is looked at again in time."""
+"""Launching of jobs: a launch is added to the worker's load curve, and a timer is set to check it."""
 
 from mastledge.scheduling.affinity import KeyAffinity
 from mastledge.scheduling.decisions import LaunchJob
@@ -11,9 +11,9 @@
 
 
 class Launcher:
-    """Makes launches."""
+    """Launches jobs on workers."""
 
-    def __init__(  # noqa: PLR0913 - the parts that a launch is told to
+    def __init__(  # noqa: PLR0913 - the parts that are informed of a launch
         self,
         settings: dict,
         timers: Timers,
@@ -22,20 +22,20 @@
         slow_start: SlowStart,
         monitor: LaunchMonitor,
     ):
-        """Tells these parts, and keeps nothing itself."""
+        """Use the given parts, which are informed of each launch; no state is kept here."""
         self._settings, self._timers, self._affinity = settings, timers, affinity
         self._other_load, self._slow_start, self._monitor = other_load, slow_start, monitor
 
     def launch(self, job: Job, worker: Worker, now: int, until: int | None) -> LaunchJob:
-        """Sends the job to the worker, before that time if there is one."""
+        """Launch the job on the worker; `until`: when it must be sent (None: no limit)."""
         settings, launch = self._settings, Launch(job, worker, now)
         if not settings["tells_start"]:
-            # No note ever comes: it must not be taken for one that waits, nor its worker for a full one.
+            # Starts are not reported: the launch would look like it waits, and its worker like a full one.
             launch.started_at, worker.running = now, worker.running + job.load
         if job.key:
             self._affinity.launched(launch, now)
         if launch.started_at:
-            # Where no start is told, waits must not be learned as running times or as a worker's speed.
+            # Starts are not reported: waits must not be learned as running times or as slowness.
             load = worker.load + job.load + self._other_load.at(worker, now)
             launch.uncontended = load <= worker.slots
         slow = slowness(worker, now, settings)
--- a/mastledge/scheduling/learned_state.py
+++ b/mastledge/scheduling/learned_state.py
@@ -1,10 +1,10 @@
-"""What a process that takes over starts from: its form stays, as it is stored and handed over."""
+"""Learned state that a successor process starts from; its form is fixed, as it is stored and handed over."""
 
 from mastledge.scheduling.outliers import Ejection
 
 
 def learned_state(workers: list) -> dict[str, list]:
-    """By the text of ids: slots, most load seen running, slowness, and ejections with their reasons."""
+    """Return slots, peak load, slowness and ejections with their reasons, by worker id as text."""
     return {
         str(worker.id): [
             worker.slots,
@@ -17,9 +17,10 @@
 
 
 def restore_learned(workers: list, learned: dict[str, list], now: int) -> None:
-    """Takes over such a state. A fifth figure is load that a former incarnation of the dispatcher has there.
+    """Restore learned state. An optional fifth value is the load left by an earlier dispatcher incarnation.
 
-    0 or None for one of the first three leaves it as it is. KeyError for an ejection that lacks a field.
+    0 or None for slots, peak or slowness leaves that value unchanged. Raise KeyError if an ejection lacks a
+    field.
     """
     for worker in workers:
         slots, peak, slow, ejections, *former_load = learned.get(str(worker.id), (0, 0, 0, ()))
--- a/mastledge/scheduling/learning.py
+++ b/mastledge/scheduling/learning.py
@@ -1,4 +1,4 @@
-"""What the end of a launch teaches: running times, the worker's speed, and whether it is an outlier."""
+"""Learning from ended launches: running times, the slowness of workers, and outliers."""
 
 from mastledge.scheduling.affinity import KeyAffinity
 from mastledge.scheduling.estimation import GAIN, FleetEstimates
@@ -9,17 +9,17 @@
 from mastledge.scheduling.state import Launch
 from mastledge.scheduling.traffic import Traffic
 
-LATE_NEWS_STEPS = 2  # steps of the clock after which news counts as taken up late
+LATE_NEWS_STEPS = 2  # clock steps after which an end counts as processed late
 MEAN_WORK_GAIN = GAIN / 8
-MOST_FETCHES = 4  # a fetch counts as so many mean ones at the most
-MOST_RUNS = 8  # a run counts as so many estimated ones at the most, where it was hinted
+MOST_FETCHES = 4  # cap of a fetch time sample, in mean fetch times
+MOST_RUNS = 8  # cap of a hinted job's running time sample, in estimated running times
 REASONS = {Outcome.UNREACHABLE: CONNECTION_REFUSED, Outcome.LOST: LOST_OR_SILENT}
 
 
 class OutcomeLearner:
-    """Takes each end of a launch that says something of its worker."""
+    """Updates estimates, slowness and ejections from ended launches."""
 
-    def __init__(  # noqa: PLR0913 - each of them learns from it
+    def __init__(  # noqa: PLR0913 - each part learns from ended launches
         self,
         settings: dict,
         estimates: FleetEstimates,
@@ -28,12 +28,12 @@
         outliers: OutlierDetector,
         other_load: OtherLoad,
     ):
-        """Learns into these parts, and keeps nothing itself."""
+        """Use the given parts, which are updated; no state is kept here."""
         self._settings, self._estimates, self._traffic = settings, estimates, traffic
         self._affinity, self._outliers, self._other_load = affinity, outliers, other_load
 
     def learn(self, launch: Launch, outcome: Outcome, lag: int, now: int) -> None:
-        """The launch ended like this, `lag` after its sending."""
+        """Learn from the outcome of a launch that ended `lag` after it was sent."""
         if outcome in NOT_THE_WORKERS_DOING:
             return
         worker = launch.worker
@@ -47,15 +47,15 @@
             worker.heard_at = now
         if outcome in REJECTED:
             self._other_load.observe_refusal(worker, now)
-        # A release may fail one queue type alone, and quickly, which makes its load curve look empty.
+        # A release may fail one queue type only. Quick failures would make the load curve look empty.
         reason = REASONS.get(outcome, launch.job.queue_type.name)
         self._outliers.eject(worker, reason, launch, now)
 
     def _learn_completed(self, launch, lag: int, now: int) -> None:
         job, worker, estimates = launch.job, launch.worker, self._estimates
-        # News that the host itself took up late, after a stall of its own, says nothing of the worker.
-        took_up_late = now - launch.sent_at - lag > LATE_NEWS_STEPS * self._settings["step"]
-        end = launch.sent_at + lag if took_up_late else now
+        # A stall of the host that delayed processing the end must not count as running time.
+        processed_late = now - launch.sent_at - lag > LATE_NEWS_STEPS * self._settings["step"]
+        end = launch.sent_at + lag if processed_late else now
         run = max(1, end - (launch.started_at or launch.sent_at))
         slow = slowness(worker, now, self._settings)
         if launch.uncontended:
@@ -73,12 +73,12 @@
             self._learn_running_time(launch, run, slow)
 
     def _learn_running_time(self, launch, run: int, slow: float) -> None:
-        """Of a job that neither met known load nor had to fetch: by its hint and by its key."""
+        """Learn the hint ratio and the key's running time from a job that met no contention and no fetch."""
         job, queue_type = launch.job, launch.job.queue_type
         if job.hint:
-            sample, usual = min(run / slow, MOST_RUNS * launch.mean) / job.hint, queue_type.hint_ratio.mean
-            # A short wait is many times a small hint.
+            sample, mean = min(run / slow, MOST_RUNS * launch.mean) / job.hint, queue_type.hint_ratio.mean
+            # A small hint gets less weight, as even a short wait is many times as long.
             weight = min(1.0, job.hint / queue_type.running_time.mean) if job.key else 1.0
-            queue_type.hint_ratio.learn(usual + (sample - usual) * weight)
+            queue_type.hint_ratio.learn(mean + (sample - mean) * weight)
         if job.key in self._estimates.by_key:
             self._estimates.by_key[job.key].learn(run)
--- a/mastledge/scheduling/other_load.py
+++ b/mastledge/scheduling/other_load.py
@@ -1,4 +1,4 @@
-"""The load that others have at a worker: seen in late starts and rejections, reported, or gossiped."""
+"""Load of other dispatchers on a worker: inferred from late starts and rejections, reported or gossiped."""
 
 from mastledge.scheduling.estimation import GAIN, FleetEstimates
 from mastledge.scheduling.gossip import LoadGossip
@@ -6,23 +6,24 @@
 from mastledge.scheduling.prediction import free_start_lag, slowness
 from mastledge.scheduling.state import Job, Launch, Worker
 
-REFUSED_SLOTS = 2  # slots of load that a worker has which rejects for want of room
-FIRST_LAG_STEPS = 2  # steps of the clock that a first start is taken to need at the most
-LAG_RISE_SHIFT = 9  # the least start lag rises by one part in 2 to the power of this with each start
+REFUSED_SLOTS = 2  # assumed load of a worker that rejects a job as full, as a multiple of its slots
+FIRST_LAG_STEPS = 2  # cap of the first start lag, in clock steps
+LAG_RISE_SHIFT = 9  # the minimum start lag rises by 1/2**9 with each start
 
 
 class OtherLoad:
-    """Estimates the load of others at a worker."""
+    """Estimates the load of other dispatchers on a worker."""
 
     def __init__(self, settings: dict, estimates: FleetEstimates, reports: LoadReports, gossip: LoadGossip):
-        """Nothing was seen yet; what is, stands in the workers' records."""
+        """Use the given parts; estimates are kept in the worker records."""
         self._settings, self._estimates = settings, estimates
         self._reports, self._gossip = reports, gossip
 
     def at(self, worker: Worker, now: int) -> float:
-        """The load of others there: gossiped where most gossip, else as last seen, fading to the usual.
+        """Return the load of others on the worker.
 
-        Never less than what keeps own jobs waiting.
+        It is the gossiped load if at least half of the dispatchers gossip. Else it is the last observed load,
+        decaying to the usual one, and at least the load that explains waiting launches of this dispatcher.
         """
         peers = self._gossip.peers
         if peers and 2 * len(peers) >= self._settings["dispatchers"]:
@@ -30,7 +31,7 @@
         usual, age = worker.usual_other_load, now - worker.other_load_at
         load = usual + (worker.other_load - usual) / (1 + age / self._estimates.running_time.mean)
         if worker.running < worker.load:
-            # The oldest launch that has not started; written out here, as this runs for each worker and job.
+            # The oldest launch that has not started; inlined, as this runs for each worker and job.
             for launch in worker.in_flight.values():
                 if not launch.started_at:
                     if now - launch.sent_at > free_start_lag(worker, self._settings):
@@ -39,25 +40,25 @@
         return load
 
     def is_told(self) -> bool:
-        """Whether any worker reported its load, or any dispatcher gossiped."""
+        """Return whether any worker reported its load or any dispatcher gossiped."""
         return bool(self._reports.free_slot_counts or self._gossip.peers)
 
     def predicted_wait(self, worker: Worker, job: Job, now: int) -> float:
-        """How long the job would wait for room there, in microseconds: by the load above the slots."""
+        """Return the predicted wait of the job, in microseconds, from the load above the slots."""
         slots = worker.slots
-        above = worker.load + job.load + self.at(worker, now) - max(slots, job.load)
-        if above <= 0:
+        excess = worker.load + job.load + self.at(worker, now) - max(slots, job.load)
+        if excess <= 0:
             return 0.0
-        return above * self._estimates.running_time.mean * slowness(worker, now, self._settings) / slots
+        return excess * self._estimates.running_time.mean * slowness(worker, now, self._settings) / slots
 
     def observe_start(self, launch: Launch, now: int) -> int:
-        """Learns from a start that was told; gives how long the launch waited, 0 or less: not at all."""
+        """Learn from a reported start; return how long the launch waited (0 or less: not at all)."""
         worker, lag = launch.worker, now - launch.sent_at
         worker.running += launch.load
-        # Rises slowly and starts low, or a dispatcher that starts under overload takes queues for the usual.
-        before = worker.start_lag
-        if before:
-            worker.start_lag = min(lag, before + (before >> LAG_RISE_SHIFT))
+        # Starts low and rises slowly, so that queueing under overload is not learned as normal lag.
+        min_lag = worker.start_lag
+        if min_lag:
+            worker.start_lag = min(lag, min_lag + (min_lag >> LAG_RISE_SHIFT))
         else:
             worker.start_lag = min(lag, FIRST_LAG_STEPS * self._settings["step"])
         self._estimates.start_lag.learn(lag)
@@ -68,11 +69,11 @@
         return wait
 
     def observe_refusal(self, worker: Worker, now: int) -> None:
-        """The worker rejected a job for want of room."""
+        """Learn from a worker that rejected a job because it is full."""
         worker.other_load, worker.other_load_at = REFUSED_SLOTS * worker.slots, now
 
     def _observe_wait(self, worker, wait: int, now: int) -> None:
-        """The total of slots moves toward what was running when a start had to wait."""
+        """Set the load of others; after a wait, move the slots toward the load that was running."""
         if wait > 0:
             worker.slots += GAIN * (max(worker.peak, worker.running) - worker.slots)
             queued = wait * worker.slots / self._estimates.running_time.mean / 2
--- a/mastledge/scheduling/outcomes.py
+++ b/mastledge/scheduling/outcomes.py
@@ -1,4 +1,4 @@
-"""How a launch can end, and what follows for its job: may it have run, and is a repeat harmless?"""
+"""Outcomes of launches, and what follows for the job: may it have run, and is a repeat harmless?"""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class Effect(StrEnum):
-    """Whether the jobs of a queue type may run twice; the values are those of the settings."""
+    """Whether jobs of a queue type may run twice; the values are those of the settings."""
 
     RESTARTABLE = "restartable"
     DEDUPLICATED = "deduplicated"
@@ -14,42 +14,42 @@
 
 
 class Outcome(StrEnum):
-    """How a launch ended. Members equal the plain strings of the same value, which hosts may give as well."""
+    """How a launch ended; members equal the plain strings, which hosts may pass instead."""
 
     COMPLETED = "completed"
     ERROR = "error"
     TIMEOUT = "timeout"
     LOST = "lost"
-    DROPPED = "dropped"  # the connection broke before an answer, and had stood idle before
-    DOUBTED = "doubted"  # rejected by an answer that proves nothing
+    DROPPED = "dropped"  # a connection that had been idle broke before an answer
+    DOUBTED = "doubted"  # rejected by an answer that does not prove that the job never ran
     REVOKED = "revoked"
     FULL = "full"
     UNREACHABLE = "unreachable"
     UNSENT = "unsent"
 
 
-# A member that is looked up in its class costs a call, so what is compared for each job has a name here.
+# Looking up an enum member costs a call, so members that are compared for each job are bound here.
 RESTARTABLE, DEDUPLICATED, RUN_ONCE = Effect.RESTARTABLE, Effect.DEDUPLICATED, Effect.RUN_ONCE
 COMPLETED = Outcome.COMPLETED
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.UNREACHABLE, Outcome.UNSENT})
 REJECTED = frozenset({Outcome.FULL, Outcome.DOUBTED})
 GIVEN_UP = frozenset({Outcome.REVOKED, Outcome.TIMEOUT})
-# These say nothing of the worker: the dispatcher gave up, or the connection was an idle one.
+# Not caused by the worker: the dispatcher gave up, or the connection had been idle.
 NOT_THE_WORKERS_DOING = frozenset({Outcome.TIMEOUT, Outcome.REVOKED, Outcome.UNSENT, Outcome.DROPPED})
 
 
 def may_have_run(outcome: Outcome) -> bool:
-    """Whether a launch that ended like this may have had its effect."""
+    """Return whether a launch with this outcome may have run."""
     return outcome not in NEVER_RAN
 
 
 def launch_may_have_run(launch: Launch) -> bool:
-    """Whether this launch may have had its effect, or may still come to have it."""
+    """Return whether the launch may have run, or may still run."""
     return launch.may_have_run or not launch.ended
 
 
 def repeat_is_harmless(job: Job) -> bool:
-    """Whether a client may send the job again without a risk that it runs twice."""
+    """Return whether a client may retry the job without the risk of an unwanted second run."""
     effect = job.queue_type.effect
     if effect == RESTARTABLE or not any(launch_may_have_run(launch) for launch in job.launches):
         return True
--- a/mastledge/scheduling/outliers.py
+++ b/mastledge/scheduling/outliers.py
@@ -1,7 +1,7 @@
-"""Outlier ejection: a worker that fails or is silent gets nothing for a while, then a trickle of trials.
+"""Outlier ejection: a worker that fails or is silent gets no jobs for a pause, then a few trial jobs.
 
-A quick failure empties a load curve and would draw work. The pause doubles with each further failure; what is
-let through doubles while trials go well. Times are whole microseconds.
+Otherwise quick failures would empty the worker's load curve and attract jobs. The pause doubles with each
+further failure; the number of trials doubles while they complete. Times are whole microseconds.
 """
 
 from collections import Counter
@@ -12,25 +12,25 @@
 from mastledge.scheduling.outcomes import RUN_ONCE
 from mastledge.scheduling.state import Job, Launch, Worker
 
-# Reasons for an ejection; any other is the name of a queue type that fails there.
+# Reasons for an ejection; any other reason is the name of a queue type whose jobs fail on the worker.
 LOST_OR_SILENT = None
 CONNECTION_REFUSED = -1
 FIRST_PAUSE_US, LONGEST_PAUSE_US = 125_000, 4_000_000  # between an ejection and its first trial
-RUN_ONCE_FACTOR = 4  # times as long, where a trial may cost a run-once job
-RUN_ONCE_EXTRA_PAUSES = 2  # longest pauses more, where a job of another effect could be the trial
+RUN_ONCE_FACTOR = 4  # multiplies the pause after a run-once job that may have run failed
+RUN_ONCE_EXTRA_PAUSES = 2  # longest pauses added for run-once jobs, so that other jobs are the trials
 
 
 @dataclass(slots=True)
 class Ejection:
-    """Why and how long a worker gets nothing."""
+    """One ejection of a worker: its pause, and the trials after it."""
 
-    pause_us: int  # the last pause
-    trial_limit: int = 1  # how many jobs may be in flight there as trials
+    pause_us: int  # length of the last pause
+    trial_limit: int = 1  # how many trial jobs may be in flight on the worker
     completed_trials: int = 0  # since the limit was last doubled
-    ends_at: int = 0  # from when on trials are sent
+    ends_at: int = 0  # when the pause ends and trials begin
 
     def stored(self) -> dict:
-        """The form on disk, whose field names stay."""
+        """Return the stored form; its field names are fixed."""
         return {
             "pause": self.pause_us,
             "trickle": self.trial_limit,
@@ -40,20 +40,20 @@
 
     @classmethod
     def from_stored(cls, stored: dict) -> "Ejection":
-        """An ejection from its form on disk; KeyError for a field that is missing."""
+        """Return an ejection from its stored form; raise KeyError if a field is missing."""
         return cls(stored["pause"], stored["trickle"], stored["good"], stored["back_at"])
 
 
 class OutlierDetector:
-    """Ejects workers and lets them back. `counts`: how many ready workers are ejected, by reason."""
+    """Ejects workers and readmits them. `counts`: how many ready workers are ejected, by reason."""
 
     def __init__(self, fleet: FleetView):
-        """No worker is ejected."""
+        """Start with no worker ejected."""
         self._fleet = fleet
         self.counts: Counter = Counter()
 
     def eject(self, worker: Worker, reason: str | int | None, launch: Launch, now: int) -> None:
-        """The launch failed there; one sent before the last pause was over tells nothing new."""
+        """Eject the worker after a failed launch, unless that launch was sent before the last pause began."""
         factor = RUN_ONCE_FACTOR if launch.may_have_run and launch.job.queue_type.effect == RUN_ONCE else 1
         ejection = worker.ejections.get(reason)
         if ejection is None:
@@ -66,7 +66,7 @@
         self.count()
 
     def trial_completed(self, worker: Worker, launch: Launch) -> None:
-        """What was sent before the worker was ejected proves nothing of how it does now."""
+        """Count a completed trial; a launch sent before the end of the pause is no trial."""
         for reason in (LOST_OR_SILENT, CONNECTION_REFUSED, launch.job.queue_type.name):
             ejection = worker.ejections.get(reason)
             if ejection is None or launch.sent_at < ejection.ends_at:
@@ -79,24 +79,24 @@
                 self.count()
 
     def count(self) -> None:
-        """Brings the counts up to date."""
+        """Recount the ejected workers by reason."""
         ejections = [worker.ejections for worker in self._fleet.ready if worker.ejections]
         self.counts = Counter(chain.from_iterable(ejections))
 
     def keeps_out(self, worker: Worker, job: Job, now: int) -> bool:
-        """Whether the job must not go there now."""
+        """Return whether an ejection keeps the job off the worker now."""
         ejections, queue_type, ready = worker.ejections, job.queue_type, len(self._fleet.ready)
-        own = (LOST_OR_SILENT, CONNECTION_REFUSED, queue_type.name)
+        own_reasons = (LOST_OR_SILENT, CONNECTION_REFUSED, queue_type.name)
         is_run_once = queue_type.effect == RUN_ONCE
-        # Where one queue type fails the others may, and jobs that may run again find that out at less cost.
-        for reason in ejections if is_run_once else own:
+        # A run-once job also avoids workers that fail another queue type: trials by other jobs cost less.
+        for reason in ejections if is_run_once else own_reasons:
             ejection = ejections.get(reason)
-            # A trouble that most of the fleet shares is no reason to eject workers. But no connection is no
-            # slowness: with a zone cut off, those that are left carry the jobs.
-            most = ready - 1 if reason == CONNECTION_REFUSED else ready / 2
-            if ejection is None or self.counts[reason] > most:
+            # A failure that most of the fleet shares ejects no worker. Refused connections do eject while one
+            # worker is left: with a zone cut off, the remaining workers carry the jobs.
+            max_ejected = ready - 1 if reason == CONNECTION_REFUSED else ready / 2
+            if ejection is None or self.counts[reason] > max_ejected:
                 continue
-            is_own = reason in own
+            is_own = reason in own_reasons
             pause = _extra_pause_us(reason, is_own, ejection) if is_run_once else 0
             if now < ejection.ends_at + pause:
                 return True
@@ -106,7 +106,7 @@
 
 
 def _extra_pause_us(reason, is_own: bool, ejection: Ejection) -> int:
-    """How much longer a run-once job waits for its trial."""
+    """Return how much longer a run-once job is kept off the worker."""
     if reason in (LOST_OR_SILENT, CONNECTION_REFUSED):
         return RUN_ONCE_EXTRA_PAUSES * LONGEST_PAUSE_US
     return 0 if is_own else ejection.pause_us
--- a/mastledge/scheduling/prediction.py
+++ b/mastledge/scheduling/prediction.py
@@ -1,6 +1,6 @@
-"""Load curves and contention (Fang et al., section 4.4): what a worker's load will be until a job's end.
+"""Load curves and contention (Fang et al., section 4.4): the predicted load of a worker until a job's end.
 
-A load curve is the sorted list of (estimated end, sequence number, load) of what weighs on a worker. Times
+A load curve is the sorted list of (estimated end, sequence number, load) of the launches on a worker. Times
 are whole microseconds.
 """
 
@@ -11,32 +11,33 @@
 from mastledge.scheduling.state import Job, Launch, Worker
 
 SECOND_US = 1_000_000
-MOST_RATIO = 8.0  # times the slowness so far that one sample counts as
-FADING_JOBS = 16  # learned slowness fades in as many mean running times
-FREE_START_LAGS, FREE_START_STEPS = 3, 4  # a start later than so many lags and steps has waited
+MOST_RATIO = 8.0  # cap of a slowness sample, as a multiple of the present slowness
+FADING_JOBS = 16  # mean running times in which learned slowness decays
+FREE_START_LAGS, FREE_START_STEPS = 3, 4  # a start later than this many lags and clock steps has waited
 
 
 def slowness(worker: Worker, now: int, settings: dict) -> float:
-    """How many times as long a job takes there as on the mean worker, at the most while it warms up."""
+    """Return running time on the worker relative to the mean worker; an upper bound during slow start."""
     return worker.slow / least_warmth(worker, now, settings) if worker.born else worker.slow
 
 
 def free_start_lag(worker: Worker, settings: dict) -> int:
-    """The time within which a free worker has started what it was sent."""
+    """Return the time within which a free worker starts a launch."""
     return FREE_START_LAGS * (worker.start_lag or 0) + FREE_START_STEPS * settings["step"]
 
 
 def learn_slowness(worker: Worker, ratio: float, now: int, settings: dict) -> None:
-    """Takes a running time there over that on the mean worker."""
-    # What a worker that warms up is assumed to lack must not be learned as its slowness as well.
+    """Learn from a running time on the worker, as a ratio to that on the mean worker."""
+    # The slowdown assumed during slow start must not be learned as slowness as well.
     ratio *= least_warmth(worker, now, settings)
     worker.slow += GAIN * (min(ratio, MOST_RATIO * worker.slow) - worker.slow)
 
 
 def fade_slowness(workers: list, mean_running_time: float) -> None:
-    """Once a second: slowness stays relative to the mean, so what all share moves the estimates.
+    """Normalize slowness to the mean of the workers, and decay it, once a second.
 
-    It fades as well: a worker that is avoided for it is never measured again otherwise.
+    A slowdown of all workers thus goes into the running time estimates. Without the decay a worker that is
+    avoided as slow would never be measured again.
     """
     fade = min(1.0, SECOND_US / (FADING_JOBS * mean_running_time + 1))
     mean = sum(worker.slow for worker in workers) / max(1, len(workers))
@@ -45,17 +46,17 @@
 
 
 def slack(job: Job, now: int, slow: float) -> float:
-    """The time left until the latency objective, less the running time on a worker of that slowness."""
+    """Return the time until the latency objective, less the running time on a worker of that slowness."""
     return job.target_at - now - job.mean * slow
 
 
 def expected_end(job: Job, now: int, slow: float) -> float:
-    """When the job would end if it started now on a worker of that slowness."""
+    """Return when the job would end if it started now on a worker of that slowness."""
     return now + job.mean * slow
 
 
 def add_to_curve(launch: Launch, end: int) -> None:
-    """The launch weighs on its worker until that estimated end."""
+    """Add the launch to its worker's load curve until its estimated end."""
     worker = launch.worker
     worker.curve_sequence += 1
     launch.curve_entry = (end, worker.curve_sequence, launch.load)
@@ -64,7 +65,7 @@
 
 
 def move_in_curve(launch: Launch, end: int) -> None:
-    """The estimated end is another one."""
+    """Change the estimated end of the launch."""
     curve = launch.worker.load_curve
     del curve[bisect_left(curve, launch.curve_entry)]
     launch.curve_entry = (end, *launch.curve_entry[1:])
@@ -72,7 +73,7 @@
 
 
 def remove_from_curve(launch: Launch) -> None:
-    """The launch no longer weighs on its worker."""
+    """Remove the launch from its worker's load curve and launches in flight."""
     worker, curve = launch.worker, launch.worker.load_curve
     del curve[bisect_left(curve, launch.curve_entry)]
     launch.curve_entry = None
@@ -83,27 +84,27 @@
 
 
 def remove_if_connection_is_dead(launch: Launch) -> None:
-    """A silent launch on a worker that is heard: it must not be taken for load until its walltime."""
+    """Remove a silent launch whose worker was heard since, or it would count as load until its walltime."""
     if launch.curve_entry is not None and launch.worker.heard_at > launch.heard_at:
         remove_from_curve(launch)
 
 
-def contention(  # noqa: PLR0913 - plain figures: looking them up again for each worker costs too much
+def contention(  # noqa: PLR0913 - plain values: looking them up for each worker costs too much
     worker: Worker, now: int, span: int, load: float, late: int, other_load: float
 ) -> tuple[float, float]:
-    """Load above the slots and load as such, both integrated from now over the span (load x microseconds).
+    """Return the load above the slots and the total load, integrated over the span (load x microseconds).
 
-    `load`: of the new job. A launch past its estimated end counts until now plus `late`, the job's variation.
-    The results are a plain tuple and the loop has no calls but `min`, as this runs for each worker and job.
+    `load`: load of the new job. A launch past its estimated end counts until now plus `late`, the job's
+    variation. Returns a plain tuple and calls only `min` in the loop, as this runs for each worker and job.
     """
-    above = worker.load + load + other_load - (worker.slots if worker.slots > load else load)
-    over, at, area = 0.0, 0, (load + other_load) * span
+    excess = worker.load + load + other_load - (worker.slots if worker.slots > load else load)
+    overload, at, area = 0.0, 0, (load + other_load) * span
     ends = [(min(end - now if end > now else late, span), width) for end, _, width in worker.load_curve]
-    if above > 0:
+    if excess > 0:
         ends.sort()
     for left, width in ends:
         area += width * left
-        if above > 0:
-            over += above * (left - at)
-            at, above = left, above - width
-    return over + above * (span - at) if above > 0 else over, area
+        if excess > 0:
+            overload += excess * (left - at)
+            at, excess = left, excess - width
+    return overload + excess * (span - at) if excess > 0 else overload, area
--- a/mastledge/scheduling/random_source.py
+++ b/mastledge/scheduling/random_source.py
@@ -1,4 +1,4 @@
-"""All chance in the decisions: the same seed and the same calls give the same draws."""
+"""Deterministic random numbers for the decisions: the same seed and calls give the same draws."""
 
 from bisect import bisect_left
 from itertools import accumulate
@@ -12,23 +12,25 @@
 
 
 class RandomSource:
-    """Numbered draws from one seed."""
+    """A sequence of pseudo-random draws from one seed."""
 
     __slots__ = ("_draws", "_seed")
 
     def __init__(self, seed: int):
-        """The first draw has the number 1."""
+        """Start before the first draw."""
         self._seed, self._draws = seed, 0
 
     def chance(self) -> float:
-        """The next draw, from 0 up to and without 1."""
+        """Return the next draw, in [0, 1)."""
         self._draws += 1
         return crc32(b"%d %d" % (self._seed, self._draws)) / _CRC_VALUES
 
     def draw_by_size(self, workers: list["Worker"]) -> "Worker":
-        """One of these workers, each as likely as its declared size says.
+        """Return one of the workers, drawn with its declared size as weight.
 
-        Most ranks tie where each dispatcher has few jobs in flight, so this spreads the load over the fleet.
+        With few jobs in flight most ranks tie, so this draw spreads the load over the fleet.
         """
-        sums = list(accumulate([worker.units for worker in workers]))
-        return workers[min(bisect_left(sums, self.chance() * sums[-1]), len(workers) - 1)]
+        cumulative_units = list(accumulate([worker.units for worker in workers]))
+        return workers[
+            min(bisect_left(cumulative_units, self.chance() * cumulative_units[-1]), len(workers) - 1)
+        ]
--- a/mastledge/scheduling/retry.py
+++ b/mastledge/scheduling/retry.py
@@ -1,4 +1,4 @@
-"""Whether and where a job may be launched once more, by the effect of its queue type."""
+"""Whether and where a job may be launched again, by the effect of its queue type."""
 
 from typing import NamedTuple
 
@@ -7,7 +7,7 @@
 
 
 class RelaunchLimits(NamedTuple):
-    """A repeat has to go to the group of this worker, and to be sent before that time; None: no limit."""
+    """Limits of a repeat: a worker whose group it must stay in, and when to send it; None: no limit."""
 
     group_of: Worker | None
     until: int | None
@@ -17,7 +17,7 @@
 
 
 def relaunch_limits(job: Job, most_launches: int, now: int) -> RelaunchLimits | None:
-    """What limits the next launch of the job; None: there must not be one."""
+    """Return the limits of the job's next launch; None: it must not be launched again."""
     limits = NO_LIMITS
     queue_type = job.queue_type
     for launch in job.launches:
--- a/mastledge/scheduling/scheduler.py
+++ b/mastledge/scheduling/scheduler.py
@@ -1,6 +1,6 @@
-"""The decisions of one dispatcher as its host calls them; docs/interface.md describes the calls.
+"""The scheduling interface of one dispatcher that hosts call; docs/interface.md describes the calls.
 
-Inputs only update what is known. Then the host calls `decide` until that gives None, and again no later than
+Inputs only update state. The host then calls `decide` until it returns None, and again no later than
 `wake_at`. Times are whole microseconds.
 """
 
@@ -48,17 +48,17 @@
 from mastledge.scheduling.traffic import Traffic
 
 SURVEY_INTERVAL_US = 1_000_000
-HELD_STEPS = 5  # steps of the clock after which a job that no worker may get is looked at again
+HELD_STEPS = 5  # clock steps after which a job without an eligible worker is tried again
 
 
 class Scheduler:
-    """One dispatcher's decisions. Its parts are public for tests and for the laboratory's policies."""
+    """The decisions of one dispatcher. Its parts are public for tests and for the policies in the lab."""
 
     def __init__(
         self, settings: dict, seed: int, now: int, selector_type: type[WorkerSelector] = WorkerSelector
     ):
-        """The settings map is copied; all chance comes from the seed."""
-        # One map that all parts share; `reconfigure` replaces what is in it.
+        """Copy the settings; all randomness comes from the seed."""
+        # One dict that all parts share; `reconfigure` replaces its contents.
         self.settings = settings = dict(settings)
         self.queue_types: list[QueueType] = []
         self.jobs: dict = {}
@@ -95,34 +95,34 @@
         self.poll.begin(now)
         self.survey()
 
-    # What hosts may read.
+    # Attributes and queries for hosts.
 
     @property
     def workers(self) -> dict:
-        """All workers that are known, by id."""
+        """Return all known workers, by id."""
         return self.fleet.workers
 
     @property
     def ready(self) -> list:
-        """The workers that may get jobs."""
+        """Return the workers that may get jobs."""
         return self.fleet.ready
 
     def usable_slots(self, now: int) -> float:
-        """The slots of all ready workers, of those that warm up as much as they have at the least."""
+        """Return the slots of all ready workers; during slow start those that a worker has at least."""
         return sum(worker.slots * least_warmth(worker, now, self.settings) for worker in self.ready)
 
     def learned_state(self) -> dict[str, list]:
-        """What a process that takes over starts from, in plain values and by the text of ids."""
+        """Return the state that a successor process starts from, as plain values by worker id as text."""
         return learned_state(self.ready)
 
     def count_skipped_workers(self, now: int) -> int:
-        """How many workers of the list get nothing now."""
+        """Return how many listed workers get no jobs now."""
         return self.fleet.count_skipped(now)
 
     # Inputs about the dispatcher and its workers.
 
     def update_endpoints(self, now: int, kind: ListKind, entries: Iterable[tuple]) -> None:
-        """News of the endpoint list; docs/interface.md says what an entry is."""
+        """Apply an update of the endpoint list; docs/interface.md describes its entries."""
         if kind == ListKind.FAILED:
             self.poll.failed(now)
             return
@@ -132,7 +132,7 @@
         self.fleet_changed()
 
     def set_excluded(self, now: int, excluded: Collection[str], called_back: dict[str, int]) -> None:
-        """Workers excluded by an operator, by the text of ids, and when others were called back."""
+        """Set the workers excluded by an operator, and when exclusions were undone, by worker id as text."""
         self.fleet.set_excluded(now, excluded, called_back)
         self.fleet_changed()
 
@@ -144,12 +144,12 @@
         loads: Iterable[tuple[int, float]],
         wants: Iterable[tuple[int, float]],
     ) -> None:
-        """What another dispatcher has in flight at each worker, and the keys that its jobs wanted lately."""
+        """Apply a load message: another dispatcher's load on each worker, and its recent work per key."""
         if self.gossip.receive(now, sender, told_at, loads):
             self.affinity.add_wants(wants)
 
     def reconfigure(self, now: int, settings: dict) -> None:
-        """New settings: open jobs keep the terms that they were taken under, and what was learned stays."""
+        """Apply new settings; open jobs keep the terms they arrived with, and learned state is kept."""
         follow = self.settings["follow"]
         self.settings.clear()
         self.settings.update(settings)
@@ -160,24 +160,24 @@
         self.survey()
 
     def set_traffic_share(self, now: int, share: float) -> None:
-        """This process's part of the dispatcher, where that is two processes."""
+        """Set this process's share of the dispatcher's traffic, while the dispatcher is two processes."""
         self.traffic.share = share
 
     def restore_learned(self, now: int, learned: dict[str, list]) -> None:
-        """What another process of this dispatcher has learned, once at the start."""
+        """Restore what another process of this dispatcher learned; called once, at startup."""
         restore_learned(self.ready, learned, now)
         self.survey()
 
     def shut_down_at(self, now: int, last: int) -> None:
-        """The host ends then: what is open is given up while that can still be told."""
+        """Set when the host shuts down; open jobs are answered while answers can still be sent."""
         self._shutdown_at = last - ANSWER_STEPS * self.settings["step"]
         for job in self.jobs.values():
             job.deadline = min(job.deadline, self._shutdown_at)
             self.timers.set(job.deadline, job)
 
-    # Inputs about jobs and launches; of those that are no longer known they are passed over.
+    # Inputs about jobs and launches; those for unknown jobs and launches are ignored.
 
-    def job_arrived(  # noqa: PLR0913 - a call for each job: an object for its terms would cost CPU
+    def job_arrived(  # noqa: PLR0913 - called for each job: a parameter object would cost CPU
         self,
         now: int,
         job_id: Hashable,
@@ -189,7 +189,7 @@
         tenant: int,
         patience: int,
     ) -> None:
-        """A job was taken; hint 0 and key 0 mean none, patience is what is left of this attempt."""
+        """Take an arriving job; hint 0 and key 0 mean none, `patience` is the time left of this attempt."""
         job = Job(job_id, self.queue_types[queue_type], now)
         job.key, job.hint, job.load, job.tenant = key, hint, max(width, memory), tenant
         self.intake.take(job, patience, now, self._shutdown_at)
@@ -199,13 +199,13 @@
         self.timers.set(job.deadline, job)
 
     def job_abandoned(self, now: int, job_id: Hashable) -> None:
-        """The client left."""
+        """Close the job, as its client disconnected."""
         job = self.jobs.get(job_id)
         if job is not None and not job.ended:
             self.close_job(job)
 
     def launch_started(self, now: int, job_id: Hashable, number: int) -> None:
-        """The worker tells that the launch began."""
+        """Process a worker's note that the launch started."""
         launch = self._find_launch(job_id, number)
         if launch is None or launch.started_at or launch.ended:
             return
@@ -224,18 +224,18 @@
         self.timers.set(end, launch)
 
     def launch_progressed(self, now: int, job_id: Hashable, number: int, share: float) -> None:
-        """The worker tells the share that is done."""
+        """Process a worker's progress note; `share` is the part that is done."""
         launch = self._find_launch(job_id, number)
         if launch is not None and not launch.ended:
             launch.heard_at = launch.worker.heard_at = now
 
     def launch_silent(self, now: int, job_id: Hashable, number: int) -> None:
-        """The worker has not even told that it has the launch, in a time in which others have."""
+        """Process that the worker did not confirm the launch in the time in which others do."""
         launch = self._find_launch(job_id, number)
         if launch is not None:
             remove_if_connection_is_dead(launch)
 
-    def launch_ended(  # noqa: PLR0913 - a call for each launch: an object for its end would cost CPU
+    def launch_ended(  # noqa: PLR0913 - called for each launch: a parameter object would cost CPU
         self,
         now: int,
         job_id: Hashable,
@@ -245,7 +245,10 @@
         final: bool,
         report: Sequence[float],
     ) -> None:
-        """The launch ended, `lag` after its sending; `final`: so did its job; `report`: load, or nothing."""
+        """Process the end of a launch, `lag` after it was sent.
+
+        `final`: the job has its final answer. `report`: the worker's load report, or empty.
+        """
         launch = self._find_launch(job_id, number)
         if launch is None or launch.ended:
             return
@@ -254,7 +257,7 @@
         job.in_flight -= 1
         if launch.curve_entry is not None:
             remove_from_curve(launch)
-            # What never started waited longest, and would be missing where most is moved or rejected.
+            # Launches that never started count as waits too: they waited longest, and most under overload.
             if outcome in REJECTED:
                 self.admission.observe_wait(self.admission.mean_slack, now)
             elif outcome in GIVEN_UP and not launch.started_at:
@@ -267,17 +270,17 @@
             self._pending.append(job)
 
     def wake_at(self) -> int | None:
-        """The latest time of the next call of `decide`; None: nothing is due."""
-        soon, ask_at, message_at = self.timers.next_due(), self.poll.ask_at, self.gossip.message_at
+        """Return the latest time for the next call of `decide`; None: nothing is due."""
+        timer_at, ask_at, message_at = self.timers.next_due(), self.poll.ask_at, self.gossip.message_at
         if ask_at is None and message_at is None:
-            return soon
-        return min(at for at in (soon, ask_at, message_at) if at is not None)
+            return timer_at
+        return min(at for at in (timer_at, ask_at, message_at) if at is not None)
 
     def decide(self, now: int) -> Decision | None:
-        """The next decision; None: there is none now."""
+        """Return the next decision; None: there is none now."""
         if self._survey_at <= now:
             self.fade(now)
-        # Calls whose answer is plain are left out: most decisions are none of these.
+        # Checks for None save calls, as most decisions are neither polls nor load messages.
         poll, gossip = self.poll, self.gossip
         if poll.ask_at is not None and poll.is_due(now):
             return FollowEndpoints()
@@ -300,7 +303,7 @@
         return None
 
     def decide_job(self, job: Job, now: int) -> Decision | None:
-        """What to do with a job now; None: nothing."""
+        """Return the decision on a job now; None: there is none."""
         if now >= job.deadline:
             return self.reject_or_kill(job, 0)
         wants_hedge, job.wants_hedge = job.wants_hedge, False
@@ -320,7 +323,7 @@
         return self.launch(job, best, now, limits.until)
 
     def reject_or_kill(self, job: Job, wait: float) -> RejectJob | KillJob:
-        """A rejection says that trying again is harmless; where that is not known the job is killed."""
+        """Reject the job if a retry is harmless, else kill it."""
         is_harmless = repeat_is_harmless(job)
         self.close_job(job)
         if is_harmless:
@@ -328,11 +331,11 @@
         return KillJob(job.id)
 
     def launch(self, job: Job, worker: Worker, now: int, until: int | None = None) -> LaunchJob:
-        """Sends the job to the worker, before that time if there is one."""
+        """Launch the job on the worker; it has to be sent before `until` (None: no limit)."""
         return self.launcher.launch(job, worker, now, until)
 
     def check_launch(self, launch: Launch, now: int) -> None:
-        """Looks at a launch whose time has come, and does what follows."""
+        """Check a launch whose timer is due, and act on the verdict."""
         job, verdict = launch.job, self.monitor.check(launch, now)
         if verdict is Verdict.GIVE_UP:
             job.deadline = now
@@ -345,7 +348,7 @@
             self._revocations.append(launch)
 
     def _hold(self, job, now, limits):
-        """No worker is eligible: the job is held until its target, or longer where it may have run."""
+        """Hold a job without an eligible worker until its target, or longer if it may have run."""
         if job.in_flight:
             return None
         connect_timeout = self.settings["connect_timeout"]
@@ -359,7 +362,7 @@
         return job.launches[number] if job is not None and number < len(job.launches) else None
 
     def close_job(self, job: Job) -> None:
-        """The job has its final answer; what is in flight for it is revoked where that is possible."""
+        """Close a job that has its final answer; revoke its launches in flight if the settings allow it."""
         job.ended = True
         if not job.in_flight:
             self.jobs.pop(job.id, None)
@@ -367,19 +370,19 @@
             self._revocations.extend(launch for launch in job.launches if not launch.ended)
 
     def _adopt_terms(self):
-        """Queue types and tenants are told from those before by name, and keep what was learned of them."""
-        before = {queue_type.name: queue_type for queue_type in self.queue_types}
-        terms = self.settings["queue_types"]
-        self.queue_types = [QueueType(one, before.get(one["name"])) for one in terms]
+        """Adopt the configured queue types and tenants; those with the same name keep their learned state."""
+        previous = {queue_type.name: queue_type for queue_type in self.queue_types}
+        all_terms = self.settings["queue_types"]
+        self.queue_types = [QueueType(terms, previous.get(terms["name"])) for terms in all_terms]
         self.traffic.adopt(self.settings["tenants"])
 
     def fleet_changed(self) -> None:
-        """Other workers are ready."""
+        """Recompute what depends on the set of ready workers, after it changed."""
         self.affinity.fleet_changed()
         self.survey()
 
     def fade(self, now: int) -> None:
-        """Once a second: what was learned fades, and figures over the whole fleet are taken."""
+        """Decay learned values and recompute fleet-wide values, once a second."""
         self._survey_at = now + SURVEY_INTERVAL_US
         self.traffic.fade()
         self.survey()
@@ -389,7 +392,7 @@
         self.slow_start.update_warming_up(now)
 
     def survey(self) -> None:
-        """Figures over the whole fleet: taken for each job they cost more than deciding."""
+        """Recompute fleet-wide values; doing this for each job would cost more than the decisions."""
         slots_are_reported = self.reports.survey()
         self.outliers.count()
         self.slow_start.survey(self.queue_types, slots_are_reported)
--- a/mastledge/scheduling/selection.py
+++ b/mastledge/scheduling/selection.py
@@ -1,4 +1,4 @@
-"""Worker selection (Fang et al., section 4.4): least contention, then Worst-Fit, then chance."""
+"""Worker selection (Fang et al., section 4.4): least contention, then Worst-Fit, then a random draw."""
 
 from itertools import chain
 
@@ -11,14 +11,14 @@
 from mastledge.scheduling.state import Job, Worker
 from mastledge.scheduling.subset import CandidateSubset
 
-FETCH_CONTENTION_WEIGHT = 8  # fetches, as which one counts: each puts out a key that has to be fetched again
+FETCH_CONTENTION_WEIGHT = 8  # a fetch evicts another key, which must be fetched again, so it counts more
 FEWEST_LOOKED_AT = 4
 
 
 class WorkerSelector:
-    """Picks the worker for a launch."""
+    """Selects the worker for a launch."""
 
-    def __init__(  # noqa: PLR0913 - the parts that a choice is made of
+    def __init__(  # noqa: PLR0913 - the parts that a selection depends on
         self,
         settings: dict,
         random: RandomSource,
@@ -28,16 +28,16 @@
         eligibility: Eligibility,
         other_load: OtherLoad,
     ):
-        """Asks these parts, and keeps nothing itself."""
+        """Use the given parts; no state is kept here."""
         self._settings, self._random = settings, random
         self._fleet, self._subset, self._affinity = fleet, subset, affinity
         self._eligibility, self._other_load = eligibility, other_load
 
     def pick(self, job: Job, now: int, group_of: Worker | None) -> tuple[Worker | None, float]:
-        """The worker for the job, and how long it is predicted to wait there in microseconds.
+        """Return the worker for the job, and the predicted wait there in microseconds.
 
-        `group_of`: a worker in whose group it has to be; None: anywhere. (None, 0.0) where no worker is
-        eligible. A plain tuple, as this is the step that costs most.
+        `group_of`: a worker whose group the launch must stay in; None: any group. Return (None, 0.0) if no
+        worker is eligible. The result is a plain tuple, as this is the most expensive step of a decision.
         """
         special = bool(job.launches) or job.queue_type.kind >= 0
         ranked, least = self._ranked(job, now, group_of, special)
@@ -50,29 +50,29 @@
         return best, self._other_load.predicted_wait(best, job, now)
 
     def _candidates(self, special):
-        """The subset, then all workers from a random one on; for special jobs the subset does not count."""
+        """Return the subset, then all workers from a random start; special jobs skip the subset."""
         subset, ready = self._subset, self._fleet.ready
         first = int(self._random.chance() * len(ready))
         members = () if special else subset.members
         return chain(members, ready[first:], ready[:first]) if special or subset.looks_past else members
 
-    def _ranked(self, job, now, group_of, special):  # noqa: C901 - one loop for each worker and job: see below
-        """Eligible workers with their ranks, and the least rank: (contention, integrated load).
+    def _ranked(self, job, now, group_of, special):  # noqa: C901 - one loop without calls, for speed
+        """Return the eligible workers with their ranks, and the least rank: (contention, integrated load).
 
-        CPU is scarce: this is one loop over locals, which calls nothing whose answer is plain.
+        To save CPU this is one loop over locals, and calls whose result is known are skipped.
         """
         settings, subset = self._settings, self._subset
         is_eligible, other_load_at = self._eligibility.allows, self._other_load.at
         fetch_time = self._affinity.fetch_time
         load, late, key = job.load, int(job.variation), job.key
         upper_bound = job.mean + job.variation
-        is_told = self._other_load.is_told()
+        has_reports = self._other_load.is_told()
         candidates, homes = self._candidates(special), self._affinity.homes_of(key)
-        fewest, most = max(FEWEST_LOOKED_AT, len(subset.members)), subset.most_looked_at
+        fewest_seen, most_seen = max(FEWEST_LOOKED_AT, len(subset.members)), subset.most_looked_at
         ranked, least = [], None
         for seen, worker in enumerate(candidates):
-            # Past the own subset only while no worker is free, and no further than the CPU allows.
-            if seen >= fewest and ranked and (least[0] <= 0 or seen >= most):
+            # Looks beyond the subset only while no worker is free, and no further than the CPU budget allows.
+            if seen >= fewest_seen and ranked and (least[0] <= 0 or seen >= most_seen):
                 break
             if (worker.ejections or worker.warming_up or special) and not is_eligible(
                 worker, job, now, group_of
@@ -80,7 +80,7 @@
                 continue
             slow = slowness(worker, now, settings) if worker.warming_up else worker.slow
             has_others = worker.running < worker.load or worker.other_load
-            has_others = has_others or (is_told and (worker.usual_other_load or worker.gossiped_load))
+            has_others = has_others or (has_reports and (worker.usual_other_load or worker.gossiped_load))
             other_load = other_load_at(worker, now) if has_others else 0.0
             fetch = fetch_time(key, worker, homes) if homes else 0.0
             span = int(upper_bound * slow + fetch)
@@ -88,20 +88,20 @@
                 rank = contention(worker, now, span, load, late, other_load)
             else:
                 rank = 0.0, load * span
-            if fetch or (is_told and worker.last_report):
-                # Room is what is left of the slots, as kinds differ; one held for a fetch does nobody's work.
-                room = worker.slots * int(upper_bound) if worker.last_report else 0.0
-                rank = rank[0] + FETCH_CONTENTION_WEIGHT * load * fetch, rank[1] - room
+            if fetch or (has_reports and worker.last_report):
+                # Prefers more slots, as machine kinds differ. A slot that waits for a fetch does no work.
+                capacity = worker.slots * int(upper_bound) if worker.last_report else 0.0
+                rank = rank[0] + FETCH_CONTENTION_WEIGHT * load * fetch, rank[1] - capacity
             ranked.append((rank, worker))
             if least is None or rank < least:
                 least = rank
         return ranked, least
 
     def _draw_of_best(self, job, ranked, least):
-        """Areas closer than the estimator's variation are a tie, which need not cross zones for nothing."""
-        contention_there, most_area = least[0], least[1] + job.load * job.variation
-        near = [worker for rank, worker in ranked if rank[0] == contention_there and rank[1] <= most_area]
+        """Draw among the workers whose areas differ by less than the variation, preferring the own zone."""
+        least_contention, max_area = least[0], least[1] + job.load * job.variation
+        tied = [worker for rank, worker in ranked if rank[0] == least_contention and rank[1] <= max_area]
         if self._settings["price_crossing"]:
             zone = self._settings["zone"]
-            near = [worker for worker in near if worker.zone == zone] or near
-        return self._random.draw_by_size(near)
+            tied = [worker for worker in tied if worker.zone == zone] or tied
+        return self._random.draw_by_size(tied)
--- a/mastledge/scheduling/subset.py
+++ b/mastledge/scheduling/subset.py
@@ -1,7 +1,7 @@
-"""The candidate subset: the workers that a dispatcher of little traffic keeps to.
+"""The candidate subset: the workers that a dispatcher with little traffic uses.
 
-A dispatcher keeps to as many workers as it can know: beyond, what it learned of one is old before it comes
-again, and each job costs a connection. Subsets differ, so every worker is in some.
+With more workers, learned values would be outdated before a worker is used again, and each job would need a
+new connection. Dispatchers draw different subsets, so each worker is in some.
 """
 
 from mastledge.scheduling.fleet_view import FleetView
@@ -10,40 +10,41 @@
 
 SMALLEST_SUBSET = 6
 SMALLEST_LOOK = 4
-LOOK_AT_WORKER_CPU_US = 0.2  # in the settings' measure, what looking at one worker takes
+LOOK_AT_WORKER_CPU_US = 0.2  # CPU time to rank a worker, in the unit of the CPU settings
 DRAWS_PER_MEMBER = 8
 
 
 class CandidateSubset:
-    """`members`: the workers that are looked at first; `looks_past`: whether there are others.
+    """The workers that are considered first.
 
-    `most_looked_at`: how many workers the CPU allows to look at for one job.
+    `members`: these workers. `looks_past`: whether there are others. `most_looked_at`: how many workers may
+    be considered for a job within the CPU budget.
     """
 
     def __init__(self, settings: dict, random: RandomSource, fleet: FleetView):
-        """No members until the first `survey`."""
+        """Start without members until the first `survey`."""
         self._settings, self._random, self._fleet = settings, random, fleet
         self.members, self.looks_past, self.most_looked_at = [], False, SMALLEST_LOOK
 
     def survey(self, arrival_rate: float) -> None:
-        """Once a second: who is in, at this many jobs a second."""
+        """Update the members for this arrival rate (jobs per second), once a second."""
         ready = self._fleet.ready
         self.most_looked_at = self._affordable_looks(arrival_rate)
-        # Few workers would get two jobs within the time that an idle connection lives.
-        known = min(int(arrival_rate * self._settings["conn_idle"] / 2e6), self.most_looked_at)
-        size = max(SMALLEST_SUBSET, known)
+        # As many workers as get two jobs each within the idle timeout of a connection.
+        usable = min(int(arrival_rate * self._settings["conn_idle"] / 2e6), self.most_looked_at)
+        size = max(SMALLEST_SUBSET, usable)
         self.looks_past, size = size < len(ready), min(size, len(ready))
         kept = [worker for worker in self.members if worker in ready and not worker.ejections]
         self.members = kept[:size] if self.looks_past else ready
         self._fill(size)
 
     def replace_one(self, worker: Worker) -> None:
-        """No member was free, so any of them may go for the worker that was."""
-        at = int(self._random.chance() * len(self.members))
-        self.members[at : at + 1] = [worker]
+        """Replace a random member by a worker that was free when no member was."""
+        position = int(self._random.chance() * len(self.members))
+        self.members[position : position + 1] = [worker]
 
     def _affordable_looks(self, arrival_rate: float) -> int:
-        """A large fleet that is looked at whole for each job would make all jobs late."""
+        """Return how many workers may be considered for a job; all of a large fleet would make jobs late."""
         settings = self._settings
         limits = (settings["cpu_a_job"], settings["cpu_a_second"] / arrival_rate)
         budgets = [limit for limit in limits if limit]
@@ -52,7 +53,7 @@
         return max(SMALLEST_LOOK, int(min(budgets) / 2 / LOOK_AT_WORKER_CPU_US))
 
     def _fill(self, size: int) -> None:
-        """Draws members by declared size; a few draws may find nobody new."""
+        """Draw members with their declared size as weight; the number of draws is limited."""
         members = self.members
         for _ in range(DRAWS_PER_MEMBER * size):
             if len(members) >= size:
--- a/mastledge/scheduling/timers.py
+++ b/mastledge/scheduling/timers.py
@@ -1,4 +1,4 @@
-"""When a job or a launch has to be looked at again. Times are whole microseconds."""
+"""Timers for jobs and launches. Times are whole microseconds."""
 
 from heapq import heappop, heappush
 from typing import TYPE_CHECKING
@@ -8,33 +8,33 @@
 
 
 class Timers:
-    """Times with the job or launch that each is for; those of what has ended are passed over."""
+    """A heap of timers, each for a job or a launch; timers of ended ones are skipped."""
 
     __slots__ = ("_heap", "count")
 
     def __init__(self):
-        """No timer is set."""
+        """Start with no timer set."""
         self._heap, self.count = [], 0
 
     def set(self, when: int, subject: "Job | Launch") -> None:
-        """Has `pop_due` give this job or launch once that time has come."""
+        """Set a timer: `pop_due` returns the job or launch from that time on."""
         self.count += 1
-        # The number keeps timers of one moment in the order in which they were set.
+        # The count keeps timers of the same time in the order in which they were set.
         heappush(self._heap, (when, self.count, subject))
 
     def clear(self) -> None:
-        """Forgets all of them."""
+        """Remove all timers."""
         self._heap.clear()
 
     def next_due(self) -> int | None:
-        """The first time at which something is due; None: nothing is."""
+        """Return the time of the earliest timer; None: no timer is set."""
         heap = self._heap
         while heap and heap[0][2].ended:
             heappop(heap)
         return heap[0][0] if heap else None
 
     def pop_due(self, now: int) -> "Job | Launch | None":
-        """The next job or launch whose time has come; None: there is no further one."""
+        """Return the next job or launch that is due; None: nothing is due."""
         heap = self._heap
         while heap and heap[0][0] <= now:
             subject = heappop(heap)[2]
