--- a/mastledge/adapter/__init__.py
+++ b/mastledge/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The bench wire in front of the decisions: framing, names, units, timers. It decides nothing."""
+"""Adapter from the bench wire to the scheduler: framing, names, units and timers."""
--- a/mastledge/adapter/__main__.py
+++ b/mastledge/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m mastledge.adapter`: frames of the bench's wire on standard input, replies on standard output."""
+"""`python -m mastledge.adapter`: read bench wire frames on standard input, reply on standard output."""
 
 import sys
 
@@ -8,7 +8,7 @@
 
 
 def main() -> int:
-    """Answers frames until the input ends; 1 after a message where it cannot be read."""
+    """Answer frames until the input ends; return 1, after an error message, if a frame is invalid."""
     stdin, stdout, host = sys.stdin.buffer, sys.stdout.buffer, Host()
     try:
         while (frame := frame_from(stdin)) is not None:
--- a/mastledge/adapter/frames.py
+++ b/mastledge/adapter/frames.py
@@ -1,7 +1,7 @@
-"""Framing of the bench's wire: bytes to events, and actions to bytes.
+"""Framing of the bench wire: bytes to events, and actions to bytes.
 
-A frame is a header, records of equal size, and a tail for what has no fixed size. All numbers are big-endian;
-times on the wire are milliseconds as floating point numbers, and whole microseconds in what is given here.
+A frame is a header, records of equal size, and a tail for data of variable size. All numbers are big-endian.
+Times on the wire are floating point milliseconds; a decoded clock is in whole microseconds.
 """
 
 import struct
@@ -10,15 +10,15 @@
 from enum import IntEnum
 from typing import BinaryIO
 
-EVENT_HEADER = struct.Struct(">IId")  # records, bytes in all, clock
-REPLY_HEADER = struct.Struct(">II")  # records, bytes in all
+EVENT_HEADER = struct.Struct(">IId")  # number of records, total bytes, clock
+REPLY_HEADER = struct.Struct(">II")  # number of records, total bytes
 LIST_ENTRY = struct.Struct(">H6sBdHHf")
 EVENT_BYTES, ACTION_BYTES = 56, 24
 LATEST_CLOCK_MS = 1e15
 
 
 class EventCode(IntEnum):
-    """What a record that comes in tells."""
+    """Codes of the incoming records."""
 
     ABANDONED = 1
     STARTED = 2
@@ -50,7 +50,7 @@
 }
 _CODE = struct.Struct(">H")
 
-# Actions: each packs its code, the instance, and what it says, to the size of an action.
+# Actions: each packs its code, the instance and its fields, padded to the size of an action.
 LAUNCH, pack_launch = 1, struct.Struct(">HII6sd").pack
 REJECT, pack_reject = 2, struct.Struct(">HIId6x").pack
 KILL, pack_kill = 3, struct.Struct(">HII14x").pack
@@ -59,52 +59,54 @@
 MESSAGE, pack_message = 8, struct.Struct(">HIHII8x").pack
 FATAL, pack_text = 10, struct.Struct(">HIII10x").pack
 FOLLOW, pack_follow = 11, struct.Struct(">HIB17x").pack
-TO_ALL = 0xFFFF  # the receiver of a message to all other instances
+TO_ALL = 0xFFFF  # receiver number that means all other instances
 
 
 class BadFrameError(ValueError):
-    """The input is no frame of this wire; the text says what is wrong and where."""
+    """The input is not a valid frame; the message says what is wrong and where."""
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One frame: its clock in whole microseconds, its records and its tail."""
+    """A frame: its clock in whole microseconds, and its records and tail in `body`."""
 
     now: int
     body: memoryview
     count: int
 
     def events(self) -> Iterator[tuple[int, int, tuple]]:
-        """Each record as its position, its code and its fields; BadFrameError for an unknown code."""
-        code_at, layouts, body = _CODE.unpack_from, EVENT_LAYOUTS, self.body
+        """Yield the position, code and fields of each record; raise BadFrameError for an unknown code."""
+        unpack_code, layouts, body = _CODE.unpack_from, EVENT_LAYOUTS, self.body
         for position in range(self.count):
             start = position * EVENT_BYTES
-            (code,) = code_at(body, start)
+            (code,) = unpack_code(body, start)
             layout = layouts.get(code)
             if layout is None:
                 raise BadFrameError(f"record {position}: unknown code {code}")
             yield position, code, layout.unpack_from(body, start + _CODE.size)
 
-    def tail_part(self, position: int, offset: int, size: int, what: str) -> memoryview:
-        """That part of the tail; BadFrameError, which names the record, where it lies outside."""
+    def tail_part(self, position: int, offset: int, size: int, content: str) -> memoryview:
+        """Return a part of the tail; raise BadFrameError, which names the record, if it lies outside."""
         start = self.count * EVENT_BYTES + offset
         if start + size > len(self.body):
-            raise BadFrameError(f"record {position}: {what} at {offset}, {size} bytes, lies outside the tail")
+            raise BadFrameError(
+                f"record {position}: {content} at {offset}, {size} bytes, lies outside the tail"
+            )
         return self.body[start : start + size]
 
 
 def frame_from(stream: BinaryIO) -> Frame | None:
-    """The next frame of a stream; None at the end of input, BadFrameError for what is none."""
-    head = stream.read(EVENT_HEADER.size)
-    if not head:
+    """Return the next frame of a stream, None at its end; raise BadFrameError if the frame is invalid."""
+    header = stream.read(EVENT_HEADER.size)
+    if not header:
         return None
-    if len(head) < EVENT_HEADER.size:
-        raise BadFrameError(f"frame header: {len(head)} bytes of {EVENT_HEADER.size}")
-    count, length, clock_ms = EVENT_HEADER.unpack(head)
+    if len(header) < EVENT_HEADER.size:
+        raise BadFrameError(f"frame header: {len(header)} bytes of {EVENT_HEADER.size}")
+    count, length, clock_ms = EVENT_HEADER.unpack(header)
     if length < EVENT_HEADER.size + count * EVENT_BYTES:
         raise BadFrameError(f"frame header: length {length} is too short for {count} records")
     if not 0 <= clock_ms < LATEST_CLOCK_MS:
-        raise BadFrameError(f"frame header: clock {clock_ms} is no time")
+        raise BadFrameError(f"frame header: clock {clock_ms} is out of range")
     body = stream.read(length - EVENT_HEADER.size)
     if len(body) < length - EVENT_HEADER.size:
         raise BadFrameError(f"frame body: {len(body)} bytes of {length - EVENT_HEADER.size}")
@@ -112,7 +114,7 @@
 
 
 def list_entries(part: memoryview) -> list[tuple]:
-    """The entries of an endpoint list; BadFrameError where the last one is cut short."""
+    """Return the entries of an endpoint list; raise BadFrameError if the last one is truncated."""
     try:
         return list(LIST_ENTRY.iter_unpack(part))
     except struct.error as error:
@@ -120,7 +122,7 @@
 
 
 def reply(actions: list[bytes], tail: bytes) -> bytes:
-    """The frame that answers one frame."""
+    """Return the reply frame."""
     body = b"".join(actions)
     length = REPLY_HEADER.size + len(body) + len(tail)
     return REPLY_HEADER.pack(len(actions), length) + body + tail
--- a/mastledge/adapter/host.py
+++ b/mastledge/adapter/host.py
@@ -1,4 +1,4 @@
-"""Runs many instances of the decisions on the bench's wire; they share nothing."""
+"""Runs many independent scheduler instances on the bench wire."""
 
 import sys
 import traceback
@@ -32,21 +32,21 @@
     499: Outcome.REVOKED,
     410: Outcome.UNSENT,
 }
-STARTED_TOPIC, PROGRESS_TOPIC = 1, 2  # of a note
-HINTED = 1  # the bit of a new job that says that its hint counts
-# Looked up for each event, where a member of an enum costs more than a plain number.
+STARTED_TOPIC, PROGRESS_TOPIC = 1, 2  # topics of a note record
+HINTED = 1  # flag bit of a new job: its hint is valid
+# Plain numbers, as these are compared for each event and enum members are slower.
 POOL, POWER_ON, TEARDOWN = int(EventCode.POOL), int(EventCode.POWER_ON), int(EventCode.TEARDOWN)
 LONGEST_SPAN_MS = 1e12
 
 
 class Host:
-    """Instances by number, the timer of each, and the endpoint lists by number."""
+    """Holds the scheduler instances by number with their timers, and the endpoint lists by number."""
 
     def __init__(self):
-        """No instance runs."""
+        """Start without instances."""
         self.instances: dict[int, Scheduler] = {}
         self._timers: dict[int, int | None] = {}
-        self._pools: dict[int, list[tuple]] = {}
+        self._endpoint_lists: dict[int, list[tuple]] = {}
         self._actions: list[bytes] = []
         self._tail = bytearray()
         self._inputs = {
@@ -60,32 +60,32 @@
         }
 
     def turn(self, frame: Frame) -> bytes:
-        """The reply to one frame; BadFrameError and SettingError for what cannot be read.
+        """Return the reply to a frame; raise BadFrameError or SettingError if the frame is invalid.
 
-        A fault inside one instance is an action of the reply, and the others go on.
+        An exception inside one instance is reported as an action of the reply; the others go on.
         """
         self._actions, self._tail = [], bytearray()
         touched: dict[int, bool] = {}
         for position, code, fields in frame.events():
             try:
-                self._take(frame, position, code, fields, touched)
+                self._apply_record(frame, position, code, fields, touched)
             except (BadFrameError, SettingError):
                 raise
             except Exception as error:
-                self._fault(fields[0], error)
+                self._report_exception(fields[0], error)
         for instance in touched:
             try:
-                self._pull(frame.now, instance, self.instances[instance])
+                self._collect_actions(frame.now, instance, self.instances[instance])
             except Exception as error:
-                self._fault(instance, error)
+                self._report_exception(instance, error)
         return frames.reply(self._actions, bytes(self._tail))
 
     # Events
 
-    def _take(self, frame, position, code, fields, touched):  # noqa: PLR0913 - one record of a frame
+    def _apply_record(self, frame, position, code, fields, touched):  # noqa: PLR0913 - the fields of a record
         instance = fields[0]
         if code == POOL:
-            self._take_pool(frame, position, fields)
+            self._store_endpoint_list(frame, position, fields)
         elif code == POWER_ON:
             self._power_on(frame, position, fields)
             touched[instance] = True
@@ -94,9 +94,9 @@
             self._timers.pop(instance, None)
             touched.pop(instance, None)
         elif instance in self.instances:
-            take = self._inputs.get(code)
-            if take is not None:
-                take(frame, position, fields, self.instances[instance])
+            handler = self._inputs.get(code)
+            if handler is not None:
+                handler(frame, position, fields, self.instances[instance])
             touched[instance] = True
 
     def _power_on(self, frame, position, fields):
@@ -105,11 +105,11 @@
         try:
             settings = parse_settings(parse_pairs(raw.decode()))
         except UnicodeDecodeError as error:
-            raise SettingError(f"settings are not text: {error}") from None
+            raise SettingError(f"settings are not valid UTF-8: {error}") from None
         self._timers[instance] = None
         self.instances[instance] = Scheduler(settings, seed, frame.now)
 
-    def _take_pool(self, frame, position, fields):
+    def _store_endpoint_list(self, frame, position, fields):
         number, offset, size = fields
         part = frame.tail_part(position, offset, size * frames.LIST_ENTRY.size, "list entries")
         entries = []
@@ -118,18 +118,18 @@
                 raise BadFrameError(f"record {position}: unknown worker state {state}")
             born = _microseconds(position, "start time", born_ms)
             entries.append((zone, worker, WORKER_STATES[state], born, kind, cell, units))
-        self._pools[number] = entries
+        self._endpoint_lists[number] = entries
 
     def _update_endpoints(self, frame, position, fields, scheduler):
-        _, kind, _, pool = fields
+        _, kind, _, list_number = fields
         if kind not in LIST_KINDS:
             raise BadFrameError(f"record {position}: unknown list kind {kind}")
         if LIST_KINDS[kind] == ListKind.FAILED:
             scheduler.update_endpoints(frame.now, ListKind.FAILED, ())
-        elif pool not in self._pools:
-            raise BadFrameError(f"record {position}: list {pool} was never given")
+        elif list_number not in self._endpoint_lists:
+            raise BadFrameError(f"record {position}: endpoint list {list_number} does not exist")
         else:
-            scheduler.update_endpoints(frame.now, LIST_KINDS[kind], self._pools[pool])
+            scheduler.update_endpoints(frame.now, LIST_KINDS[kind], self._endpoint_lists[list_number])
 
     def _note(self, frame, position, fields, scheduler):
         _, job, launch, value, topic, _ = fields
@@ -141,15 +141,15 @@
     def _launch_ended(self, frame, position, fields, scheduler):
         _, job, _, lag_ms, launch, _, final, status, size, *report = fields
         if status not in OUTCOMES:
-            raise BadFrameError(f"record {position}: unknown ending {status}")
+            raise BadFrameError(f"record {position}: unknown end status {status}")
         lag = _microseconds(position, "lag", lag_ms)
         scheduler.launch_ended(frame.now, job, launch, OUTCOMES[status], lag, final != 0, report[:size])
 
     def _job_arrived(self, frame, position, fields, scheduler):
-        _, job, hint_ms, key, queue_type, bits, width, tenant, patience_ms, memory = fields
+        _, job, hint_ms, key, queue_type, flags, width, tenant, patience_ms, memory = fields
         if queue_type >= len(scheduler.queue_types):
             raise BadFrameError(f"record {position}: unknown queue type {queue_type}")
-        hint = _microseconds(position, "hint", hint_ms) if bits & HINTED else 0
+        hint = _microseconds(position, "hint", hint_ms) if flags & HINTED else 0
         patience = _microseconds(position, "patience", patience_ms)
         scheduler.job_arrived(frame.now, job, queue_type, hint, key, width or 1.0, memory, tenant, patience)
 
@@ -170,8 +170,8 @@
 
     # Actions
 
-    def _pull(self, now, instance, scheduler):
-        """Every decision of one instance, then its next waking."""
+    def _collect_actions(self, now, instance, scheduler):
+        """Append all decisions of an instance as actions, then its next wake-up."""
         decide = scheduler.decide
         while (decision := decide(now)) is not None:
             self._actions.append(self._action_of(instance, decision))
@@ -183,7 +183,7 @@
     def _action_of(self, instance: int, decision: Decision) -> bytes:
         match decision:
             case LaunchJob(job, worker, _):
-                # Sent at once there, so in the time by which it has to be; 0: no time-out of its own.
+                # The bench sends at once, so the limit is always met; 0: no timeout for the launch.
                 return frames.pack_launch(frames.LAUNCH, instance, job, worker, 0)
             case RejectJob(job, retry_after):
                 return frames.pack_reject(frames.REJECT, instance, job, retry_after / 1000)
@@ -197,23 +197,23 @@
                 content = load_messages.encoded(told_at, loads, wants)
                 offset = self._attach(content)
                 return frames.pack_message(frames.MESSAGE, instance, frames.TO_ALL, offset, len(content))
-        raise TypeError(f"no such decision: {decision}")
+        raise TypeError(f"unknown decision: {decision}")
 
-    def _fault(self, instance, error):
+    def _report_exception(self, instance, error):
         traceback.print_exc(file=sys.stderr)
         text = f"{type(error).__name__}: {error}".encode()
         offset = self._attach(text)
         self._actions.append(frames.pack_text(frames.FATAL, instance, offset, len(text)))
 
     def _attach(self, content: bytes) -> int:
-        """Adds to the tail; where it stands there."""
+        """Append content to the tail; return its offset."""
         offset = len(self._tail)
         self._tail += content
         return offset
 
 
-def _microseconds(position: int, what: str, span_ms: float) -> int:
-    """A span in whole microseconds; BadFrameError for what is none."""
+def _microseconds(position: int, field: str, span_ms: float) -> int:
+    """Return a time span in whole microseconds; raise BadFrameError if it is out of range."""
     if not -LONGEST_SPAN_MS < span_ms < LONGEST_SPAN_MS:
-        raise BadFrameError(f"record {position}: {what} {span_ms} is no time")
+        raise BadFrameError(f"record {position}: {field} {span_ms} is out of range")
     return round(span_ms * 1000)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""Frames in, frames or a plain message out."""
+"""The adapter: replies to valid frames, error messages for invalid ones."""
 
 import io
 
@@ -17,20 +17,20 @@
 
 
 def frame(records=b"", tail=b"", count=None, length=None):
-    n = len(records) // EVENT_BYTES if count is None else count
-    return EVENT_HEADER.pack(n, length or 16 + len(records) + len(tail), 12_500.0) + records + tail
+    record_count = len(records) // EVENT_BYTES if count is None else count
+    return EVENT_HEADER.pack(record_count, length or 16 + len(records) + len(tail), 12_500.0) + records + tail
 
 
 def record(code, *fields):
     return (code.to_bytes(2, "big") + EVENT_LAYOUTS[code].pack(*fields)).ljust(EVENT_BYTES, b"\0")
 
 
-def answer(raw):
+def reply_to(raw):
     return Host().turn(frame_from(io.BytesIO(raw)))
 
 
-def test_an_empty_batch_gets_an_empty_reply():
-    assert answer(frame()) == bytes.fromhex("0000000000000008")
+def test_empty_frame_gets_empty_reply():
+    assert reply_to(frame()) == bytes.fromhex("0000000000000008")
 
 
 @pytest.mark.parametrize(
@@ -44,12 +44,12 @@
         (frame(record(EventCode.POWER_ON, 1, 1, 4, 9)), "record 0: settings"),
     ],
 )
-def test_a_bad_frame_is_named(raw, says):
+def test_bad_frame_is_described_in_error(raw, says):
     with pytest.raises(BadFrameError, match=says):
-        answer(raw)
+        reply_to(raw)
 
 
 @pytest.mark.parametrize(("text", "key"), [("balancers=2", "me"), ("balancers=x", "balancers")])
-def test_a_missing_or_unreadable_setting_is_named(text, key):
+def test_missing_or_invalid_setting_is_named_in_error(text, key):
     with pytest.raises(SettingError, match=f"setting {key} "):
         parse_settings(parse_pairs(text))
