--- a/tests/decision_players.py
+++ b/tests/decision_players.py
@@ -21,23 +21,23 @@
 PROGRAM = {
     "new": Scheduler,
     "read settings": lambda text: parse_settings(parse_pairs(text)),
-    "members": lambda made, *given: made.update_endpoints(*given),
-    "arrived": lambda made, *given: made.job_arrived(*given),
-    "started": lambda made, *given: made.launch_started(*given),
-    "silent": lambda made, *given: made.launch_silent(*given),
-    "progress": lambda made, *given: made.launch_progressed(*given),
-    "ended": lambda made, *given: made.launch_ended(*given),
-    "message": lambda made, *given: made.load_message_received(*given),
-    "configured": lambda made, *given: made.reconfigure(*given),
-    "abandoned": lambda made, *given: made.job_abandoned(*given),
-    "by hand": lambda made, *given: made.set_excluded(*given),
-    "sharing": lambda made, *given: made.set_traffic_share(*given),
-    "leaving": lambda made, *given: made.shut_down_at(*given),
-    "inherited": lambda made, *given: made.restore_learned(*given),
-    "learned": lambda made: made.learned_state(),
-    "skipped": lambda made, now: made.count_skipped_workers(now),
-    "wake at": lambda made: made.wake_at(),
-    "decide": lambda made, now: made.decide(now),
+    "members": lambda dispatcher, *given: dispatcher.update_endpoints(*given),
+    "arrived": lambda dispatcher, *given: dispatcher.job_arrived(*given),
+    "started": lambda dispatcher, *given: dispatcher.launch_started(*given),
+    "silent": lambda dispatcher, *given: dispatcher.launch_silent(*given),
+    "progress": lambda dispatcher, *given: dispatcher.launch_progressed(*given),
+    "ended": lambda dispatcher, *given: dispatcher.launch_ended(*given),
+    "message": lambda dispatcher, *given: dispatcher.load_message_received(*given),
+    "configured": lambda dispatcher, *given: dispatcher.reconfigure(*given),
+    "abandoned": lambda dispatcher, *given: dispatcher.job_abandoned(*given),
+    "by hand": lambda dispatcher, *given: dispatcher.set_excluded(*given),
+    "sharing": lambda dispatcher, *given: dispatcher.set_traffic_share(*given),
+    "leaving": lambda dispatcher, *given: dispatcher.shut_down_at(*given),
+    "inherited": lambda dispatcher, *given: dispatcher.restore_learned(*given),
+    "learned": lambda dispatcher: dispatcher.learned_state(),
+    "skipped": lambda dispatcher, now: dispatcher.count_skipped_workers(now),
+    "wake at": lambda dispatcher: dispatcher.wake_at(),
+    "decide": lambda dispatcher, now: dispatcher.decide(now),
     "new host": Host,
     "host's instance": lambda host, number: host.instances.get(number),
     "host's turn": lambda host, raw: host.turn(frame_from(io.BytesIO(raw))),
@@ -172,8 +172,8 @@
         """All decisions of the instances that were given something."""
         decisions = []
         for number in self.touched:
-            made = self.instances[number]
-            while (decision := PROGRAM["decide"](made, now)) is not None:
+            dispatcher = self.instances[number]
+            while (decision := PROGRAM["decide"](dispatcher, now)) is not None:
                 what, *says = plain_decision(decision)
                 decisions.append([what, number, *says])
         self.touched = {}
--- a/tests/decision_world.py
+++ b/tests/decision_world.py
@@ -70,9 +70,9 @@
         while self.now < script["length"] * MS:
             self.step()
         for number in self.dispatchers:
-            made = self.player.instance(number)
-            if made is not None:
-                self.note("learned", number, plain_learned(PROGRAM["learned"](made)))
+            dispatcher = self.player.instance(number)
+            if dispatcher is not None:
+                self.note("learned", number, plain_learned(PROGRAM["learned"](dispatcher)))
         return self.outputs
 
     def note(self, what, *says):
@@ -85,8 +85,8 @@
             _, _, what, given = heappop(self.events)
             touched[what(*given)] = True
         for number in self.dispatchers:
-            made = self.player.instance(number)
-            wake = made and PROGRAM["wake at"](made) if number not in touched else None
+            dispatcher = self.player.instance(number)
+            wake = dispatcher and PROGRAM["wake at"](dispatcher) if number not in touched else None
             if wake is not None and wake <= self.now:
                 self.player.due(number)
                 touched[number] = True
@@ -96,10 +96,14 @@
             self.note(self.now, *decision)
             self.carry_out(*decision)
         for number in touched:
-            made = self.player.instance(number) if number is not None else None
-            if made is not None:
+            dispatcher = self.player.instance(number) if number is not None else None
+            if dispatcher is not None:
                 self.note(
-                    "wake", self.now, number, PROGRAM["wake at"](made), PROGRAM["skipped"](made, self.now)
+                    "wake",
+                    self.now,
+                    number,
+                    PROGRAM["wake at"](dispatcher),
+                    PROGRAM["skipped"](dispatcher, self.now),
                 )
 
     def carry_out(self, what, number, *says):
@@ -245,10 +249,10 @@
         return launch["dispatcher"]
 
     def silent(self, launch):
-        made = self.player.instance(launch["dispatcher"])
-        if launch["at"] == "over" or made is None:
+        dispatcher = self.player.instance(launch["dispatcher"])
+        if launch["at"] == "over" or dispatcher is None:
             return None
-        PROGRAM["silent"](made, self.now, launch["job"]["id"], launch["n"])
+        PROGRAM["silent"](dispatcher, self.now, launch["job"]["id"], launch["n"])
         self.player.due(launch["dispatcher"])
         return launch["dispatcher"]
 
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -28,8 +28,8 @@
 
 
 class Job:
-    def __init__(self, id_, who, made, work):
-        self.id, self.who, self.made, self.work = id_, who, made, work
+    def __init__(self, id_, who, dispatcher, work):
+        self.id, self.who, self.dispatcher, self.work = id_, who, dispatcher, work
 
 
 class World:
@@ -57,11 +57,13 @@
         heappush(self.events, (when, self.count, call, fields))
 
     def knowing(self, n, dispatchers):
-        made = scheduler([queue_type(target=2 * MEAN)], 0, n + 1, me=n, dispatchers=dispatchers, **SETTINGS)
-        made.update_endpoints(
+        dispatcher = scheduler(
+            [queue_type(target=2 * MEAN)], 0, n + 1, me=n, dispatchers=dispatchers, **SETTINGS
+        )
+        dispatcher.update_endpoints(
             self.now, "whole", [entry(w, born=born, zone=0) for w, born in self.born.items()]
         )
-        return made
+        return dispatcher
 
     def come(self, n, rate, there=True):
         self.at(self.now + int(self.random.expovariate(rate)) + 1, self.come, n, rate)
@@ -70,7 +72,7 @@
             self.count += 1
             job = Job(self.count, n, self.told[n], work)
             hint = int(work * self.random.lognormvariate(0, ERROR))
-            job.made.job_arrived(self.now, job, 0, hint, 0, 1.0, 0.0, 0, 5_000_000)
+            job.dispatcher.job_arrived(self.now, job, 0, hint, 0, 1.0, 0.0, 0, 5_000_000)
             self.pull(n)
 
     def fall(self, many):
@@ -83,8 +85,8 @@
         self.cold = dict.fromkeys(new, self.now)
         self.born |= self.cold
         self.running |= dict.fromkeys(new, 0)
-        for made in self.told:
-            made.update_endpoints(
+        for dispatcher in self.told:
+            dispatcher.update_endpoints(
                 self.now,
                 "changes",
                 [entry(w, "gone", zone=0) for w in gone if self.joining]
@@ -96,18 +98,18 @@
             self.told[n] = self.knowing(n, dispatchers)
 
     def pull(self, n):
-        made = self.told[n]
-        while (decision := made.decide(self.now)) is not None:
+        dispatcher = self.told[n]
+        while (decision := dispatcher.decide(self.now)) is not None:
             job = decision.job
             if isinstance(decision, LaunchJob):
                 which = decision.worker
                 if which in self.cold:
                     self.sent[which].append((self.now, job.work))
-                n = made.jobs[job].launches[-1].number
+                n = dispatcher.jobs[job].launches[-1].number
                 self.at(self.now + 300, self.land, job, n, which, self.born.get(which), self.now)
             elif isinstance(decision, RevokeLaunch):
                 self.at(self.now, self.ended, job, decision.number, "unsent", 0)
-        wake = made.wake_at()
+        wake = dispatcher.wake_at()
         if wake is not None and wake < self.wakes.get(n, END):
             self.wakes[n] = max(wake, self.now + 1)
             self.at(self.wakes[n], self.wake, n)
@@ -117,8 +119,8 @@
         self.pull(n)
 
     def ended(self, job, n, how, lag):
-        job.made.launch_ended(self.now, job, n, how, lag, how == "completed", ())
-        if self.told[job.who] is job.made:
+        job.dispatcher.launch_ended(self.now, job, n, how, lag, how == "completed", ())
+        if self.told[job.who] is job.dispatcher:
             self.pull(job.who)
 
     def land(self, job, n, w, born, sent):
@@ -136,7 +138,7 @@
         while self.queue[w] and self.running[w] < SLOTS:
             job, n, born, sent = self.queue[w].popleft()
             self.running[w] += 1
-            job.made.launch_started(self.now, job, n)
+            job.dispatcher.launch_started(self.now, job, n)
             self.at(self.now + int(job.work / self.warmth(w, self.now)), self.end, job, n, w, born, sent)
 
     def end(self, job, n, w, born, sent):
