--- a/tests/decision_players.py
+++ b/tests/decision_players.py
@@ -1,4 +1,4 @@
-"""The scripts' inputs, given to the decisions by calls or by frames of the adapter's wire."""
+"""Players that pass a script's inputs to the scheduler, by calls or by frames of the adapter's wire."""
 
 import io
 from struct import Struct
@@ -16,7 +16,7 @@
 )
 from mastledge.scheduling.scheduler import Scheduler
 
-# The only names of the program that the scripts use: a rename in the program is a change here alone.
+# The only names of the program that the scripts use, so that a rename in the program is a change here alone.
 
 PROGRAM = {
     "new": Scheduler,
@@ -54,7 +54,7 @@
 
 
 def plain_decision(decision):
-    """A decision as plain values that JSON holds: its kind, then what it says."""
+    """Return a decision as plain JSON values: its kind, then its fields."""
     values = [getattr(decision, field) for field in decision.__slots__]
     if isinstance(decision, FollowEndpoints):
         values = [True]
@@ -62,23 +62,28 @@
 
 
 def plain_learned(learned):
-    """What was learned, by worker, without the names of the program's own fields."""
+    """Return the learned state by worker, without field names."""
     return {
-        worker: [slots, peak, slow, [[why, [aside[name] for name in ASIDE_FIELDS]] for why, aside in asides]]
-        for worker, (slots, peak, slow, asides) in learned.items()
+        worker: [
+            slots,
+            peak,
+            slow,
+            [[reason, [ejection[name] for name in ASIDE_FIELDS]] for reason, ejection in ejections],
+        ]
+        for worker, (slots, peak, slow, ejections) in learned.items()
     }
 
 
 def changed_learned(learned):
-    """What was learned, for some workers with load that a former life has there, for others with nothing."""
+    """Return learned state with values removed for some workers, and earlier load added for some."""
     changed = {}
-    for at, (worker, (slots, peak, slow, asides)) in enumerate(learned.items()):
-        figures = (0, 0, 0) if at % 5 == 1 else (slots, peak, slow)
-        changed[worker] = [*figures, asides, *([2.0] if at % 3 == 0 else [])]
+    for position, (worker, (slots, peak, slow, ejections)) in enumerate(learned.items()):
+        values = (0, 0, 0) if position % 5 == 1 else (slots, peak, slow)
+        changed[worker] = [*values, ejections, *([2.0] if position % 3 == 0 else [])]
     return changed
 
 
-# Below, nothing is a name of the program. The wire is written out here, as it has to stay.
+# No names of the program are used below: the wire format is written out, as it must not change.
 
 MS = 1000
 STEP = 2 * MS
@@ -122,7 +127,7 @@
 
 
 class DirectPlayer:
-    """Inputs are calls on the decisions themselves."""
+    """Passes inputs as calls on the scheduler."""
 
     def __init__(self):
         self.instances, self.touched, self.inputs = {}, {}, 0
@@ -169,19 +174,19 @@
         self.call("message", number, now, sender, *content)
 
     def turn(self, now):
-        """All decisions of the instances that were given something."""
+        """Return all decisions of the instances that got inputs."""
         decisions = []
         for number in self.touched:
             dispatcher = self.instances[number]
             while (decision := PROGRAM["decide"](dispatcher, now)) is not None:
-                what, *says = plain_decision(decision)
-                decisions.append([what, number, *says])
+                kind, *values = plain_decision(decision)
+                decisions.append([kind, number, *values])
         self.touched = {}
         return decisions
 
 
 class WirePlayer:
-    """Inputs are records of one frame to the adapter's host; decisions are read from its reply."""
+    """Passes inputs as records of a frame to the adapter's host, and reads decisions from its reply."""
 
     def __init__(self):
         self.host = PROGRAM["new host"]()
@@ -231,10 +236,10 @@
     def progress(self, now, number, job, launch, share):
         self.add("note", number, job, launch, share, PROGRESS_TOPIC, b"")
 
-    def ended(self, now, number, job, launch, how, lag, final, report):
-        figures = [*report, 0.0, 0.0, 0.0, 0.0][:4]
-        code = END_CODES[how]
-        self.add("end", number, job, b"", lag / MS, launch, 0, final, code, len(report), *figures)
+    def ended(self, now, number, job, launch, outcome, lag, final, report):
+        report_values = [*report, 0.0, 0.0, 0.0, 0.0][:4]
+        code = END_CODES[outcome]
+        self.add("end", number, job, b"", lag / MS, launch, 0, final, code, len(report), *report_values)
 
     def abandoned(self, now, number, job):
         self.add("abandoned", number, job)
@@ -243,22 +248,22 @@
         self.add("inbox", number, sender, self.attach(content), len(content))
 
     def turn(self, now):
-        """The decisions in the reply to one frame with all that was added."""
+        """Send all added records as one frame; return the decisions in its reply."""
         records, size = b"".join(self.records), RECORD_BYTES * len(self.records)
-        head = FRAME_HEAD.pack(len(self.records), FRAME_HEAD.size + size + len(self.tail), now / MS)
-        reply = PROGRAM["host's turn"](self.host, head + records + bytes(self.tail))
+        header = FRAME_HEAD.pack(len(self.records), FRAME_HEAD.size + size + len(self.tail), now / MS)
+        reply = PROGRAM["host's turn"](self.host, header + records + bytes(self.tail))
         self.records, self.tail = [], bytearray()
         count, length = REPLY_HEAD.unpack_from(reply)
         assert length == len(reply)
         tail, decisions = reply[REPLY_HEAD.size + count * ACTION_BYTES :], []
-        for at in range(count):
-            start = REPLY_HEAD.size + at * ACTION_BYTES
+        for position in range(count):
+            start = REPLY_HEAD.size + position * ACTION_BYTES
             code = int.from_bytes(reply[start : start + 2], "big")
-            assert code in OUTPUTS, f"no output: {reply[start:]}"
-            what, layout = OUTPUTS[code]
-            number, *says = layout.unpack_from(reply, start + 2)
-            if what == "message":
-                _, offset, size = says
-                says = [tail[offset : offset + size].hex()]
-            decisions.append([what, number, *(p.decode() if isinstance(p, bytes) else p for p in says)])
+            assert code in OUTPUTS, f"unknown action: {reply[start:]}"
+            kind, layout = OUTPUTS[code]
+            number, *values = layout.unpack_from(reply, start + 2)
+            if kind == "message":
+                _, offset, size = values
+                values = [tail[offset : offset + size].hex()]
+            decisions.append([kind, number, *(v.decode() if isinstance(v, bytes) else v for v in values)])
         return decisions
--- a/tests/decision_scripts.py
+++ b/tests/decision_scripts.py
@@ -1,12 +1,12 @@
-"""What the worlds of decision_world.py are made of, each for a part of the decisions; figures are made up."""
+"""Scripts of the worlds in decision_world.py, each for some parts of the scheduler; values are arbitrary."""
 
 
 def queue_types(*types):
-    """The wire's pairs for queue types given as maps, and the defaults of these scripts."""
+    """Return the wire settings for queue types given as dicts, with the defaults of these scripts."""
     pairs = {"queueTypes.count": len(types)}
     for n, changes in enumerate(types):
-        one = {"name": f"type{n}", "targetTurnaroundMs": 700, "walltimeMs": 3000, **changes}
-        pairs.update({f"queueTypes.{n}.{name}": value for name, value in one.items()})
+        terms = {"name": f"type{n}", "targetTurnaroundMs": 700, "walltimeMs": 3000, **changes}
+        pairs.update({f"queueTypes.{n}.{name}": value for name, value in terms.items()})
     return pairs
 
 
@@ -215,7 +215,7 @@
             **BASE,
             **TELLS,
             **queue_types(PURE, {**TOKEN, "dedupScope": "cell"}, ONCE, PURE),
-            # No machine is of the last kind.
+            # No machine has the last kind.
             "familyInfo.classKind": "-1,1,-1,7",
             "limits.cpuUsPerS": 1600,
             "limits.cpuUsPerRequest": 12,
--- a/tests/decision_world.py
+++ b/tests/decision_world.py
@@ -1,7 +1,7 @@
-"""Seeded worlds of dispatchers and workers, which decision_scripts.py sets up; every figure here is made up.
+"""Seeded simulated worlds of dispatchers and workers, set up by decision_scripts.py; values are arbitrary.
 
-A world is a loop: decisions launch jobs on simulated workers, whose notes and ends are the next inputs. All
-chance is a CRC-32 over the seed and a counter, so a world is the same in every process and on every machine.
+A world is a loop: decisions launch jobs on simulated workers, whose notes and ends are the next inputs.
+Random numbers are a CRC-32 of the seed and a counter, so a world is the same on every machine.
 """
 
 import json
@@ -12,7 +12,7 @@
 
 
 class Worker:
-    """A simulated worker: slots, a queue, a speed, and troubles that come and go."""
+    """A simulated worker: slots, a queue, a speed, and temporary faults."""
 
     def __init__(self, name, zone, machine, cell, units, slots, pace):
         self.name, self.zone, self.machine, self.cell, self.units = name, zone, machine, cell, units
@@ -39,8 +39,8 @@
     def below(self, n):
         return int(self.chance() * n)
 
-    def some(self, of):
-        return of[self.below(len(of))]
+    def choose(self, choices):
+        return choices[self.below(len(choices))]
 
     def new_worker(self, n):
         pace = 0.7 + 0.6 * self.chance()
@@ -48,17 +48,17 @@
         name = b"w%05d" % n
         return Worker(name, n % 3, n % 2, n % 4, 1.0 + n % 2, slots, pace)
 
-    def later(self, wait, what, *given):
-        self.at(self.now + max(1, int(wait)), what, *given)
+    def later(self, delay, callback, *args):
+        self.at(self.now + max(1, int(delay)), callback, *args)
 
-    def at(self, when, what, *given):
+    def at(self, when, callback, *args):
         self.event_count += 1
-        heappush(self.events, (when, self.event_count, what, given))
+        heappush(self.events, (when, self.event_count, callback, args))
 
-    # The course of a script
+    # Running a script
 
     def play(self):
-        """All outputs, one JSON text each, in order."""
+        """Run the script; return all outputs in order, each as JSON."""
         script = self.script
         for number in self.dispatchers:
             self.later(1, self.power_on, number)
@@ -72,18 +72,18 @@
         for number in self.dispatchers:
             dispatcher = self.player.instance(number)
             if dispatcher is not None:
-                self.note("learned", number, plain_learned(PROGRAM["learned"](dispatcher)))
+                self.record("learned", number, plain_learned(PROGRAM["learned"](dispatcher)))
         return self.outputs
 
-    def note(self, what, *says):
-        self.outputs.append(json.dumps([what, *says]))
+    def record(self, kind, *values):
+        self.outputs.append(json.dumps([kind, *values]))
 
     def step(self):
         self.now += STEP
         touched = {}
         while self.events and self.events[0][0] <= self.now:
-            _, _, what, given = heappop(self.events)
-            touched[what(*given)] = True
+            _, _, callback, args = heappop(self.events)
+            touched[callback(*args)] = True
         for number in self.dispatchers:
             dispatcher = self.player.instance(number)
             wake = dispatcher and PROGRAM["wake at"](dispatcher) if number not in touched else None
@@ -93,12 +93,12 @@
         if not any(number is not None for number in touched):
             return
         for decision in self.player.turn(self.now):
-            self.note(self.now, *decision)
+            self.record(self.now, *decision)
             self.carry_out(*decision)
         for number in touched:
             dispatcher = self.player.instance(number) if number is not None else None
             if dispatcher is not None:
-                self.note(
+                self.record(
                     "wake",
                     self.now,
                     number,
@@ -106,19 +106,21 @@
                     PROGRAM["skipped"](dispatcher, self.now),
                 )
 
-    def carry_out(self, what, number, *says):
-        if what == "launch":
-            job = self.open[number, says[0]]
-            self.launched(number, job, next(w for w in self.workers if w.name.decode() == says[1]))
-        elif what == "revoke":
-            self.later(STEP, self.revoked, number, self.open[number, says[0]]["launches"][says[1]])
-        elif what == "follow":
+    def carry_out(self, kind, number, *values):
+        if kind == "launch":
+            job = self.open[number, values[0]]
+            self.launched(number, job, next(w for w in self.workers if w.name.decode() == values[1]))
+        elif kind == "revoke":
+            self.later(STEP, self.revoked, number, self.open[number, values[0]]["launches"][values[1]])
+        elif kind == "follow":
             self.later(10 * MS, self.answer_list, number)
-        elif what == "message":
-            content = bytes.fromhex(says[0]) if self.script["wire"] else says
+        elif kind == "message":
+            content = bytes.fromhex(values[0]) if self.script["wire"] else values
             for other in self.dispatchers:
-                # One's own as well, and some late: both have to be passed over.
-                self.later(STEP * (1 + 40 * (self.chance() < 0.1)), self.tell, other, number, content)
+                # The dispatcher's own message too, and some late ones: both have to be ignored.
+                self.later(
+                    STEP * (1 + 40 * (self.chance() < 0.1)), self.deliver_message, other, number, content
+                )
 
     def power_on(self, number, text=None):
         text = text or self.settings(number, self.script["settings"])
@@ -144,7 +146,7 @@
             self.player.members(self.now, number, "whole", self.entries())
         return number
 
-    def tell(self, number, sender, content):
+    def deliver_message(self, number, sender, content):
         self.player.message(self.now, number, sender, content)
         return number
 
@@ -154,7 +156,7 @@
         return [load for since, load in self.script["loads"] if since * MS <= self.now][-1]
 
     def arrival(self, number, due):
-        # Several may come in one step.
+        # Several jobs may arrive in one step.
         following = due + 1 + int(2 * self.chance() * MS / self.load_now())
         self.at(following, self.arrival, number, following)
         if self.player.instance(number) is None:
@@ -167,7 +169,7 @@
         hint = int(size * (0.5 + self.chance())) if self.chance() < script.get("hinted", 0) else 0
         width = 0.5 * (1 + self.below(4)) if self.chance() < 0.3 else 1.0
         memory = 0.25 * self.below(6)
-        patience = self.some(script.get("patiences", [1500, 4000])) * MS
+        patience = self.choose(script.get("patiences", [1500, 4000])) * MS
         tenant = self.below(script.get("tenants", 1) + 1)
         job = {"id": self.job_count, "size": size, "type": queue_type, "key": key, "launches": []}
         self.open[number, self.job_count] = job
@@ -186,9 +188,9 @@
         launch = {"dispatcher": number, "job": job, "worker": worker, "at": "way", "n": len(job["launches"])}
         launch["sent"] = self.now
         job["launches"].append(launch)
-        self.later((1 + 2 * self.chance()) * MS, self.taken, launch)
+        self.later((1 + 2 * self.chance()) * MS, self.receive, launch)
 
-    def taken(self, launch):
+    def receive(self, launch):
         worker = launch["worker"]
         if launch["at"] != "way":
             return None
@@ -206,15 +208,15 @@
         if trouble is not None and trouble != "failing type" and self.chance() < 0.9:
             return self.end(launch, trouble)
         if len(worker.queue) >= self.script.get("queue", 6):
-            return self.end(launch, "doubted" if self.odd(0.2) else "full")
+            return self.end(launch, "doubted" if self.draw_direct_only(0.2) else "full")
         if worker.running >= worker.slots:
             launch["at"] = "queue"
             worker.queue.append(launch)
             return None
         return self.start(launch)
 
-    def odd(self, share):
-        """Ends that the wire cannot carry come in the direct scripts only."""
+    def draw_direct_only(self, share):
+        """Draw an outcome that the wire cannot carry, in scripts with direct calls only."""
         return not self.script["wire"] and self.chance() < share
 
     def start(self, launch):
@@ -224,27 +226,29 @@
         run = job["size"] * worker.pace * (0.8 + 0.4 * self.chance())
         if self.chance() < 0.03:
             run *= 12
-        how = "completed"
+        outcome = "completed"
         if self.chance() < self.script.get("ends_badly", 0.02):
-            how = self.some(["error", "timeout", "lost", "unsent", "dropped" if self.odd(1.0) else "lost"])
+            outcome = self.choose(
+                ["error", "timeout", "lost", "unsent", "dropped" if self.draw_direct_only(1.0) else "lost"]
+            )
             run *= self.chance()
-        self.later(run, self.end, launch, how)
+        self.later(run, self.end, launch, outcome)
         every = self.script.get("progress_every")
         if every and self.chance() < 0.8:
-            self.later(every * MS, self.tell_progress, launch, every)
+            self.later(every * MS, self.report_progress, launch, every)
         if not self.script.get("tells_start"):
             return None
         self.player.started(self.now, launch["dispatcher"], job["id"], launch["n"])
         if self.chance() < 0.02:
-            # The note comes twice, and one for a launch that never was.
+            # The note comes twice, and another one for an unknown launch.
             self.player.started(self.now, launch["dispatcher"], job["id"], launch["n"])
             self.player.started(self.now, launch["dispatcher"], job["id"], 9)
         return launch["dispatcher"]
 
-    def tell_progress(self, launch, every):
+    def report_progress(self, launch, every):
         if launch["at"] != "running":
             return None
-        self.later(every * MS, self.tell_progress, launch, every)
+        self.later(every * MS, self.report_progress, launch, every)
         self.player.progress(self.now, launch["dispatcher"], launch["job"]["id"], launch["n"], 0.5)
         return launch["dispatcher"]
 
@@ -259,7 +263,7 @@
     def revoked(self, number, launch):
         return self.end(launch, "revoked")
 
-    def end(self, launch, how):
+    def end(self, launch, outcome):
         if launch["at"] == "over":
             return None
         worker, job, number = launch["worker"], launch["job"], launch["dispatcher"]
@@ -270,17 +274,17 @@
         elif launch["at"] == "queue":
             worker.queue.remove(launch)
         launch["at"] = "over"
-        final = how == "completed" or how == "error" and self.chance() < 0.3
+        final = outcome == "completed" or outcome == "error" and self.chance() < 0.3
         report = []
-        if self.script.get("reports") and how != "unreachable":
+        if self.script.get("reports") and outcome != "unreachable":
             free = max(0, worker.slots - worker.running)
             report = [float(free), float(len(worker.queue))]
             if self.chance() < 0.01:
                 report = [-5.0, 1e9]
         lag = self.now - launch["sent"] - (40 * MS if self.chance() < 0.01 else 0)
-        # Some ends come twice, and are passed over the second time.
+        # Some ends are reported twice; the second report has to be ignored.
         for _ in range(1 + (self.chance() < 0.01)):
-            self.player.ended(self.now, number, job["id"], launch["n"], how, max(0, lag), final, report)
+            self.player.ended(self.now, number, job["id"], launch["n"], outcome, max(0, lag), final, report)
         return number
 
     def start_next(self, worker):
@@ -288,29 +292,29 @@
             return self.start(worker.queue.pop(0))
         return None
 
-    # Troubles and changes
+    # Faults and changes
 
     def trouble(self):
-        """Some worker does badly for a while, in one of the script's ways."""
+        """Give a random worker one of the script's faults for a while."""
         self.later(2 * self.chance() * self.script["trouble_every"] * MS, self.trouble)
-        worker = self.some(self.workers)
-        worker.trouble = self.some(self.script["troubles"])
+        worker = self.choose(self.workers)
+        worker.trouble = self.choose(self.script["troubles"])
         worker.trouble_until = self.now + int(
             (0.2 + self.chance()) * self.script.get("trouble_for", 600) * MS
         )
 
-    def cut(self, share, how, lasts):
-        """A part of the fleet, as a zone cut off."""
+    def cut(self, share, fault, duration):
+        """Give a part of the fleet a fault, like a zone that is cut off."""
         for worker in self.workers[: int(share * len(self.workers))]:
-            worker.trouble, worker.trouble_until = how, self.now + lasts * MS
+            worker.trouble, worker.trouble_until = fault, self.now + duration * MS
 
-    def slowed(self, times):
-        """All workers take so many times as long, as on a shared store that is in trouble."""
+    def slowed(self, factor):
+        """Multiply the running times on all workers, as with a slow shared store."""
         for worker in self.workers:
-            worker.pace *= times
+            worker.pace *= factor
 
     def listed(self, kind, first, last, state, restarted=False):
-        """Workers change state, or come back cold, and the list tells it to all dispatchers."""
+        """Change the state of workers, or restart them, and send all dispatchers the list."""
         for worker in self.workers[first:last]:
             worker.state = state
             if restarted:
@@ -321,7 +325,7 @@
         return self.wake_all()
 
     def shortened(self, count):
-        """A whole list without its last workers."""
+        """Send all dispatchers a whole list without the last workers."""
         for worker in self.workers[-count:]:
             worker.state = "gone"
         for number in self.dispatchers:
@@ -329,13 +333,13 @@
         return self.wake_all()
 
     def grown(self, count):
-        """New workers, cold."""
+        """Add new workers that are not warm yet."""
         first = len(self.workers)
         self.workers += [self.new_worker(first + n) for n in range(count)]
         return self.listed("changes", first, first + count, "ready", True)
 
     def stopped(self, number):
-        """A dispatcher goes for good."""
+        """Stop a dispatcher for good."""
         self.player.teardown(number)
 
     def list_breaks(self):
@@ -355,7 +359,7 @@
         return number
 
     def call(self, what, number, *given):
-        """A call that the wire cannot carry."""
+        """Make a call that the wire cannot carry."""
         PROGRAM[what](self.player.instance(number), self.now, *given)
         self.player.due(number)
         return number
@@ -373,7 +377,7 @@
         return self.call("configured", number, PROGRAM["read settings"](text))
 
     def taken_over(self, number):
-        """A new process of the dispatcher starts from what the former one learned; launches are forgotten."""
+        """Replace a dispatcher by a new process with its learned state but without its launches."""
         learned = changed_learned(PROGRAM["learned"](self.player.instance(number)))
         self.player.teardown(number)
         self.power_on(number)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builds the state that a test needs."""
+"""Builders of schedulers, connections and requests for tests."""
 
 import os
 import socket
@@ -17,7 +17,7 @@
 from mastledge.transport.loop import Loop, Queue
 
 STEP = 4_000
-# Runs side by side must not meet: a port that one has closed may be another's next.
+# An address per process, as a port closed by one test run may be reused by a parallel one.
 HERE = f"127.{64 + (os.getpid() >> 16) % 64}.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"
 
 
@@ -80,28 +80,28 @@
     }
     for n, terms in enumerate(settings["queue_types"]):
         terms.setdefault("name", n)
-    made = Scheduler(settings, seed, 0)
-    made.update_endpoints(0, "whole", [entry(i) for i in range(workers)])
-    return made
+    dispatcher = Scheduler(settings, seed, 0)
+    dispatcher.update_endpoints(0, "whole", [entry(i) for i in range(workers)])
+    return dispatcher
 
 
 def entry(i, state="ready", born=0, zone=None):
     return (i % 2 if zone is None else zone, i, state, born, 0, 0, 1.0)
 
 
-def arrive(made, now=0, job=1, queue_number=0, hint=100_000, patience=5_000_000, width=1.0, tenant=0):
-    made.job_arrived(now, job, queue_number, hint, 0, width, 0.0, tenant, patience)
+def arrive(dispatcher, now=0, job=1, queue_number=0, hint=100_000, patience=5_000_000, width=1.0, tenant=0):
+    dispatcher.job_arrived(now, job, queue_number, hint, 0, width, 0.0, tenant, patience)
 
 
-def pull(made, now):
-    out = []
-    while (decision := made.decide(now)) is not None:
-        out.append(decision)
-    return out
+def pull(dispatcher, now):
+    decisions = []
+    while (decision := dispatcher.decide(now)) is not None:
+        decisions.append(decision)
+    return decisions
 
 
 class Rig:
-    """A loop with its queue and budget, and what was logged."""
+    """An event loop with its queue and budget, and the logged events."""
 
     def __init__(self, sockets=64, memory=1 << 26):
         self.errors, self.logged = [], []
@@ -112,83 +112,83 @@
         self.logged.append((event, fields))
 
     def turn(self, until, longest=2_000_000):
-        """Lets everything run until something holds, for a while at the most."""
-        last = self.loop.now() + longest
-        while not until() and self.loop.now() < last:
+        """Run the loop until the condition holds or `longest` microseconds passed; return the condition."""
+        deadline = self.loop.now() + longest
+        while not until() and self.loop.now() < deadline:
             self.loop.run_once(10_000)
         return until()
 
     def called(self, sock):
-        """The next connection that this listening socket gets, and the first bytes on it."""
+        """Return the next connection that the listening socket accepts, and the first bytes on it."""
         sock.setblocking(False)
-        got = []
+        received = []
 
-        def heard():
+        def has_data():
             try:
-                if not got:
-                    got.append(sock.accept()[0])
-                    got[0].setblocking(False)
-                got.append(got[0].recv(65536))
+                if not received:
+                    received.append(sock.accept()[0])
+                    received[0].setblocking(False)
+                received.append(received[0].recv(65536))
             except BlockingIOError:
                 pass
-            return len(got) > 1
+            return len(received) > 1
 
-        self.turn(heard)
-        got[0].settimeout(2)
-        return got[:2]
+        self.turn(has_data)
+        received[0].settimeout(2)
+        return received[:2]
 
     def reply(self, theirs):
-        """All that comes at the other end, waiting for its beginning and a little for more."""
-        got, _ = [], theirs.setblocking(False)
+        """Return all data received on the socket, after waiting for the first bytes and briefly for more."""
+        received, _ = [], theirs.setblocking(False)
 
-        def heard():
+        def has_data():
             try:
-                got.append(theirs.recv(65536))
+                received.append(theirs.recv(65536))
             except BlockingIOError:
                 pass
-            return any(got)
+            return any(received)
 
-        self.turn(heard)
+        self.turn(has_data)
         for _ in range(5):
             self.loop.run_once(2_000)
-            heard()
-        return b"".join(got)
+            has_data()
+        return b"".join(received)
 
     def pair(self, kind="clients", role=h11.SERVER):
-        """A connection of the dispatcher's and the plain socket at its other end."""
-        door = listen((HERE, 0))
-        theirs = socket.create_connection(door.getsockname(), 2)
-        door.setblocking(True)
-        ours, _ = door.accept()
-        door.close()
+        """Return a connection of the dispatcher and the plain socket at its other end."""
+        listening_socket = listen((HERE, 0))
+        theirs = socket.create_connection(listening_socket.getsockname(), 2)
+        listening_socket.setblocking(True)
+        ours, _ = listening_socket.accept()
+        listening_socket.close()
         self.budget.acquire(kind)
         return http.attach(Connection(self.loop, ours, self.budget, kind), role), theirs
 
 
 def door(rig, types=None, most_held=100, dispatchers=3):
     types = types or [queue_type(name="render")]
-    words = {
+    settings = {
         "queue_types": types,
         "tenants": ["a", "b"],
         "most_held": most_held,
         "hold_off": 2_000_000,
         "dispatchers": dispatchers,
     }
-    made = ClientListener(rig.loop, rig.budget, rig.inbox, words, rig.log)
-    made.ready = True
-    return made
+    listener = ClientListener(rig.loop, rig.budget, rig.inbox, settings, rig.log)
+    listener.ready = True
+    return listener
 
 
-def client(rig, made, beyond=False):
-    """A client's socket, served by this door."""
+def client(rig, listener, beyond=False):
+    """Return a client's socket that the listener serves."""
     conn, theirs = rig.pair()
-    conn.owner = rig.loop.spawn(ClientConnection(made, conn, beyond).serve())
-    made.clients.add(conn)
+    conn.owner = rig.loop.spawn(ClientConnection(listener, conn, beyond).serve())
+    listener.clients.add(conn)
     return theirs
 
 
 def job(path="/render", body=b"x", **headers):
-    """A client's request; a header that is None is left out."""
+    """Return a client's request; headers that are None are omitted."""
     fields = {"Host": "h", "X_Txn": "9b1f", "X_Remaining_Ms": "480", "Content_Length": len(body), **headers}
     lines = [f"{name}: {value}".replace("_", "-", 2) for name, value in fields.items() if value is not None]
     return "\r\n".join([f"POST {path} HTTP/1.1", *lines, "", ""]).encode() + body
@@ -200,7 +200,7 @@
 
 
 def peer_at(worker_id="s-1"):
-    """A worker and the socket on which it listens."""
+    """Return a worker endpoint and the socket on which it listens."""
     sock = listen((HERE, 0))
     peer = WorkerEndpoint(worker_id)
     peer.address = sock.getsockname()
--- a/tests/test_decisions_unchanged.py
+++ b/tests/test_decisions_unchanged.py
@@ -1,7 +1,7 @@
-"""Every decision stays as it was: seeded worlds are played and their outputs compared with those on file.
+"""Regression test of all decisions: seeded worlds are simulated and their outputs compared with stored ones.
 
-The outputs on file are those of the decisions before their module was split and renamed. A change that means
-to decide otherwise writes them anew, and says so: `PYTHONPATH=. python tests/test_decisions_unchanged.py`.
+A change that is meant to change decisions regenerates the stored outputs, and says so in its commit:
+`PYTHONPATH=. python tests/test_decisions_unchanged.py`.
 """
 
 import gzip
@@ -22,9 +22,11 @@
 
 
 def summary(world):
-    """What goes on file of a played world: counts of inputs and outputs, and a digest of all outputs."""
+    """Return the summary to store of a world: input and output counts, and a digest of the outputs."""
     lines = world.outputs
-    kinds = Counter(says[1] if isinstance(says[0], int) else says[0] for says in map(json.loads, lines))
+    kinds = Counter(
+        output[1] if isinstance(output[0], int) else output[0] for output in map(json.loads, lines)
+    )
     return {
         "inputs": world.player.inputs,
         "outputs": dict(sorted(kinds.items())),
@@ -41,16 +43,16 @@
 
 
 def first_difference(before, after):
-    """The first output that differs, with the one that stood there; None where all are equal."""
-    for at in range(max(len(before), len(after))):
-        was, now = (lines[at] if at < len(lines) else "nothing" for lines in (before, after))
-        if was != now:
-            return f"output {at} differs\nbefore: {was}\nnow:    {now}"
+    """Return the first output that differs, with the stored one; None if all are equal."""
+    for index in range(max(len(before), len(after))):
+        old, new = (lines[index] if index < len(lines) else "nothing" for lines in (before, after))
+        if old != new:
+            return f"output {index} differs\nbefore: {old}\nnow:    {new}"
     return None
 
 
 @pytest.mark.parametrize("name", SCRIPTS)
-def test_all_decisions_are_those_on_file(name):
+def test_decisions_equal_stored_ones(name):
     world = World(SCRIPTS[name])
     outputs = world.play()
     stored = json.loads(stored_path(name).read_text())
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -1,7 +1,7 @@
-"""What all dispatchers together send to cold workers, in simulated time: each one's decisions, plain workers.
+"""Work that all dispatchers together send to restarted workers, in simulated time.
 
-The rule: in no window of `fall_for` more than N + 2 x root of N + 2 requests of mean work, N being what the
-settings allow a worker that is as cold as they say.
+The rule: in no window of `fall_for` more than N + 2 * sqrt(N) + 2 jobs of mean work, N being the limit that
+the settings give for a worker at its minimum warmth.
 """
 
 from collections import defaultdict, deque
@@ -15,7 +15,7 @@
 from mastledge.scheduling.slow_start import SlowStart
 
 MEAN, SLOTS = 300_000, 4
-SPREAD, ERROR = 1.4, 0.7  # of the work and of the hints, as the logarithm's deviation
+SPREAD, ERROR = 1.4, 0.7  # standard deviation of the logarithm of work, and of the hint error
 SETTINGS = {
     "cold_from": 0.3,
     "cold_for": 6_000_000,
@@ -28,12 +28,12 @@
 
 
 class Job:
-    def __init__(self, id_, who, dispatcher, work):
-        self.id, self.who, self.dispatcher, self.work = id_, who, dispatcher, work
+    def __init__(self, id_, number, dispatcher, work):
+        self.id, self.dispatcher_number, self.dispatcher, self.work = id_, number, dispatcher, work
 
 
 class World:
-    """`anew`: of ten dispatchers, how many start with no knowledge as the workers come back."""
+    """A simulated fleet; `anew`: how many of ten dispatchers restart, without learned state."""
 
     def __init__(self, dispatchers, workers, even, load, anew=0, joining=False, seed=3):
         self.random, self.now, self.events, self.count = Random(seed), 0, [], 0
@@ -41,13 +41,13 @@
         self.born = dict.fromkeys(range(workers), 0)
         self.queue, self.running = defaultdict(deque), defaultdict(int)
         self.sent, self.wakes = defaultdict(list), {}
-        self.told = [self.knowing(n, dispatchers) for n in range(dispatchers)]
-        parts = [1.0 if even else self.random.paretovariate(1.1) for _ in self.told]
+        self.schedulers = [self.new_scheduler(n, dispatchers) for n in range(dispatchers)]
+        weights = [1.0 if even else self.random.paretovariate(1.1) for _ in self.schedulers]
         rate = load * workers * SLOTS / MEAN
-        for n, part in enumerate(parts):
-            self.come(n, rate * part / sum(parts), False)
-        self.at(FALL, self.fall, workers // 2)
-        self.at(FALL + 10_000, self.start, anew * dispatchers // 10, dispatchers)
+        for n, weight in enumerate(weights):
+            self.arrive(n, rate * weight / sum(weights), False)
+        self.at(FALL, self.restart_workers, workers // 2)
+        self.at(FALL + 10_000, self.restart_dispatchers, anew * dispatchers // 10, dispatchers)
         while self.events and self.events[0][0] < END:
             self.now, _, call, fields = heappop(self.events)
             call(*fields)
@@ -56,7 +56,7 @@
         self.count += 1
         heappush(self.events, (when, self.count, call, fields))
 
-    def knowing(self, n, dispatchers):
+    def new_scheduler(self, n, dispatchers):
         dispatcher = scheduler(
             [queue_type(target=2 * MEAN)], 0, n + 1, me=n, dispatchers=dispatchers, **SETTINGS
         )
@@ -65,19 +65,19 @@
         )
         return dispatcher
 
-    def come(self, n, rate, there=True):
-        self.at(self.now + int(self.random.expovariate(rate)) + 1, self.come, n, rate)
-        if there:
+    def arrive(self, n, rate, has_job=True):
+        self.at(self.now + int(self.random.expovariate(rate)) + 1, self.arrive, n, rate)
+        if has_job:
             work = int(MEAN * self.random.lognormvariate(-SPREAD * SPREAD / 2, SPREAD)) + 1000
             self.count += 1
-            job = Job(self.count, n, self.told[n], work)
+            job = Job(self.count, n, self.schedulers[n], work)
             hint = int(work * self.random.lognormvariate(0, ERROR))
             job.dispatcher.job_arrived(self.now, job, 0, hint, 0, 1.0, 0.0, 0, 5_000_000)
             self.pull(n)
 
-    def fall(self, many):
-        """They are restarted, or as many others come for them: cold, all at once, and all are told."""
-        gone = self.random.sample(sorted(self.born), many)
+    def restart_workers(self, count):
+        """Restart workers, or replace them by new ones, all at once; all dispatchers get the new list."""
+        gone = self.random.sample(sorted(self.born), count)
         new = [w + 10_000 for w in gone] if self.joining else gone
         for w in gone:
             del self.born[w]
@@ -85,7 +85,7 @@
         self.cold = dict.fromkeys(new, self.now)
         self.born |= self.cold
         self.running |= dict.fromkeys(new, 0)
-        for dispatcher in self.told:
+        for dispatcher in self.schedulers:
             dispatcher.update_endpoints(
                 self.now,
                 "changes",
@@ -93,20 +93,20 @@
                 + [entry(w, born=self.now, zone=0) for w in new],
             )
 
-    def start(self, many, dispatchers):
-        for n in self.random.sample(range(dispatchers), many):
-            self.told[n] = self.knowing(n, dispatchers)
+    def restart_dispatchers(self, count, dispatchers):
+        for n in self.random.sample(range(dispatchers), count):
+            self.schedulers[n] = self.new_scheduler(n, dispatchers)
 
     def pull(self, n):
-        dispatcher = self.told[n]
+        dispatcher = self.schedulers[n]
         while (decision := dispatcher.decide(self.now)) is not None:
             job = decision.job
             if isinstance(decision, LaunchJob):
-                which = decision.worker
-                if which in self.cold:
-                    self.sent[which].append((self.now, job.work))
+                worker = decision.worker
+                if worker in self.cold:
+                    self.sent[worker].append((self.now, job.work))
                 n = dispatcher.jobs[job].launches[-1].number
-                self.at(self.now + 300, self.land, job, n, which, self.born.get(which), self.now)
+                self.at(self.now + 300, self.deliver, job, n, worker, self.born.get(worker), self.now)
             elif isinstance(decision, RevokeLaunch):
                 self.at(self.now, self.ended, job, decision.number, "unsent", 0)
         wake = dispatcher.wake_at()
@@ -118,23 +118,23 @@
         self.wakes.pop(n, None)
         self.pull(n)
 
-    def ended(self, job, n, how, lag):
-        job.dispatcher.launch_ended(self.now, job, n, how, lag, how == "completed", ())
-        if self.told[job.who] is job.dispatcher:
-            self.pull(job.who)
+    def ended(self, job, n, outcome, lag):
+        job.dispatcher.launch_ended(self.now, job, n, outcome, lag, outcome == "completed", ())
+        if self.schedulers[job.dispatcher_number] is job.dispatcher:
+            self.pull(job.dispatcher_number)
 
-    def land(self, job, n, w, born, sent):
+    def deliver(self, job, n, w, born, sent):
         if born is None or self.born.get(w) != born:
             self.ended(job, n, "lost", 0)
             return
         self.queue[w].append((job, n, born, sent))
-        self.begin(w)
+        self.start_queued(w)
 
     def warmth(self, w, now):
-        low, age = SETTINGS["cold_from"], now - self.born[w]
-        return min(1.0, low + (1 - low) * age / SETTINGS["cold_for"]) if self.born[w] else 1.0
+        coldest, age = SETTINGS["cold_from"], now - self.born[w]
+        return min(1.0, coldest + (1 - coldest) * age / SETTINGS["cold_for"]) if self.born[w] else 1.0
 
-    def begin(self, w):
+    def start_queued(self, w):
         while self.queue[w] and self.running[w] < SLOTS:
             job, n, born, sent = self.queue[w].popleft()
             self.running[w] += 1
@@ -147,27 +147,27 @@
             return
         self.running[w] -= 1
         self.ended(job, n, "completed", self.now - sent)
-        self.begin(w)
+        self.start_queued(w)
 
     def allowed(self, w, at):
         return SETTINGS["fall_multiple"] * self.warmth(w, at) * SLOTS * SETTINGS["fall_for"] / MEAN
 
-    def worst(self):
-        """The fullest window of a cold worker, against its limit."""
-        return max(max(self.fullest(w), default=0.0) for w in self.cold)
+    def worst_window(self):
+        """Return the work of the fullest window of any cold worker, relative to its limit."""
+        return max(max(self.window_loads(w), default=0.0) for w in self.cold)
 
-    def fullest(self, w):
+    def window_loads(self, w):
         span, sent, first, work = SETTINGS["fall_for"], self.sent[w], 0, 0
-        for at, one in sent:
-            work += one
+        for at, job_work in sent:
+            work += job_work
             while sent[first][0] <= at - span:
                 work -= sent[first][1]
                 first += 1
             allowed = self.allowed(w, max(self.cold[w], at - span))
             yield work / MEAN / (allowed + 2 * allowed**0.5 + 2)
 
-    def used(self):
-        """The part of the budgets of all cold workers that they were sent."""
+    def used_budget(self):
+        """Return the work sent to all cold workers as a share of their budgets."""
         step = SETTINGS["fall_for"] // 10
         allowed = sum(self.allowed(w, at) / 10 for w in self.cold for at in range(FALL, END, step))
         return sum(work for w in self.cold for _, work in self.sent[w]) / MEAN / allowed
@@ -187,12 +187,14 @@
         (230, 40, False, 0.8, 7, False),
     ],
 )
-def test_all_together_keep_warming_workers_under_their_limit(dispatchers, workers, even, load, anew, joining):
+def test_all_dispatchers_together_keep_cold_workers_under_their_limit(
+    dispatchers, workers, even, load, anew, joining
+):
     world = World(dispatchers, workers, even, load, anew, joining)
-    assert world.worst() <= 1.0
-    assert world.used() > 0.01  # they are not kept whole by being left out
+    assert world.worst_window() <= 1.0
+    assert world.used_budget() > 0.01  # cold workers are not just left out
 
 
-def test_a_build_without_the_budget_is_caught(monkeypatch):
+def test_scheduler_without_budget_exceeds_the_limit(monkeypatch):
     monkeypatch.setattr(SlowStart, "within_budget", lambda self, worker, job, now: True)
-    assert World(30, 40, True, 0.9).worst() > 1.0
+    assert World(30, 40, True, 0.9).worst_window() > 1.0
