--- a/mastledge/scheduling/admission.py
+++ b/mastledge/scheduling/admission.py
@@ -55,7 +55,7 @@
         self.sustained_pressure = min(sustained, MOST_PRESSURE)
         self.pressure = min(self.sustained_pressure + max(excess, 0.0) / 2, MOST_PRESSURE)
 
-    def sheds(self, job: Job, wait: float, worker: Worker, now: int) -> bool:
+    def should_shed(self, job: Job, wait: float, worker: Worker, now: int) -> bool:
         """Return whether to reject a job that would wait this long on the worker selected for it."""
         time_left = slack(job, now, slowness(worker, now, self._settings))
         value = job.queue_type.utility / self.best_utility
--- a/mastledge/scheduling/eligibility.py
+++ b/mastledge/scheduling/eligibility.py
@@ -24,7 +24,7 @@
         group = queue_type.group
         if group_of and group != "all" and getattr(worker, group) != getattr(group_of, group):
             return False
-        if worker.ejections and self._outliers.keeps_out(worker, job, now):
+        if worker.ejections and self._outliers.is_kept_out(worker, job, now):
             return False
         if job.launches and self._was_tried(worker, job):
             return False
--- a/mastledge/scheduling/hedging.py
+++ b/mastledge/scheduling/hedging.py
@@ -74,7 +74,7 @@
         share = share_under_pressure if self._admission.pressure else normal_share
         self.budget = min(1 + share * self._traffic.arrival_rate, self.budget + share)
 
-    def first_look(self, launch: Launch, now: int) -> int:
+    def first_check_at(self, launch: Launch, now: int) -> int:
         """Return when to check a launch that was just sent, where workers report starts."""
         # Not started within a free worker's start lag: other load must be ahead of it.
         worker, settings = launch.worker, self._settings
--- a/mastledge/scheduling/launching.py
+++ b/mastledge/scheduling/launching.py
@@ -47,6 +47,6 @@
         job.in_flight += 1
         self._slow_start.charge(worker, job, now)
         if settings["tells_start"]:
-            end = self._monitor.first_look(launch, now)
+            end = self._monitor.first_check_at(launch, now)
         self._timers.set(end, launch)
         return LaunchJob(job.id, worker.id, 0 if until is None else until - now)
--- a/mastledge/scheduling/other_load.py
+++ b/mastledge/scheduling/other_load.py
@@ -39,7 +39,7 @@
                     break
         return load
 
-    def is_told(self) -> bool:
+    def any_reported(self) -> bool:
         """Return whether any worker reported its load or any dispatcher gossiped."""
         return bool(self._reports.free_slot_counts or self._gossip.peers)
 
--- a/mastledge/scheduling/outliers.py
+++ b/mastledge/scheduling/outliers.py
@@ -83,7 +83,7 @@
         ejections = [worker.ejections for worker in self._fleet.ready if worker.ejections]
         self.counts = Counter(chain.from_iterable(ejections))
 
-    def keeps_out(self, worker: Worker, job: Job, now: int) -> bool:
+    def is_kept_out(self, worker: Worker, job: Job, now: int) -> bool:
         """Return whether an ejection keeps the job off the worker now."""
         ejections, queue_type, ready = worker.ejections, job.queue_type, len(self._fleet.ready)
         own_reasons = (LOST_OR_SILENT, CONNECTION_REFUSED, queue_type.name)
--- a/mastledge/scheduling/scheduler.py
+++ b/mastledge/scheduling/scheduler.py
@@ -316,7 +316,7 @@
         if best is None:
             return self._hold(job, now, limits)
         self.admission.update_pressure(now)
-        if not job.launches and self.admission.sheds(job, wait, best, now):
+        if not job.launches and self.admission.should_shed(job, wait, best, now):
             return self.reject_or_kill(job, wait)
         if job.in_flight:
             self.monitor.budget -= 1
--- a/mastledge/scheduling/selection.py
+++ b/mastledge/scheduling/selection.py
@@ -66,7 +66,7 @@
         fetch_time = self._affinity.fetch_time
         load, late, key = job.load, int(job.variation), job.key
         upper_bound = job.mean + job.variation
-        has_reports = self._other_load.is_told()
+        has_reports = self._other_load.any_reported()
         candidates, homes = self._candidates(special), self._affinity.homes_of(key)
         fewest_seen, most_seen = max(FEWEST_LOOKED_AT, len(subset.members)), subset.most_looked_at
         ranked, least = [], None
