--- a/mastledge/scheduling/affinity.py
+++ b/mastledge/scheduling/affinity.py
@@ -13,7 +13,7 @@
 
 MOST_SHARE_OF_KEYS = 1.1  # times an equal share of the work, above which a worker gets no more keys
 HASH_MULTIPLIER, HASH_VALUES = 0x9E3779B1, 1 << 32
-WANTS_KEPT_OF_60 = 59  # decay of the work per key, in 60ths per second
+KEY_WORK_KEPT_OF_60 = 59  # decay of the work per key, in 60ths per second
 CACHED_RUNS = 2  # mean running times for which the data of the last key surely stays cached
 
 
@@ -35,7 +35,7 @@
         """Add the work of a job with this key."""
         self.key_work[key] += work
 
-    def add_wants(self, wants: Iterable[tuple[int, float]]) -> None:
+    def add_key_work(self, wants: Iterable[tuple[int, float]]) -> None:
         """Add the work per key that another dispatcher reported, as (key, work)."""
         self.key_work.update(dict(wants))
 
@@ -96,6 +96,6 @@
         if not self.key_work:
             return
         kept = self.key_work.most_common(MOST_KEYS)
-        self.key_work = Counter({key: work * WANTS_KEPT_OF_60 / 60 for key, work in kept})
+        self.key_work = Counter({key: work * KEY_WORK_KEPT_OF_60 / 60 for key, work in kept})
         self.orders = {key: self.orders[key] for key in self.key_work if key in self.orders}
         self.assign_homes()
--- a/mastledge/scheduling/gossip.py
+++ b/mastledge/scheduling/gossip.py
@@ -39,12 +39,12 @@
         self._settings, self._fleet = settings, fleet
         self.peers: dict[int, PeerLoad] = {}
         self.message_at, self.interval = None, 0
-        self.untold_wants: Counter = Counter()
+        self.unsent_key_work: Counter = Counter()
 
     def job_arrived(self, key: int, work: float, now: int) -> None:
         """Add the work of a job with this key (0: no key), and schedule a message."""
-        if key and len(self.untold_wants) < MOST_KEYS:
-            self.untold_wants[key] += work
+        if key and len(self.unsent_key_work) < MOST_KEYS:
+            self.unsent_key_work[key] += work
         if self.message_at is None and self.interval:
             self.message_at = now + self.interval
 
@@ -82,8 +82,8 @@
         """Return the loads of the busiest workers, and the keys with the most work since the last message."""
         busiest = sorted(self._fleet.ready, key=lambda worker: -worker.load)[:MOST_LOADS]
         loads = [(worker.name_hash, worker.load) for worker in busiest if worker.load]
-        most_wanted = self.untold_wants.most_common(MOST_WANTS)
-        return loads, [(key, self.untold_wants.pop(key)) for key, _ in most_wanted]
+        most_wanted = self.unsent_key_work.most_common(MOST_WANTS)
+        return loads, [(key, self.unsent_key_work.pop(key)) for key, _ in most_wanted]
 
     def survey(self, arrival_rate: float) -> None:
         """Set the interval between messages for this arrival rate (jobs per second), once a second."""
--- a/mastledge/scheduling/scheduler.py
+++ b/mastledge/scheduling/scheduler.py
@@ -146,7 +146,7 @@
     ) -> None:
         """Apply a load message: another dispatcher's load on each worker, and its recent work per key."""
         if self.gossip.receive(now, sender, told_at, loads):
-            self.affinity.add_wants(wants)
+            self.affinity.add_key_work(wants)
 
     def reconfigure(self, now: int, settings: dict) -> None:
         """Apply new settings; open jobs keep the terms they arrived with, and learned state is kept."""
--- a/tests/test_load_messages.py
+++ b/tests/test_load_messages.py
@@ -173,7 +173,7 @@
     dispatcher.fade(1_000_000)
     key_tables = (
         dispatcher.affinity.key_work,
-        dispatcher.gossip.untold_wants,
+        dispatcher.gossip.unsent_key_work,
         dispatcher.affinity.orders,
         dispatcher.affinity.homes,
     )
