--- a/mastledge/scheduling/selection.py
+++ b/mastledge/scheduling/selection.py
@@ -12,7 +12,7 @@
 from mastledge.scheduling.subset import CandidateSubset
 
 FETCH_CONTENTION_WEIGHT = 8  # a fetch evicts another key, which must be fetched again, so it counts more
-FEWEST_LOOKED_AT = 4
+MIN_CONSIDERED = 4
 
 
 class WorkerSelector:
@@ -68,7 +68,7 @@
         upper_bound = job.mean + job.variation
         has_reports = self._other_load.any_reported()
         candidates, homes = self._candidates(special), self._affinity.homes_of(key)
-        fewest_seen, most_seen = max(FEWEST_LOOKED_AT, len(subset.members)), subset.most_looked_at
+        fewest_seen, most_seen = max(MIN_CONSIDERED, len(subset.members)), subset.max_considered
         ranked, least = [], None
         for seen, worker in enumerate(candidates):
             # Looks beyond the subset only while no worker is free, and no further than the CPU budget allows.
--- a/mastledge/scheduling/subset.py
+++ b/mastledge/scheduling/subset.py
@@ -9,29 +9,29 @@
 from mastledge.scheduling.state import Worker
 
 SMALLEST_SUBSET = 6
-SMALLEST_LOOK = 4
-LOOK_AT_WORKER_CPU_US = 0.2  # CPU time to rank a worker, in the unit of the CPU settings
+MIN_CONSIDERED = 4
+RANK_WORKER_CPU_US = 0.2  # CPU time to rank a worker, in the unit of the CPU settings
 DRAWS_PER_MEMBER = 8
 
 
 class CandidateSubset:
     """The workers that are considered first.
 
-    `members`: these workers. `looks_past`: whether there are others. `most_looked_at`: how many workers may
+    `members`: these workers. `looks_past`: whether there are others. `max_considered`: how many workers may
     be considered for a job within the CPU budget.
     """
 
     def __init__(self, settings: dict, random: RandomSource, fleet: FleetView):
         """Start without members until the first `survey`."""
         self._settings, self._random, self._fleet = settings, random, fleet
-        self.members, self.looks_past, self.most_looked_at = [], False, SMALLEST_LOOK
+        self.members, self.looks_past, self.max_considered = [], False, MIN_CONSIDERED
 
     def survey(self, arrival_rate: float) -> None:
         """Update the members for this arrival rate (jobs per second), once a second."""
         ready = self._fleet.ready
-        self.most_looked_at = self._affordable_looks(arrival_rate)
+        self.max_considered = self._affordable_looks(arrival_rate)
         # As many workers as get two jobs each within the idle timeout of a connection.
-        usable = min(int(arrival_rate * self._settings["conn_idle"] / 2e6), self.most_looked_at)
+        usable = min(int(arrival_rate * self._settings["conn_idle"] / 2e6), self.max_considered)
         size = max(SMALLEST_SUBSET, usable)
         self.looks_past, size = size < len(ready), min(size, len(ready))
         kept = [worker for worker in self.members if worker in ready and not worker.ejections]
@@ -50,7 +50,7 @@
         budgets = [limit for limit in limits if limit]
         if not budgets:
             return len(self._fleet.ready)
-        return max(SMALLEST_LOOK, int(min(budgets) / 2 / LOOK_AT_WORKER_CPU_US))
+        return max(MIN_CONSIDERED, int(min(budgets) / 2 / RANK_WORKER_CPU_US))
 
     def _fill(self, size: int) -> None:
         """Draw members with their declared size as weight; the number of draws is limited."""
--- a/tests/test_worker_selection.py
+++ b/tests/test_worker_selection.py
@@ -282,7 +282,7 @@
     for job in range(400):
         arrive(dispatcher, 0, job)
     dispatcher.survey()
-    assert len(dispatcher.subset.members) == dispatcher.subset.most_looked_at < 60
+    assert len(dispatcher.subset.members) == dispatcher.subset.max_considered < 60
 
 
 def test_waiting_launch_is_checked_at_growing_intervals():
