--- a/mastledge/scheduling/admission.py
+++ b/mastledge/scheduling/admission.py
@@ -14,7 +14,7 @@
 
 RECENT_WAITS = 9  # recent starts whose waits indicate overload
 PRESSURE_RISE_US = 4_000_000  # time over which sustained waits raise the pressure
-MOST_PRESSURE = 0.9
+MAX_PRESSURE = 0.9
 FADING_JOBS = 4  # mean running times after which a wait counts half
 FIRST_VALUE = 0.5
 
@@ -52,8 +52,8 @@
         waits = [min(wait / (1 + (now - at) / half_life), max_wait) for wait, at in self.start_waits]
         excess = sum(waits) / len(waits) / max_wait - 0.5
         sustained = max(self.sustained_pressure + excess * elapsed / PRESSURE_RISE_US, 0.0)
-        self.sustained_pressure = min(sustained, MOST_PRESSURE)
-        self.pressure = min(self.sustained_pressure + max(excess, 0.0) / 2, MOST_PRESSURE)
+        self.sustained_pressure = min(sustained, MAX_PRESSURE)
+        self.pressure = min(self.sustained_pressure + max(excess, 0.0) / 2, MAX_PRESSURE)
 
     def should_shed(self, job: Job, wait: float, worker: Worker, now: int) -> bool:
         """Return whether to reject a job that would wait this long on the worker selected for it."""
--- a/mastledge/scheduling/affinity.py
+++ b/mastledge/scheduling/affinity.py
@@ -7,11 +7,11 @@
 from collections.abc import Iterable
 from zlib import crc32
 
-from mastledge.scheduling.estimation import MOST_KEYS, Estimate, FleetEstimates
+from mastledge.scheduling.estimation import MAX_KEYS, Estimate, FleetEstimates
 from mastledge.scheduling.fleet_view import FleetView
 from mastledge.scheduling.state import Launch, Worker
 
-MOST_SHARE_OF_KEYS = 1.1  # times an equal share of the work, above which a worker gets no more keys
+MAX_SHARE_OF_KEYS = 1.1  # times an equal share of the work, above which a worker gets no more keys
 HASH_MULTIPLIER, HASH_VALUES = 0x9E3779B1, 1 << 32
 KEY_WORK_KEPT_OF_60 = 59  # decay of the work per key, in 60ths per second
 CACHED_RUNS = 2  # mean running times for which the data of the last key surely stays cached
@@ -84,7 +84,7 @@
         for key, work in self.key_work.most_common():
             share, order = work / total_work, self.order(key)
             count = 1 + int(share * workers)
-            max_share = MOST_SHARE_OF_KEYS / workers if workers else 0.0
+            max_share = MAX_SHARE_OF_KEYS / workers if workers else 0.0
             homes = [worker for worker in order if share_of_worker[worker] + share / count <= max_share][
                 :count
             ]
@@ -92,10 +92,10 @@
             share_of_worker.update(dict.fromkeys(homes, share / count))
 
     def fade(self) -> None:
-        """Decay the work per key once a second, and keep only the `MOST_KEYS` keys with the most work."""
+        """Decay the work per key once a second, and keep only the `MAX_KEYS` keys with the most work."""
         if not self.key_work:
             return
-        kept = self.key_work.most_common(MOST_KEYS)
+        kept = self.key_work.most_common(MAX_KEYS)
         self.key_work = Counter({key: work * KEY_WORK_KEPT_OF_60 / 60 for key, work in kept})
         self.orders = {key: self.orders[key] for key in self.key_work if key in self.orders}
         self.assign_homes()
--- a/mastledge/scheduling/estimation.py
+++ b/mastledge/scheduling/estimation.py
@@ -7,7 +7,7 @@
 
 GAIN = 0.125  # weight of the newest sample (alpha and beta in the paper)
 VARIATION_MULTIPLIER = 1.0  # variations between mean and upper bound (kappa in the paper)
-MOST_KEYS = 4096  # keys with an estimate; a new key replaces the oldest
+MAX_KEYS = 4096  # keys with an estimate; a new key replaces the oldest
 START_LAG_STEPS = 4.0  # initial estimate of the start lag, in clock steps
 LEAST_MEAN_US = 1.0
 
@@ -62,7 +62,7 @@
         """Return the key's estimate; a new key starts at the mean of the others."""
         estimate = self.by_key.get(key)
         if estimate is None:
-            if len(self.by_key) >= MOST_KEYS:
+            if len(self.by_key) >= MAX_KEYS:
                 del self.by_key[next(iter(self.by_key))]
             others = list(self.by_key.values()) or [queue_type.running_time]
             estimate = self.by_key[key] = Estimate(
--- a/mastledge/scheduling/fleet_view.py
+++ b/mastledge/scheduling/fleet_view.py
@@ -8,7 +8,7 @@
 
 FIRST_SLOTS = 8.0  # initial slots of a worker while no other worker is known (as in the paper)
 FIRST_POLL_STEPS = 100  # clock steps over which first polls are spread
-RETRY_US, MOST_DOUBLINGS = 250_000, 6
+RETRY_US, MAX_DOUBLINGS = 250_000, 6
 RETRY_WITHOUT_LIMIT_US, POLL_WITHOUT_LIMIT_US = 1_000_000, 5_000_000
 
 
@@ -101,7 +101,7 @@
         """Schedule a retry after a backoff with jitter, well within the `ask_within` setting."""
         self._failures += 1
         max_backoff = self._settings["ask_within"] // 4 or RETRY_WITHOUT_LIMIT_US
-        backoff = min((1 << min(self._failures, MOST_DOUBLINGS)) * RETRY_US, max_backoff)
+        backoff = min((1 << min(self._failures, MAX_DOUBLINGS)) * RETRY_US, max_backoff)
         self.ask_at = now + int(backoff * (0.5 + self._random.chance() / 2))
 
     def answered(self) -> None:
--- a/mastledge/scheduling/gossip.py
+++ b/mastledge/scheduling/gossip.py
@@ -8,14 +8,14 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from mastledge.scheduling.estimation import MOST_KEYS
+from mastledge.scheduling.estimation import MAX_KEYS
 from mastledge.scheduling.fleet_view import FleetView
 
 PRICE_SHARE = 0.005  # share of all utility that messages may cost
 SHORTEST_INTERVAL_US = 100_000
 LONGEST_INTERVAL_US = 2_000_000  # above it messages would be too old to be useful
 EXPIRY_INTERVALS = 2  # longest intervals after which the load of a silent dispatcher is dropped
-MOST_LOADS, MOST_WANTS = 30, 9  # entries in a message
+MAX_LOADS, MAX_WANTS = 30, 9  # entries in a message
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 
     def job_arrived(self, key: int, work: float, now: int) -> None:
         """Add the work of a job with this key (0: no key), and schedule a message."""
-        if key and len(self.unsent_key_work) < MOST_KEYS:
+        if key and len(self.unsent_key_work) < MAX_KEYS:
             self.unsent_key_work[key] += work
         if self.message_at is None and self.interval:
             self.message_at = now + self.interval
@@ -80,9 +80,9 @@
 
     def message(self) -> tuple[list, list]:
         """Return the loads of the busiest workers, and the keys with the most work since the last message."""
-        busiest = sorted(self._fleet.ready, key=lambda worker: -worker.load)[:MOST_LOADS]
+        busiest = sorted(self._fleet.ready, key=lambda worker: -worker.load)[:MAX_LOADS]
         loads = [(worker.name_hash, worker.load) for worker in busiest if worker.load]
-        most_wanted = self.unsent_key_work.most_common(MOST_WANTS)
+        most_wanted = self.unsent_key_work.most_common(MAX_WANTS)
         return loads, [(key, self.unsent_key_work.pop(key)) for key, _ in most_wanted]
 
     def survey(self, arrival_rate: float) -> None:
--- a/mastledge/scheduling/learning.py
+++ b/mastledge/scheduling/learning.py
@@ -3,16 +3,16 @@
 from mastledge.scheduling.affinity import KeyAffinity
 from mastledge.scheduling.estimation import GAIN, FleetEstimates
 from mastledge.scheduling.other_load import OtherLoad
-from mastledge.scheduling.outcomes import COMPLETED, NOT_THE_WORKERS_DOING, REJECTED, Outcome
+from mastledge.scheduling.outcomes import COMPLETED, NOT_CAUSED_BY_WORKER, REJECTED, Outcome
 from mastledge.scheduling.outliers import CONNECTION_REFUSED, LOST_OR_SILENT, OutlierDetector
 from mastledge.scheduling.prediction import learn_slowness, slowness
 from mastledge.scheduling.state import Launch
 from mastledge.scheduling.traffic import Traffic
 
-LATE_NEWS_STEPS = 2  # clock steps after which an end counts as processed late
+LATE_END_STEPS = 2  # clock steps after which an end counts as processed late
 MEAN_WORK_GAIN = GAIN / 8
-MOST_FETCHES = 4  # cap of a fetch time sample, in mean fetch times
-MOST_RUNS = 8  # cap of a hinted job's running time sample, in estimated running times
+MAX_FETCHES = 4  # cap of a fetch time sample, in mean fetch times
+MAX_RUNS = 8  # cap of a hinted job's running time sample, in estimated running times
 REASONS = {Outcome.UNREACHABLE: CONNECTION_REFUSED, Outcome.LOST: LOST_OR_SILENT}
 
 
@@ -34,7 +34,7 @@
 
     def learn(self, launch: Launch, outcome: Outcome, lag: int, now: int) -> None:
         """Learn from the outcome of a launch that ended `lag` after it was sent."""
-        if outcome in NOT_THE_WORKERS_DOING:
+        if outcome in NOT_CAUSED_BY_WORKER:
             return
         worker = launch.worker
         if outcome == COMPLETED:
@@ -54,7 +54,7 @@
     def _learn_completed(self, launch, lag: int, now: int) -> None:
         job, worker, estimates = launch.job, launch.worker, self._estimates
         # A stall of the host that delayed processing the end must not count as running time.
-        processed_late = now - launch.sent_at - lag > LATE_NEWS_STEPS * self._settings["step"]
+        processed_late = now - launch.sent_at - lag > LATE_END_STEPS * self._settings["step"]
         end = launch.sent_at + lag if processed_late else now
         run = max(1, end - (launch.started_at or launch.sent_at))
         slow = slowness(worker, now, self._settings)
@@ -68,7 +68,7 @@
         job.queue_type.running_time.learn(run)
         if launch.uncontended and launch.fetch_time:
             fetch = self._affinity.fetch
-            fetch.learn(min(max(0.0, run / slow - job.mean), MOST_FETCHES * fetch.mean))
+            fetch.learn(min(max(0.0, run / slow - job.mean), MAX_FETCHES * fetch.mean))
         elif launch.uncontended and launch.fetch_certain:
             self._learn_running_time(launch, run, slow)
 
@@ -76,7 +76,7 @@
         """Learn the hint ratio and the key's running time from a job that met no contention and no fetch."""
         job, queue_type = launch.job, launch.job.queue_type
         if job.hint:
-            sample, mean = min(run / slow, MOST_RUNS * launch.mean) / job.hint, queue_type.hint_ratio.mean
+            sample, mean = min(run / slow, MAX_RUNS * launch.mean) / job.hint, queue_type.hint_ratio.mean
             # A small hint gets less weight, as even a short wait is many times as long.
             weight = min(1.0, job.hint / queue_type.running_time.mean) if job.key else 1.0
             queue_type.hint_ratio.learn(mean + (sample - mean) * weight)
--- a/mastledge/scheduling/load_reports.py
+++ b/mastledge/scheduling/load_reports.py
@@ -8,7 +8,7 @@
 from mastledge.scheduling.fleet_view import FleetView
 from mastledge.scheduling.state import Launch
 
-MOST_FREE_SLOTS, MOST_BACKLOG = 1e4, 1e6  # higher values are ignored as invalid
+MAX_FREE_SLOTS, MAX_BACKLOG = 1e4, 1e6  # higher values are ignored as invalid
 NOISY_REPORTS = 50  # a value seen in at most one of this many reports is noise
 
 
@@ -32,7 +32,7 @@
             return
         worker, values = launch.worker, dict(zip(self._settings["report_fields"], report, strict=False))
         free, backlog = values.get("free_slots", -1.0), values.get("backlog", 0.0)
-        is_invalid = not (0 <= free < MOST_FREE_SLOTS and 0 <= backlog < MOST_BACKLOG)
+        is_invalid = not (0 <= free < MAX_FREE_SLOTS and 0 <= backlog < MAX_BACKLOG)
         # Unchanged values are the same report repeated, only older.
         if report == worker.last_report or is_invalid:
             return
--- a/mastledge/scheduling/outcomes.py
+++ b/mastledge/scheduling/outcomes.py
@@ -35,7 +35,7 @@
 REJECTED = frozenset({Outcome.FULL, Outcome.DOUBTED})
 GIVEN_UP = frozenset({Outcome.REVOKED, Outcome.TIMEOUT})
 # Not caused by the worker: the dispatcher gave up, or the connection had been idle.
-NOT_THE_WORKERS_DOING = frozenset({Outcome.TIMEOUT, Outcome.REVOKED, Outcome.UNSENT, Outcome.DROPPED})
+NOT_CAUSED_BY_WORKER = frozenset({Outcome.TIMEOUT, Outcome.REVOKED, Outcome.UNSENT, Outcome.DROPPED})
 
 
 def may_have_run(outcome: Outcome) -> bool:
--- a/mastledge/scheduling/prediction.py
+++ b/mastledge/scheduling/prediction.py
@@ -11,7 +11,7 @@
 from mastledge.scheduling.state import Job, Launch, Worker
 
 SECOND_US = 1_000_000
-MOST_RATIO = 8.0  # cap of a slowness sample, as a multiple of the present slowness
+MAX_RATIO = 8.0  # cap of a slowness sample, as a multiple of the present slowness
 FADING_JOBS = 16  # mean running times in which learned slowness decays
 FREE_START_LAGS, FREE_START_STEPS = 3, 4  # a start later than this many lags and clock steps has waited
 
@@ -30,7 +30,7 @@
     """Learn from a running time on the worker, as a ratio to that on the mean worker."""
     # The slowdown assumed during slow start must not be learned as slowness as well.
     ratio *= least_warmth(worker, now, settings)
-    worker.slow += GAIN * (min(ratio, MOST_RATIO * worker.slow) - worker.slow)
+    worker.slow += GAIN * (min(ratio, MAX_RATIO * worker.slow) - worker.slow)
 
 
 def fade_slowness(workers: list, mean_running_time: float) -> None:
--- a/mastledge/scheduling/traffic.py
+++ b/mastledge/scheduling/traffic.py
@@ -1,7 +1,7 @@
 """Arrivals by tenant and completed work, smoothed over about twelve seconds."""
 
 FADING_SECONDS = 12
-KEPT = 11 / FADING_SECONDS  # decay factor of completed work per second
+COMPLETED_WORK_KEPT = 11 / FADING_SECONDS  # decay factor of completed work per second
 COMPLETED_RATE_KEPT = 0.99  # the completed rate falls at most by this factor per second
 LEAST_ARRIVALS_PER_S = 1.0
 
@@ -34,7 +34,7 @@
     def fade(self) -> None:
         """Decay arrivals and completed work, once a second."""
         self.arrivals = [count * 11 / FADING_SECONDS for count in self.arrivals]
-        self.completed_work *= KEPT
+        self.completed_work *= COMPLETED_WORK_KEPT
         self.seconds += 1 - self.seconds / FADING_SECONDS
 
     def survey(self) -> None:
