--- a/mastledge/scheduling/fleet_view.py
+++ b/mastledge/scheduling/fleet_view.py
@@ -30,7 +30,7 @@
         self.ready: list[Worker] = []
         self.ready_by_name_hash: dict[int, Worker] = {}
         # By worker id as text: workers excluded by an operator, and when an exclusion was last undone.
-        self.excluded, self.called_back = (), {}
+        self.excluded, self.readmitted_at = (), {}
 
     def update(self, now: int, whole: bool, entries: Iterable[tuple]) -> None:
         """Apply entries of the endpoint list; workers missing from a whole list are gone."""
@@ -47,15 +47,15 @@
         }
         self._refresh_ready()
 
-    def set_excluded(self, now: int, excluded: Collection[str], called_back: dict[str, int]) -> None:
+    def set_excluded(self, now: int, excluded: Collection[str], readmitted_at: dict[str, int]) -> None:
         """Set the excluded workers, which get no jobs, and the times at which exclusions were undone.
 
         A worker whose exclusion was undone begins an incarnation, as it may have been restarted meanwhile.
         """
-        self.excluded, self.called_back = excluded, called_back
+        self.excluded, self.readmitted_at = excluded, readmitted_at
         for worker in self.workers.values():
-            if called_back.get(str(worker.id), 0) > worker.born:
-                worker.begin_incarnation(called_back[str(worker.id)], now)
+            if readmitted_at.get(str(worker.id), 0) > worker.born:
+                worker.begin_incarnation(readmitted_at[str(worker.id)], now)
         self._refresh_ready()
 
     def count_skipped(self, now: int) -> int:
@@ -67,7 +67,7 @@
         )
 
     def _apply_entry(self, now, zone, worker_id, state, born, kind, cell, units):  # noqa: PLR0913 - the fields of a list entry
-        worker, born = self.workers.get(worker_id), max(born, self.called_back.get(str(worker_id), 0))
+        worker, born = self.workers.get(worker_id), max(born, self.readmitted_at.get(str(worker_id), 0))
         if worker is None:
             others = [other.slots for other in self.ready] or [FIRST_SLOTS]
             worker = self.workers[worker_id] = Worker(worker_id, sum(others) / len(others), born, now)
@@ -83,37 +83,37 @@
 
 
 class EndpointPoll:
-    """Schedules polls of the endpoint list. `ask_at`: time of the next poll; None: changes are pushed."""
+    """Schedules polls of the endpoint list. `poll_at`: time of the next poll; None: changes are pushed."""
 
     def __init__(self, settings: dict, random: RandomSource):
         """Start with no poll due; `begin` schedules the first one."""
         self._settings, self._random = settings, random
-        self.ask_at, self._failures = None, 0
+        self.poll_at, self._failures = None, 0
 
     def begin(self, now: int) -> None:
         """Start over: schedule the first poll, unless the settings say that the list is pushed."""
-        self.ask_at, self._failures = None, 0
+        self.poll_at, self._failures = None, 0
         if self._settings["follow"] != "pushed":
             # Jitter, so that dispatchers restarted together do not poll at the same time.
-            self.ask_at = now + int(self._random.chance() * FIRST_POLL_STEPS * self._settings["step"])
+            self.poll_at = now + int(self._random.chance() * FIRST_POLL_STEPS * self._settings["step"])
 
     def failed(self, now: int) -> None:
         """Schedule a retry after a backoff with jitter, well within the `ask_within` setting."""
         self._failures += 1
         max_backoff = self._settings["ask_within"] // 4 or RETRY_WITHOUT_LIMIT_US
         backoff = min((1 << min(self._failures, MAX_DOUBLINGS)) * RETRY_US, max_backoff)
-        self.ask_at = now + int(backoff * (0.5 + self._random.chance() / 2))
+        self.poll_at = now + int(backoff * (0.5 + self._random.chance() / 2))
 
     def answered(self) -> None:
         """Stop polling: the list was received, and its changes will be pushed."""
-        self.ask_at, self._failures = None, 0
+        self.poll_at, self._failures = None, 0
 
     def is_due(self, now: int) -> bool:
-        """Return whether to poll now; `ask_at` must not be None.
+        """Return whether to poll now; `poll_at` must not be None.
 
         A poll schedules the next one, as its answer may be lost.
         """
-        if self.ask_at > now:
+        if self.poll_at > now:
             return False
-        self.ask_at = now + (self._settings["ask_within"] // 2 or POLL_WITHOUT_LIMIT_US)
+        self.poll_at = now + (self._settings["ask_within"] // 2 or POLL_WITHOUT_LIMIT_US)
         return True
--- a/mastledge/scheduling/scheduler.py
+++ b/mastledge/scheduling/scheduler.py
@@ -131,9 +131,9 @@
         self.fleet.update(now, kind != ListKind.CHANGES, entries)
         self.fleet_changed()
 
-    def set_excluded(self, now: int, excluded: Collection[str], called_back: dict[str, int]) -> None:
+    def set_excluded(self, now: int, excluded: Collection[str], readmitted_at: dict[str, int]) -> None:
         """Set the workers excluded by an operator, and when exclusions were undone, by worker id as text."""
-        self.fleet.set_excluded(now, excluded, called_back)
+        self.fleet.set_excluded(now, excluded, readmitted_at)
         self.fleet_changed()
 
     def load_message_received(  # noqa: PLR0913 - the fields of a load message
@@ -271,10 +271,10 @@
 
     def wake_at(self) -> int | None:
         """Return the latest time for the next call of `decide`; None: nothing is due."""
-        timer_at, ask_at, message_at = self.timers.next_due(), self.poll.ask_at, self.gossip.message_at
-        if ask_at is None and message_at is None:
+        timer_at, poll_at, message_at = self.timers.next_due(), self.poll.poll_at, self.gossip.message_at
+        if poll_at is None and message_at is None:
             return timer_at
-        return min(at for at in (timer_at, ask_at, message_at) if at is not None)
+        return min(at for at in (timer_at, poll_at, message_at) if at is not None)
 
     def decide(self, now: int) -> Decision | None:
         """Return the next decision; None: there is none now."""
@@ -282,7 +282,7 @@
             self.fade(now)
         # Checks for None save calls, as most decisions are neither polls nor load messages.
         poll, gossip = self.poll, self.gossip
-        if poll.ask_at is not None and poll.is_due(now):
+        if poll.poll_at is not None and poll.is_due(now):
             return FollowEndpoints()
         if gossip.message_at is not None and gossip.is_due(now, bool(self.jobs)):
             return SendLoadMessage(now, *gossip.message())
