--- a/mastledge/scheduling/fleet_view.py
+++ b/mastledge/scheduling/fleet_view.py
@@ -29,7 +29,7 @@
         self.workers: dict = {}
         self.ready: list[Worker] = []
         self.ready_by_name_hash: dict[int, Worker] = {}
-        # By worker id as text: workers excluded by an operator, and when an exclusion was last undone.
+        # By worker id as text: excluded by an operator, and when an exclusion was last undone.
         self.excluded, self.readmitted_at = (), {}
 
     def update(self, now: int, whole: bool, entries: Iterable[tuple]) -> None:
--- a/mastledge/scheduling/hedging.py
+++ b/mastledge/scheduling/hedging.py
@@ -125,7 +125,7 @@
         )
 
     def _is_hopeless(self, launch, now: int) -> bool:
-        """Return whether the launch has not started, can be revoked, and would end too late."""
+        """Return whether an unstarted, revocable launch is late, with pressure above its late utility."""
         settings, job = self._settings, launch.job
         queue_type = job.queue_type
         if queue_type.effect != RESTARTABLE or settings["parallel"] or launch.started_at:
--- a/mastledge/scheduling/slow_start.py
+++ b/mastledge/scheduling/slow_start.py
@@ -41,7 +41,7 @@
         self.capacity = 1.0
 
     def survey(self, queue_types: list, slots_are_reported: bool) -> None:
-        """Set the mean capacity, once a second, low enough not to overload a worker that warms up."""
+        """Set the mean capacity, once a second, without overestimating a worker that warms up."""
         ready = self._fleet.ready
         slots = sum(worker.peak for worker in ready) / len(ready) if ready else 1.0
         max_hint_ratio = max(queue_type.hint_ratio.mean for queue_type in queue_types)
