--- a/mastledge/replication/__init__.py
+++ b/mastledge/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Which dispatchers hold a key, when a claim on it holds, how a repeat finds it anywhere; without I/O."""
+"""Replication of idempotency keys: placement, claims, outcomes and catch-up, without I/O."""
--- a/mastledge/replication/catch_up.py
+++ b/mastledge/replication/catch_up.py
@@ -1,9 +1,9 @@
-"""Catch-up: a new replica reads the records that are to be its own from the current ones.
+"""Catch-up: a new replica reads the records it has to hold from the current replicas.
 
-Who is read refuses requests of earlier epochs from then on (the fence), before it tells what it has. So what
-a majority of the current replicas took by then is read, and what comes later needs a majority of the next
-replicas too. Where too many of the current replicas are lost, nothing that they promised is sure to be
-found: then the new one waits until all promises of that time are over.
+Before a replica sends its records it raises its fence: it refuses requests of earlier epochs from then on. So
+the new replica reads all that a majority of the current replicas has stored by then, and later requests need
+a majority of the next replicas too. If too many current replicas are lost, records may be unread; the new
+replica then waits until every claim and retention of that time has expired.
 """
 
 from __future__ import annotations
@@ -20,30 +20,30 @@
 if TYPE_CHECKING:
     from mastledge.replication.node import NodeOptions
 
-BATCH_RECORDS, BATCH_BYTES = 128, 1 << 18  # of one response; bytes are those of the answers in it
-# Keys looked at for one response: each costs two rankings, and a turn of the event loop has to stay short.
+BATCH_RECORDS, BATCH_BYTES = 128, 1 << 18  # limits of one response; bytes count the answers in it
+# Keys examined for one response: each is ranked twice, which must not hold up the event loop.
 BATCH_KEYS = 128
 RETRY_US = 200_000
 NO_EPOCH = -1
 
 
 class CatchUp:
-    """Reads the records of a new replica. Times are microseconds."""
+    """Reads the records that a new replica has to hold. Times are microseconds."""
 
     def __init__(self, options: NodeOptions, replica: Replica, outbox: Outbox):
-        """The replica takes up what is read; `options` say who it is and how long promises last."""
+        """Merge what is read into `replica`; `options` has its name, directory id and `promise_us`."""
         self._name, self._directory_id = options.name, options.directory_id
         self._promise_us, self._replica, self._outbox = options.promise_us, replica, outbox
         self._placement = Placement()
-        self._epoch = NO_EPOCH  # for which records are read
-        self._positions: dict[str, int] = {}  # up to which each current replica was read
+        self._epoch = NO_EPOCH  # of the placement for which records are read
+        self._positions: dict[str, int] = {}  # next position to read, by current replica
         self._read_whole: set[str] = set()
         self._is_done = False
         self._retry_at = self._promises_over_at = 0
         self.records_taken = 0
 
     def on_placement(self, now: int, placement: Placement) -> None:
-        """Begins anew with each placement by which this dispatcher is to be a replica."""
+        """Start the catch-up if the placement makes this dispatcher a new replica, else stop it."""
         self._placement = placement
         is_wanted = placement.next is not None and placement.next.get(self._name) == self._directory_id
         if not is_wanted or self._name in placement.caught_up:
@@ -61,49 +61,49 @@
             placement.keeps_records(self._name, self._directory_id)
             and placement.current.keys() == placement.next.keys()
         ):
-            # Others' data directories are new. This one has what it had, and needs none of it again.
+            # Only other dispatchers have new data directories; this one still has all its records.
             self._read_whole.update(placement.current)
 
     def on_disk_recovered(self) -> None:
-        """What waited for the disk is lost: it is done once that was committed."""
+        """Repeat the end of the catch-up, which was waiting for the disk, unless it is already committed."""
         self._is_done = self._is_done and self._name in self._placement.caught_up
 
     def wake_at(self) -> int | None:
-        """When `run` has something to do; None for never."""
+        """Return when `run` is due next, in microseconds, or None if it is not."""
         if self._epoch == NO_EPOCH or self._is_done:
             return None
         return min(self._retry_at, self._promises_over_at)
 
     def run(self, now: int) -> None:
-        """Ends the catch-up once enough is read, or asks again who has not answered."""
+        """End the catch-up once enough replicas are read, or repeat the requests without a response."""
         if self._epoch == NO_EPOCH or self._is_done:
             return
-        missing = self._unread()
-        if len(missing) <= self._placement.spare_replicas() or now >= self._promises_over_at:
+        unread = self._unread()
+        if len(unread) <= self._placement.spare_replicas() or now >= self._promises_over_at:
             self._is_done = True
             self._outbox.caught_up(self._epoch)
         elif now >= self._retry_at:
             self._retry_at = now + RETRY_US
-            for name in sorted(missing):
+            for name in sorted(unread):
                 self._ask(name)
 
     def _unread(self) -> set[str]:
-        this_one = self._name, self._directory_id
-        current = {name for name, id_ in self._placement.current.items() if (name, id_) != this_one}
+        this_dispatcher = self._name, self._directory_id
+        current = {name for name, id_ in self._placement.current.items() if (name, id_) != this_dispatcher}
         return current - self._read_whole
 
     def _ask(self, name: str) -> None:
         self._outbox.send(name, ScanRequest(self._epoch, self._positions.get(name, 0)))
 
     def on_response(self, now: int, sender: str, directory_id: str, response: ScanResponse) -> None:
-        """Takes up records; what was not asked for is ignored."""
+        """Merge the records of a response; ignore a response that was not requested."""
         if not self._is_expected(sender, directory_id, response):
             return
         try:
             for record in response.records:
                 self._replica.merge(now, record)
         except KeyTableFullError:
-            return  # it does not become a replica until there is room
+            return  # the catch-up goes on once the table has room
         self.records_taken += len(response.records)
         self._positions[sender] = response.next_position
         if response.last:
@@ -122,33 +122,33 @@
 
 
 class _Scan:
-    """How far one new replica has read. Keys that come later reach it as claims."""
+    """How far one new replica has read. Keys that are claimed after the start reach it as claims."""
 
     __slots__ = ("epoch", "scoped_keys", "skips_kept", "position", "next_index", "response")
 
     def __init__(self, epoch: int, scoped_keys: list[tuple[str, bytes]], skips_kept: bool):
         self.epoch, self.scoped_keys, self.skips_kept = epoch, scoped_keys, skips_kept
         self.position, self.next_index = 0, 0
-        self.response: ScanResponse | None = None  # the last one, for a repeated request
+        self.response: ScanResponse | None = None  # the last response, sent again if the request is repeated
 
 
 class ScanServer:
-    """Gives new replicas their records."""
+    """Serves records to new replicas."""
 
     def __init__(self, replica: Replica, outbox: Outbox, raise_fence: Callable[[int], None]):
-        """`raise_fence(epoch)` refuses requests of earlier epochs from then on."""
+        """Set `raise_fence(epoch)`, which makes this node refuse requests of earlier epochs."""
         self._replica, self._outbox, self._raise_fence = replica, outbox, raise_fence
         self._placement = Placement()
         self._scans: dict[str, _Scan] = {}
         self.records_given = 0
 
     def on_placement(self, placement: Placement) -> None:
-        """Forgets scans of earlier epochs."""
+        """Drop the scans of earlier epochs."""
         self._placement = placement
         self._scans = {name: scan for name, scan in self._scans.items() if scan.epoch == placement.epoch}
 
     def on_request(self, now: int, sender: str, directory_id: str, request: ScanRequest) -> None:
-        """Sends the next records, or the last ones again; a request of another epoch is ignored."""
+        """Send the next records, or the last ones again; ignore a request of another epoch."""
         placement = self._placement
         if request.epoch != placement.epoch or placement.next is None:
             return
@@ -174,14 +174,14 @@
             scoped_key = scan.scoped_keys[scan.next_index]
             scan.next_index += 1
             record = self._replica.table.records.get(scoped_key)
-            if record is not None and self._is_to_have(sender, scan, scoped_key):
+            if record is not None and self._has_to_hold(sender, scan, scoped_key):
                 records.append(self._replica.copy_of(now, record))
                 size_bytes += len(record.content)
         self.records_given += len(records)
         is_last = scan.next_index >= len(scan.scoped_keys)
         return ScanResponse(scan.epoch, scan.position, scan.next_index, records, is_last)
 
-    def _is_to_have(self, sender: str, scan: _Scan, scoped_key: tuple[str, bytes]) -> bool:
+    def _has_to_hold(self, sender: str, scan: _Scan, scoped_key: tuple[str, bytes]) -> bool:
         if scan.skips_kept and self._placement.is_current_replica(sender, *scoped_key):
             return False
         return self._placement.is_next_replica(sender, *scoped_key)
--- a/mastledge/replication/claim_resolution.py
+++ b/mastledge/replication/claim_resolution.py
@@ -1,7 +1,7 @@
-"""Finds out for a job what became of another job's claim on its key.
+"""Resolution of another job's claim on the same key, for a job that waits for its outcome.
 
-It asks the claim's owner, and now and then reads the replicas, as the owner may be lost. Where the claim was
-released the job makes a claim of its own.
+The dispatcher asks the owner of the claim and also reads the replicas from time to time, because the owner
+may be lost. If the claim was released, the waiting job makes a new claim.
 """
 
 from collections.abc import Callable, Mapping
@@ -23,17 +23,17 @@
 
 OWNER_QUERY_INTERVAL_US = 100_000
 READ_INTERVAL_US = 300_000
-MAX_CLAIMS = 8  # of one job, where others' are released before it
-CLAIM_BACKOFF_US = 20_000  # before a key is claimed again that several jobs claimed at once
+MAX_CLAIMS = 8  # of one job, when other claims on its key keep being released
+CLAIM_BACKOFF_US = 20_000  # before the next claim on a key that several jobs claimed at the same time
 
 DecideByRecords = Callable[[int, KeyedJob, Mapping[str, ReplicaResponse]], None]
 
 
 class ClaimResolution:
-    """Jobs that wait for a claim, or for the next one of their own. Times are microseconds."""
+    """Resolves the claims that jobs wait for, and retries their claims. Times are microseconds."""
 
     def __init__(self, services: CoordinatorServices):
-        """`connect` has to follow, as this part and the next ones need one another."""
+        """Create the part; `connect` has to be called before use, because the parts depend on each other."""
         self._names, self._jobs, self._calls = services.names, services.jobs, services.calls
         self._timers, self._jitter, self._send = services.timers, services.jitter, services.send
         self._make_claim: Callable[[int, KeyedJob], None] | None = None
@@ -42,18 +42,18 @@
     def connect(
         self, make_claim: Callable[[int, KeyedJob], None], decide_by_records: DecideByRecords
     ) -> None:
-        """Sets what is done once the claim was released, and with the records of replicas."""
+        """Set the callbacks that make a new claim and that decide by the records of replicas."""
         self._make_claim, self._decide_by_records = make_claim, decide_by_records
 
     def await_claim(self, now: int, job: KeyedJob, response: ReplicaResponse) -> None:
-        """Waits for a claim that replicas have told of."""
+        """Let the job wait for the claim in a replica's response."""
         job.phase, job.awaited_claim, job.last_read_at = JobPhase.AWAITING_CLAIM, response.claim_name, 0
         claim_deadline = now + response.remaining_us + 2 * OWNER_QUERY_INTERVAL_US
         self._timers.at(min(claim_deadline, job.deadline), self.on_deadline, job, job.awaited_claim)
         self._ask_owner(now, job, job.awaited_claim)
 
     def await_own_claim(self, now: int, job: KeyedJob, claimant: KeyedJob) -> None:
-        """Waits for a claim of this very dispatcher."""
+        """Let the job wait for a claim that this dispatcher owns."""
         job.phase, job.awaited_claim = JobPhase.AWAITING_CLAIM, claimant.claim_name
         if claimant.phase in OUTCOME_IS_OPEN:
             claimant.listeners.append(job)
@@ -61,14 +61,14 @@
             self.resolve(now, job, outcome_of(claimant))
 
     def on_owner_response(self, now: int, response: OwnerResponse) -> None:
-        """The owner's answer; one that is late may be of a claim that the job has awaited before."""
+        """Resolve the claim with the owner's response; ignore a late response about an earlier claim."""
         job = self._jobs.get(response.call_id)
         if job is not None and self._is_awaiting(job, response.claim_name):
             outcome = ClaimOutcome(response.claim_status, response.status, response.content)
             self.resolve(now, job, outcome)
 
     def resolve(self, now: int, job: KeyedJob, outcome: ClaimOutcome) -> None:
-        """The awaited claim has come to this."""
+        """Answer the job with the outcome of the awaited claim, or retry if the claim was released."""
         if job.is_closed or job.phase is not JobPhase.AWAITING_CLAIM:
             return
         status = outcome.claim_status
@@ -84,7 +84,7 @@
             self._retry_claim(now, job)
 
     def on_deadline(self, now: int, job: KeyedJob, claim_name: str) -> None:
-        """The claim's walltime is over, and nobody knows its outcome."""
+        """Answer the job as unsure: the walltime of the claim is over and its outcome is unknown."""
         if self._is_awaiting(job, claim_name):
             self._jobs.reply(job, Verdict.UNSURE)
 
@@ -93,7 +93,7 @@
         return not job.is_closed and job.phase is JobPhase.AWAITING_CLAIM and job.awaited_claim == claim_name
 
     def _ask_owner(self, now: int, job: KeyedJob, claim_name: str) -> None:
-        """Asks until there is an answer, and begins to read the replicas after a while."""
+        """Ask the owner until it answers; after the first read interval, also read the replicas."""
         if not self._is_awaiting(job, claim_name):
             return
         owner, incarnation = parse_claim_name(claim_name)
@@ -112,8 +112,8 @@
         if claimant is not None:
             self.await_own_claim(now, job, claimant)
         else:
-            is_of_this_run = incarnation == self._names.incarnation
-            self.resolve(now, job, RELEASED if is_of_this_run else UNKNOWN)
+            is_this_incarnation = incarnation == self._names.incarnation
+            self.resolve(now, job, RELEASED if is_this_incarnation else UNKNOWN)
 
     def _read_replicas(self, now: int, job: KeyedJob) -> None:
         if job.read_call is not None and not job.read_call.settled:
@@ -133,12 +133,12 @@
         if any(response.result is not ReplicaResult.CLAIMED for response in responses.values()):
             self._decide_by_records(now, job, responses)
         elif not responses:
-            # The claim was released, or its grants are on their way yet: only its owner can tell, so it is
-            # not added to the released ones.
+            # The claim was released, or its requests have not reached the replicas yet. Only its owner knows
+            # which, so the claim is not added to the released ones.
             self._retry_claim(now, job)
 
     def _on_read_failed(self, now: int, call: ReadCall) -> None:
-        """Neither the owner nor a quorum of the replicas can be reached."""
+        """Answer that there is no quorum: neither the owner nor enough replicas have responded."""
         if call.job.read_call is call and call.job.phase is JobPhase.AWAITING_CLAIM:
             self._jobs.reply(call.job, Verdict.NO_QUORUM)
 
--- a/mastledge/replication/coordinator.py
+++ b/mastledge/replication/coordinator.py
@@ -1,11 +1,11 @@
 """The owner of claims: claims the key of each job, distributes its outcome, and resolves repeats.
 
-A claim holds once a quorum of the key's replicas has granted it, each on its disk: two quorums have a replica
-in common, and that one grants a key once. Nothing is launched before. An outcome goes to all replicas, and
-the job is answered once a quorum has it. So whoever asks a quorum later hears of it, whatever machine is
-lost.
+A claim holds once a quorum of the key's replicas has granted it and has the grant on disk. Two quorums share
+a replica, which grants a key only once. The job is not launched before that. The outcome is sent to all
+replicas, and the job is answered once a quorum has stored it. So a later repeat that asks a quorum finds the
+outcome even if a machine is lost.
 
-A claim that only some replicas grant is released, and its job waits for what the other claim comes to.
+A claim that only some replicas grant is released, and its job waits for the outcome of the other claim.
 """
 
 from collections.abc import Mapping
@@ -29,22 +29,22 @@
 
 
 class CoordinatorHost(Protocol):
-    """What a coordinator needs of the node around it."""
+    """Interface that a coordinator needs of its node."""
 
-    directory_ids: Mapping[str, str]  # of each dispatcher, as last heard
+    directory_ids: Mapping[str, str]  # by dispatcher, as last received
 
     def send(self, recipient: str, message: Message) -> None:
-        """Sends to a dispatcher, this one included."""
+        """Send a message to any dispatcher, including this one."""
 
     def report(self, verdict: JobVerdict) -> None:
-        """Tells the host of the job."""
+        """Report the verdict on a job to the host."""
 
 
 class Coordinator:
-    """Puts the parts together and gives each of them its inputs. Times are microseconds."""
+    """Connects the parts and passes each input to the part concerned. Times are microseconds."""
 
     def __init__(self, host: CoordinatorHost, owner: str, incarnation: str, retention_us: int, seed: int):
-        """Outcomes are kept for `retention_us`; `seed` is of the jitter."""
+        """Create the parts; outcomes are kept for `retention_us`, `seed` is that of the jitter."""
         self._host = host
         self.timers = Timers()
         sequence = Sequence()
@@ -66,7 +66,7 @@
         self._outcomes = OutcomeDistribution(services, self._claims, self._listeners, retention_us)
 
     def offer(self, now: int, offer: Offer) -> None:
-        """A job with a key has arrived; a verdict on it follows."""
+        """Take a job with a key and claim the key; the verdict on the job is reported later."""
         if not is_valid_key(offer.key):
             invalid = verdicts.Verdict.INVALID_KEY
             status, content = verdicts.HTTP_STATUS[invalid], verdicts.EXPLANATION[invalid].encode()
@@ -84,41 +84,41 @@
             self.resolution.await_own_claim(now, job, claimant)
 
     def job_ended(self, now: int, ended: JobEnded) -> None:
-        """A job that was granted its key has ended."""
+        """Distribute the outcome of a job that was granted its key."""
         self._outcomes.job_ended(now, ended)
 
     def client_left(self, now: int, left: ClientLeft) -> None:
-        """Nobody waits for the job any more, or its time is over; one that runs is seen through."""
+        """Drop a job that no client waits for; the outcome of a running job is still distributed."""
         job = self._jobs.get(left.job_id)
         if job is None:
             return
         if job.phase in (JobPhase.AWAITING_CLAIM, JobPhase.WAITING):
             self._jobs.close(job)
         elif job.phase is JobPhase.CLAIMED:
-            # Its verdict came too late for it to be launched.
+            # The claim was granted too late for the job to be launched.
             self._outcomes.job_ended(now, JobEnded(left.job_id, JobOutcome.RELEASED))
         elif job.phase is JobPhase.CLAIMING:
             self._jobs.close(job)
             self._claims.abandon(now, job)
 
     def on_placement(self, now: int, placement: Placement) -> None:
-        """The fleet has committed other replicas."""
+        """Use a newly committed placement."""
         self._calls.on_placement(now, placement)
 
     def on_replica_response(
         self, now: int, sender: str, directory_id: str, response: ReplicaResponse
     ) -> None:
-        """A replica has answered a quorum call."""
+        """Count a replica's response to a quorum call."""
         self._calls.on_response(now, sender, directory_id, response)
 
     def on_owner_query(self, now: int, sender: str, query: OwnerQuery) -> None:
-        """Another dispatcher asks for a claim of this one."""
+        """Answer another dispatcher's query about a claim of this dispatcher."""
         self._listeners.on_query(now, sender, query)
 
     def on_owner_response(self, now: int, response: OwnerResponse) -> None:
-        """Another dispatcher tells what became of its claim."""
+        """Resolve a claim with its owner's response."""
         self.resolution.on_owner_response(now, response)
 
     def statistics(self) -> dict[str, int]:
-        """Figures for operators."""
+        """Return the statistics for operators."""
         return {**self._calls.statistics(), "under_way": self._jobs.open_count()}
--- a/mastledge/replication/existing_records.py
+++ b/mastledge/replication/existing_records.py
@@ -1,7 +1,7 @@
-"""Decides on a job by the records that replicas have of its key already.
+"""Decision on a job whose key already has records at the replicas.
 
-An answer is written back to a quorum before it is given again, as in the reads of Attiya, Bar-Noy and Dolev
-("Sharing memory robustly in message-passing systems", 1995): the copy that was read may be the last one.
+An answer is written back to a quorum before it is returned, as in the reads of Attiya, Bar-Noy and Dolev
+("Sharing memory robustly in message-passing systems", 1995): the copy that was read may be the only one left.
 """
 
 from collections.abc import Callable, Mapping
@@ -18,7 +18,7 @@
 
 
 class ExistingRecords:
-    """Takes responses {replica: response} of replicas; the one that knows most counts."""
+    """Decides on jobs by the responses of replicas; the response that knows most decides."""
 
     def __init__(
         self,
@@ -26,12 +26,15 @@
         directory_ids: Mapping[str, str],
         await_claim: Callable[[int, KeyedJob, ReplicaResponse], None],
     ):
-        """`await_claim(now, job, response)` lets a job wait; `directory_ids` are by name, as last heard."""
+        """Set `await_claim(now, job, response)`, which makes a job wait for another claim.
+
+        `directory_ids` has the last known directory id of each dispatcher.
+        """
         self._jobs, self._calls, self._timers = services.jobs, services.calls, services.timers
         self._directory_ids, self._await_claim = directory_ids, await_claim
 
     def decide(self, now: int, job: KeyedJob, responses: Mapping[str, ReplicaResponse]) -> None:
-        """Answers or refuses the job, or lets it wait."""
+        """Answer the job, refuse it, or let it wait; `responses` are by replica."""
         by_result: dict[ReplicaResult, list[ReplicaResponse]] = {}
         for response in responses.values():
             by_result.setdefault(response.result, []).append(response)
@@ -52,7 +55,7 @@
 
     @staticmethod
     def _is_other_request(job: KeyedJob, by_result: Mapping[ReplicaResult, list[ReplicaResponse]]) -> bool:
-        """Whether a record is of the key with another body."""
+        """Return whether a replica has a record of the key with another fingerprint."""
         return any(
             response.fingerprint and response.fingerprint != job.fingerprint
             for result in WITH_RECORD
--- a/mastledge/replication/inputs.py
+++ b/mastledge/replication/inputs.py
@@ -1,7 +1,7 @@
 """Inputs of a `Node`.
 
-They are msgspec structs and no dataclasses: one is made for each message, and a frozen dataclass takes four
-times as long to make.
+They are msgspec structs because each message creates one, and a frozen dataclass takes four times as long to
+create.
 """
 
 from enum import StrEnum
@@ -12,23 +12,23 @@
 
 
 class JobOutcome(StrEnum):
-    """How a job ended that had been granted its key."""
+    """How a job that was granted its key ended."""
 
     ANSWERED = "answered"
-    UNSURE = "unsure"  # it may have run
-    RELEASED = "dropped"  # nothing ran, or a retry is harmless
+    UNSURE = "unsure"  # the job may have run
+    RELEASED = "dropped"  # the job did not run, or a retry is harmless
 
 
 class Input(msgspec.Struct, frozen=True, gc=False):
-    """Something that has happened."""
+    """Base class of the inputs of a node."""
 
 
 class Tick(Input):
-    """Time has passed."""
+    """Time has passed; the step runs the timers that are due."""
 
 
 class Offer(Input):
-    """A job with a key has arrived. `remaining_us` is what is left of its walltime."""
+    """A job with a key has arrived. `remaining_us` is the rest of its walltime."""
 
     job_id: int
     tenant: str
@@ -38,7 +38,7 @@
 
 
 class JobEnded(Input):
-    """A job that was granted its key has ended; `status` and `content` are its answer, where it has one."""
+    """A job that was granted its key has ended; `status` and `content` are its answer, if any."""
 
     job_id: int
     outcome: JobOutcome
@@ -47,13 +47,13 @@
 
 
 class ClientLeft(Input):
-    """Nobody waits for the job any more."""
+    """The client no longer waits for the job."""
 
     job_id: int
 
 
 class MessageReceived(Input):
-    """A message from the dispatcher `sender`, whose data directory has the id `directory_id`."""
+    """A message of the dispatcher `sender`, whose data directory has the id `directory_id`."""
 
     sender: str
     directory_id: str
@@ -61,20 +61,20 @@
 
 
 class Persisted(Input):
-    """The records of `Persist` with this token, and of all before it, are on the disk."""
+    """The records of the `Persist` output with this token, and of all earlier ones, are on the disk."""
 
     token: int
 
 
 class DiskFailed(Input):
-    """Nothing that is handed to the disk is sure to be there, until `DiskRecovered`."""
+    """A write has failed: no record counts as persisted until `DiskRecovered`."""
 
 
 class DiskRecovered(Input):
-    """All records have been written anew."""
+    """All records have been rewritten to the disk."""
 
 
 class PlacementChanged(Input):
-    """What the fleet has committed of replicas and epochs; see `Placement`."""
+    """The fleet has committed a new placement; see `Placement` for the format of `state`."""
 
     state: dict
--- a/mastledge/replication/listeners.py
+++ b/mastledge/replication/listeners.py
@@ -1,4 +1,4 @@
-"""Tells who waits for the outcome of this dispatcher's claims, here and elsewhere."""
+"""Notification of jobs and dispatchers that wait for the outcome of this dispatcher's claims."""
 
 from collections.abc import Callable
 
@@ -20,7 +20,7 @@
 
 
 class ClaimOutcome(msgspec.Struct, frozen=True, gc=False):
-    """What became of a claim; an HTTP status and a body where it is answered."""
+    """Outcome of a claim; `status` and `content` are an HTTP status and a body if it is answered."""
 
     claim_status: ClaimStatus
     status: int = 0
@@ -34,7 +34,7 @@
 
 
 def outcome_of(job: KeyedJob) -> ClaimOutcome:
-    """The outcome of a claim whose job has ended."""
+    """Return the outcome of a claim whose job has ended."""
     if not job.answered:
         return UNSURE
     if job.content is None:
@@ -43,15 +43,15 @@
 
 
 class ClaimListeners:
-    """Answers questions for claims: at once, or when the claim has an outcome."""
+    """Answers queries about claims: at once, or when the claim has an outcome."""
 
     def __init__(self, services: CoordinatorServices, resolve: Callable[[int, KeyedJob, ClaimOutcome], None]):
-        """`resolve(now, job, outcome)` answers a job of this dispatcher."""
+        """Set the callback `resolve(now, job, outcome)` that answers a waiting job of this dispatcher."""
         self._names, self._jobs, self._send = services.names, services.jobs, services.send
         self._resolve = resolve
 
     def on_query(self, now: int, sender: str, query: OwnerQuery) -> None:
-        """Another dispatcher asks; a question for what is no claim is ignored."""
+        """Answer the query of another dispatcher; ignore a query with a malformed claim name."""
         try:
             owner, incarnation = parse_claim_name(query.claim_name)
         except ClaimNameError:
@@ -59,7 +59,7 @@
         listener = RemoteListener(sender, query.call_id, query.claim_name)
         job = self._jobs.with_claim(query.claim_name)
         if job is None:
-            # Of this incarnation all claims are known that were not released, of a former one none.
+            # Claims of this incarnation are known until they are released; those of earlier ones are not.
             is_own = owner == self._names.owner and incarnation == self._names.incarnation
             self._respond(listener, RELEASED if is_own else UNKNOWN)
         elif job.phase not in OUTCOME_IS_OPEN:
@@ -68,7 +68,7 @@
             job.listeners.append(listener)
 
     def notify(self, now: int, job: KeyedJob, outcome: ClaimOutcome) -> None:
-        """Tells all who wait for the claim of this job."""
+        """Send the outcome to all listeners of this job's claim."""
         listeners, job.listeners = job.listeners, []
         for listener in listeners:
             if isinstance(listener, RemoteListener):
--- a/mastledge/replication/messages.py
+++ b/mastledge/replication/messages.py
@@ -1,7 +1,8 @@
-"""Messages about keys between dispatchers.
+"""Messages about idempotency keys between dispatchers.
 
-Times are spans in microseconds, as no two clocks are compared. Fields are only ever added at the end, with a
-default. `call_id` is the sender's own number of its request and comes back with the response.
+Times are durations in microseconds, because the clocks of two machines are never compared. New fields are
+added only at the end, with a default. `call_id` is the number that the sender gave its request; the response
+repeats it.
 """
 
 from enum import StrEnum
@@ -14,19 +15,19 @@
 
 
 class ReplicaResult(StrEnum):
-    """What a replica answers about a key. The values go over the wire."""
+    """Response of a replica to a request about a key. The values are sent on the wire."""
 
-    GRANTED = "granted"  # the key is the claim's
-    CLAIMED = "held"  # it is another claim's, which is under way
+    GRANTED = "granted"  # the claim of the request holds the key
+    CLAIMED = "held"  # another claim holds the key, and its job has not ended
     ANSWERED = "answered"
-    UNSURE = "maybe"  # its job may have run
-    OTHER_REQUEST = "other"  # the key came with another body
+    UNSURE = "maybe"  # the job of the key may have run
+    OTHER_REQUEST = "other"  # the key was first used with another request body
     FULL = "full"
     DISK_FAILED = "disk"
-    STALE_EPOCH = "stale"  # the request is of a placement below the fence
+    STALE_EPOCH = "stale"  # the epoch of the request is below the fence
     DONE = "done"
     UNKNOWN_KEY = "none"
-    UNRECOGNIZED = ""  # of a later version; it counts as no acknowledgement
+    UNRECOGNIZED = ""  # a value of a later version; not counted as an acknowledgement
 
     @classmethod
     def _missing_(cls, value):
@@ -34,14 +35,14 @@
 
 
 class ClaimStatus(StrEnum):
-    """What the owner of a claim answers about it. The values go over the wire."""
+    """Response of the owner of a claim about its outcome. The values are sent on the wire."""
 
     ANSWERED = "answered"
-    UNSURE = "maybe"  # its job may have run
-    RELEASED = "dropped"  # nothing ran, or a retry is harmless
-    UNKNOWN = "unknown"  # it was made in an earlier incarnation of its owner
-    READ_REPLICAS = "look"  # it has an answer, which only the replicas still have
-    UNRECOGNIZED = ""  # of a later version; it is ignored
+    UNSURE = "maybe"  # the job of the claim may have run
+    RELEASED = "dropped"  # the job did not run, or a retry is harmless
+    UNKNOWN = "unknown"  # the claim was made by an earlier incarnation of the owner
+    READ_REPLICAS = "look"  # answered, but only the replicas still have the answer
+    UNRECOGNIZED = ""  # a value of a later version; ignored
 
     @classmethod
     def _missing_(cls, value):
@@ -49,14 +50,14 @@
 
 
 class Message(msgspec.Struct, array_like=True):
-    """A message about keys. The `tag` of each subclass is its name on the wire and stays."""
+    """A message about keys. The `tag` of each subclass is its name on the wire and must not change."""
 
 
 class ClaimKey(Message, tag="Claim"):
-    """Asks a replica to grant the key to `claim_name`.
+    """Request to a replica to grant the key to the claim `claim_name`.
 
-    `remaining_us` is what is left of the job's walltime; `released_claims` are former ones of the key that
-    were given back.
+    `remaining_us` is the rest of the job's walltime; `released_claims` are earlier claims on the key that
+    their owners have released.
     """
 
     call_id: int
@@ -70,7 +71,7 @@
 
 
 class CompleteKey(Message, tag="End"):
-    """The claim's outcome: `answered`, or its job may have run; it is kept for `remaining_us`."""
+    """Outcome of a claim: `answered`, or else its job may have run. It is kept for `remaining_us`."""
 
     call_id: int
     epoch: int
@@ -85,7 +86,7 @@
 
 
 class ReleaseClaim(Message, tag="Drop"):
-    """The claim is given back: nothing ran, or a retry is harmless."""
+    """Release of a claim: its job did not run, or a retry is harmless."""
 
     call_id: int
     tenant: str
@@ -94,7 +95,7 @@
 
 
 class ReadKey(Message, tag="Look"):
-    """Asks what a replica knows of a key; changes nothing."""
+    """Request for the record that a replica has of a key; changes nothing."""
 
     call_id: int
     tenant: str
@@ -102,7 +103,7 @@
 
 
 class ReplicaResponse(Message, tag="Had"):
-    """A replica's answer; `claim_name` and what follows are of the record that it has."""
+    """Response of a replica; `claim_name` and the fields after it come from its record of the key."""
 
     call_id: int
     result: ReplicaResult
@@ -114,14 +115,14 @@
 
 
 class OwnerQuery(Message, tag="Ask"):
-    """Asks the owner of a claim what has become of it."""
+    """Request to the owner of a claim for the outcome of the claim."""
 
     call_id: int
     claim_name: str
 
 
 class OwnerResponse(Message, tag="Told"):
-    """The owner's answer; `status` and `content` are set where the claim is answered."""
+    """Response of the owner; `status` and `content` are set if the claim is answered."""
 
     call_id: int
     claim_name: str
@@ -131,14 +132,14 @@
 
 
 class ScanRequest(Message, tag="Scan"):
-    """From a new replica: asks for the next of the records that are to be its own, from `position` on."""
+    """Request of a new replica for the next records it has to hold, starting at `position`."""
 
     epoch: int
     position: int
 
 
 class Record(msgspec.Struct, array_like=True):
-    """A copy of one key's record. `state` is a `RecordState`; one of a later version counts as unsure."""
+    """Copy of one key's record. `state` is a `RecordState`; a state of a later version counts as unsure."""
 
     tenant: str
     key: bytes
@@ -151,7 +152,7 @@
 
 
 class ScanResponse(Message, tag="Batch"):
-    """The records, which may be none, from `position` up to `next_position`."""
+    """Records from `position` up to `next_position`; the list may be empty."""
 
     epoch: int
     position: int
@@ -178,12 +179,12 @@
 
 
 def format_claim_name(owner: str, incarnation: str, number: int) -> str:
-    """The name of a claim: which one of which incarnation of which dispatcher."""
+    """Return the name of a claim, made of its number, the owner's incarnation and the owner."""
     return f"{number}.{incarnation}.{owner}"
 
 
 def parse_claim_name(claim_name: str) -> tuple[str, str]:
-    """(owner, incarnation) of a claim; ClaimNameError where it is no name of one."""
+    """Return (owner, incarnation) of a claim; raise ClaimNameError if the name is malformed."""
     parts = claim_name.split(".", 2)
     if len(parts) != CLAIM_NAME_PARTS:
         raise ClaimNameError(claim_name)
--- a/mastledge/replication/node.py
+++ b/mastledge/replication/node.py
@@ -1,7 +1,7 @@
-"""One dispatcher's part in the replication of keys, without I/O: `step` takes an input and gives outputs.
+"""One dispatcher's part in the replication of keys, without I/O: `step` takes an input and returns outputs.
 
-It is the owner of the claims of its jobs (`coordinator`), a replica of some keys (`replica`), and reads the
-records that are to be its own while replicas change (`catch_up`).
+A node owns the claims of its jobs (`coordinator`), is a replica of some keys (`replica`), and reads the
+records of keys that it becomes a replica of (`catch_up`).
 """
 
 from dataclasses import dataclass
@@ -43,11 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeOptions:
-    """What a node is started with.
+    """Start options of a node.
 
-    `directory_id` is of its data directory, `incarnation` of this process. Requests of epochs below `fence`
-    are refused, as the disk has it. After `promise_us` (microseconds) all that was promised before is over.
-    `token` is the last one that was handed to the disk.
+    `directory_id` is the id of the data directory, `incarnation` that of this process. Requests of epochs
+    below `fence`, which is read from the disk, are refused. Each claim and each retention ends within
+    `promise_us` (microseconds). `synced` is whether messages wait for the disk; `token` is the last token
+    that was handed to the disk.
     """
 
     name: str
@@ -62,13 +63,13 @@
 
 
 class Node:
-    """Takes inputs one by one. Call `step` with a `Tick` at `wake_at()` at the latest."""
+    """Processes inputs one by one. Call `step` with a `Tick` no later than `wake_at()`."""
 
     def __init__(self, options: NodeOptions, table: KeyTable, now: int):
-        """`table` is restored from the disk and from here on changed by this node alone."""
+        """Take over `table`, which is restored from the disk; only this node changes it from now on."""
         self.name, self.directory_id, self.fence = options.name, options.directory_id, options.fence
         self.placement = Placement()
-        self.directory_ids = {self.name: self.directory_id}  # by dispatcher, as last heard
+        self.directory_ids = {self.name: self.directory_id}  # by dispatcher, as last received
         self._fence_records: list[tuple] = []
         self.outbox = Outbox(self.name, options.synced, options.token, options.disk_failed)
         self.send, self.report = self.outbox.send, self.outbox.report
@@ -101,7 +102,10 @@
         }
 
     def step(self, now: int, input_: Input) -> list[Output]:
-        """What follows from an input; ClaimNameError, and no change, where a message makes no sense."""
+        """Process an input and return the outputs.
+
+        Raise ClaimNameError, without a change, if a message has a malformed claim name.
+        """
         self._input_handlers[type(input_)](now, input_)
         self.replica.expire(now)
         self.coordinator.timers.run_due(now)
@@ -114,7 +118,7 @@
         return self.outbox.take_outputs()
 
     def wake_at(self) -> int | None:
-        """When the next step is due without an input, in microseconds; None for never."""
+        """Return when the next `Tick` is due, in microseconds, or None if none is needed."""
         wake_at = self.replica.next_expiry_at()
         for other in (self.coordinator.timers.next_at(), self.catch_up.wake_at()):
             if other is not None and (wake_at is None or other < wake_at):
@@ -122,7 +126,7 @@
         return wake_at
 
     def raise_fence(self, epoch: int) -> None:
-        """Refuses requests of earlier epochs from here on."""
+        """Refuse requests of epochs before `epoch` from now on."""
         if epoch > self.fence:
             self.fence = epoch
             self._fence_records.append(("fence", epoch))
@@ -134,24 +138,24 @@
     # Inputs
 
     def on_tick(self, now: int, tick: Tick) -> None:
-        """What is due is done by each step."""
+        """Do nothing: each step runs what is due."""
 
     def on_persisted(self, now: int, persisted: Persisted) -> None:
-        """Sends what has waited for these records."""
+        """Release the messages that waited for these records."""
         self.outbox.persisted(persisted.token)
 
     def on_disk_failed(self, now: int, failed: DiskFailed) -> None:
-        """Requests that need the disk are refused."""
+        """Refuse requests that need the disk."""
         self.outbox.fail_disk()
 
     def on_disk_recovered(self, now: int, recovered: DiskRecovered) -> None:
-        """Who was refused asks again; what was not sent yet of a catch-up is sent again."""
+        """Accept requests again, and repeat the unsent end of a catch-up."""
         self.outbox.recover_disk()
         self.replica.table.take_changes()
         self.catch_up.on_disk_recovered()
 
     def on_placement_changed(self, now: int, changed: PlacementChanged) -> None:
-        """Takes up a placement; one that is older than what is known is ignored."""
+        """Use the new placement; ignore one of an earlier epoch."""
         placement = Placement(changed.state)
         if placement.epoch < self.placement.epoch:
             return
@@ -161,7 +165,7 @@
         self.coordinator.on_placement(now, placement)
 
     def on_message_received(self, now: int, received: MessageReceived) -> None:
-        """ClaimNameError, and nothing is taken up, where the message names no claim."""
+        """Handle a message; raise ClaimNameError first if it has a malformed claim name."""
         _check_claim_names(received.message)
         self.directory_ids[received.sender] = received.directory_id
         self._handle(now, received.sender, received.directory_id, received.message)
@@ -172,13 +176,13 @@
         self._message_handlers[type(message)](now, sender, directory_id, message)
 
     def _refusal(self, epoch: int) -> ReplicaResult | None:
-        """Why a request can't be granted, whatever the key."""
+        """Return why no request can be granted now, or None if requests can be granted."""
         if epoch < self.fence:
             return ReplicaResult.STALE_EPOCH
         return ReplicaResult.DISK_FAILED if self.outbox.disk_failed else None
 
     def on_claim_key(self, now: int, sender: str, directory_id: str, request: ClaimKey) -> None:
-        """A grant is sent once it is on the disk."""
+        """Answer a claim; a grant is sent once it is on the disk."""
         if (refusal := self._refusal(request.epoch)) is not None:
             self.outbox.send(sender, ReplicaResponse(request.call_id, refusal))
             return
@@ -189,7 +193,7 @@
             self.outbox.send(sender, response)
 
     def on_complete_key(self, now: int, sender: str, directory_id: str, request: CompleteKey) -> None:
-        """An acknowledgement is sent once the outcome is on the disk."""
+        """Store an outcome; the acknowledgement is sent once the outcome is on the disk."""
         if (refusal := self._refusal(request.epoch)) is not None:
             self.outbox.send(sender, ReplicaResponse(request.call_id, refusal))
             return
@@ -200,45 +204,45 @@
             self.outbox.send(sender, response)
 
     def on_release_claim(self, now: int, sender: str, directory_id: str, request: ReleaseClaim) -> None:
-        """Needs the disk; without it the owner repeats its request."""
+        """Release a claim; without a working disk send nothing, so the owner retries."""
         if not self.outbox.disk_failed:
             self.outbox.send_once_persisted(sender, self.replica.release(request))
 
     def on_read_key(self, now: int, sender: str, directory_id: str, request: ReadKey) -> None:
-        """A read relies on nothing that is not on the disk."""
+        """Answer a read at once: it needs no disk write."""
         self.outbox.send(sender, self.replica.read(now, request))
 
     def on_replica_response(
         self, now: int, sender: str, directory_id: str, response: ReplicaResponse
     ) -> None:
-        """A replica has answered this owner."""
+        """Pass a replica's response to the coordinator."""
         self.coordinator.on_replica_response(now, sender, directory_id, response)
 
     def on_owner_query(self, now: int, sender: str, directory_id: str, query: OwnerQuery) -> None:
-        """Another dispatcher asks this owner."""
+        """Pass another dispatcher's query about a claim to the coordinator."""
         self.coordinator.on_owner_query(now, sender, query)
 
     def on_owner_response(self, now: int, sender: str, directory_id: str, response: OwnerResponse) -> None:
-        """Another owner has answered."""
+        """Pass the response of another owner to the coordinator."""
         self.coordinator.on_owner_response(now, response)
 
     def on_scan_request(self, now: int, sender: str, directory_id: str, request: ScanRequest) -> None:
-        """A new replica reads; its response waits for the fence to be on the disk."""
+        """Send records to a new replica once the fence is on the disk."""
         if not self.outbox.disk_failed:
             self.scan_server.on_request(now, sender, directory_id, request)
 
     def on_scan_response(self, now: int, sender: str, directory_id: str, response: ScanResponse) -> None:
-        """Records that this replica has asked for."""
+        """Pass the records that this replica has requested to its catch-up."""
         if not self.outbox.disk_failed:
             self.catch_up.on_response(now, sender, directory_id, response)
 
     def on_caught_up(self, now: int, sender: str, directory_id: str, caught_up: CaughtUp) -> None:
-        """This node's own: its records are on the disk by now."""
+        """Report that this replica has caught up; its records are on the disk now."""
         self.outbox.commit_caught_up(caught_up)
 
 
 def _check_claim_names(message: AnyMessage) -> None:
-    """ClaimNameError where one is no name of a claim; a record may be of none."""
+    """Raise ClaimNameError if a claim name is malformed; a record may have an empty one."""
     if isinstance(message, ScanResponse):
         for record in message.records:
             if record.claim_name:
--- a/mastledge/replication/outcomes.py
+++ b/mastledge/replication/outcomes.py
@@ -1,4 +1,4 @@
-"""Distributes what a launched job came to: its answer counts once a quorum has it."""
+"""Distribution of the outcomes of launched jobs: an answer is valid once a quorum has stored it."""
 
 from mastledge.replication.claims import Claims
 from mastledge.replication.inputs import JobEnded, JobOutcome
@@ -8,12 +8,12 @@
 from mastledge.replication.quorum import CompleteCall, KeyOutcome
 from mastledge.replication.services import CoordinatorServices
 
-RELEASE_TIMEOUT_US = 60_000  # for which a rejection waits for a quorum of the release
-REPLY_MARGIN_US = 30_000  # before the end of a job's walltime, in which its client still has to hear
+RELEASE_TIMEOUT_US = 60_000  # how long a rejection waits for a quorum to release the claim
+REPLY_MARGIN_US = 30_000  # time left before the end of the walltime for the reply to the client
 
 
 class OutcomeDistribution:
-    """Outcomes of this dispatcher's claims, each for `retention_us` from the end of its job."""
+    """Distributes the outcomes of this dispatcher's claims to the replicas."""
 
     def __init__(
         self,
@@ -22,12 +22,12 @@
         listeners: ClaimListeners,
         retention_us: int,
     ):
-        """An outcome is kept for `retention_us` from the end of its job."""
+        """Keep each outcome for `retention_us` from the end of its job."""
         self._jobs, self._calls, self._timers = services.jobs, services.calls, services.timers
         self._claims, self._listeners, self._retention_us = claims, listeners, retention_us
 
     def job_ended(self, now: int, ended: JobEnded) -> None:
-        """A job has ended that was granted its key; any other is ignored."""
+        """Distribute the outcome of a job that was granted its key; ignore any other job."""
         job = self._jobs.get(ended.job_id)
         if job is None or job.phase is not JobPhase.CLAIMED:
             return
@@ -76,17 +76,17 @@
 
     def _on_complete(self, now: int, call: CompleteCall) -> None:
         if call.job.phase is JobPhase.ENDED:
-            call.job.content = None  # each replica has it
+            call.job.content = None  # each replica has stored it
 
     def _end(self, now: int, job: KeyedJob) -> None:
-        """A quorum has the outcome, or there is none that needs a quorum: it is told from here on."""
+        """Report the outcome: a quorum has stored it, or it needs no quorum."""
         if job.phase is JobPhase.COMPLETING:
             job.phase = JobPhase.ENDED
             self._listeners.notify(now, job, outcome_of(job))
             self._jobs.finish(job, Verdict.REPLICATED)
 
     def _forget(self, now: int, job: KeyedJob) -> None:
-        """The outcome's retention is over."""
+        """Drop the outcome at the end of its retention."""
         self._jobs.remove_claim(job)
         job.content = None
         self._listeners.notify(now, job, UNSURE)
--- a/mastledge/replication/outputs.py
+++ b/mastledge/replication/outputs.py
@@ -1,4 +1,4 @@
-"""Outputs of a `Node`; see `inputs` for why they are msgspec structs."""
+"""Outputs of a `Node`. They are msgspec structs for the reason given in `inputs`."""
 
 from enum import StrEnum
 
@@ -8,40 +8,38 @@
 
 
 class Verdict(StrEnum):
-    """What becomes of a job with a key. The values stand in the operators' figures."""
+    """Decision on a job with a key. The values appear in the statistics for operators."""
 
-    GRANTED = "go"  # its claim holds: it may be launched
-    ANSWERED = "answer"  # a former job of this key has this answer
-    UNSURE = "unsure"  # a former job of this key may have run
-    REFUSED = "refused"  # the key is invalid, or came with another body
+    GRANTED = "go"  # a quorum granted its claim: the job may be launched
+    ANSWERED = "answer"  # an earlier job with this key has this answer
+    UNSURE = "unsure"  # an earlier job with this key may have run
+    REFUSED = "refused"  # the key is invalid, or was first used with another request body
     FULL = "full"
     NO_QUORUM = "nobody"
-    REPLICATED = "lasting"  # a quorum has the outcome
-    NOT_REPLICATED = "short"  # no quorum has the outcome in time
+    REPLICATED = "lasting"  # a quorum has stored the outcome
+    NOT_REPLICATED = "short"  # no quorum has stored the outcome in time
 
 
 class Output(msgspec.Struct, frozen=True, gc=False):
-    """Something that is to be done."""
+    """Base class of the outputs of a node: an action for its host."""
 
 
 class Send(Output):
-    """Sends a message to another dispatcher."""
+    """Send a message to another dispatcher."""
 
     recipient: str
     message: AnyMessage
 
 
 class Persist(Output):
-    """Writes records to the disk; `Persisted` with the token follows."""
+    """Write records to the disk; the host answers with `Persisted` and the same token."""
 
     token: int
     records: list[tuple]
 
 
 class JobVerdict(Output):
-    """Tells a job what becomes of it; `status` and `content` are an HTTP status and a body, where it has
-    them.
-    """
+    """Report the verdict on a job; `status` and `content` are an HTTP status and a body, if there are any."""
 
     job_id: int
     verdict: Verdict
@@ -50,6 +48,6 @@
 
 
 class CaughtUp(Output):
-    """This replica has all its records of the epoch on its disk, which the fleet has to commit."""
+    """This replica has all its records of the epoch on its disk; the fleet has to commit that."""
 
     epoch: int
--- a/mastledge/replication/persisted_state.py
+++ b/mastledge/replication/persisted_state.py
@@ -1,4 +1,4 @@
-"""What a replica's write-ahead log amounts to."""
+"""State of a replica as replayed from its write-ahead log."""
 
 from collections.abc import Callable
 
@@ -6,22 +6,24 @@
 
 
 class PersistedReplica(PersistedKeys):
-    """The records of keys, and two more: ("holder", directory id, starts) tells which data directory this is
-    and how often it was opened; ("fence", epoch): requests of earlier placements are refused.
+    """State of the records of keys and of two more kinds of records.
+
+    ("holder", directory id, starts) has the id of the data directory and how often it was opened;
+    ("fence", epoch) says that requests of earlier epochs are refused.
     """
 
     def __init__(self, unix_clock: Callable[[], int]):
-        """`unix_clock` gives Unix microseconds, by which what is over is left out of a rewrite."""
+        """Start empty; `unix_clock` returns Unix microseconds and decides what a rewrite drops as expired."""
         super().__init__(unix_clock)
         self.directory_id, self.start_count, self.fence = "", 0, 0
 
     def reset(self) -> None:
-        """Forgets all records."""
+        """Forget all records."""
         super().reset()
         self.directory_id, self.start_count, self.fence = "", 0, 0
 
     def apply(self, record: tuple) -> None:
-        """Applies the next record; ValueError where it is of no known kind."""
+        """Apply the next record; raise ValueError if its kind is unknown."""
         kind, *fields = record
         if kind == "holder":
             self.directory_id, self.start_count = fields
@@ -31,10 +33,10 @@
             super().apply(record)
 
     def compacted_records(self) -> list[tuple]:
-        """The fewest records that lead to the same."""
+        """Return the fewest records that lead to the same state."""
         return head_records(self.directory_id, self.start_count, self.fence) + super().compacted_records()
 
 
 def head_records(directory_id: str, start_count: int, fence: int) -> list[tuple]:
-    """The records of a replica itself, none where it has no data directory yet."""
+    """Return the records about the replica itself; none if it has no directory id yet."""
     return [("holder", directory_id, start_count), ("fence", fence)] if directory_id else []
--- a/mastledge/replication/placement.py
+++ b/mastledge/replication/placement.py
@@ -1,11 +1,12 @@
-"""Which dispatchers are replicas of a key, by what the fleet has committed.
+"""Placement of keys: which dispatchers are replicas of a key, as committed by the fleet.
 
 Rendezvous hashing (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998): each
-dispatcher has a weight for each key, the heaviest are its replicas, and who comes or goes moves only its own
-keys. While replicas change a quorum is a majority of both the current and the next ones of the key, as in
-Raft's joint consensus (Ongaro 2014, 4.3).
+dispatcher has a weight for each key, and the dispatchers of the highest weight are its replicas. So a
+dispatcher that joins or leaves moves only the keys that it holds. While replicas change, a quorum is a
+majority of both the current and the next replicas of the key, as in Raft's joint consensus (Ongaro 2014,
+4.3).
 
-Ids are of data directories: one that is lost and begun anew has another id.
+Ids are those of data directories: a directory that is lost and created again has a new id.
 """
 
 from collections.abc import Collection, Container
@@ -23,21 +24,21 @@
 
 
 def heaviest(names: Collection[str], tenant: str, key: bytes, count: int) -> list[str]:
-    """The `count` names of the highest weight for a key; all, where there are no more."""
+    """Return the `count` names of the highest weight for a key, or all names if there are fewer."""
     if len(names) <= count:
         return list(names)
-    weighed = b"%s %s" % (tenant.encode(), key)
-    by_weight = sorted((blake2b(weighed, digest_size=8, salt=_salt(name)).digest(), name) for name in names)
+    hashed = b"%s %s" % (tenant.encode(), key)
+    by_weight = sorted((blake2b(hashed, digest_size=8, salt=_salt(name)).digest(), name) for name in names)
     return [name for _, name in by_weight[-count:]]
 
 
 def majority(dispatcher_count: int, replica_count: int) -> int:
-    """How many of a key's replicas are a majority, where so many dispatchers hold all keys."""
+    """Return the majority size; there are never more replicas of a key than dispatchers."""
     return min(replica_count, dispatcher_count) // 2 + 1
 
 
 class ReplicaSet(msgspec.Struct, frozen=True):
-    """The replicas of one key by one placement; `directory_ids` are of all dispatchers of the placement."""
+    """The replicas of one key; `directory_ids` has all dispatchers of the placement, by name."""
 
     directory_ids: dict[str, str]
     names: list[str]
@@ -45,12 +46,12 @@
 
 
 class KeyReplicas:
-    """The replicas of one key: one set, or the current and the next one while replicas change."""
+    """The replicas of one key: one set, or the current and the next set while replicas change."""
 
     __slots__ = ("sets", "names")
 
     def __init__(self, sets: list[ReplicaSet]):
-        """The current set first."""
+        """Take the sets in order, the current one first."""
         self.sets = sets
         self.names = (
             sets[0].names
@@ -59,7 +60,7 @@
         )
 
     def is_quorum(self, acknowledged: dict[str, str]) -> bool:
-        """Whether these (ids by name) are a majority of each set."""
+        """Return whether `acknowledged` (directory ids by name) has a majority of each set."""
         for replicas in self.sets:
             directory_ids = replicas.directory_ids
             count = sum(acknowledged.get(name) == directory_ids[name] for name in replicas.names)
@@ -68,7 +69,7 @@
         return True
 
     def is_possible_without(self, rejected: Container[str]) -> bool:
-        """Whether a quorum is possible without these names."""
+        """Return whether a quorum is still possible without the names in `rejected`."""
         return all(
             sum(name not in rejected for name in replicas.names) >= replicas.majority
             for replicas in self.sets
@@ -76,13 +77,13 @@
 
 
 class Placement:
-    """A committed version of the placement: the epoch, and who holds keys by it."""
+    """A committed placement: the epoch, and the dispatchers that hold keys in it."""
 
     def __init__(self, state: dict | None = None):
-        """`state` is what the fleet has committed, None before that:
+        """Read the state that the fleet has committed, or None if there is none yet:
 
         {"epoch", "count", "now": {name: id}, "next": {name: id} or None, "caught": [name], "starts": {name:
-        n}}, and "after" where the next replicas are to be another count for each key.
+        n}}, and "after" if the number of replicas of each key changes.
         """
         state = state or NO_PLACEMENT
         self.epoch: int = state["epoch"]
@@ -92,38 +93,41 @@
         self.replica_count: int = state["count"]
         self.next_replica_count: int = state.get("after", self.replica_count)
 
-    def _counted(self) -> list[tuple[dict[str, str], int]]:
+    def _dispatchers_and_counts(self) -> list[tuple[dict[str, str], int]]:
         current = (self.current, self.replica_count)
         return [current] if self.next is None else [current, (self.next, self.next_replica_count)]
 
     def replicas_of(self, tenant: str, key: bytes) -> KeyReplicas:
-        """The replicas of one key."""
+        """Return the replicas of one key."""
         return KeyReplicas(
             [
                 ReplicaSet(ids, heaviest(ids, tenant, key, count), majority(len(ids), count))
-                for ids, count in self._counted()
+                for ids, count in self._dispatchers_and_counts()
             ]
         )
 
     def is_next_replica(self, name: str, tenant: str, key: bytes) -> bool:
-        """Whether this dispatcher is a replica of the key once the change is over."""
-        directory_ids, count = self._counted()[-1]
+        """Return whether this dispatcher is a replica of the key after the change."""
+        directory_ids, count = self._dispatchers_and_counts()[-1]
         return name in heaviest(directory_ids, tenant, key, count)
 
     def is_current_replica(self, name: str, tenant: str, key: bytes) -> bool:
-        """Whether this dispatcher was a replica of the key before the change."""
+        """Return whether this dispatcher was a replica of the key before the change."""
         return name in heaviest(self.current, tenant, key, self.replica_count)
 
     def spare_replicas(self) -> int:
-        """So many of the current dispatchers may go unread: of each key a majority is among the others."""
+        """Return how many current dispatchers a new replica may leave unread.
+
+        The others still include a majority of the replicas of each key.
+        """
         return min(self.replica_count, len(self.current)) - majority(len(self.current), self.replica_count)
 
     def keeps_records(self, name: str, directory_id: str) -> bool:
-        """Whether what this dispatcher has of its keys counts on after the change.
+        """Return whether the records of this dispatcher stay valid after the change.
 
-        Of each key a majority of the next replicas has what a majority of the current ones had, if each new
-        one reads it and there are as many: who stays need not read what it had missed. Fewer replicas have no
-        majority of a key by what they had, more have a majority of another size.
+        If the number of replicas stays the same and each new replica catches up, a majority of the next
+        replicas has whatever a majority of the current ones had, so replicas that stay need not read again.
+        With another number of replicas the majority has another size, and all replicas have to read.
         """
         return (
             self.next_replica_count == self.replica_count
--- a/mastledge/replication/quorum.py
+++ b/mastledge/replication/quorum.py
@@ -1,7 +1,7 @@
-"""Quorum calls: one request to all replicas of a key, repeated until each has answered or time is up.
+"""Quorum calls: one request to all replicas of a key, repeated until each has answered or the deadline.
 
-A call settles once: on a quorum of acknowledgements, or once none is possible any more. A call that has
-settled may stay open, so that the other replicas get its message too.
+A call settles once: on a quorum of acknowledgements, or when a quorum is no longer possible. A settled call
+may stay open so that the other replicas get its message too.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 FIRST_RETRY_US = 60_000
 LONGEST_RETRY_US = 2_000_000
-# A replica that answers one of these to an outcome may take it later.
+# A replica that answers an outcome with one of these may store it later, so the call is repeated.
 TRY_LATER = frozenset(
     (
         ReplicaResult.FULL,
@@ -41,11 +41,11 @@
 
 
 class QuorumCall:
-    """A call for one job's key; subclasses have its message.
+    """A call about one job's key; subclasses define the message.
 
-    `on_quorum(now, call)` or `on_failure(now, call)` is called once; `on_complete(now, call)` after each
-    replica has answered. Maps are by the name of a replica; ids are of data directories, as a replica that
-    has lost its own is another one.
+    Either `on_quorum(now, call)` or `on_failure(now, call)` is called once, and `on_complete(now, call)`
+    after all replicas have answered. Maps are by replica name. Acknowledgements have the id of the data
+    directory, because a replica that has lost its directory counts as another one.
     """
 
     __slots__ = (
@@ -69,50 +69,50 @@
     def __init__(
         self, job: KeyedJob, deadline: int, on_quorum: Callable | None, on_failure: Callable | None = None
     ):
-        """`job` has the key; at `deadline` the call ends."""
+        """Create a call about the key of `job`, which ends at `deadline`."""
         self.call_id, self.job, self.scoped_key, self.deadline = 0, job, job.scoped_key, deadline
         self.replicas, self.settled = None, False
         self.acknowledged: dict[str, str] = {}
         self.rejected: dict[str, ReplicaResponse] = {}
-        self.responses: dict[str, ReplicaResponse] = {}  # of those who acknowledged
-        self.responded: dict[str, str] = {}  # all who have answered anything
+        self.responses: dict[str, ReplicaResponse] = {}  # of replicas that acknowledged
+        self.responded: dict[str, str] = {}  # all replicas that have answered
         self.on_quorum, self.on_failure, self.on_complete = on_quorum, on_failure, None
         self.retry_us, self.sent_count = FIRST_RETRY_US, 0
 
     def message(self, now: int, epoch: int) -> Message:
-        """What is sent to each replica."""
+        """Return the message to each replica."""
         raise NotImplementedError
 
     def record(self, sender: str, directory_id: str, response: ReplicaResponse) -> bool:
-        """Counts a response; False where it can't settle the call."""
+        """Record a response; return False if it cannot settle the call."""
         if response.result is ReplicaResult.DONE:
             self.acknowledge(sender, directory_id, response)
             return True
         return response.result is not ReplicaResult.STALE_EPOCH and response.result not in TRY_LATER
 
     def acknowledge(self, sender: str, directory_id: str, response: ReplicaResponse) -> None:
-        """Counts a replica for the quorum."""
+        """Count a replica towards the quorum."""
         self.acknowledged[sender] = directory_id
         self.responses[sender] = response
 
     def is_answered_by(self, name: str) -> bool:
-        """Whether this replica needs no retry."""
+        """Return whether this replica needs no retry."""
         return name in self.acknowledged or name in self.rejected
 
 
 class ClaimCall(QuorumCall):
-    """Asks for the key, for the job's claim as it is now."""
+    """Asks the replicas to grant the key to the job's current claim."""
 
     __slots__ = ("claim_name", "job_deadline", "released_claims")
 
     def __init__(self, job: KeyedJob, deadline: int, on_quorum: Callable, on_failure: Callable):
-        """Of the job's claim as it is now."""
+        """Create a call for the job's current claim."""
         super().__init__(job, deadline, on_quorum, on_failure)
         self.claim_name, self.job_deadline = job.claim_name, job.deadline
         self.released_claims = job.released_claims
 
     def message(self, now: int, epoch: int) -> ClaimKey:
-        """A request that is of this epoch."""
+        """Return the claim request for this epoch."""
         return ClaimKey(
             self.call_id,
             epoch,
@@ -124,7 +124,7 @@
         )
 
     def record(self, sender: str, directory_id: str, response: ReplicaResponse) -> bool:
-        """A replica grants the key or not; one that is ahead of this placement is asked again."""
+        """Record a grant or a rejection; return False for a stale epoch, which is retried."""
         if response.result is ReplicaResult.GRANTED:
             self.acknowledge(sender, directory_id, response)
         elif response.result is ReplicaResult.STALE_EPOCH:
@@ -134,13 +134,13 @@
         return True
 
     def restart(self, call_id: int) -> None:
-        """Forgets all responses, as if it had not been sent."""
+        """Forget all responses and continue under a new id."""
         self.call_id = call_id
         self.acknowledged, self.rejected, self.responded = {}, {}, {}
 
 
 class KeyOutcome(msgspec.Struct, frozen=True, gc=False):
-    """What a claim came to: `answered` with an HTTP status and a body, or its job may have run."""
+    """Outcome of a claim: `answered` with an HTTP status and a body, or else its job may have run."""
 
     fingerprint: bytes
     claim_name: str
@@ -157,12 +157,12 @@
     def __init__(
         self, job: KeyedJob, outcome: KeyOutcome, deadline: int, on_quorum: Callable, on_failure: Callable
     ):
-        """`deadline` is the end of the outcome's retention."""
+        """Create a call for `outcome`; `deadline` is the end of its retention."""
         super().__init__(job, deadline, on_quorum, on_failure)
         self.outcome = outcome
 
     def message(self, now: int, epoch: int) -> CompleteKey:
-        """The outcome, with what is left of its time."""
+        """Return the outcome with the rest of its retention."""
         outcome = self.outcome
         return CompleteKey(
             self.call_id,
@@ -178,49 +178,49 @@
 
 
 class ReleaseCall(QuorumCall):
-    """Gives the job's claim, as it is now, back."""
+    """Releases the job's current claim."""
 
     __slots__ = ("claim_name",)
 
     def __init__(self, job: KeyedJob, deadline: int, on_end: Callable | None):
-        """Of the job's claim as it is now; `on_end` is called on a quorum as well as without one."""
+        """Create a call for the job's current claim; `on_end` is called with or without a quorum."""
         super().__init__(job, deadline, on_end, on_end)
         self.claim_name = job.claim_name
 
     def message(self, now: int, epoch: int) -> ReleaseClaim:
-        """The release, which is of no epoch."""
+        """Return the release, which has no epoch."""
         return ReleaseClaim(self.call_id, *self.scoped_key, self.claim_name)
 
 
 class ReadCall(QuorumCall):
-    """Reads what replicas know of the key, for a job that waits for another claim."""
+    """Reads the replicas' records of the key, for a job that waits for another claim."""
 
     __slots__ = ("awaited_claim",)
 
     def __init__(self, job: KeyedJob, deadline: int, on_quorum: Callable, on_failure: Callable):
-        """For the claim that the job awaits now."""
+        """Create a call about the claim that the job awaits now."""
         super().__init__(job, deadline, on_quorum, on_failure)
         self.awaited_claim = job.awaited_claim
 
     def message(self, now: int, epoch: int) -> ReadKey:
-        """The question, which is of no epoch."""
+        """Return the read request, which has no epoch."""
         return ReadKey(self.call_id, *self.scoped_key)
 
     def record(self, sender: str, directory_id: str, response: ReplicaResponse) -> bool:
-        """Whatever a replica knows counts."""
+        """Count any response as an acknowledgement."""
         self.acknowledge(sender, directory_id, response)
         return True
 
 
 class Sequence:
-    """Numbers of one dispatcher's calls and claims."""
+    """Numbers for the calls and claims of one dispatcher."""
 
     def __init__(self):
-        """Begins at 1."""
+        """Start with 1."""
         self._last = 0
 
     def next(self) -> int:
-        """A number that was not given before."""
+        """Return the next number."""
         self._last += 1
         return self._last
 
@@ -229,13 +229,13 @@
     """All open calls of a coordinator. Times are microseconds."""
 
     def __init__(self, send: Callable, timers: Timers, sequence: Sequence):
-        """`send(recipient, message)` sends to a replica, this dispatcher included."""
+        """Start without calls; `send(recipient, message)` sends to any replica, including this one."""
         self._send, self._timers, self._sequence = send, timers, sequence
         self._placement = Placement()
         self._open: dict[int, QuorumCall] = {}
 
     def start(self, now: int, call: QuorumCall) -> QuorumCall:
-        """Sends the call to the replicas of its key. It may settle at once, where there are none."""
+        """Send the call to the replicas of its key; it settles at once if there are no replicas."""
         call.call_id = self._sequence.next()
         call.replicas = self._placement.replicas_of(*call.scoped_key)
         self._open[call.call_id] = call
@@ -244,11 +244,11 @@
         return call
 
     def close(self, call: QuorumCall) -> None:
-        """Sends the call no more, and ignores further responses."""
+        """Stop sending the call and ignore further responses."""
         self._open.pop(call.call_id, None)
 
     def on_response(self, now: int, sender: str, directory_id: str, response: ReplicaResponse) -> None:
-        """Takes a replica's response to one of the calls."""
+        """Record a replica's response to an open call."""
         call = self._open.get(response.call_id)
         if call is None:
             return
@@ -257,10 +257,10 @@
             self.evaluate(now, call)
 
     def on_placement(self, now: int, placement: Placement) -> None:
-        """Sends all calls to the replicas of the new placement, and counts by it.
+        """Send all calls to the replicas of the new placement, and count responses by it.
 
-        Claims start anew with a change of epoch: what a new replica granted before it had caught up does not
-        count.
+        A claim call restarts when the epoch changes, because a grant of a new replica that had not caught up
+        must not count.
         """
         epoch_changed = placement.epoch != self._placement.epoch
         self._placement = placement
@@ -275,7 +275,7 @@
                 self.evaluate(now, call)
 
     def evaluate(self, now: int, call: QuorumCall) -> None:
-        """Settles the call where its responses allow it, and closes it once each replica has answered."""
+        """Settle the call if its responses allow it, and close it once each replica has answered."""
         if not call.settled:
             if call.replicas.is_quorum(call.acknowledged):
                 self._settle(now, call, True)
@@ -288,13 +288,13 @@
                 call.on_complete(now, call)
 
     def statistics(self) -> dict[str, int]:
-        """Outcomes that replicas have not acknowledged, and the keys that they are of."""
+        """Return the number of unacknowledged outcomes and of the keys that they belong to."""
         calls = [call for call in self._open.values() if isinstance(call, CompleteCall)]
-        owed = sum(name not in call.acknowledged for call in calls for name in call.replicas.names)
-        return {"owed": owed, "under_copied": len({call.scoped_key for call in calls})}
+        unacknowledged = sum(name not in call.acknowledged for call in calls for name in call.replicas.names)
+        return {"owed": unacknowledged, "under_copied": len({call.scoped_key for call in calls})}
 
     def _transmit(self, now: int, call: QuorumCall) -> None:
-        """Sends to each replica that has not answered, and sets the next retry."""
+        """Send the message to each replica that has not answered, and schedule the next retry."""
         if call.call_id not in self._open:
             return
         call.sent_count += 1
@@ -312,7 +312,7 @@
             call.retry_us = min(call.retry_us * 2, LONGEST_RETRY_US)
 
     def _retry(self, now: int, call: QuorumCall, sent_count: int) -> None:
-        if sent_count == call.sent_count:  # else it was sent again meanwhile, which has its own retry
+        if sent_count == call.sent_count:  # a later transmission has scheduled another retry
             self._transmit(now, call)
 
     def _expire(self, now: int, call: QuorumCall) -> None:
--- a/mastledge/replication/replica.py
+++ b/mastledge/replication/replica.py
@@ -1,8 +1,8 @@
-"""A replica: grants keys to claims, and keeps what it is told of them in a key table, by claim names.
+"""A replica: grants keys to claims and stores the outcomes of claims in a key table.
 
-What is known of a claim only grows: claimed, then that its job may have run, then its answer. So copies that
-differ are merged by taking what is known most, whoever tells it and in whatever order; only the right to
-claim a key needs a quorum. A claim whose walltime is over without an outcome may have run.
+The state of a claim only advances: claimed, then unsure (its job may have run), then answered. So copies that
+differ are merged by taking the most advanced state, in whatever order they arrive; only granting a key needs
+a quorum. The job of a claim whose walltime ends without an outcome may have run.
 """
 
 from heapq import heapify, heappop, heappush
@@ -23,7 +23,7 @@
     ReplicaResult,
 )
 
-OUTCOME_GRACE_US = 250_000  # after a claim's walltime, in which its outcome may be on its way
+OUTCOME_GRACE_US = 250_000  # after a claim's walltime, as its outcome may still be in flight
 RESULT_OF_STATE = {
     RecordState.CLAIMED: ReplicaResult.CLAIMED,
     RecordState.ANSWERED: ReplicaResult.ANSWERED,
@@ -32,7 +32,7 @@
 
 
 def _response_with(call_id: int, record: records.Record, now: int) -> ReplicaResponse:
-    """Tells the record that is there."""
+    """Return a response with the existing record of the key."""
     is_answered = record.state == RecordState.ANSWERED
     return ReplicaResponse(
         call_id,
@@ -46,12 +46,13 @@
 
 
 class Replica:
-    """Keeps records of keys in a key table, which it alone changes. Times are microseconds."""
+    """Stores records of keys in a key table that only it changes. Times are microseconds."""
 
     def __init__(self, table: KeyTable, now: int):
-        """`table` is as it was restored from the disk."""
+        """Take over `table` as restored from the disk."""
         self.table = table
-        # A heap by time. Plain tuples, as heapq compares them without running Python code.
+        # Heap of (time, number, record): plain tuples, because heapq compares them without running Python
+        # code.
         self._claim_ends: list[tuple[int, int, records.Record]] = []
         self._claim_count = 0
         for record in table.records.values():
@@ -65,11 +66,11 @@
         heappush(self._claim_ends, (record.expires_at + OUTCOME_GRACE_US, self._claim_count, record))
 
     def next_expiry_at(self) -> int | None:
-        """When `expire` has something to do; None for never."""
+        """Return when `expire` is due next, in microseconds, or None if no claim is open."""
         return self._claim_ends[0][0] if self._claim_ends else None
 
     def expire(self, now: int) -> None:
-        """Marks claims unsure whose walltime is over: nobody will tell that their jobs did not run."""
+        """Mark claims as unsure whose walltime ended without an outcome."""
         claim_ends = self._claim_ends
         while claim_ends and claim_ends[0][0] <= now:
             record = heappop(claim_ends)[2]
@@ -77,14 +78,14 @@
                 self.table.mark_unsure(now, record)
 
     def claim(self, now: int, request: ClaimKey) -> ReplicaResponse:
-        """Grants a key to one claim; where the key has a record, that one is told instead."""
+        """Grant the key to the claim, or respond with the existing record of the key."""
         table, record = self.table, self.table.records.get((request.tenant, request.key))
         if (
             record is not None
             and record.claim_name in request.released_claims
             and record.state == RecordState.CLAIMED
         ):
-            # Its owner has given it back, and the release has not come here yet.
+            # The owner has released the claim, but the release has not arrived here yet.
             table.release(record)
             record = None
         if (
@@ -105,7 +106,7 @@
         )
 
     def complete(self, now: int, request: CompleteKey) -> ReplicaResponse:
-        """Takes up the outcome of a claim, also where the claim never came here."""
+        """Store the outcome of a claim, even if the claim itself never arrived here."""
         table, record = self.table, self.table.records.get((request.tenant, request.key))
         if (
             record is not None
@@ -113,10 +114,10 @@
             and not record.claim_name
             and record.state == RecordState.UNSURE
         ):
-            table.release(record)  # it was of one of two claims, and now it is known which
+            table.release(record)  # it was merged from two claims, and the answer shows which one counts
             record = None
         if record is not None and record.claim_name != request.claim_name:
-            # Another claim's, which lost against this one and is about to be released, or came after it.
+            # The record belongs to another claim, which lost and will be released, or was made later.
             return _response_with(request.call_id, record, now)
         if record is None:
             verdict, record = self._claim(now, request)
@@ -124,12 +125,12 @@
                 return ReplicaResponse(request.call_id, ReplicaResult.FULL)
         self._raise_to(now, record, request, request.answered)
         if request.answered and record.state != RecordState.ANSWERED:
-            # There was no room for the answer: the record that is kept in its place is no copy of it.
+            # The table had no room for the answer and stored the claim as unsure: that is no copy.
             return ReplicaResponse(request.call_id, ReplicaResult.FULL)
         return ReplicaResponse(request.call_id, ReplicaResult.DONE)
 
     def release(self, request: ReleaseClaim) -> ReplicaResponse:
-        """Takes a claim back, unless it is answered."""
+        """Release a claim unless it is answered."""
         record = self.table.records.get((request.tenant, request.key))
         if (
             record is not None
@@ -140,7 +141,7 @@
         return ReplicaResponse(request.call_id, ReplicaResult.DONE)
 
     def read(self, now: int, request: ReadKey) -> ReplicaResponse:
-        """Tells the record of a key."""
+        """Return a response with the record of the key, or UNKNOWN_KEY if there is none."""
         self.table.expire(now)
         record = self.table.records.get((request.tenant, request.key))
         if record is None:
@@ -148,7 +149,7 @@
         return _response_with(request.call_id, record, now)
 
     def copy_of(self, now: int, record: records.Record) -> Record:
-        """The record as it is sent to a new replica."""
+        """Return the record in the form that is sent to a new replica."""
         return Record(
             *record.scoped_key,
             record.fingerprint,
@@ -160,9 +161,9 @@
         )
 
     def merge(self, now: int, copy: Record) -> None:
-        """Takes up another replica's record; KeyTableFullError where there is no room for it.
+        """Merge another replica's record; raise KeyTableFullError if there is no room for it.
 
-        Where two claims differ only an answer proves which one counts: otherwise either may.
+        If the two records belong to different claims, only an answer shows which claim counts.
         """
         table, record = self.table, self.table.records.get((copy.tenant, copy.key))
         if record is not None and record.claim_name != copy.claim_name:
@@ -170,7 +171,8 @@
                 return
             table.release(record)
             if copy.state != RecordState.ANSWERED:
-                # The record is of neither claim from here on, so that neither owner can release it.
+                # Either claim may count: store the key without a claim name, so that neither owner can
+                # release it.
                 copy = Record(
                     copy.tenant, copy.key, record.fingerprint, "", RecordState.UNSURE, table.retention_us
                 )
@@ -193,7 +195,7 @@
     def _raise_to(
         self, now: int, record: records.Record, known: CompleteKey | Record, answered: bool
     ) -> None:
-        """Changes the record only where more is known now."""
+        """Advance the state of the record if `known` is further; otherwise leave it."""
         if answered and record.state != RecordState.ANSWERED:
             self.table.complete(now, record, known.status, known.content)
         elif not answered and record.state == RecordState.CLAIMED:
@@ -201,5 +203,5 @@
         else:
             return
         if known.remaining_us < self.table.retention_us:
-            # It comes from a copy, so its retention does not begin anew.
+            # The outcome comes from a copy, so its retention does not start again.
             self.table.shorten_retention(record, now + known.remaining_us)
--- a/mastledge/replication/services.py
+++ b/mastledge/replication/services.py
@@ -1,4 +1,4 @@
-"""What the parts of a coordinator use in common; each field is owned by its own class."""
+"""Services that the parts of a coordinator share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CoordinatorServices:
-    """`send(recipient, message)` sends to a dispatcher, this one included."""
+    """Shared services; `send(recipient, message)` sends to any dispatcher, including this one."""
 
     names: ClaimNames
     jobs: JobTable
--- a/mastledge/replication/timers.py
+++ b/mastledge/replication/timers.py
@@ -1,4 +1,4 @@
-"""Timers of a coordinator: callbacks in the order of their times, and random parts of a time."""
+"""Timers of a coordinator, and jitter for its delays."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -6,26 +6,26 @@
 
 
 class Timers:
-    """Callbacks by time; those of one time run in the order in which they were set."""
+    """Callbacks ordered by time; callbacks of the same time run in the order in which they were set."""
 
     def __init__(self):
-        """Begins without any."""
-        # (time, number, callback, arguments): plain tuples, as heapq compares them without running Python
-        # code; there are some of them for each job.
+        """Start without timers."""
+        # (time, number, callback, arguments): plain tuples, because heapq compares them without running
+        # Python code and each job has several of them.
         self._heap: list[tuple[int, int, Callable, tuple]] = []
         self._count = 0
 
     def at(self, when: int, callback: Callable, *arguments) -> None:
-        """Calls `callback(now, *arguments)` at the time `when` (microseconds) or soon after."""
+        """Call `callback(now, *arguments)` at the time `when` (microseconds) or soon after."""
         self._count += 1
         heappush(self._heap, (when, self._count, callback, arguments))
 
     def next_at(self) -> int | None:
-        """The earliest time, in microseconds; None where there is no timer."""
+        """Return the time of the next timer in microseconds, or None if there is no timer."""
         return self._heap[0][0] if self._heap else None
 
     def run_due(self, now: int) -> None:
-        """Runs what is due, also what is set for `now` meanwhile."""
+        """Run all timers that are due, including those that the callbacks set for `now`."""
         heap = self._heap
         while heap and heap[0][0] <= now:
             _, _, callback, arguments = heappop(heap)
@@ -33,14 +33,17 @@
 
 
 class Jitter:
-    """Random parts of a time, by a seed and the dispatcher's name."""
+    """Random delays, seeded by a number and the dispatcher's name."""
 
     def __init__(self, seed: int, name: str):
-        """The same seed and name give the same parts."""
+        """Seed the delays; the same seed and name give the same sequence."""
         self._seed, self._name, self._draws = seed, name.encode(), 0
 
     def part_of(self, longest_us: int) -> int:
-        """Half of `longest_us` or more, so that dispatchers that collided once do not again."""
+        """Return a delay between half of `longest_us` and all of it.
+
+        It keeps dispatchers that claimed a key at the same time from colliding again.
+        """
         self._draws += 1
         return int(
             longest_us * (0.5 + crc32(b"%d %s %d" % (self._seed, self._name, self._draws)) / 8589934592)
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -624,6 +624,6 @@
     record = Record("t", b"k", FINGERPRINT, claim_name, RecordState.CLAIMED, 5)
     for message in (claim_request(claim_name), ScanResponse(0, 0, 1, [record], True)):
         received = MessageReceived("n1", "i", message)
-        with pytest.raises(ClaimNameError, match="no name of a claim"):
+        with pytest.raises(ClaimNameError, match="invalid claim name"):
             node.step(1, received)
     assert not node.replica.table.records
