--- a/mastledge/idempotency/__init__.py
+++ b/mastledge/idempotency/__init__.py
@@ -1,1 +1,1 @@
-"""What becomes of a job whose idempotency key has come before. No I/O, no clock of its own."""
+"""Idempotency keys: whether a job is new or a repeat, and what a repeat gets. No I/O and no clock."""
--- a/mastledge/idempotency/errors.py
+++ b/mastledge/idempotency/errors.py
@@ -1,18 +1,18 @@
-"""What can go wrong with keys."""
+"""Errors of the records of idempotency keys."""
 
 
 class IdempotencyError(Exception):
-    """Something is wrong with the records of idempotency keys."""
+    """Base class of errors of the records of idempotency keys."""
 
 
 class KeyTableFullError(IdempotencyError):
-    """A table has no room for a record that it has to take over from another replica."""
+    """The table has no room for a record of another replica."""
 
     def __init__(self, key: bytes) -> None:
-        """`key` is the one that has no room."""
-        super().__init__(f"no room for the key {key!r}")
+        """Take the key of the rejected record."""
+        super().__init__(f"key table has no room for key {key!r}")
         self.key = key
 
 
 class PersistedRecordError(IdempotencyError, ValueError):
-    """The log holds something that this version cannot follow; a ValueError, as readers of a log expect."""
+    """The log has an entry that cannot be applied; a ValueError, as readers of a log expect."""
--- a/mastledge/idempotency/key_table.py
+++ b/mastledge/idempotency/key_table.py
@@ -1,8 +1,8 @@
-"""The table of idempotency keys: claims, their answers and their expiry. No I/O, no clock of its own.
+"""The table of idempotency keys: claims, their answers and their expiry. No I/O and no clock.
 
-The draft of the IETF on the Idempotency-Key header (draft-ietf-httpapi-idempotency-key-header) has the
-outline: the same key with another body is 422, a repeat whose first request is under way may wait or be
-refused. What may have run is 409 here.
+It follows the IETF draft on the Idempotency-Key header (draft-ietf-httpapi-idempotency-key-header): the same
+key with another body gets 422, and a repeat may wait for the first request or be refused. A repeat of a job
+that may have run gets 409 here.
 """
 
 from collections import Counter, deque
@@ -31,19 +31,19 @@
 
 
 class ClaimResult(NamedTuple):
-    """What becomes of a job, and the record of its key where the verdict is of one."""
+    """Verdict on a job, and the record of its key if the verdict is based on one."""
 
     verdict: Verdict
     record: Record | None
 
 
 class KeyTableStatistics(TypedDict):
-    """Figures of a table under their names in `GET /api/copies`; the last seven count verdicts."""
+    """Statistics of a table, by their names in `GET /api/copies`; the last seven count verdicts."""
 
     held: int  # records
     bytes: int
-    claimed: int  # records whose job is under way
-    oldest_until: int  # expiry of the oldest record, 0 where there is none; monotonic microseconds
+    claimed: int  # records whose job has not ended
+    oldest_until: int  # expiry of the oldest record in monotonic microseconds, or 0 if there is none
     new: int
     join: int
     answer: int
@@ -54,30 +54,32 @@
 
 
 class KeyTable:
-    """One record a key and tenant: what is known and promised of its first job.
+    """Holds one record for each key of each tenant, with the state of its first job.
 
-    Each change has to be on the disk before the launch, or the answer, that depends on it: `take_changes`
-    hands them out as entries of the log. Times here are microseconds of the monotonic clock; the
-    log has Unix microseconds, `unix_offset_us` more.
+    A change has to be on the disk before the launch or the answer that depends on it; `take_changes` returns
+    the changes as entries of the log. Times are microseconds of the monotonic clock; the log has Unix
+    microseconds, which are `unix_offset_us` more.
     """
 
     def __init__(self, retention_us: int, max_records: int, max_bytes: int, unix_offset_us: int) -> None:
-        """`retention_us`: for how long a repeat is answered; the limits are of all tenants together."""
+        """Answer repeats for `retention_us`; the limits apply to all tenants together."""
         self.retention_us, self.unix_offset_us = retention_us, unix_offset_us
         self.room = Room(max_records, max_bytes)
         self.records: dict[ScopedKey, Record] = {}
-        self.expirations: deque[tuple[int, Record]] = deque()  # by time, but for shortened retentions
+        self.expirations: deque[tuple[int, Record]] = (
+            deque()
+        )  # ordered by time, except for shortened retentions
         self.changes: list[LogEntry] = []
         self.claimed_count = 0
         self.verdict_counts: Counter[Verdict] = Counter()
 
-    # Claims and their ends
+    # Claims and their outcomes
 
     def claim(self, now: int, request: KeyedRequest) -> ClaimResult:
-        """What becomes of a job with a key.
+        """Return the verdict on a job with a key.
 
-        NEW has made a claim, which ends by `complete`, `mark_unsure` or `release`. A claim is never forgotten
-        for want of room: then new keys are refused.
+        NEW makes a claim, which ends with `complete`, `mark_unsure` or `release`. A full table refuses new
+        keys and never drops a claim.
         """
         self.expire(now)
         result = self._decide(request)
@@ -111,10 +113,10 @@
         return ClaimResult(Verdict.NEW, record)
 
     def complete(self, now: int, record: Record, status: int, content: bytes) -> None:
-        """The first job has this answer, which each repeat gets until its retention is over."""
+        """Store the answer of the first job, which each repeat gets until the retention ends."""
         state = RecordState.ANSWERED
         if not self.room.has_bytes(len(content)):
-            # No room for the answer itself: that the job ran is what must not be forgotten.
+            # There is no room for the answer, but the table must still record that the job may have run.
             state, content = RecordState.UNSURE, b""
         record.status, record.content = status, content
         record.size_bytes += len(content)
@@ -122,7 +124,7 @@
         self._end(record, state, now + self.retention_us, status, content)
 
     def mark_unsure(self, now: int, record: Record) -> None:
-        """The first job may have run, and nobody will learn its answer."""
+        """Record that the first job may have run and that its answer is lost."""
         self._end(record, RecordState.UNSURE, now + self.retention_us, 0, b"")
 
     def _end(self, record: Record, state: RecordState, expires_at: int, status: int, content: bytes) -> None:
@@ -138,15 +140,15 @@
             self.claimed_count -= 1
 
     def shorten_retention(self, record: Record, expires_at: int) -> None:
-        """Ends the retention of a record earlier; only for the one whose end is the last change."""
+        """End the retention of a record earlier; its end must be the last change."""
         record.expires_at = expires_at
         self.changes[-1] = with_expiry(self.changes[-1], expires_at + self.unix_offset_us)
         self.expirations[-1] = (expires_at, record)
 
     def release(self, record: Record) -> None:
-        """Forgets a claim: its job provably never ran, or a retry is harmless.
+        """Drop a claim whose job provably never ran, or whose retry is harmless.
 
-        The next job of its key is a first one again.
+        The next job with the key is a first job again.
         """
         if self.records.pop(record.scoped_key, None) is not None:
             self._count_claim_ended(record)
@@ -154,23 +156,23 @@
             self.changes.append(drop_entry(record.scoped_key))
 
     def expire(self, now: int) -> None:
-        """Forgets records whose retention is over; a claim never expires by itself."""
+        """Drop records whose retention is over; a claim never expires by itself."""
         while self.expirations and self.expirations[0][0] <= now:
             expires_at, record = self.expirations.popleft()
-            # A record that has ended again, or was released, has another entry here or none.
+            # An entry is stale if its record has ended again or was released.
             if record.expires_at == expires_at and self.records.get(record.scoped_key) is record:
                 del self.records[record.scoped_key]
                 self.room.charge(record.tenant, -record.size_bytes)
 
-    # What is persisted
+    # Persistence
 
     def take_changes(self) -> list[LogEntry]:
-        """The changes since the last call, in their order."""
+        """Return the changes since the last call, in order."""
         changes, self.changes = self.changes, []
         return changes
 
     def snapshot(self) -> list[LogEntry]:
-        """All that the disk has to hold, where the log is written anew."""
+        """Return the entries for a rewrite of the log."""
         entries = []
         for scoped_key, record in self.records.items():
             entries += entries_of(scoped_key, record, self.unix_offset_us)
@@ -179,28 +181,28 @@
     def restore(
         self, now: int, persisted: Mapping[ScopedKey, PersistedRecord], own_claims: bool = True
     ) -> None:
-        """Takes up what the disk held when the process started.
+        """Restore the records that the disk held when the process started.
 
-        The job of a claim may have run, as its dispatcher never said what became of it. Where claims are of
-        other dispatchers (not `own_claims`), those may still say so. Nothing expires later than
-        `retention_us` from now, whatever the machine's clock has been set to.
+        The job of an open claim may have run, because its outcome was never recorded. If the claims belong to
+        other dispatchers (`own_claims` is False), they stay open, as their owners may still report outcomes.
+        Nothing expires later than `retention_us` from now, even if the machine's clock was set back.
         """
-        for scoped_key, found in persisted.items():
-            self._restore_record(now, scoped_key, found, own_claims)
+        for scoped_key, persisted_record in persisted.items():
+            self._restore_record(now, scoped_key, persisted_record, own_claims)
         ended = [record for record in self.records.values() if record.state != RecordState.CLAIMED]
         ended.sort(key=lambda record: record.expires_at)
         self.expirations = deque((record.expires_at, record) for record in ended)
 
     def _restore_record(
-        self, now: int, scoped_key: ScopedKey, found: PersistedRecord, own_claims: bool
+        self, now: int, scoped_key: ScopedKey, persisted: PersistedRecord, own_claims: bool
     ) -> None:
         tenant, key = scoped_key
         latest = now + self.retention_us
-        expires_at = min(max(found.expires_at - self.unix_offset_us, now), latest)
-        record = Record(scoped_key, found.fingerprint, expires_at, found.claim_name)
-        if found.state == RecordState.ANSWERED:
-            record.state, record.status, record.content = found.state, found.status, found.content
-        elif not own_claims and found.claim_name and found.state == RecordState.CLAIMED:
+        expires_at = min(max(persisted.expires_at - self.unix_offset_us, now), latest)
+        record = Record(scoped_key, persisted.fingerprint, expires_at, persisted.claim_name)
+        if persisted.state == RecordState.ANSWERED:
+            record.state, record.status, record.content = persisted.state, persisted.status, persisted.content
+        elif not own_claims and persisted.claim_name and persisted.state == RecordState.CLAIMED:
             self.claimed_count += 1
         else:
             record.state, record.expires_at = RecordState.UNSURE, latest
@@ -209,7 +211,7 @@
         self.room.charge(tenant, record.size_bytes)
 
     def statistics(self) -> KeyTableStatistics:
-        """What operators see."""
+        """Return the statistics for operators."""
         oldest = next(iter(self.records.values()), None)
         return {
             "held": len(self.records),
--- a/mastledge/idempotency/keyed_request.py
+++ b/mastledge/idempotency/keyed_request.py
@@ -1,7 +1,7 @@
-"""What names a request: its idempotency key in the scope of a tenant, and its fingerprint.
+"""Identity of a request: its idempotency key in the scope of a tenant, and its fingerprint.
 
-The draft of the IETF on the Idempotency-Key header (draft-ietf-httpapi-idempotency-key-header) leaves the
-form of keys and of fingerprints to the server.
+The IETF draft on the Idempotency-Key header (draft-ietf-httpapi-idempotency-key-header) leaves the format of
+keys and fingerprints to the server.
 """
 
 from hashlib import blake2b
@@ -11,10 +11,10 @@
 MAX_KEY_BYTES = 255
 FIRST_VISIBLE_ASCII, LAST_VISIBLE_ASCII = 33, 126
 FINGERPRINT_BYTES = 16
-MAX_TARGET_BYTES = 64  # of the target count for the fingerprint: the longest key that BLAKE2b takes
+MAX_TARGET_BYTES = 64  # part of the target in the fingerprint: the longest key that BLAKE2b accepts
 
-# Tenant and key. A bare tuple, as the garbage collector stops looking at one that holds no containers; an
-# instance of a subclass, such as a named tuple, stays tracked, and there are 100,000 of them.
+# Tenant and key. A plain tuple, because the garbage collector stops tracking one without containers, while it
+# would keep tracking 100,000 instances of a subclass such as a named tuple.
 ScopedKey = tuple[str, bytes]
 
 
@@ -22,24 +22,24 @@
     """A job that asks for the right to run under its key."""
 
     tenant: str
-    key: bytes  # as it stands in the header
+    key: bytes  # as in the header
     fingerprint: bytes
     expires_at: int  # end of the job's walltime, in microseconds of the monotonic clock
-    claim_name: str = ""  # of the claim among dispatchers; empty where no copies are kept for others
+    claim_name: str = ""  # name of the claim between dispatchers; empty without replication
 
     @property
     def scoped_key(self) -> ScopedKey:
-        """The key in the scope of its tenant: two tenants may use the same one."""
+        """Return the key in the scope of its tenant, as two tenants may use the same key."""
         return self.tenant, self.key
 
 
 def request_fingerprint(target: bytes, body: bytes) -> bytes:
-    """A hash of path and body that tells two requests under the same key apart."""
+    """Return a hash of path and body that distinguishes two requests with the same key."""
     return blake2b(body, digest_size=FINGERPRINT_BYTES, key=target[:MAX_TARGET_BYTES]).digest()
 
 
 def is_valid_key(key: bytes) -> bool:
-    """Whether a key consists of 1 to 255 visible ASCII characters."""
+    """Return whether a key consists of 1 to 255 visible ASCII characters."""
     return 1 <= len(key) <= MAX_KEY_BYTES and all(
         FIRST_VISIBLE_ASCII <= char <= LAST_VISIBLE_ASCII for char in key
     )
--- a/mastledge/idempotency/persisted_keys.py
+++ b/mastledge/idempotency/persisted_keys.py
@@ -1,8 +1,8 @@
-"""Entries of the write-ahead log of keys, and the records that they amount to.
+"""Entries of the write-ahead log of keys, and the records that result from them.
 
-An entry is a plain tuple with its kind in front, as docs/formats.md has it: it is encoded as it is and stays
-byte for byte what earlier versions read and wrote. Times are Unix microseconds, as monotonic ones end with
-the machine.
+An entry is a plain tuple that starts with its kind; docs/formats.md describes the format. It is encoded as
+is, so it stays byte for byte what earlier versions read and wrote. Times are Unix microseconds, because the
+monotonic clock restarts with the machine.
 """
 
 from collections.abc import Callable, Sequence
@@ -18,9 +18,9 @@
 
 
 class PersistedRecord(msgspec.Struct, gc=False):
-    """A record as the disk has it; `expires_at` in Unix microseconds.
+    """A record as stored on the disk; `expires_at` is in Unix microseconds.
 
-    `gc=False` for the same reason as `records.Record`, and it refers to no container at all.
+    `gc=False` for the same reason as in `records.Record`; it refers to no container.
     """
 
     fingerprint: bytes
@@ -32,7 +32,7 @@
 
 
 def claim_entry(scoped_key: ScopedKey, fingerprint: bytes, expires_at: int, claim_name: str) -> LogEntry:
-    """A claim; its name stands there only where copies are kept for others."""
+    """Return the entry for a claim; it has a claim name only with replication."""
     name = (claim_name,) if claim_name else ()
     return (CLAIM, *scoped_key, fingerprint, expires_at, *name)
 
@@ -40,34 +40,34 @@
 def end_entry(
     scoped_key: ScopedKey, state: RecordState, status: int, content: bytes, expires_at: int
 ) -> LogEntry:
-    """The end of a claim: its answer, or that its job may have run."""
+    """Return the entry for the end of a claim: its answer, or that its job may have run."""
     return (END, *scoped_key, state == RecordState.ANSWERED, status, content, expires_at)
 
 
 def drop_entry(scoped_key: ScopedKey) -> LogEntry:
-    """A claim that is given back: its job never ran, or a retry is harmless."""
+    """Return the entry for a released claim, whose job never ran or whose retry is harmless."""
     return (DROP, *scoped_key)
 
 
 def with_expiry(entry: LogEntry, expires_at: int) -> LogEntry:
-    """The same end of a claim with another expiry."""
+    """Return the same end entry with another expiry."""
     return (*entry[:-1], expires_at)
 
 
 class PersistedKeys:
-    """What the entries of a log amount to, in the form that `WriteAheadLog` asks for."""
+    """Replayed state of a log of keys; implements `ReplayedState` for `WriteAheadLog`."""
 
     def __init__(self, unix_clock: Callable[[], int]) -> None:
-        """`unix_clock` gives Unix microseconds, by which a rewrite leaves out what has expired."""
+        """Start empty; `unix_clock` returns Unix microseconds and decides what a rewrite drops as expired."""
         self.unix_clock = unix_clock
         self.entries: dict[ScopedKey, PersistedRecord] = {}
 
     def reset(self) -> None:
-        """Forgets all, before a log is read anew."""
+        """Forget all entries before a log is read again."""
         self.entries = {}
 
     def apply(self, record: Sequence) -> None:
-        """Follows one entry; PersistedRecordError where it can't be followed."""
+        """Apply one entry; raise PersistedRecordError if that is impossible."""
         kind, tenant, key, *fields = record
         if kind == CLAIM:
             self.entries[tenant, key] = PersistedRecord(*fields)
@@ -76,21 +76,21 @@
         elif kind == DROP:
             self.entries.pop((tenant, key), None)
         else:
-            raise PersistedRecordError(f"a record of a later version: {kind}")
+            raise PersistedRecordError(f"unknown kind of entry, perhaps of a later version: {kind}")
 
     def _end(
         self, scoped_key: ScopedKey, answered: bool, status: int, content: bytes, expires_at: int
     ) -> None:
         persisted = self.entries.get(scoped_key)
         if persisted is None:
-            raise PersistedRecordError(f"an end without its claim: {scoped_key[1]!r}")
+            raise PersistedRecordError(f"end entry without a claim for key {scoped_key[1]!r}")
         persisted.state = RecordState.ANSWERED if answered else RecordState.UNSURE
         persisted.status, persisted.content, persisted.expires_at = status, content, expires_at
 
     def compacted_records(self) -> list[LogEntry]:
-        """The fewest entries that lead to the same.
+        """Return the fewest entries that lead to the same state.
 
-        A claim stays, however old: the dispatcher that made it may still be running its job.
+        A claim stays, however old: its job may still be running at the dispatcher that made it.
         """
         now, entries = self.unix_clock(), []
         for scoped_key, persisted in self.entries.items():
@@ -103,7 +103,7 @@
 def entries_of(
     scoped_key: ScopedKey, record: Record | PersistedRecord, unix_offset_us: int
 ) -> list[LogEntry]:
-    """The entries that lead to a record, whose times are `unix_offset_us` behind Unix time."""
+    """Return the entries that lead to a record, whose times are `unix_offset_us` behind Unix time."""
     expires_at = record.expires_at + unix_offset_us
     entries = [claim_entry(scoped_key, record.fingerprint, expires_at, record.claim_name)]
     if record.state != RecordState.CLAIMED:
--- a/mastledge/idempotency/records.py
+++ b/mastledge/idempotency/records.py
@@ -1,4 +1,4 @@
-"""The record of a key: what is known of its first job."""
+"""The record of a key: the state of its first job."""
 
 from enum import StrEnum
 
@@ -6,35 +6,35 @@
 
 from mastledge.idempotency.keyed_request import ScopedKey
 
-RECORD_OVERHEAD_BYTES = 560  # of memory beside the key and the answer, as measured by `lab bench hoard`
+RECORD_OVERHEAD_BYTES = 560  # memory of a record besides the key and the answer
 
 
 class RecordState(StrEnum):
-    """What is known of the first job of a key. The values stand in messages between dispatchers."""
+    """State of the first job of a key. The values are sent between dispatchers."""
 
     CLAIMED = "claimed"
     ANSWERED = "answered"
-    UNSURE = "unsure"  # it may have run
+    UNSURE = "unsure"  # the job may have run
 
 
 class Record(msgspec.Struct, gc=False, eq=False):
-    """One key of one tenant. Times are microseconds of the monotonic clock.
+    """Record of one key of one tenant. Times are microseconds of the monotonic clock.
 
-    Kept from the garbage collector on purpose (`gc=False`): a full collection that looks at 100,000 of them
-    stops the dispatcher for a tenth of a second. So a record must never be part of a reference cycle: nothing
-    would find one. All that it refers to is plain data.
+    `gc=False` hides records from the garbage collector: a full collection that visits 100,000 of them stops
+    the dispatcher for a tenth of a second. So a record must never be part of a reference cycle, which would
+    leak; it refers only to plain data.
     """
 
     scoped_key: ScopedKey
     fingerprint: bytes
-    expires_at: int  # of a claim the end of its walltime; later the end of the retention
-    claim_name: str = ""  # of the claim among dispatchers; empty where no copies are kept for others
+    expires_at: int  # end of the walltime while claimed, later end of the retention
+    claim_name: str = ""  # name of the claim between dispatchers; empty without replication
     state: RecordState = RecordState.CLAIMED
     status: int = 0  # HTTP status of the answer
     content: bytes = b""  # body of the answer
-    size_bytes: int = 0  # what it is charged with
+    size_bytes: int = 0  # room that the record takes
 
     @property
     def tenant(self) -> str:
-        """Whose key it is, and who is charged with its room."""
+        """Return the tenant of the key, which the room of the record is charged to."""
         return self.scoped_key[0]
--- a/mastledge/idempotency/verdicts.py
+++ b/mastledge/idempotency/verdicts.py
@@ -1,18 +1,18 @@
-"""What becomes of a job with a key, and what a client that is turned away hears."""
+"""Verdicts on jobs with a key, and the HTTP status and body for refused ones."""
 
 from enum import StrEnum
 
 
 class Verdict(StrEnum):
-    """What becomes of a job with a key. The values are field names of `GET /api/copies`."""
+    """Verdict on a job with a key. The values are field names of `GET /api/copies`."""
 
-    NEW = "new"  # it holds the claim now, and may run
-    JOIN = "join"  # the first job of its key is under way, and its answer is awaited
-    ANSWER = "answer"  # the answer of the first job is given again
-    MAY_HAVE_RUN = "maybe"  # the first job may have run, and its answer is not known
-    OTHER_REQUEST = "other"  # the first job of its key had another path or body
-    FULL = "full"  # there is no room for its key
-    INVALID_KEY = "bad"  # its key is no valid one
+    NEW = "new"  # the job holds the claim now and may run
+    JOIN = "join"  # the first job of the key is still running; the repeat waits for its answer
+    ANSWER = "answer"  # the repeat gets the answer of the first job
+    MAY_HAVE_RUN = "maybe"  # the first job may have run, and its answer is unknown
+    OTHER_REQUEST = "other"  # the first job of the key had another path or body
+    FULL = "full"  # the table has no room for the key
+    INVALID_KEY = "bad"  # the key is invalid
 
 
 HTTP_STATUS = {
--- a/mastledge/storage/__init__.py
+++ b/mastledge/storage/__init__.py
@@ -1,4 +1,4 @@
-"""Files that last: a locked data directory, and write-ahead logs that a thread of their own syncs.
+"""Durable files: a locked data directory, and write-ahead logs that are each written by a separate thread.
 
-Nothing here knows what the records mean; whoever owns a log gives it a `ReplayedState`.
+The package does not interpret records; the owner of a log provides a `ReplayedState`.
 """
--- a/mastledge/storage/data_directory.py
+++ b/mastledge/storage/data_directory.py
@@ -1,4 +1,4 @@
-"""The data directory of one dispatcher, which one process at a time may use."""
+"""The data directory of one dispatcher, which only one process may use at a time."""
 
 import errno
 import fcntl
@@ -11,18 +11,18 @@
 
 
 class DataDirectory:
-    """A directory and its lock file. The lock is a `flock`, so it ends with the process that has it."""
+    """A directory and its lock file. The lock is a `flock`, so it ends with the process that holds it."""
 
     def __init__(self, path: str) -> None:
-        """Touches nothing yet; `acquire` makes the directory where it is missing."""
+        """Set the path; `acquire` creates the directory if it is missing."""
         self.path = path
-        self.lock: int | None = None  # descriptor of the lock file, while this process has the lock
+        self.lock: int | None = None  # descriptor of the lock file while this process holds the lock
 
     def acquire(self) -> "DataDirectory":
         """Lock the directory for this process.
 
-        Raises `DirectoryLockedError` where another process has it, and `DataDirectoryError` where it
-        cannot be written.
+        Raise `DirectoryLockedError` if another process holds the lock, or `DataDirectoryError` if the
+        directory cannot be written.
         """
         lock = self._open_lock_file()
         try:
@@ -30,7 +30,7 @@
         except OSError:
             os.close(lock)
             raise DirectoryLockedError(
-                errno.EBUSY, f"folder {self.path} is held by another process"
+                errno.EBUSY, f"folder {self.path} is locked by another process"
             ) from None
         self.lock = lock
         return self
@@ -43,17 +43,17 @@
             )
         except OSError as error:
             raise DataDirectoryError(
-                error.errno, f"folder {self.path} can't be written: {error.strerror}"
+                error.errno, f"folder {self.path} cannot be written: {error.strerror}"
             ) from None
 
     def release(self) -> None:
-        """Give the lock back, where this process has it."""
+        """Release the lock if this process holds it."""
         if self.lock is not None:
             os.close(self.lock)
             self.lock = None
 
     def sync(self) -> None:
-        """Sync the directory itself, so that a file made or renamed here is found after a loss of power."""
+        """Sync the directory, so that a created or renamed file survives a loss of power."""
         descriptor = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(descriptor)
--- a/mastledge/storage/errors.py
+++ b/mastledge/storage/errors.py
@@ -1,37 +1,37 @@
-"""Errors of files that last. Each says in one plain line which file or directory it is about, and why."""
+"""Errors of durable files. Each message names the file or directory and the cause in one line."""
 
 
 class StorageError(OSError):
-    """Something that is to last cannot be read, or cannot be written. `errno` is 0 where no call failed."""
+    """A durable file cannot be read or written. `errno` is 0 if no system call failed."""
 
     def __init__(self, errno: int | None, message: str) -> None:
-        """`errno` of the system call that failed, or 0; `message` is the line that an operator reads."""
+        """Take the `errno` of the failed system call, or 0, and the one-line `message` for operators."""
         super().__init__(errno, message)
 
     def __str__(self) -> str:
-        """Only the message: operators read it as one line, without the number."""
+        """Return only the message, without the error number."""
         return self.args[1]
 
 
 class DataDirectoryError(StorageError):
-    """The data directory, or a log in it, cannot be used as it is."""
+    """The data directory, or a log in it, cannot be used."""
 
 
 class DirectoryLockedError(DataDirectoryError):
-    """Another process has the data directory."""
+    """Another process has locked the data directory."""
 
 
 class ForeignLogError(DataDirectoryError):
-    """The log belongs to another dispatcher, or to another fleet."""
+    """The log belongs to another dispatcher or another fleet."""
 
 
 class UnsupportedFormatError(DataDirectoryError):
-    """The log was written by a version of the program whose format this one does not read."""
+    """The log was written in a format that this version does not read."""
 
 
 class DamagedLogError(DataDirectoryError):
-    """The log cannot be read to its end, and not because a crash cut it off."""
+    """The log is damaged in a way that a crash during a write does not explain."""
 
 
 class LogNotWritableError(StorageError):
-    """An earlier write has failed or the log is closed: nothing is appended until a rewrite succeeds."""
+    """An earlier write has failed, or the log is closed: appends fail until a rewrite succeeds."""
--- a/mastledge/storage/frames.py
+++ b/mastledge/storage/frames.py
@@ -1,6 +1,6 @@
-"""Frames: the checksummed units of a write-ahead log file. docs/formats.md is the format page.
+"""Frames: the checksummed units of a write-ahead log file; docs/formats.md describes the format.
 
-A frame holds records that were written together, so all of them are there or none.
+A frame holds the records that were written together, so either all of them are in the file or none.
 """
 
 import struct
@@ -15,24 +15,24 @@
 FRAME_MAGIC = b"\xa5frm"
 FRAME_HEADER = struct.Struct(">4sII")  # magic, length of the content, checksum of length and content
 CONTENT_LENGTH = struct.Struct(">I")
-MAX_CONTENT_BYTES = 64 << 20  # a longer length is damage
+MAX_CONTENT_BYTES = 64 << 20  # a frame with a longer length is damaged
 encode_content = msgspec.msgpack.Encoder().encode
 decode_content = msgspec.msgpack.decode
 
 
 def frame_checksum(content: bytes) -> int:
-    """CRC-32 of the length, as it stands in the frame, and of the content."""
+    """Return the CRC-32 of the length, as encoded in the frame, and the content."""
     return zlib.crc32(content, zlib.crc32(CONTENT_LENGTH.pack(len(content))))
 
 
 def encode_frame(records: Sequence[Any] | bytes) -> bytes:
-    """One frame with these records; what is not of MessagePack raises `TypeError`."""
+    """Return a frame with these records; raise `TypeError` if MessagePack cannot encode them."""
     content = encode_content(records)
     return FRAME_HEADER.pack(FRAME_MAGIC, len(content), frame_checksum(content)) + content
 
 
 def whole_frame(data: bytes, offset: int) -> bytes | None:
-    """The content of the frame at this offset, or None where no whole frame stands there."""
+    """Return the content of the frame at this offset, or None if there is no whole frame."""
     content_offset = offset + FRAME_HEADER.size
     if len(data) < content_offset:
         return None
@@ -44,7 +44,7 @@
 
 
 def has_whole_frame_after(data: bytes, offset: int) -> bool:
-    """Whether a whole frame begins anywhere behind this offset: then what stands at it is no torn end."""
+    """Return whether a whole frame starts after this offset, so that the bytes at it are not a torn end."""
     while (offset := data.find(FRAME_MAGIC, offset + 1)) >= 0:
         if whole_frame(data, offset) is not None:
             return True
@@ -52,11 +52,11 @@
 
 
 def encode_file_header(owner: Mapping[str, str]) -> bytes:
-    """What a file begins with: the magic line, then a frame that says its format and whose it is."""
+    """Return the start of a file: the magic line, then a frame with the format and the owner."""
     # The map is encoded twice: the content of this frame is one binary value with the map in it.
     return FILE_MAGIC + encode_frame(encode_content({"format": FORMAT_VERSION, **owner}))
 
 
 def decode_file_header(content: bytes) -> dict[str, Any]:
-    """The map in the content of the first frame."""
+    """Return the map in the content of the first frame."""
     return decode_content(decode_content(content))
--- a/mastledge/storage/write_ahead_log.py
+++ b/mastledge/storage/write_ahead_log.py
@@ -1,7 +1,7 @@
-"""An append-only file of records, replayed into a state when it is opened. Format page: docs/formats.md.
+"""An append-only file of records, replayed into a state when it is opened; see docs/formats.md.
 
-Records that are appended together are one frame with one checksum: they are there as a whole or not at all.
-The next frame is written only after the one before it is synced, so a frame that a crash cut off is the last.
+Records that are appended together form one frame with one checksum, so either all of them are stored or none.
+A frame is written only after the previous one is synced, so only the last frame can be torn by a crash.
 """
 
 import os
@@ -21,19 +21,19 @@
 )
 from mastledge.storage.replayed_state import ReplayedState
 
-RECORDS_PER_FRAME = 512  # where a file is rewritten
+RECORDS_PER_FRAME = 512  # in a rewritten file
 REWRITE_SUFFIX = ".new"
 
 
 def write_all(descriptor: int, data: bytes) -> None:
-    """Write all of it, however much the system takes at once; `OSError` leaves an unknown part written."""
+    """Write all of `data`, in several calls if needed; after an `OSError` an unknown part is written."""
     rest = memoryview(data)
     while rest:
         rest = rest[os.write(descriptor, rest) :]
 
 
 class WriteAheadLog:
-    """One log file of a data directory. Not thread-safe: once it is open, one `Writer` has it."""
+    """One log file of a data directory. Not thread-safe: an open log belongs to one `Writer`."""
 
     def __init__(
         self,
@@ -43,9 +43,9 @@
         state: ReplayedState,
         log: Callable[..., None] = lambda event, **fields: None,
     ) -> None:
-        """The file `name` of a directory whose lock this process has.
+        """Set the file `name` in a directory that this process has locked.
 
-        `owner` says whose records these are: a file that names another value for any of its keys is refused.
+        `owner` identifies the owner of the records: a file with another value for one of its keys is refused.
         `log` takes an event and its fields.
         """
         self.directory, self.name, self.owner, self.state, self.log = directory, name, owner, state, log
@@ -54,10 +54,10 @@
         self.size = 0  # bytes
 
     def open(self) -> "WriteAheadLog":
-        """Replay the file into the state, or begin one; a torn last frame is cut off and logged.
+        """Replay the file into the state, or create the file; a torn last frame is cut off and logged.
 
-        Raises `DamagedLogError`, `ForeignLogError`, `UnsupportedFormatError`, or `DataDirectoryError` where
-        the system refuses.
+        Raise `DamagedLogError`, `ForeignLogError`, `UnsupportedFormatError`, or `DataDirectoryError` if a
+        system call fails.
         """
         try:
             if os.path.exists(self.path):
@@ -82,13 +82,13 @@
             write_all(self.descriptor, frame)
             os.fdatasync(self.descriptor)
         except OSError:
-            # What stands there now isn't known: the kernel may have dropped pages that it could not write.
+            # The content of the file is unknown now: the kernel may have dropped pages it could not write.
             self.close()
             raise
         self.size += len(frame)
 
     def rewrite(self, records: Sequence[Any]) -> None:
-        """Replace the file by one with these records; after an `OSError` the former one is still there."""
+        """Replace the file by one with these records; after an `OSError` the old file is still there."""
         replacement = self.path + REWRITE_SUFFIX
         descriptor = os.open(replacement, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, FILE_MODE)
         try:
@@ -102,7 +102,7 @@
         self.descriptor, self.size = descriptor, size
 
     def close(self) -> None:
-        """Close the file; what was appended is already synced."""
+        """Close the file; all appended records are already synced."""
         if self.descriptor is not None:
             os.close(self.descriptor)
             self.descriptor = None
@@ -119,13 +119,15 @@
         os.lseek(self.descriptor, self.size, os.SEEK_SET)
 
     def _replay(self, data: bytes) -> int:
-        """Apply all whole frames; gives the offset at which the last of them ends."""
+        """Apply all whole frames and return the offset of the end of the last one."""
         offset = self._check_header(data)
         while offset < len(data):
             content = frames.whole_frame(data, offset)
             if content is None:
                 if frames.has_whole_frame_after(data, offset):
-                    raise DamagedLogError(0, f"{self.path} is spoilt at byte {offset}, and not at its end")
+                    raise DamagedLogError(
+                        0, f"{self.path} is damaged at byte {offset}, before its last frame"
+                    )
                 break
             self._apply(frames.decode_content(content), offset)
             offset += frames.FRAME_HEADER.size + len(content)
@@ -136,35 +138,37 @@
             try:
                 self.state.apply(record)
             except (ValueError, TypeError, IndexError) as error:
-                raise DamagedLogError(0, f"{self.path} can't be followed at byte {offset}: {error}") from None
+                raise DamagedLogError(
+                    0, f"{self.path} has an invalid record at byte {offset}: {error}"
+                ) from None
 
     def _check_header(self, data: bytes) -> int:
-        """The offset behind the file's header, if it is one of this format and this owner."""
+        """Check the format and the owner in the file's header, and return the offset after it."""
         if not data.startswith(frames.FILE_MAGIC):
-            raise DamagedLogError(0, f"{self.path} is no journal of mastledge")
+            raise DamagedLogError(0, f"{self.path} is not a mastledge write-ahead log")
         content = frames.whole_frame(data, len(frames.FILE_MAGIC))
         if content is None:
-            raise DamagedLogError(0, f"{self.path} is spoilt at its head")
+            raise DamagedLogError(0, f"{self.path} has a damaged header")
         header = frames.decode_file_header(content)
         if header["format"] != frames.FORMAT_VERSION:
             raise UnsupportedFormatError(
                 0,
-                f"{self.path} is of format {header['format']}, written by another version; "
-                f"this one reads {frames.FORMAT_VERSION}",
+                f"{self.path} has format {header['format']}, written by another version; "
+                f"this version reads format {frames.FORMAT_VERSION}",
             )
         self._check_owner(header)
         return len(frames.FILE_MAGIC) + frames.FRAME_HEADER.size + len(content)
 
     def _check_owner(self, header: Mapping[str, Any]) -> None:
         for key, expected in self.owner.items():
-            # A file from before this key was written down belongs to whoever has it.
+            # A file of an earlier version may lack this key; it is accepted for any owner.
             found = header.get(key, expected)
             if found != expected:
                 raise ForeignLogError(0, f"{self.path} belongs to another {key}: {found}, not {expected}")
 
     def _write_file(self, descriptor: int, records: Sequence[Any]) -> int:
-        """Write a whole file and sync it; gives its size in bytes."""
-        # In parts, as no other thread runs while one is encoded.
+        """Write a whole file, sync it and return its size in bytes."""
+        # Encode in parts, because encoding blocks all other threads.
         starts = range(0, len(records), RECORDS_PER_FRAME)
         parts = (records[start : start + RECORDS_PER_FRAME] for start in starts)
         size = 0
--- a/mastledge/storage/writer.py
+++ b/mastledge/storage/writer.py
@@ -1,4 +1,4 @@
-"""The thread that writes a log: who hands records in goes on at once, and hears when they are on the disk."""
+"""The thread that writes a log; callers do not wait, and get a result once their records are on the disk."""
 
 import contextlib
 import enum
@@ -14,13 +14,13 @@
 from mastledge.storage.errors import LogNotWritableError
 from mastledge.storage.write_ahead_log import WriteAheadLog
 
-MIN_COMPACTION_BYTES = 1 << 20  # a log is compacted once it is longer, and has doubled since it last was
-MAX_APPENDS_PER_SYNC = 64  # that become one frame
-CLOSE_TIMEOUT_S = 5.0  # for the thread to write what is left
+MIN_COMPACTION_BYTES = 1 << 20  # a log is compacted above this size, once it has doubled since the last time
+MAX_APPENDS_PER_SYNC = 64  # appends that are written as one frame
+CLOSE_TIMEOUT_S = 5.0  # for the thread to write the remaining requests
 
 
 class WriteKind(enum.Enum):
-    """What the thread is to do with the records of a request."""
+    """Kind of a request to the thread."""
 
     APPEND = enum.auto()
     REWRITE = enum.auto()
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteRequest:
-    """Records that were handed in together, under a token of the caller's."""
+    """Records that are written together, with a token chosen by the caller."""
 
     kind: WriteKind
     token: int = 0
@@ -38,25 +38,27 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteResult:
-    """How one request ended: `error` is None once its records are synced."""
+    """Result of one request: `error` is None if its records are synced."""
 
     token: int
     error: Exception | None
 
 
 class Writer:
-    """Owns an open log and the thread that writes it. After an error all fails until a rewrite succeeds.
+    """Owns an open log and the thread that writes it. After an error appends fail until a rewrite succeeds.
 
-    `append`, `rewrite`, `completed` and `close` belong to the caller's thread.
+    `append`, `rewrite`, `completed` and `close` are called on the caller's thread.
     """
 
     def __init__(self, wal: WriteAheadLog) -> None:
-        """Starts the thread; from here on the log and its state are the thread's alone."""
+        """Start the thread; from now on only the thread uses the log and its state."""
         self.wal = wal
-        self.fd = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)  # readable when `completed` has something
+        self.fd = os.eventfd(
+            0, os.EFD_NONBLOCK | os.EFD_CLOEXEC
+        )  # readable when there are results for `completed`
         self.longest_write_us = 0
         self._requests: SimpleQueue[WriteRequest] = SimpleQueue()
-        self._deferred: WriteRequest | None = None  # taken from the queue, and not for the batch before it
+        self._deferred: WriteRequest | None = None  # taken from the queue, but not part of the previous batch
         self._results: deque[WriteResult] = deque()
         self._failed = False
         self._compact_above_bytes = self._compaction_limit()
@@ -64,15 +66,15 @@
         self.thread.start()
 
     def append(self, token: int, records: Sequence[Any]) -> None:
-        """Have these records written behind all that was handed in before."""
+        """Request that these records are written after all earlier requests."""
         self._requests.put(WriteRequest(WriteKind.APPEND, token, records))
 
     def rewrite(self, token: int, records: Sequence[Any]) -> None:
-        """Have the file replaced by one with these records."""
+        """Request that the file is replaced by one with these records."""
         self._requests.put(WriteRequest(WriteKind.REWRITE, token, records))
 
     def completed(self) -> list[WriteResult]:
-        """Give the results since the last call, in the order of the requests."""
+        """Return the results since the last call, in the order of the requests."""
         with contextlib.suppress(BlockingIOError):
             os.eventfd_read(self.fd)
         results = []
@@ -81,7 +83,7 @@
         return results
 
     def close(self) -> None:
-        """Write what is left, then end the thread and close the log."""
+        """Write the remaining requests, then end the thread and close the log."""
         self._requests.put(WriteRequest(WriteKind.STOP))
         self.thread.join(CLOSE_TIMEOUT_S)
         self.wal.close()
@@ -92,7 +94,7 @@
             self._write(batch)
 
     def _next_batch(self) -> list[WriteRequest]:
-        """Requests for one write: as many appends as have come, or one rewrite; none at the end."""
+        """Return the requests for one write: all queued appends or one rewrite; an empty list to stop."""
         first = self._deferred or self._requests.get()
         self._deferred = None
         if first.kind is WriteKind.STOP:
@@ -112,15 +114,15 @@
     def _write(self, batch: list[WriteRequest]) -> None:
         kind = batch[0].kind
         records = [record for request in batch for record in request.records]
-        began = monotonic_ns()
+        started_ns = monotonic_ns()
         error = self._try_write(kind, records)
-        self.longest_write_us = max(self.longest_write_us, (monotonic_ns() - began) // 1000)
+        self.longest_write_us = max(self.longest_write_us, (monotonic_ns() - started_ns) // 1000)
         self._results.extend(WriteResult(request.token, error) for request in batch)
         os.eventfd_write(self.fd, 1)
         if error is None:
-            # Nobody waits for this; should it fail, so does what is handed in next.
+            # The results are already reported, so a failure here makes the next append fail.
             try:
-                self._follow(kind, records)
+                self._apply_and_compact(kind, records)
             except (OSError, ValueError):
                 self._failed = True
 
@@ -130,7 +132,9 @@
                 self.wal.rewrite(records)
                 self._failed = False
             elif self._failed:
-                raise LogNotWritableError(0, "what came before is not on the disk")
+                raise LogNotWritableError(
+                    0, "an earlier write has failed and the log has not been rewritten since"
+                )
             else:
                 self.wal.append(records)
         except (OSError, ValueError) as error:
@@ -138,8 +142,8 @@
             return error
         return None
 
-    def _follow(self, kind: WriteKind, records: list[Any]) -> None:
-        """Apply what is now on the disk, and compact a log that has grown long."""
+    def _apply_and_compact(self, kind: WriteKind, records: list[Any]) -> None:
+        """Apply the synced records to the state, and compact a log that has grown long."""
         state = self.wal.state
         if kind is WriteKind.REWRITE:
             state.reset()
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -129,8 +129,8 @@
 @pytest.mark.parametrize(
     ("entry", "says"),
     [
-        (("end", "t", b"k", True, 200, b"", 9), "an end without its claim: b'k'"),
-        (("lend", "t", b"k"), "a record of a later version: lend"),
+        (("end", "t", b"k", True, 200, b"", 9), "end entry without a claim for key b'k'"),
+        (("lend", "t", b"k"), "unknown kind of entry, perhaps of a later version: lend"),
     ],
 )
 def test_entries_that_cannot_be_followed_are_named(entry, says):
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -159,19 +159,19 @@
 def test_a_log_of_another_format_is_refused_in_one_plain_message(log_file, monkeypatch):
     log_file.write_frames()
     monkeypatch.setattr("mastledge.storage.frames.FORMAT_VERSION", 2)
-    with pytest.raises(UnsupportedFormatError, match="of format 1"):
+    with pytest.raises(UnsupportedFormatError, match="has format 1"):
         log_file.opened()
 
 
 def test_a_file_that_is_no_log_is_refused_in_one_plain_message(log_file):
     log_file.path.write_bytes(b"something else")
-    with pytest.raises(DamagedLogError, match="no journal"):
+    with pytest.raises(DamagedLogError, match="not a mastledge write-ahead log"):
         log_file.opened()
 
 
 def test_a_directory_has_one_process_at_a_time(log_file, tmp_path):
     log_file.opened()
-    with pytest.raises(DirectoryLockedError, match="held by another process"):
+    with pytest.raises(DirectoryLockedError, match="locked by another process"):
         DataDirectory(str(tmp_path)).acquire()
     log_file.put_away()
     again = DataDirectory(str(tmp_path)).acquire()
@@ -180,7 +180,7 @@
 
 def test_a_directory_that_cannot_be_written_is_one_plain_message(tmp_path):
     (tmp_path / "file").write_bytes(b"")
-    with pytest.raises(DataDirectoryError, match="can't be written"):
+    with pytest.raises(DataDirectoryError, match="cannot be written"):
         DataDirectory(str(tmp_path / "file" / "below")).acquire()
 
 
