--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,6 +1,6 @@
-"""Idempotency keys on one dispatcher: a repeat in memory, after a restart and on sockets.
+"""Idempotency keys on one dispatcher: repeats in memory, after a restart and over sockets.
 
-Nothing that may have run is a first job again before its retention is over.
+They guard against launching a job again that may have run, before its retention is over.
 """
 
 import threading
@@ -46,7 +46,7 @@
 
 
 def persisted_keys(now, entries):
-    """What entries of the log amount to at a time of the monotonic clock."""
+    """Return the state after these entries of the log, at the monotonic time `now`."""
     persisted = PersistedKeys(lambda: now + UNIX_OFFSET_US)
     for entry in entries:
         persisted.apply(entry)
@@ -54,7 +54,7 @@
 
 
 def restarted(key_table, now):
-    """The table after a restart: by what was handed out for the disk alone, written anew in between."""
+    """Return the table after a restart, restored from its changes after a rewrite of the log."""
     written = persisted_keys(now, key_table.take_changes())
     rewritten = persisted_keys(now, written.compacted_records())
     after = table_of()
@@ -65,7 +65,7 @@
 # The table
 
 
-def test_a_repeat_joins_then_gets_the_same_answer_until_its_retention_is_over(key_table):
+def test_repeat_joins_then_gets_the_same_answer_until_retention_ends(key_table):
     verdict, record = claim(key_table)
     assert verdict == Verdict.NEW
     assert claim(key_table, 1) == (Verdict.JOIN, record)
@@ -76,7 +76,7 @@
     assert verdict_of(key_table, 10 + RETENTION_US) == Verdict.NEW
 
 
-def test_what_may_have_run_is_told_as_such_and_what_never_ran_is_a_first_job_again(key_table):
+def test_unsure_key_may_have_run_and_released_key_is_new(key_table):
     _, unsure = claim(key_table)
     key_table.mark_unsure(10, unsure)
     assert verdict_of(key_table, 20) == Verdict.MAY_HAVE_RUN
@@ -86,14 +86,14 @@
     assert verdict_of(key_table, key=b"k2") == Verdict.NEW
 
 
-def test_a_claim_that_a_crash_left_may_have_run_and_a_clock_set_back_keeps_it_no_longer(key_table):
+def test_claim_before_crash_may_have_run_and_expires_despite_clock_set_back(key_table):
     claim(key_table, 50 * RETENTION_US)
     after = restarted(key_table, 0)
     assert verdict_of(after, 1) == Verdict.MAY_HAVE_RUN
     assert verdict_of(after, RETENTION_US) == Verdict.NEW
 
 
-def test_a_key_with_another_body_is_refused_and_another_tenant_has_its_own(key_table):
+def test_key_with_another_body_is_refused_and_key_of_another_tenant_is_new(key_table):
     claim(key_table)
     other_fingerprint = request_fingerprint(b"/post", b"y")
     assert verdict_of(key_table, fingerprint=other_fingerprint) == Verdict.OTHER_REQUEST
@@ -101,11 +101,11 @@
 
 
 @pytest.mark.parametrize("key", [b"", b"a b", b"\xff", b"x" * 256])
-def test_a_key_that_is_not_1_to_255_visible_ascii_characters_is_refused(key, key_table):
+def test_key_other_than_1_to_255_visible_ascii_characters_is_refused(key, key_table):
     assert verdict_of(key_table, key=key) == Verdict.INVALID_KEY
 
 
-def test_a_full_table_refuses_new_keys_and_forgets_no_claim():
+def test_full_table_refuses_new_keys_and_keeps_claims():
     key_table = table_of(max_records=2)
     _, first = claim(key_table, key=b"a")
     _, second = claim(key_table, key=b"b")
@@ -116,7 +116,7 @@
     assert verdict_of(key_table, key=b"c") == Verdict.NEW
 
 
-def test_one_tenant_does_not_take_all_the_room_and_an_answer_too_large_still_says_that_it_ran():
+def test_tenant_cannot_fill_the_table_and_too_large_answer_may_have_run():
     key_table = table_of(1000, 4 * (RECORD_OVERHEAD_BYTES + 1))
     verdicts = [verdict_of(key_table, key=key) for key in (b"A", b"B", b"C", b"D")]
     assert verdicts == [Verdict.NEW] * 3 + [Verdict.FULL]
@@ -133,7 +133,7 @@
         (("lend", "t", b"k"), "unknown kind of entry, perhaps of a later version: lend"),
     ],
 )
-def test_entries_that_cannot_be_followed_are_named(entry, says):
+def test_invalid_entry_is_refused_with_a_message(entry, says):
     with pytest.raises(PersistedRecordError, match=says):
         persisted_keys(0, [entry])
 
@@ -148,18 +148,18 @@
         max_size=60,
     )
 )
-def test_no_key_that_may_have_run_is_new_again_in_its_time(moves):
-    """`may_run`: until when each key must not be launched again, kept beside the table by the test."""
+def test_key_whose_job_may_have_run_is_not_new_during_its_retention(operations):
+    """`may_run` is the test's model: the time until which each key must not be launched again."""
     key_table, now, may_run, claims = table_of(), 0, {}, {}
     disk = PersistedKeys(lambda: now + UNIX_OFFSET_US)
-    for move, number, wait in moves:
-        now, key = now + wait, b"k%d" % number
-        if move == "claim":
+    for operation, number, wait_us in operations:
+        now, key = now + wait_us, b"k%d" % number
+        if operation == "claim":
             verdict, record = claim(key_table, now, key=key)
             if verdict == Verdict.NEW:
                 assert may_run.get(key, 0) <= now
                 may_run[key], claims[key] = float("inf"), record
-        elif move == "crash":
+        elif operation == "crash":
             for entry in key_table.take_changes():
                 disk.apply(entry)
             key_table = table_of()
@@ -168,23 +168,23 @@
             claims = {}
         elif key in claims:
             record = claims.pop(key)
-            if move == "complete":
+            if operation == "complete":
                 key_table.complete(now, record, 200, b"r")
-            elif move == "mark_unsure":
+            elif operation == "mark_unsure":
                 key_table.mark_unsure(now, record)
             else:
                 key_table.release(record)
-            may_run[key] = 0 if move == "release" else now + RETENTION_US
+            may_run[key] = 0 if operation == "release" else now + RETENTION_US
         for entry in key_table.take_changes():
             disk.apply(entry)
         assert key_table.room.used_bytes == sum(record.size_bytes for record in key_table.records.values())
 
 
-# The service, on sockets and a disk
+# The service, with sockets and a disk
 
 
 class Keyed(Served):
-    """A program of this thread that keeps keys, with one stand-in worker."""
+    """A dispatcher with idempotency keys on this thread, with one stub worker."""
 
     def __init__(self, path, **changed):
         repeats = {"folder": str(path / "kept"), "entries": 100, "bytes": 100_000, **changed}
@@ -206,7 +206,7 @@
         return self.rig.reply(self.asked(txn, **how))
 
     def launched(self):
-        """The connection of the stand-in worker that the next job comes on, and the head of its request."""
+        """Return the stub worker's connection with the next job, and the head of the request."""
         return self.rig.called(self.sock)
 
     def over(self):
@@ -216,7 +216,7 @@
 
 @pytest.fixture
 def keyed(tmp_path, monkeypatch):
-    """A dispatcher that serves, and what starts it again with the same folder."""
+    """Yield a serving dispatcher, and a function that restarts it with the same directory."""
     monkeypatch.setattr(serving, "FIRST_LIST_TIMEOUT_US", 0)
     dispatchers = [Keyed(tmp_path).serving()]
 
@@ -233,21 +233,21 @@
 
 @pytest.fixture
 def stall_disk(monkeypatch):
-    """Makes the disk of a service wait for the event that is given back."""
-    goes_on = threading.Event()
+    """Yield a function that blocks a service's disk writes until the event it returns is set."""
+    resumed = threading.Event()
 
     def stall(service):
         append = service.writer.wal.append
 
-        def waits(records):
-            goes_on.wait(10)
+        def blocking_append(records):
+            resumed.wait(10)
             append(records)
 
-        monkeypatch.setattr(service.writer.wal, "append", waits)
-        return goes_on
+        monkeypatch.setattr(service.writer.wal, "append", blocking_append)
+        return resumed
 
     yield stall
-    goes_on.set()
+    resumed.set()
 
 
 def answers(theirs, txn):
@@ -259,28 +259,28 @@
     return reply.endswith(b"\r\n\r\nr")
 
 
-def test_a_repeat_on_sockets_joins_and_gets_the_first_answer_also_after_a_restart(keyed):
+def test_repeat_over_sockets_joins_and_gets_the_first_answer_even_after_restart(keyed):
     dispatcher, restart = keyed
     first = dispatcher.asked("a1")
     worker, _ = dispatcher.launched()
     second = dispatcher.asked("a2")
     assert dispatcher.turn(lambda: dispatcher.verdict_count(Verdict.JOIN) == 1)
-    first.close()  # who leaves doesn't take the job along
+    first.close()  # a client that leaves does not cancel the job
     dispatcher.turn(lambda: dispatcher.made.listener.jobs.in_hand == 1)
     answers(worker, b"a1")
     assert is_answer(dispatcher.rig.reply(second))
     assert is_answer(dispatcher.reply("a3"))
     assert b" 422 " in dispatcher.reply("a4", body=b"y")
     assert b" 400 " in dispatcher.reply("a5", key="")
-    after = restart()
-    assert is_answer(after.reply("a6"))
-    assert after.verdict_count(Verdict.ANSWER) == 1
-    status, text = after.call("/api/copies")
+    restarted_dispatcher = restart()
+    assert is_answer(restarted_dispatcher.reply("a6"))
+    assert restarted_dispatcher.verdict_count(Verdict.ANSWER) == 1
+    status, text = restarted_dispatcher.call("/api/copies")
     assert status == 200
     assert orjson.loads(text)["held"] == 1
 
 
-def test_a_repeat_of_what_was_running_at_the_end_is_told_that_it_may_have_run(keyed):
+def test_repeat_of_job_that_ran_at_restart_may_have_run(keyed):
     dispatcher, restart = keyed
     dispatcher.asked("a1")
     dispatcher.launched()
@@ -289,7 +289,7 @@
     assert b"may have run" in reply
 
 
-def test_a_disk_that_fails_takes_no_new_key_and_is_written_anew(keyed, monkeypatch):
+def test_failing_disk_refuses_new_keys_until_the_log_is_rewritten(keyed, monkeypatch):
     dispatcher, _ = keyed
     service = dispatcher.service
 
@@ -307,17 +307,17 @@
     assert b"a3" in head
 
 
-def test_a_key_that_is_claimed_again_while_its_release_is_written_is_seen_through(keyed, stall_disk):
+def test_key_claimed_again_during_write_of_its_release_is_answered(keyed, stall_disk):
     dispatcher, _ = keyed
     service = dispatcher.service
     dispatcher.asked("a1")
     dispatcher.launched()
     (first_job,) = service.first_jobs.values()
-    disk_goes_on = stall_disk(service)
+    disk_resumed = stall_disk(service)
     first_job.exchange.rejected(0)
     second = dispatcher.asked("a2")
     assert dispatcher.turn(lambda: dispatcher.verdict_count(Verdict.NEW) == 2)
-    disk_goes_on.set()
+    disk_resumed.set()
     worker, head = dispatcher.launched()
     assert b"a2" in head
     answers(worker, b"a2")
@@ -327,7 +327,7 @@
 
 
 @pytest.mark.parametrize(("disk_fails", "says"), [(False, b" 200 "), (True, b" 500 ")])
-def test_a_repeat_gets_no_answer_before_it_is_on_the_disk(disk_fails, says, keyed, stall_disk, monkeypatch):
+def test_repeat_gets_no_answer_before_it_is_on_disk(disk_fails, says, keyed, stall_disk, monkeypatch):
     dispatcher, _ = keyed
     service = dispatcher.service
     first = dispatcher.asked("a1")
@@ -338,7 +338,7 @@
             raise OSError(28, "No space left on device")
 
         monkeypatch.setattr(service.writer.wal, "append", full)
-    disk_goes_on = stall_disk(service)
+    disk_resumed = stall_disk(service)
     answers(worker, b"a1")
     (record,) = service.key_table.records.values()
     assert dispatcher.turn(lambda: record.state == RecordState.ANSWERED)
@@ -349,7 +349,7 @@
     with pytest.raises(BlockingIOError):
         second.recv(1)
     second.setblocking(True)
-    disk_goes_on.set()
+    disk_resumed.set()
     assert says in dispatcher.rig.reply(first)
     assert says in dispatcher.rig.reply(second)
 
@@ -365,6 +365,6 @@
         ({"folder": None}, "folder is missing"),
     ],
 )
-def test_a_bad_configuration_of_repeats_is_one_plain_message(changed, says, tmp_path):
+def test_invalid_settings_of_repeats_are_refused_with_a_message(changed, says, tmp_path):
     with pytest.raises(ConfigurationError, match=says):
         load_configuration(file(tmp_path, repeats={"folder": "x", **changed}), {})
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,6 +1,4 @@
-"""Files that last: a log cut at every byte, damaged, of others, on a disk that fails; the data directory and
-the thread that writes.
-"""
+"""Durable files: torn, damaged and foreign logs, failing disks, the data directory and the writer thread."""
 
 import os
 import resource
@@ -25,7 +23,7 @@
 
 
 class Sums:
-    """A replayed state: one sum a name."""
+    """A replayed state that holds one sum for each name."""
 
     def __init__(self):
         self.sums = {}
@@ -34,23 +32,23 @@
         self.sums = {}
 
     def apply(self, record):
-        name, n = record
-        self.sums[name] = self.sums.get(name, 0) + n
+        name, amount = record
+        self.sums[name] = self.sums.get(name, 0) + amount
 
     def compacted_records(self):
         return sorted(self.sums.items())
 
 
 class LogFile:
-    """A log in a directory of its own; one at a time is open, or has at least the lock."""
+    """A log in its directory; at most one `WriteAheadLog` at a time is open or holds the lock."""
 
     def __init__(self, path):
         self.directory_path, self.path = path, path / LOG_NAME
         self.events, self.wal = [], None
 
     def unopened(self, **owner):
-        """Locks the directory, and lets go of the log that was in use before."""
-        self.put_away()
+        """Lock the directory and return the log unopened; release the previous log first."""
+        self.release_log()
         self.events = []
         directory = DataDirectory(str(self.directory_path)).acquire()
         self.wal = WriteAheadLog(
@@ -66,67 +64,67 @@
         return self.unopened(**owner).open()
 
     def sums(self):
-        """What the file amounts to for one who opens it now."""
+        """Reopen the log and return its sums."""
         return self.opened().state.sums
 
-    def put_away(self):
+    def release_log(self):
         if self.wal is not None:
             self.wal.close()
             self.wal.directory.release()
             self.wal = None
 
     def write_frames(self, count=4):
-        """So many frames; gives the size of the file before the first and after each."""
+        """Write `count` frames; return the file size before the first and after each of them."""
         wal = self.opened()
         sizes = [wal.size]
         for n in range(count):
             wal.append([("a", 1), ("b", n)])
             sizes.append(wal.size)
-        self.put_away()
+        self.release_log()
         return sizes
 
 
 @pytest.fixture
 def log_file(tmp_path):
-    made = LogFile(tmp_path)
-    yield made
-    made.put_away()
+    log = LogFile(tmp_path)
+    yield log
+    log.release_log()
 
 
 @pytest.fixture
 def writer(log_file):
-    made = Writer(log_file.opened())
-    yield made
-    if made.thread.is_alive():
-        made.close()
+    running_writer = Writer(log_file.opened())
+    yield running_writer
+    if running_writer.thread.is_alive():
+        running_writer.close()
 
 
 def results(writer, count):
-    """So many results, waited for as the loop does."""
-    out = []
-    while len(out) < count:
+    """Wait for `count` results of the writer, as the event loop does, and return them."""
+    collected = []
+    while len(collected) < count:
         assert select.select([writer.fd], [], [], 5)[0]
-        out += writer.completed()
-    return out
+        collected += writer.completed()
+    return collected
 
 
-def test_a_file_cut_at_every_byte_holds_the_old_state_or_the_new(log_file):
+def test_log_cut_at_any_byte_keeps_only_whole_frames(log_file):
     sizes = log_file.write_frames()
     raw = log_file.path.read_bytes()
     for at in range(sizes[0], len(raw)):
         log_file.path.write_bytes(raw[:at])
         wal = log_file.opened()
-        whole = sum(size <= at for size in sizes) - 1
-        assert wal.state.sums.get("a", 0) == whole
-        assert wal.state.sums.get("b", 0) == sum(range(whole))
+        frame_count = sum(size <= at for size in sizes) - 1
+        assert wal.state.sums.get("a", 0) == frame_count
+        assert wal.state.sums.get("b", 0) == sum(range(frame_count))
         assert (log_file.events == []) == (at in sizes)
-        assert os.path.getsize(log_file.path) == sizes[whole]
-        assert all(fields["at"] == sizes[whole] for _, fields in log_file.events)
+        assert os.path.getsize(log_file.path) == sizes[frame_count]
+        assert all(fields["at"] == sizes[frame_count] for _, fields in log_file.events)
         wal.append([("a", 10)])
-        assert log_file.sums()["a"] == whole + 10
+        assert log_file.sums()["a"] == frame_count + 10
 
 
-def test_a_byte_damaged_in_the_middle_stops_the_start_and_at_the_end_is_cut(log_file):
+def test_damaged_byte_is_an_error_except_in_the_last_frame_which_is_cut_off(log_file):
     sizes = log_file.write_frames()
     raw = log_file.path.read_bytes()
     for at in range(len(raw)):
@@ -143,55 +141,55 @@
     assert log_file.sums()["a"] == 4
 
 
-def test_a_log_of_another_name_is_refused_in_one_plain_message(log_file):
+def test_log_of_another_dispatcher_is_refused(log_file):
     log_file.write_frames()
     with pytest.raises(ForeignLogError, match="belongs to another name: n0, not n1"):
         log_file.opened(name="n1")
 
 
-def test_a_fleet_is_told_apart_from_the_first_time_on_that_its_name_is_written(log_file):
+def test_log_of_another_fleet_is_refused_once_the_fleet_is_in_the_header(log_file):
     log_file.write_frames()
     log_file.opened(name="n0", fleet="a").rewrite([])
     with pytest.raises(ForeignLogError, match="belongs to another fleet: a, not b"):
         log_file.opened(name="n0", fleet="b")
 
 
-def test_a_log_of_another_format_is_refused_in_one_plain_message(log_file, monkeypatch):
+def test_log_of_another_format_is_refused(log_file, monkeypatch):
     log_file.write_frames()
     monkeypatch.setattr("mastledge.storage.frames.FORMAT_VERSION", 2)
     with pytest.raises(UnsupportedFormatError, match="has format 1"):
         log_file.opened()
 
 
-def test_a_file_that_is_no_log_is_refused_in_one_plain_message(log_file):
+def test_file_that_is_not_a_log_is_refused(log_file):
     log_file.path.write_bytes(b"something else")
     with pytest.raises(DamagedLogError, match="not a mastledge write-ahead log"):
         log_file.opened()
 
 
-def test_a_directory_has_one_process_at_a_time(log_file, tmp_path):
+def test_directory_is_locked_by_one_process_at_a_time(log_file, tmp_path):
     log_file.opened()
     with pytest.raises(DirectoryLockedError, match="locked by another process"):
         DataDirectory(str(tmp_path)).acquire()
-    log_file.put_away()
-    again = DataDirectory(str(tmp_path)).acquire()
-    again.release()
+    log_file.release_log()
+    directory = DataDirectory(str(tmp_path)).acquire()
+    directory.release()
 
 
-def test_a_directory_that_cannot_be_written_is_one_plain_message(tmp_path):
+def test_directory_that_cannot_be_written_is_refused(tmp_path):
     (tmp_path / "file").write_bytes(b"")
     with pytest.raises(DataDirectoryError, match="cannot be written"):
         DataDirectory(str(tmp_path / "file" / "below")).acquire()
 
 
-def test_a_closed_log_takes_nothing(log_file):
+def test_append_to_closed_log_is_refused(log_file):
     wal = log_file.opened()
     wal.close()
     with pytest.raises(LogNotWritableError, match="is not open"):
         wal.append([("a", 1)])
 
 
-def test_a_long_file_is_rewritten_in_parts_and_read_as_one(log_file):
+def test_long_log_is_rewritten_in_several_frames(log_file):
     wal = log_file.opened()
     records = [(f"n{n}", n) for n in range(3 * RECORDS_PER_FRAME - 5)]
     wal.rewrite(records)
@@ -202,7 +200,7 @@
     assert log_file.sums() == {**dict(records), "n0": 7}
 
 
-def test_a_crash_in_the_midst_of_a_rewrite_leaves_the_old_file(log_file, monkeypatch):
+def test_failed_rewrite_keeps_the_old_file(log_file, monkeypatch):
     log_file.write_frames()
     wal = log_file.opened()
     monkeypatch.setattr(os, "replace", lambda *names: (_ for _ in ()).throw(OSError(5, "cut off")))
@@ -213,7 +211,7 @@
     assert log_file.sums()["a"] == 5
 
 
-def test_the_writer_tells_in_order_and_after_a_failure_waits_for_a_rewrite(log_file, writer):
+def test_writer_reports_in_order_and_refuses_appends_from_failure_to_rewrite(log_file, writer):
     for token in range(1, 6):
         writer.append(token, [("a", 1)])
     assert results(writer, 5) == [WriteResult(token, None) for token in range(1, 6)]
@@ -226,7 +224,7 @@
         assert isinstance(failed.error, OSError)
     finally:
         resource.setrlimit(resource.RLIMIT_FSIZE, (soft, hard))
-    # There is room again, and still nothing may follow a record that is missing.
+    # The disk has room again, but an append must not follow a missing record.
     writer.append(7, [("a", 1)])
     (refused,) = results(writer, 1)
     assert isinstance(refused.error, LogNotWritableError)
@@ -237,7 +235,7 @@
     assert log_file.sums() == {"a": 7}
 
 
-def test_a_long_log_is_compacted_by_itself(log_file, monkeypatch):
+def test_long_log_is_compacted_automatically(log_file, monkeypatch):
     monkeypatch.setattr("mastledge.storage.writer.MIN_COMPACTION_BYTES", 2000)
     writer = Writer(log_file.opened())
     for token in range(1, 201):
