--- a/mastledge/replication/claim_resolution.py
+++ b/mastledge/replication/claim_resolution.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 
 from mastledge.replication.claims import QUORUM_TIMEOUT_US
-from mastledge.replication.jobs import OUTCOME_IS_OPEN, JobPhase, KeyedJob
+from mastledge.replication.jobs import OPEN_PHASES, JobPhase, KeyedJob
 from mastledge.replication.listeners import RELEASED, UNKNOWN, ClaimOutcome, outcome_of
 from mastledge.replication.messages import (
     ClaimStatus,
@@ -55,7 +55,7 @@
     def await_own_claim(self, now: int, job: KeyedJob, claimant: KeyedJob) -> None:
         """Let the job wait for a claim that this dispatcher owns."""
         job.phase, job.awaited_claim = JobPhase.AWAITING_CLAIM, claimant.claim_name
-        if claimant.phase in OUTCOME_IS_OPEN:
+        if claimant.phase in OPEN_PHASES:
             claimant.listeners.append(job)
         else:
             self.resolve(now, job, outcome_of(claimant))
--- a/mastledge/replication/claims.py
+++ b/mastledge/replication/claims.py
@@ -14,7 +14,7 @@
 
 QUORUM_TIMEOUT_US = 300_000  # unless the job's walltime ends earlier
 # Results that count without a quorum: the replica knows an answer, or it accepts no claim.
-CERTAIN_ALONE = frozenset((ReplicaResult.ANSWERED, ReplicaResult.FULL, ReplicaResult.DISK_FAILED))
+RESULTS_VALID_ALONE = frozenset((ReplicaResult.ANSWERED, ReplicaResult.FULL, ReplicaResult.DISK_FAILED))
 
 
 class Claims:
@@ -63,6 +63,8 @@
             # A record that only a minority has may belong to a claim that no quorum granted, but an answer is
             # always valid.
             responses = {
-                name: response for name, response in responses.items() if response.result in CERTAIN_ALONE
+                name: response
+                for name, response in responses.items()
+                if response.result in RESULTS_VALID_ALONE
             }
         self._on_refused(now, call.job, responses)
--- a/mastledge/replication/existing_records.py
+++ b/mastledge/replication/existing_records.py
@@ -14,7 +14,7 @@
 from mastledge.replication.quorum import CompleteCall, KeyOutcome
 from mastledge.replication.services import CoordinatorServices
 
-WITH_RECORD = (ReplicaResult.ANSWERED, ReplicaResult.UNSURE, ReplicaResult.CLAIMED)
+RESULTS_WITH_RECORD = (ReplicaResult.ANSWERED, ReplicaResult.UNSURE, ReplicaResult.CLAIMED)
 
 
 class ExistingRecords:
@@ -58,7 +58,7 @@
         """Return whether a replica has a record of the key with another fingerprint."""
         return any(
             response.fingerprint and response.fingerprint != job.fingerprint
-            for result in WITH_RECORD
+            for result in RESULTS_WITH_RECORD
             for response in by_result.get(result, ())
         )
 
--- a/mastledge/replication/jobs.py
+++ b/mastledge/replication/jobs.py
@@ -22,7 +22,7 @@
     WAITING = auto()  # for its next claim, or until a quorum has stored the answer that it will get
 
 
-OUTCOME_IS_OPEN = frozenset((JobPhase.CLAIMING, JobPhase.CLAIMED, JobPhase.COMPLETING))
+OPEN_PHASES = frozenset((JobPhase.CLAIMING, JobPhase.CLAIMED, JobPhase.COMPLETING))
 
 
 class RemoteListener(msgspec.Struct, frozen=True):
--- a/mastledge/replication/listeners.py
+++ b/mastledge/replication/listeners.py
@@ -6,7 +6,7 @@
 
 from mastledge.replication.errors import ClaimNameError
 from mastledge.replication.jobs import (
-    OUTCOME_IS_OPEN,
+    OPEN_PHASES,
     KeyedJob,
     RemoteListener,
 )
@@ -62,7 +62,7 @@
             # Claims of this incarnation are known until they are released; those of earlier ones are not.
             is_own = owner == self._names.owner and incarnation == self._names.incarnation
             self._respond(listener, RELEASED if is_own else UNKNOWN)
-        elif job.phase not in OUTCOME_IS_OPEN:
+        elif job.phase not in OPEN_PHASES:
             self._respond(listener, outcome_of(job))
         elif listener not in job.listeners:
             job.listeners.append(listener)
--- a/mastledge/replication/quorum.py
+++ b/mastledge/replication/quorum.py
@@ -29,7 +29,7 @@
 FIRST_RETRY_US = 60_000
 LONGEST_RETRY_US = 2_000_000
 # A replica that answers an outcome with one of these may store it later, so the call is repeated.
-TRY_LATER = frozenset(
+RETRYABLE_RESULTS = frozenset(
     (
         ReplicaResult.FULL,
         ReplicaResult.DISK_FAILED,
@@ -88,7 +88,7 @@
         if response.result is ReplicaResult.DONE:
             self.acknowledge(sender, directory_id, response)
             return True
-        return response.result is not ReplicaResult.STALE_EPOCH and response.result not in TRY_LATER
+        return response.result is not ReplicaResult.STALE_EPOCH and response.result not in RETRYABLE_RESULTS
 
     def acknowledge(self, sender: str, directory_id: str, response: ReplicaResponse) -> None:
         """Count a replica towards the quorum."""
