--- a/mastledge/replication/claims.py
+++ b/mastledge/replication/claims.py
@@ -6,7 +6,7 @@
 from mastledge.replication.listeners import RELEASED, ClaimListeners
 from mastledge.replication.messages import ReplicaResponse, ReplicaResult
 from mastledge.replication.quorum import (
-    LONGEST_RETRY_US,
+    MAX_RETRY_INTERVAL_US,
     ClaimCall,
     ReleaseCall,
 )
@@ -41,7 +41,7 @@
     def release(self, now: int, job: KeyedJob, on_end: Callable | None = None) -> ReleaseCall:
         """Release the job's claim, with retries for as long as a replica may keep the claim."""
         self._jobs.remove_claim(job)
-        return self._calls.start(now, ReleaseCall(job, job.deadline + LONGEST_RETRY_US, on_end))
+        return self._calls.start(now, ReleaseCall(job, job.deadline + MAX_RETRY_INTERVAL_US, on_end))
 
     def abandon(self, now: int, job: KeyedJob) -> None:
         """Release the claim of a job that is not launched, and notify the listeners of the claim."""
--- a/mastledge/replication/quorum.py
+++ b/mastledge/replication/quorum.py
@@ -26,8 +26,8 @@
 if TYPE_CHECKING:
     from mastledge.replication.jobs import KeyedJob
 
-FIRST_RETRY_US = 60_000
-LONGEST_RETRY_US = 2_000_000
+INITIAL_RETRY_INTERVAL_US = 60_000
+MAX_RETRY_INTERVAL_US = 2_000_000
 # A replica that answers an outcome with one of these may store it later, so the call is repeated.
 RETRYABLE_RESULTS = frozenset(
     (
@@ -77,7 +77,7 @@
         self.responses: dict[str, ReplicaResponse] = {}  # of replicas that acknowledged
         self.responded: dict[str, str] = {}  # all replicas that have answered
         self.on_quorum, self.on_failure, self.on_complete = on_quorum, on_failure, None
-        self.retry_us, self.sent_count = FIRST_RETRY_US, 0
+        self.retry_us, self.sent_count = INITIAL_RETRY_INTERVAL_US, 0
 
     def message(self, now: int, epoch: int) -> Message:
         """Return the message to each replica."""
@@ -265,7 +265,7 @@
         epoch_changed = placement.epoch != self._placement.epoch
         self._placement = placement
         for call in list(self._open.values()):
-            call.retry_us, call.replicas = FIRST_RETRY_US, placement.replicas_of(*call.scoped_key)
+            call.retry_us, call.replicas = INITIAL_RETRY_INTERVAL_US, placement.replicas_of(*call.scoped_key)
             if epoch_changed and isinstance(call, ClaimCall):
                 del self._open[call.call_id]
                 call.restart(self._sequence.next())
@@ -309,7 +309,7 @@
             self.evaluate(now, call)
         else:
             self._timers.at(now + call.retry_us, self._retry, call, call.sent_count)
-            call.retry_us = min(call.retry_us * 2, LONGEST_RETRY_US)
+            call.retry_us = min(call.retry_us * 2, MAX_RETRY_INTERVAL_US)
 
     def _retry(self, now: int, call: QuorumCall, sent_count: int) -> None:
         if sent_count == call.sent_count:  # a later transmission has scheduled another retry
