--- a/mastledge/replication/catch_up.py
+++ b/mastledge/replication/catch_up.py
@@ -79,7 +79,7 @@
         if self._epoch == NO_EPOCH or self._is_done:
             return
         unread = self._unread()
-        if len(unread) <= self._placement.spare_replicas() or now >= self._promises_over_at:
+        if len(unread) <= self._placement.max_unread_replicas() or now >= self._promises_over_at:
             self._is_done = True
             self._outbox.caught_up(self._epoch)
         elif now >= self._retry_at:
--- a/mastledge/replication/claim_resolution.py
+++ b/mastledge/replication/claim_resolution.py
@@ -147,7 +147,7 @@
             self._jobs.reply(job, Verdict.NO_QUORUM)
             return
         job.phase, job.awaited_claim = JobPhase.WAITING, ""
-        backoff_us = self._jitter.part_of(CLAIM_BACKOFF_US) if job.claim_count else 0
+        backoff_us = self._jitter.random_delay(CLAIM_BACKOFF_US) if job.claim_count else 0
         self._timers.at(now + backoff_us, self._claim_again, job)
 
     def _claim_again(self, now: int, job: KeyedJob) -> None:
--- a/mastledge/replication/placement.py
+++ b/mastledge/replication/placement.py
@@ -115,7 +115,7 @@
         """Return whether this dispatcher was a replica of the key before the change."""
         return name in heaviest(self.current, tenant, key, self.replica_count)
 
-    def spare_replicas(self) -> int:
+    def max_unread_replicas(self) -> int:
         """Return how many current dispatchers a new replica may leave unread.
 
         The others still include a majority of the replicas of each key.
--- a/mastledge/replication/timers.py
+++ b/mastledge/replication/timers.py
@@ -39,12 +39,12 @@
         """Seed the delays; the same seed and name give the same sequence."""
         self._seed, self._name, self._draws = seed, name.encode(), 0
 
-    def part_of(self, longest_us: int) -> int:
-        """Return a delay between half of `longest_us` and all of it.
+    def random_delay(self, max_delay_us: int) -> int:
+        """Return a delay between half of `max_delay_us` and all of it.
 
         It keeps dispatchers that claimed a key at the same time from colliding again.
         """
         self._draws += 1
         return int(
-            longest_us * (0.5 + crc32(b"%d %s %d" % (self._seed, self._name, self._draws)) / 8589934592)
+            max_delay_us * (0.5 + crc32(b"%d %s %d" % (self._seed, self._name, self._draws)) / 8589934592)
         )
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -223,7 +223,7 @@
     placement = Placement(state)
     replicas = placement.replicas_of("t", b"k")
     assert replicas.names == ["a", "b", "c"]
-    assert placement.spare_replicas() == 1
+    assert placement.max_unread_replicas() == 1
     assert replicas.is_quorum({"a": "1", "b": "1"})
     assert not replicas.is_quorum({"a": "1", "c": "2"})
     assert not replicas.is_quorum({"a": "1", "c": "1"})
@@ -289,7 +289,7 @@
     assert [len(replicas.names) for replicas in sets] == [3, 5]
     assert [replicas.majority for replicas in sets] == [2, 3]
     assert all(placement.is_next_replica(f"n{n}", "t", b"k") for n in range(5))
-    assert placement.spare_replicas() == 1
+    assert placement.max_unread_replicas() == 1
     for n in range(5):
         apply_change(rules, kind="caught", name=f"n{n}", id="i", epoch=epoch + 1)
     assert (state["count"], state["next"]) == (5, None) and "after" not in state
