--- a/mastledge/idempotency/key_table.py
+++ b/mastledge/idempotency/key_table.py
@@ -20,7 +20,7 @@
     with_expiry,
 )
 from mastledge.idempotency.records import RECORD_OVERHEAD_BYTES, Record, RecordState
-from mastledge.idempotency.room import Room
+from mastledge.idempotency.room import TableCapacity
 from mastledge.idempotency.verdicts import Verdict
 
 VERDICT_OF_STATE = {
@@ -64,7 +64,7 @@
     def __init__(self, retention_us: int, max_records: int, max_bytes: int, unix_offset_us: int) -> None:
         """Answer repeats for `retention_us`; the limits apply to all tenants together."""
         self.retention_us, self.unix_offset_us = retention_us, unix_offset_us
-        self.room = Room(max_records, max_bytes)
+        self.room = TableCapacity(max_records, max_bytes)
         self.records: dict[ScopedKey, Record] = {}
         self.expirations: deque[tuple[int, Record]] = (
             deque()
--- a/mastledge/idempotency/room.py
+++ b/mastledge/idempotency/room.py
@@ -5,7 +5,7 @@
 ROOM_SHARES = 4  # a tenant may use all shares but one, so that no tenant fills the table alone
 
 
-class Room:
+class TableCapacity:
     """Tracks the bytes that records take, in total and by tenant; limits apply to records and bytes."""
 
     def __init__(self, max_records: int, max_bytes: int) -> None:
--- a/mastledge/replication/coordinator.py
+++ b/mastledge/replication/coordinator.py
@@ -23,7 +23,7 @@
 from mastledge.replication.outcomes import OutcomeDistribution
 from mastledge.replication.outputs import JobVerdict, Verdict
 from mastledge.replication.placement import Placement
-from mastledge.replication.quorum import QuorumCalls, Sequence
+from mastledge.replication.quorum import NumberSequence, QuorumCalls
 from mastledge.replication.services import CoordinatorServices
 from mastledge.replication.timers import Jitter, Timers
 
@@ -47,7 +47,7 @@
         """Create the parts; outcomes are kept for `retention_us`, `seed` is that of the jitter."""
         self._host = host
         self.timers = Timers()
-        sequence = Sequence()
+        sequence = NumberSequence()
         self._calls = QuorumCalls(host.send, self.timers, sequence)
         self._jobs = JobTable(self._calls, host.report)
         services = CoordinatorServices(
--- a/mastledge/replication/jobs.py
+++ b/mastledge/replication/jobs.py
@@ -8,7 +8,7 @@
 from mastledge.idempotency import verdicts
 from mastledge.replication.messages import format_claim_name
 from mastledge.replication.outputs import JobVerdict, Verdict
-from mastledge.replication.quorum import CompleteCall, QuorumCall, QuorumCalls, Sequence
+from mastledge.replication.quorum import CompleteCall, NumberSequence, QuorumCall, QuorumCalls
 
 
 class JobPhase(Enum):
@@ -74,7 +74,7 @@
 class ClaimNames:
     """Generates names for the claims of one incarnation of a dispatcher."""
 
-    def __init__(self, owner: str, incarnation: str, sequence: Sequence):
+    def __init__(self, owner: str, incarnation: str, sequence: NumberSequence):
         """Number the claims by `sequence`."""
         self.owner, self.incarnation, self._sequence = owner, incarnation, sequence
 
--- a/mastledge/replication/quorum.py
+++ b/mastledge/replication/quorum.py
@@ -212,7 +212,7 @@
         return True
 
 
-class Sequence:
+class NumberSequence:
     """Numbers for the calls and claims of one dispatcher."""
 
     def __init__(self):
@@ -228,7 +228,7 @@
 class QuorumCalls:
     """All open calls of a coordinator. Times are microseconds."""
 
-    def __init__(self, send: Callable, timers: Timers, sequence: Sequence):
+    def __init__(self, send: Callable, timers: Timers, sequence: NumberSequence):
         """Start without calls; `send(recipient, message)` sends to any replica, including this one."""
         self._send, self._timers, self._sequence = send, timers, sequence
         self._placement = Placement()
