--- a/mastledge/replication/catch_up.py
+++ b/mastledge/replication/catch_up.py
@@ -37,32 +37,32 @@
         self._placement = Placement()
         self._epoch = NO_EPOCH  # of the placement for which records are read
         self._positions: dict[str, int] = {}  # next position to read, by current replica
-        self._read_whole: set[str] = set()
+        self._fully_read: set[str] = set()
         self._is_done = False
-        self._retry_at = self._promises_over_at = 0
+        self._retry_at = self._records_expired_at = 0
         self.records_taken = 0
 
     def on_placement(self, now: int, placement: Placement) -> None:
         """Start the catch-up if the placement makes this dispatcher a new replica, else stop it."""
         self._placement = placement
-        is_wanted = placement.next is not None and placement.next.get(self._name) == self._directory_id
-        if not is_wanted or self._name in placement.caught_up:
+        is_target = placement.next is not None and placement.next.get(self._name) == self._directory_id
+        if not is_target or self._name in placement.caught_up:
             self._epoch = NO_EPOCH
         elif self._epoch != placement.epoch:
-            self._begin(now)
+            self._start(now)
         self.run(now)
 
-    def _begin(self, now: int) -> None:
+    def _start(self, now: int) -> None:
         placement = self._placement
-        self._epoch, self._positions, self._read_whole = placement.epoch, {}, set()
+        self._epoch, self._positions, self._fully_read = placement.epoch, {}, set()
         self._is_done = False
-        self._promises_over_at, self._retry_at = now + self._promise_us, now
+        self._records_expired_at, self._retry_at = now + self._promise_us, now
         if (
             placement.keeps_records(self._name, self._directory_id)
             and placement.current.keys() == placement.next.keys()
         ):
             # Only other dispatchers have new data directories; this one still has all its records.
-            self._read_whole.update(placement.current)
+            self._fully_read.update(placement.current)
 
     def on_disk_recovered(self) -> None:
         """Repeat the end of the catch-up, which was waiting for the disk, unless it is already committed."""
@@ -72,14 +72,14 @@
         """Return when `run` is due next, in microseconds, or None if it is not."""
         if self._epoch == NO_EPOCH or self._is_done:
             return None
-        return min(self._retry_at, self._promises_over_at)
+        return min(self._retry_at, self._records_expired_at)
 
     def run(self, now: int) -> None:
         """End the catch-up once enough replicas are read, or repeat the requests without a response."""
         if self._epoch == NO_EPOCH or self._is_done:
             return
         unread = self._unread()
-        if len(unread) <= self._placement.max_unread_replicas() or now >= self._promises_over_at:
+        if len(unread) <= self._placement.max_unread_replicas() or now >= self._records_expired_at:
             self._is_done = True
             self._outbox.caught_up(self._epoch)
         elif now >= self._retry_at:
@@ -90,7 +90,7 @@
     def _unread(self) -> set[str]:
         this_dispatcher = self._name, self._directory_id
         current = {name for name, id_ in self._placement.current.items() if (name, id_) != this_dispatcher}
-        return current - self._read_whole
+        return current - self._fully_read
 
     def _ask(self, name: str) -> None:
         self._outbox.send(name, ScanRequest(self._epoch, self._positions.get(name, 0)))
@@ -107,7 +107,7 @@
         self.records_taken += len(response.records)
         self._positions[sender] = response.next_position
         if response.last:
-            self._read_whole.add(sender)
+            self._fully_read.add(sender)
             self.run(now)
         else:
             self._ask(sender)
@@ -116,7 +116,7 @@
         return (
             response.epoch == self._epoch
             and self._placement.current.get(sender) == directory_id
-            and sender not in self._read_whole
+            and sender not in self._fully_read
             and response.position == self._positions.get(sender, 0)
         )
 
