--- a/mastledge/consensus/applier.py
+++ b/mastledge/consensus/applier.py
@@ -14,7 +14,7 @@
         """Initialize without a reason to halt."""
         self.state, self.outbox, self.proposals = state, outbox, proposals
         self.snapshot_interval = snapshot_interval
-        self.halt_reason = ""  # why no further entries are applied; "" while they are
+        self.halt_reason = ""  # why no further entries are applied, also in HTTP answers; "" while they are
 
     def advance_to(self, commit_index: int) -> None:
         """Commit and apply the entries up to `commit_index` in order."""
@@ -34,7 +34,7 @@
             result = state.commit(index)
         except (ValueError, KeyError, TypeError) as error:
             # Skipping the entry would make this member's state differ from that of the other members.
-            self.halt_reason = f"cannot apply committed entry {index}: {error}"
+            self.halt_reason = f"cannot follow what is agreed: {error}"
             self.outbox.log_event("halted", why=self.halt_reason)
             return False
         kind = entry.change["kind"]
--- a/mastledge/consensus/changes.py
+++ b/mastledge/consensus/changes.py
@@ -37,9 +37,8 @@
         ChangeKind.GRANT_VOTE,
     }
 )
-UNVERSIONED_KINDS = frozenset(
-    {ChangeKind.REPLICA_STARTED, ChangeKind.REPLICA_CAUGHT_UP}
-)  # not made by an operator
+# Changes proposed by dispatchers, not by operators; they do not begin a version of the state document.
+UNVERSIONED_KINDS = frozenset({ChangeKind.REPLICA_STARTED, ChangeKind.REPLICA_CAUGHT_UP})
 
 
 def noop() -> dict:
--- a/mastledge/consensus/follower.py
+++ b/mastledge/consensus/follower.py
@@ -60,7 +60,10 @@
         parts.relay_children.hurry()
 
     def _accept_leader(self, sender: str, message: AppendEntries | InstallSnapshot) -> bool:
-        """Follow the leader of a message; return False for a past term or an unsuitable relayed message."""
+        """Follow the leader that a message is from; return whether the message is accepted.
+
+        Messages of a past term, and relayed messages to a voter or to the leader itself, are not accepted.
+        """
         state, roles = self.core.state, self.core.roles
         if message.term < state.term:
             self.parts.acknowledgements.send(sender, False, 0)
--- a/mastledge/consensus/inputs.py
+++ b/mastledge/consensus/inputs.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; must be sent no later than `Member.wake_at()`."""
+    """Time has passed; the host gives this input at `Member.wake_at()` at the latest."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -93,8 +93,8 @@
         if self._is_known(id):
             return
         kind = change["kind"]
-        if kind == ChangeKind.FAN_OUT and (unsupporting := self.members_without_relays()):
-            self.core.outbox.log_event("relays_refused", members=unsupporting)
+        if kind == ChangeKind.FAN_OUT and (older_members := self.members_without_relays()):
+            self.core.outbox.log_event("relays_refused", members=older_members)
             return
         if kind in MEMBERSHIP_KINDS and not (
             self.can_change_membership() and self._may_remove_member(change)
@@ -128,7 +128,7 @@
         return self._knows_all_committed() and not is_changing
 
     def _may_remove_member(self, change: dict) -> bool:
-        """Return False for a removal that would drop a departed member whose lease may still be valid."""
+        """Return False for a removal that would drop a departed member that may still hold a lease."""
         if change["kind"] != ChangeKind.REMOVE_MEMBER:
             return True
         departed = self.core.state.departed()
@@ -144,7 +144,7 @@
         )
 
     def admit(self, name: str, incarnation: str) -> None:
-        """Propose a member's new incarnation, which is not bound by promises of the former one."""
+        """Propose a member's new incarnation, which is not bound by votes and responses of the former one."""
         if self.can_change_membership():
             id = f"life {name} {incarnation} {self.core.state.log.last_index}"
             self.take(id, new_incarnation(name, incarnation))
@@ -198,7 +198,10 @@
     # Work after each input
 
     def run(self) -> None:
-        """Commit, update the in-force index and send due heartbeats; step down if the majority is lost."""
+        """Commit, update the in-force index and send due heartbeats.
+
+        Step down if the majority is lost, an entry cannot be applied, or this member has been removed.
+        """
         state, roles = self.core.state, self.core.roles
         self.progress.on_persisted(state.name, self.core.persistence.persisted_index)
         self.echoed_at[state.name] = self.core.clock.now
--- a/mastledge/consensus/member.py
+++ b/mastledge/consensus/member.py
@@ -385,18 +385,14 @@
         return member["address"] if member else None
 
     def no_lease_reason(self) -> str:
-        """Return a short reason why this member holds no lease; "" if it holds one."""
+        """Return why this member holds no lease, as a short text of HTTP answers; "" if it holds one."""
         name = self.configuration.name
         if self.applier.halt_reason:
             return self.applier.halt_reason
         if self.phase == Phase.WITHOUT_FLEET or not self.fleet:
             return self.bootstrap.waiting_reason()
         if self.phase == Phase.DISCOVERING:
-            return "asking the other members what they know of this incarnation"
+            return "asks the others what they know of this one"
         if self.state_machine and name not in self.state.members():
-            return f"{name} is not a member of the fleet"
-        return (
-            ""
-            if self.clock.now < self.lease.lease_until
-            else "no lease: no contact with a majority of the voters"
-        )
+            return f"{name} is no member of the fleet"
+        return "" if self.clock.now < self.lease.lease_until else "no lease: no majority is heard"
--- a/mastledge/consensus/messages.py
+++ b/mastledge/consensus/messages.py
@@ -80,7 +80,7 @@
     `sent_at` is the leader's time, which the receiver sends back. `lease_grant` is the time on the receiver's
     clock from which its lease runs, 0 for none; it is valid once the receiver has applied `commit_index`.
     `in_force_in_us` is the longest time until all committed entries are in force, 0 if they are.
-    `observed` is the latest known state of voters: (incarnation, term, last term, last index) by name.
+    `observed` is what the voters' disks must hold: (incarnation, term, last term, last index) by name.
     `leader` is the leader's name in a message that a relay passes on, "" from the leader itself.
     `list_generations` is the latest endpoint list generation that the sender knows, by registry.
     """
--- a/mastledge/consensus/outbox.py
+++ b/mastledge/consensus/outbox.py
@@ -105,7 +105,7 @@
         self.outbox.outputs.append(outputs.Persist(self.token, encoded))
 
     def on_persisted(self, token: int, now: int) -> None:
-        """Handle that the write with `token` and all earlier writes are on disk."""
+        """Record that write `token` and all earlier ones are on disk, which may end a disk failure."""
         if token > self.persisted_token:
             self.persisted_token = token
             written_indexes = [index for pending, index in self.last_indexes.items() if pending <= token]
--- a/mastledge/consensus/raft_state.py
+++ b/mastledge/consensus/raft_state.py
@@ -94,7 +94,7 @@
         self._record_snapshot()
 
     def install_snapshot(self, last_index: int, last_term: int, state: dict) -> None:
-        """Install the leader's snapshot; later entries of a matching log stay: they may be acknowledged."""
+        """Install the leader's snapshot; later entries of a matching log stay: they may count as on disk."""
         if self.log.term_at(last_index) == last_term:
             self.log.compact(last_index)
         else:
--- a/mastledge/consensus/records.py
+++ b/mastledge/consensus/records.py
@@ -67,7 +67,9 @@
     if record_type is None:
         raise RecordError(f"unknown record kind, written by a later version: {kind}")
     if len(fields) != len(record_type.__struct_fields__):
-        raise RecordError(f"wrong number of fields in a record: {kind} of {len(fields)} fields")
+        raise RecordError(
+            f"a record {kind} of {len(fields)} fields, expected {len(record_type.__struct_fields__)}"
+        )
     if record_type is LogEntry and not isinstance(fields[1], Entry):
         fields[1] = Entry(*fields[1])
     return record_type(*fields)
--- a/mastledge/consensus/state_machine.py
+++ b/mastledge/consensus/state_machine.py
@@ -116,7 +116,7 @@
         """
         kind = entry.change["kind"]
         if kind != ChangeKind.NOOP and kind not in APPLIERS:
-            raise UnknownChangeError(f"unknown change kind, written by a later version: {kind}")
+            raise UnknownChangeError(f"a change of a later version: {kind}")
         self.applied_index = index
         if kind == ChangeKind.NOOP:
             return ChangeResult(self.version)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -309,7 +309,7 @@
         state_machine.apply(3, m.Entry(2, "i", {"kind": "out", "worker": "w"})) == first_result
         and state_machine.version == 2
     )
-    with pytest.raises(ValueError, match="unknown change kind, written by a later version: quota"):
+    with pytest.raises(ValueError, match="a change of a later version: quota"):
         state_machine.apply(4, m.Entry(2, "j", {"kind": "quota"}))
     assert state_machine.applied_index == 3
 
@@ -387,7 +387,7 @@
     ("raw", "says"),
     [
         (["vote", 3, "n1"], "unknown record kind, written by a later version: vote"),
-        (["hard", 3], "wrong number of fields in a record: hard of 1 fields"),
+        (["hard", 3], "a record hard of 1 fields, expected 2"),
     ],
 )
 def test_undecodable_record_error_names_its_kind(raw, says):
