--- a/mastledge/consensus/acknowledgements.py
+++ b/mastledge/consensus/acknowledgements.py
@@ -10,7 +10,7 @@
     """Reports the persisted index of this member, and the index applied by it and its relay children."""
 
     def __init__(self, core: Core, children: RelayChildren, sharing: RestrictionSharing):
-        """Start with nothing acknowledged."""
+        """Initialize with nothing acknowledged."""
         self.core, self.children, self.sharing = core, children, sharing
         self.acknowledged_index = 0  # persisted index in the latest response
 
--- a/mastledge/consensus/bootstrap.py
+++ b/mastledge/consensus/bootstrap.py
@@ -23,7 +23,7 @@
         elections: Elections,
         observed: ObservedState,
     ):
-        """Start by asking the other members, whatever is on disk."""
+        """Initialize in discovery, whatever is on disk: the other members are asked first."""
         self.core, self.configuration = core, configuration
         self.discovery, self.elections, self.observed = discovery, elections, observed
         self.phase = Phase.DISCOVERING
@@ -143,7 +143,7 @@
         self.elections.restart_timeout()
 
     def join_fleet_of(self, sender: str) -> bool:
-        """Join the fleet whose leader sent a snapshot; return whether the id of that fleet is known."""
+        """Join the fleet whose leader sent a snapshot; return whether the name of that fleet is known."""
         state = self.core.state
         fleet = self.discovery.reported_fleet(sender)
         if not fleet:
@@ -191,23 +191,17 @@
             self._send_bootstrap(name)
 
     def waiting_reason(self) -> str:
-        """Return why this member has no fleet, in a few words."""
+        """Return why this member has no fleet, as a short text of HTTP answers."""
         state, configured = self.core.state, self.discovery.configured
         fleets = [response for response in self.discovery.responses.values() if not response.empty]
         if fleets:
             is_known = any(response.is_member for response in fleets)
-            return (
-                "waiting for the leader to admit this member again"
-                if is_known
-                else f"{state.name} is no member of the fleet"
-            )
+            return "asks to be taken in again" if is_known else f"{state.name} is no member of the fleet"
         contacts = self.discovery.contacts
         if not self.discovery.may_bootstrap:
             empty = sum(contact.message.empty for contact in contacts.values())
-            return (
-                f"no fleet: {empty + 1} of {len(configured)} data directories are empty, and form is not set"
-            )
+            return f"no fleet: {empty + 1} of {len(configured)} folders are empty, and form is not set"
         missing = sorted(set(configured) - set(contacts) - {state.name})
         if missing:
-            return "waiting to form a fleet: no message yet from " + ", ".join(missing)
+            return "a fleet is to be formed: nothing is heard of " + ", ".join(missing)
         return "forming"
--- a/mastledge/consensus/direct_members.py
+++ b/mastledge/consensus/direct_members.py
@@ -11,10 +11,10 @@
 
 
 class DirectMembers:
-    """The voters, the followers that asked for direct contact recently, and the next voters."""
+    """The voters, the followers that recently asked for direct contact, and those that may become voters."""
 
     def __init__(self, core: Core, leases: GrantedLeases, tree: Callable[[], RelayTree]):
-        """Start with no adopted followers; `tree` returns the current relay tree."""
+        """Initialize with no adopted followers; `tree` returns the current relay tree."""
         self.core, self.leases, self.tree = core, leases, tree
         self.adopted: dict[str, int] = {}  # end of direct contact, by follower
 
--- a/mastledge/consensus/discovery.py
+++ b/mastledge/consensus/discovery.py
@@ -32,7 +32,7 @@
     """Sends discovery requests and keeps the answers, by member name."""
 
     def __init__(self, core: Core, configuration: MemberConfiguration):
-        """Start without any answers."""
+        """Initialize without any answers."""
         self.core, self.configured = core, configuration.members
         self.digest = crc32(repr(sorted(configuration.members)).encode())
         self.may_bootstrap = configuration.may_bootstrap
@@ -98,7 +98,7 @@
         return sorted({*always, *others})
 
     def reported_fleet(self, name: str) -> str:
-        """Return the fleet id reported by this member, else by any other; "" if none was reported."""
+        """Return the fleet name that `name` reported, else that any other member did; "" if none did."""
         response = self.responses.get(name)
         if response is not None and response.fleet:
             return response.fleet
--- a/mastledge/consensus/heartbeats.py
+++ b/mastledge/consensus/heartbeats.py
@@ -10,7 +10,8 @@
 from mastledge.consensus.restriction_sharing import RestrictionSharing
 from mastledge.consensus.timing import HEARTBEATS_PER_LEASE, LEARNER_HEARTBEATS_PER_LEASE, SOON_US
 
-HEARTBEATS_TO_LEARNER = HEARTBEATS_PER_LEASE // LEARNER_HEARTBEATS_PER_LEASE  # interval in heartbeats
+# Heartbeats to a voter for each heartbeat to a learner.
+HEARTBEATS_TO_LEARNER = HEARTBEATS_PER_LEASE // LEARNER_HEARTBEATS_PER_LEASE
 
 
 class HeartbeatContents:
@@ -19,7 +20,7 @@
     def __init__(
         self, leases: GrantedLeases, lease: LeaseHolder, observed: ObservedState, sharing: RestrictionSharing
     ):
-        """Start with no restrictions to share."""
+        """Initialize with no restrictions to share."""
         self.leases, self.lease, self.observed, self.sharing = leases, lease, observed, sharing
         self.latest_restrictions = LatestRestrictions()
 
@@ -43,7 +44,7 @@
     """Sends a heartbeat to each member when one is due."""
 
     def __init__(self, core: Core, progress: ReplicationProgress, contents: HeartbeatContents):
-        """Start with a heartbeat due to every member."""
+        """Initialize with a heartbeat due to every member."""
         self.core, self.progress, self.contents = core, progress, contents
 
     def send_due(self, names: set[str], granted_at: int | None) -> None:
--- a/mastledge/consensus/in_force.py
+++ b/mastledge/consensus/in_force.py
@@ -18,7 +18,7 @@
     """Computes the in-force index at the leader; times are by the leader's clock."""
 
     def __init__(self, core: Core, leases: GrantedLeases, children: RelayChildren):
-        """Start when this member has won an election."""
+        """Initialize at the time of the won election."""
         self.core, self.leases, self.children = core, leases, children
         self.won_at = core.clock.now
 
--- a/mastledge/consensus/latest_restrictions.py
+++ b/mastledge/consensus/latest_restrictions.py
@@ -9,7 +9,7 @@
     """The latest restrictions of each registry."""
 
     def __init__(self):
-        """Start without restrictions."""
+        """Initialize without restrictions."""
         self._by_registry: dict[str, WorkerRestrictions] = {}
         self._shared_until = 0
 
--- a/mastledge/consensus/lease_holder.py
+++ b/mastledge/consensus/lease_holder.py
@@ -7,9 +7,9 @@
     """The lease and the in-force index of this member; times are by the local clock, in microseconds."""
 
     def __init__(self):
-        """Start without a lease."""
+        """Initialize without a lease."""
         self.latest_grant = 0  # the latest start of a lease granted to this member
-        # Applied index of the standby process, which acts on this state too; set by the host, None if absent.
+        # Applied index of another process that acts on this state too, set by the host; None without one.
         self.standby_index: int | None = None
         self.clear()
 
--- a/mastledge/consensus/leases.py
+++ b/mastledge/consensus/leases.py
@@ -57,7 +57,7 @@
     """The members that may hold a lease granted by this member, with the expiry times and applied indexes."""
 
     def __init__(self, lease_us: int, now: int):
-        """Start with former grants unknown: any member may hold a lease that runs from `now`."""
+        """Initialize with former grants unknown: any member may hold a lease that runs from `now`."""
         self.lease_us, self.began_at = lease_us, now
         self.holders: dict[str, Holder] = {}
 
@@ -94,7 +94,7 @@
         return holder.latest_grant
 
     def covered_index(self, name: str, now: int) -> int | None:
-        """Return an index that any state the holder acts on includes; None if it holds no lease."""
+        """Return the index of the oldest state that the holder may act on; None if it holds no lease."""
         holder = self.holder(name)
         while holder.grants and holder.grants[0].expires_at <= now:
             holder.grants.popleft()
--- a/mastledge/consensus/observed_state.py
+++ b/mastledge/consensus/observed_state.py
@@ -16,7 +16,7 @@
     """The observations of each member, by name."""
 
     def __init__(self):
-        """Start without observations."""
+        """Initialize without observations."""
         self.observations: dict[str, Observation] = {}
 
     def clear(self) -> None:
--- a/mastledge/consensus/relay_children.py
+++ b/mastledge/consensus/relay_children.py
@@ -19,7 +19,7 @@
 from mastledge.consensus.restriction_sharing import RestrictionSharing
 from mastledge.consensus.timing import LOST_AFTER_HEARTBEATS, SOON_US
 
-MAX_CHILDREN_PER_FAN_OUT = 4  # leaves room for the children of relays that are down
+MAX_CHILDREN_PER_FAN_OUT = 4  # times the fan-out, to replace relays that are down
 MIN_PAUSE_QUARTER_HEARTBEATS = 3  # minimum interval between messages to one child
 CHILD_HEARTBEATS = 2  # leader heartbeats between messages to a child when nothing is new
 
@@ -39,7 +39,7 @@
     """Forwards committed entries to relay children, with leases based on the lease granted to this member."""
 
     def __init__(self, core: Core, lease: LeaseHolder, sharing: RestrictionSharing):
-        """Start without children."""
+        """Initialize without children."""
         self.core, self.lease, self.sharing = core, lease, sharing
         self.children: dict[str, Child] = {}
         self.granted: GrantedLeases | None = None  # leases granted to children
@@ -51,7 +51,7 @@
         return names
 
     def covered_index(self) -> int:
-        """Return an index such that neither this member nor its lease holders act on an older state."""
+        """Return the index of the oldest state that this member, or a child with its lease, may act on."""
         state_machine, now = self.core.state.state_machine, self.core.clock.now
         if state_machine is None:
             return 0
--- a/mastledge/consensus/relay_choice.py
+++ b/mastledge/consensus/relay_choice.py
@@ -24,7 +24,7 @@
         sharing: RestrictionSharing,
         ask_members: Callable[[], None],
     ):
-        """Start without a relay; `ask_members` makes the leader send to this member directly for a while."""
+        """Initialize without a relay; `ask_members` makes the leader send directly for a while."""
         self.core, self.draws, self.sharing = core, draws, sharing
         self.acknowledgements, self.ask_members = acknowledgements, ask_members
         self.relay: str | None = None
--- a/mastledge/consensus/relay_tree.py
+++ b/mastledge/consensus/relay_tree.py
@@ -66,7 +66,7 @@
     """The relay tree of the current members, recomputed when the members or the fan-out change."""
 
     def __init__(self):
-        """Start with an empty tree."""
+        """Initialize with an empty tree."""
         self._members: dict[str, dict] | None = None
         self._tree = RelayTree({}, 0)
 
--- a/mastledge/consensus/replication_progress.py
+++ b/mastledge/consensus/replication_progress.py
@@ -8,7 +8,7 @@
     """The next index, match index and next heartbeat time, by member name."""
 
     def __init__(self, state: RaftState):
-        """Start with no progress known."""
+        """Initialize with no progress known."""
         self.state = state
         self.next_index: dict[str, int] = {}  # index of the next entry to send
         self.match_index: dict[str, int] = {}  # the member has persisted this log up to here
--- a/mastledge/consensus/restriction_sharing.py
+++ b/mastledge/consensus/restriction_sharing.py
@@ -10,7 +10,7 @@
     """Shares worker restrictions; with relays, heartbeats and responses carry the known list generations."""
 
     def __init__(self, state: RaftState, outbox: Outbox):
-        """Start without lists."""
+        """Initialize without lists."""
         self.state, self.outbox = state, outbox
         self.lists = ListExchange()
 
--- a/mastledge/consensus/worker_restrictions.py
+++ b/mastledge/consensus/worker_restrictions.py
@@ -30,7 +30,7 @@
     """The workers that the endpoint list of this dispatcher's registry restricts."""
 
     def __init__(self):
-        """Start without a list."""
+        """Initialize without a list."""
         self.restricted: dict[str, str] = {}
         self.generation = 0
 
@@ -82,7 +82,7 @@
     """The known state of one registry's list, from the local watch or from peers, with recent changes."""
 
     def __init__(self):
-        """Start without a list."""
+        """Initialize without a list."""
         self.generation = 0
         self.oldest_generation = 0  # members behind this one get all restricted workers
         self.changes: dict[str, WorkerChange] = {}  # in order of change
@@ -148,16 +148,16 @@
 class ListExchange:
     """The known lists of a member, and the generations that its peers have reported.
 
-    A peer gets a list only if it is still behind what it was offered before: usually its own watch is faster.
+    A peer gets restrictions only if it still lacks generations that were known here when it was last looked
+    at: usually the peer's own watch is faster.
     """
 
     def __init__(self):
-        """Start without lists."""
+        """Initialize without lists."""
         self.registries: dict[str, KnownList] = {}
         self.peer_generations: dict[str, dict[str, int]] = {}  # latest report of each peer
-        self.offered_generations: dict[
-            str, dict[str, int]
-        ] = {}  # local generations when each peer was last considered
+        # Local generations when the restrictions for each peer were last computed.
+        self.offered_generations: dict[str, dict[str, int]] = {}
         self.own_generations: dict[str, int] = {}  # latest from the local registry
 
     def update_own(self, registry: str, kind: str, entries: WorkerStates, generation: int | None) -> None:
@@ -199,8 +199,8 @@
         known, offered = self.peer_generations.get(name, {}), self.offered_generations.get(name, {})
         self.offered_generations[name] = self.generations()
         return [
-            knowledge.since(known.get(registry, 0), registry)
-            for registry, knowledge in self.registries.items()
+            known_list.since(known.get(registry, 0), registry)
+            for registry, known_list in self.registries.items()
             if known.get(registry, 0) < offered.get(registry, 0)
         ]
 
