--- a/mastledge/protocol/client_connection.py
+++ b/mastledge/protocol/client_connection.py
@@ -15,9 +15,8 @@
 if TYPE_CHECKING:
     from mastledge.protocol.client_listener import ClientListener
 
-REQUEST_TIMEOUT_US = (
-    10_000_000  # for a complete request from its first byte; the first request counts from the connect
-)
+# For a complete request from its first byte; for the first request from the connect.
+REQUEST_TIMEOUT_US = 10_000_000
 MAX_SILENCE_US = 3_000_000  # between two reads of one request
 SEND_TIMEOUT_US = 5_000_000  # for a response that the client does not read
 MAX_IDLE_US = 120_000_000
@@ -137,7 +136,7 @@
         client_disconnected = http.has_left(conn)
         if not http.has_valid_trailing_data(conn):
             # With a Content-Length that is too small, the rest of the body would be read as the next request.
-            raise BadRequestError(400, "unexpected bytes after the request body")
+            raise BadRequestError(400, "bytes beyond the stated length")
         if head.method == b"HEAD":
             raise BadRequestError(405, "")
         path = head.target.partition(b"?")[0]
--- a/mastledge/protocol/client_jobs.py
+++ b/mastledge/protocol/client_jobs.py
@@ -87,7 +87,10 @@
         return KILLED, [], b""
 
     def wait_for_answer(self, conn: Connection, until: int) -> Coroutine:
-        """Return the answer passed to wake(), None on a disconnect, NO_ANSWER if none came in time."""
+        """Return the answer that the client's task was woken with, or NO_ANSWER if none came in time.
+
+        None: the client has disconnected.
+        """
         for _ in range(2):
             received = READ
             while received:
--- a/mastledge/protocol/client_listener.py
+++ b/mastledge/protocol/client_listener.py
@@ -16,7 +16,7 @@
 from mastledge.transport.loop import READ, Coroutine, Loop, Queue
 
 MIN_AGE_US = 250_000  # a younger connection is not closed: its first request may be on its way
-MAX_RETRY_AFTER_US = 250_000  # of the Retry-After for jobs rejected here
+MAX_RETRY_AFTER_US = 250_000  # Retry-After of jobs that the listener rejects
 MIN_IDLE_CONNECTIONS = 3  # of clients, kept while leaving; a burst can precede the next rejection
 MAX_DISPATCHERS_KEEPING_IDLE = 2
 KEEPS_IDLE_AFTER_US = 250_000  # after SIGTERM; later new connections go to other dispatchers
@@ -56,7 +56,7 @@
         return self.ready and not self.leaving and not self.draining and self.may_act()
 
     def is_ready_or_succeeded(self) -> bool:
-        """Return the readiness that clients see: a successor process counts as the same dispatcher."""
+        """Return whether the dispatcher is ready, in this process or in a successor that has taken over."""
         return self.is_ready() or self.succeeded and not self.draining
 
     def may_act(self) -> bool:
--- a/mastledge/protocol/control.py
+++ b/mastledge/protocol/control.py
@@ -156,7 +156,7 @@
     if isinstance(error, CallRefusedError):
         return Answer(error.status, error.why)
     if isinstance(error, WaitTimeoutError):
-        return Answer(408, "call was not complete in time")
+        return Answer(408, "call not complete in time")
     if isinstance(error, BodyTooLargeError):
         return Answer(413, "body too large")
     if conn.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
--- a/mastledge/protocol/discovery.py
+++ b/mastledge/protocol/discovery.py
@@ -55,7 +55,7 @@
         self.since = settings["unix_now"] - Loop.now()  # Unix time minus the monotonic clock, in microseconds
         self.generation = None  # of the current list; None: the whole list must be read
         self.task = None  # runs the watch
-        self.trouble = None  # last logged error, None once the watch works again
+        self.trouble = None  # last logged error, also shown to operators; None once the watch works again
         self.answered = False
         self.answer_timeout_us = POLL_TIMEOUT_US if settings["asked"] else ANSWER_TIMEOUT_US
 
@@ -71,7 +71,7 @@
         """Return the values of a list entry; raise one of MALFORMED for an invalid entry."""
         zone, kind, started_at_ms = entry["zone"], entry["machineType"], entry["startedAtMs"]
         if entry["lifecycle"] not in STATES or not isinstance(entry["instanceId"], str):
-            raise ValueError(f"invalid entry: {entry!r}"[:200])
+            raise ValueError(f"no worker: {entry!r}"[:200])
         # The scheduler uses the monotonic clock, so start times are converted by a fixed offset.
         started_at = (round(started_at_ms * 1000) - self.since or 1) if started_at_ms else 0
         # A zone or kind that is not in the settings gets a new number.
@@ -87,7 +87,7 @@
         )
 
     def apply(self, message: dict, whole: str | None = None) -> None:
-        """Apply a change, or a whole list if `whole` is set, which is then the kind of the event.
+        """Apply a change, or a whole list if `whole` names the kind of the event to queue for it.
 
         An invalid entry is skipped in a whole list. In a change it raises EndpointListError.
         """
@@ -118,7 +118,7 @@
 
     def _check_generation(self, generation, is_whole):
         if not isinstance(generation, int):
-            raise ValueError(f"generation is not an integer: {generation!r}")
+            raise ValueError(f"no generation: {generation!r}")
         if not is_whole and generation < (self.generation or generation):
             # An older change could make a worker ready that a newer change has reported as draining.
             raise ValueError(f"generation {generation} behind {self.generation}")
@@ -149,7 +149,7 @@
             return
         except EndpointListError as error:
             # Later changes may not apply to the current list, so the whole list is read again.
-            self.generation, why = None, f"invalid endpoint list: {error}"
+            self.generation, why = None, f"bad list: {error}"
         except (
             OSError,
             WaitTimeoutError,
@@ -223,7 +223,7 @@
                 return {}
             size += len(line) + 1
             if lines and not line[:1].isspace() and not line.startswith(b"}") or size > MAX_LIST_BYTES:
-                raise EndpointListError(f"incomplete or too large: {lines[0][:80]!r}")
+                raise EndpointListError(f"cut off: {lines[0][:80]!r}")
             lines.append(line)
             # An indented object starts with a line "{", and all lines up to its closing brace are indented.
             if line.startswith(b"}") or line.strip() != b"{" and len(lines) == 1:
--- a/mastledge/protocol/http.py
+++ b/mastledge/protocol/http.py
@@ -89,9 +89,9 @@
     """
     names = [name for name, _ in head.headers]
     if head.http_version not in (b"1.0", b"1.1"):
-        raise h11.RemoteProtocolError("HTTP version is neither 1.0 nor 1.1")
+        raise h11.RemoteProtocolError("no HTTP/1.1")
     if b"transfer-encoding" in names and (b"content-length" in names or head.http_version == b"1.0"):
-        raise h11.RemoteProtocolError("Transfer-Encoding with Content-Length or in HTTP/1.0")
+        raise h11.RemoteProtocolError("Transfer-Encoding beside another length")
     size = next((int(value) for name, value in head.headers if name == b"content-length"), 0)
     if size > max_bytes:
         raise BodyTooLargeError
@@ -177,7 +177,7 @@
         if isinstance(event, h11.Response):
             return event
         if not isinstance(event, h11.InformationalResponse):
-            raise h11.RemoteProtocolError("connection ended before a response")
+            raise h11.RemoteProtocolError("ended before an answer")
 
 
 def request_bytes(
@@ -228,5 +228,5 @@
     """Parse a JSON object; raise ValueError for anything else."""
     value = orjson.loads(raw)
     if not isinstance(value, dict):
-        raise ValueError(f"not a JSON object: {raw[:80]!r}")
+        raise ValueError(f"no object: {raw[:80]!r}")
     return value
--- a/mastledge/protocol/idle_connections.py
+++ b/mastledge/protocol/idle_connections.py
@@ -5,9 +5,8 @@
 from mastledge.transport.connection import Connection
 from mastledge.transport.loop import READ, Loop
 
-IDLE_SHARE = (
-    0.7  # of a worker's idle timeout: a launch must not be sent while the worker closes the connection
-)
+# Of a worker's idle timeout: a launch must not be sent while the worker closes the connection.
+IDLE_SHARE = 0.7
 MAX_BREAK_RATE = 1 / 64  # per launch on a reused connection; above it, run-once jobs get new connections
 BREAK_RATE_GAIN = 1 / 32  # weight of the newest sample
 
--- a/mastledge/protocol/requests.py
+++ b/mastledge/protocol/requests.py
@@ -101,7 +101,7 @@
         if queue_type is None:
             raise BadRequestError(404, "no such path")
         if head.method != b"POST":
-            raise BadRequestError(405, "jobs must be sent by POST")
+            raise BadRequestError(405, "jobs come by POST")
         fields, settings = dict(head.headers), self.queue_types[queue_type]
         self._check(head, fields, queue_type)
         walltime = settings["walltime"]
@@ -116,11 +116,11 @@
         if len(fields) < len(head.headers):
             names = [name for name, _ in head.headers]
             if any(names.count(name) > 1 for name in UNIQUE_HEADERS):
-                raise BadRequestError(400, "a header that must be unique appears more than once")
+                raise BadRequestError(400, "a header stands twice")
         if not JOB_ID.fullmatch(fields.get(b"x-txn", b"")):
-            raise BadRequestError(400, "X-Txn is missing or not a valid id")
+            raise BadRequestError(400, "X-Txn is missing or no id")
         if b"x-lane" in fields and self.queue_type_number(fields[b"x-lane"]) != queue_type:
-            raise BadRequestError(400, "X-Lane and the path name different queue types")
+            raise BadRequestError(400, "X-Lane and path differ")
         if self.queue_types[queue_type]["effect"] == "deduplicated" and not fields.get(b"idempotency-key"):
             raise BadRequestError(400, "Idempotency-Key is missing")
 
@@ -170,5 +170,5 @@
     """Parse a decimal number; raise BadRequestError for others, also for nan, 1e9 and 1_000."""
     value = float(text) if NUMBER.fullmatch(text) else MAX_NUMBER
     if not value < MAX_NUMBER:
-        raise BadRequestError(400, f"not a decimal number: {text[:40]!r}")
+        raise BadRequestError(400, f"no number: {text[:40]!r}")
     return value
--- a/mastledge/protocol/worker_answers.py
+++ b/mastledge/protocol/worker_answers.py
@@ -24,7 +24,8 @@
 class LaunchAnswer(NamedTuple):
     """Holds the outcome of a launch, its result and its load report.
 
-    `outcome` is an `Outcome`, or HEAD_SAYS_REJECTED or LINE_SAYS_REJECTED, which are still unproven."""
+    `outcome` is an `Outcome`, or HEAD_SAYS_REJECTED or LINE_SAYS_REJECTED, which are still unproven.
+    """
 
     outcome: str
     result: bytes | None = None
@@ -143,7 +144,7 @@
 
 
 def result_of(message: dict, line: bytes) -> bytes:
-    """Return the result in a line; raise ValueError if there is none."""
+    """Return the result in the message of a line; raise ValueError if there is none."""
     result = message.get("result")
     if not isinstance(result, str):
         raise ValueError(f"result is missing or not a string: {line[:80]!r}")
--- a/mastledge/protocol/worker_connections.py
+++ b/mastledge/protocol/worker_connections.py
@@ -22,9 +22,8 @@
 from mastledge.transport.errors import OutOfDescriptorsError, WaitTimeoutError
 from mastledge.transport.loop import WRITE, Coroutine, Loop, Queue
 
-REFUSAL_US = (
-    2_000  # added to the round trip time: a dead connection reports a reset for the written bytes by then
-)
+# Added to the round trip time: by then a dead connection has reported a reset for the written bytes.
+REFUSAL_US = 2_000
 REUSABLE_AFTER = (COMPLETED, Outcome.ERROR, Outcome.FULL)
 
 
@@ -85,7 +84,7 @@
                 conn = yield from self._connect(endpoint, launch.send_by)
             content = self._request(conn, endpoint, exchange, until)
             if incarnation != endpoint.incarnation():
-                # No byte may go to a worker that is draining, or to a new incarnation with less capacity.
+                # No byte may go to a worker that began to drain, or restarted with less capacity, meanwhile.
                 self.log("launch_withheld", worker=endpoint.id)
                 raise LaunchWithheldError
             if exchange.run_once:
--- a/mastledge/transport/budget.py
+++ b/mastledge/transport/budget.py
@@ -6,13 +6,11 @@
 
 from collections.abc import Callable, Hashable
 
-RESERVED_DESCRIPTORS = (
-    16  # standard streams, epoll, wake-up, listener, and a few to reject clients over budget
-)
+# For standard streams, epoll, wake-up, listener, and a few to reject clients over budget.
+RESERVED_DESCRIPTORS = 16
 OPERATOR_CONNECTIONS = 12  # reserved, so that clients cannot use them up
-OPERATOR_DESCRIPTORS = (
-    4  # in addition to the connections: listener, epoll, and files shared with another process
-)
+# In addition to the connections: listener, epoll, and files shared with another process.
+OPERATOR_DESCRIPTORS = 4
 MIN_CONNECTIONS = 8
 # Client connections without any request, with its first piece only, between requests, and receiving one.
 CLIENT_EVICTION_ORDER = ("unused", "unfinished", "clients", "begun")
@@ -59,7 +57,10 @@
                 pass
 
     def is_exhausted(self, kind: str, spare: int = RESERVED_DESCRIPTORS // 4) -> bool:
-        """Return whether the limit and the `spare` connections for rejections are used up with none idle."""
+        """Return whether limit and `spare` are used up and no idle connection could be evicted.
+
+        The spare connections beyond the limit are those whose requests are rejected.
+        """
         return self.used[kind] >= self.limits[kind] + spare and not self.evict(*EVICTION_ORDER[kind])
 
     def acquire(self, kind: str) -> bool:
--- a/mastledge/transport/descriptor_passing.py
+++ b/mastledge/transport/descriptor_passing.py
@@ -9,7 +9,7 @@
 
 
 def open_receiver(path: str) -> socket.socket:
-    """Open the socket that receives them from another process; raise OSError if the path cannot be bound."""
+    """Open the socket that receives the messages; raise OSError if the path cannot be bound."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
     try:
         sock.setblocking(False)
--- a/mastledge/transport/errors.py
+++ b/mastledge/transport/errors.py
@@ -18,4 +18,4 @@
 
     def __init__(self) -> None:
         """Use one text for all cases, so that a log that drops repeats shows it once."""
-        super().__init__("no descriptor left for another connection")
+        super().__init__("no descriptor for one more connection")
--- a/mastledge/transport/loop.py
+++ b/mastledge/transport/loop.py
@@ -29,9 +29,8 @@
         """Create a task that has not started; its descriptors are registered with `epoll`."""
         self.coroutine, self.epoll = coroutine, epoll
         self.fd = -1  # descriptor that the task waits for, -1 for none
-        self.wait_number = (
-            0  # identifies the current wait; timers and ready entries of earlier ones are stale
-        )
+        # Identifies the current wait; timers and ready entries of earlier waits are stale.
+        self.wait_number = 0
         self.mailbox = deque()
         self.ended = self.has_timer = False
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -333,10 +333,10 @@
 def test_connections_in_the_backlog_are_accepted_before_the_listener_closes(waiting):
     rig = Rig()
     listener, sock = door(rig), listen((HERE, 0))
-    client_sock = [socket.create_connection(sock.getsockname(), 2) for _ in range(waiting)]
+    peers = [socket.create_connection(sock.getsockname(), 2) for _ in range(waiting)]
     assert (
         not listener.accept_waiting(sock)
-        and len(listener.clients) == len(client_sock) == rig.budget.used["clients"]
+        and len(listener.clients) == len(peers) == rig.budget.used["clients"]
     )
 
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -216,7 +216,7 @@
     agent.goes_on(100_000)
     assert [fields["why"] for event, fields in agent.rig.logged if event == "discovery_watch_failed"][
         0
-    ].startswith("invalid endpoint list: incomplete or too large")
+    ].startswith("bad list: cut off")
 
 
 class InTurn:
