--- a/mastledge/adapter/frames.py
+++ b/mastledge/adapter/frames.py
@@ -85,13 +85,11 @@
                 raise BadFrameError(f"record {position}: unknown code {code}")
             yield position, code, layout.unpack_from(body, start + _CODE.size)
 
-    def tail_part(self, position: int, offset: int, size: int, content: str) -> memoryview:
+    def tail_part(self, position: int, offset: int, size: int, name: str) -> memoryview:
         """Return a part of the tail; raise BadFrameError, which names the record, if it lies outside."""
         start = self.count * EVENT_BYTES + offset
         if start + size > len(self.body):
-            raise BadFrameError(
-                f"record {position}: {content} at {offset}, {size} bytes, lies outside the tail"
-            )
+            raise BadFrameError(f"record {position}: {name} at {offset}, {size} bytes, lies outside the tail")
         return self.body[start : start + size]
 
 
--- a/mastledge/adapter/host.py
+++ b/mastledge/adapter/host.py
@@ -197,7 +197,7 @@
                 content = load_messages.encoded(told_at, loads, wants)
                 offset = self._attach(content)
                 return frames.pack_message(frames.MESSAGE, instance, frames.TO_ALL, offset, len(content))
-        raise TypeError(f"unknown decision: {decision}")
+        raise TypeError(f"no such decision: {decision}")
 
     def _report_exception(self, instance, error):
         traceback.print_exc(file=sys.stderr)
--- a/mastledge/scheduling/affinity.py
+++ b/mastledge/scheduling/affinity.py
@@ -13,7 +13,7 @@
 
 MAX_SHARE_OF_KEYS = 1.1  # times an equal share of the work, above which a worker gets no more keys
 HASH_MULTIPLIER, HASH_VALUES = 0x9E3779B1, 1 << 32
-KEY_WORK_KEPT_OF_60 = 59  # decay of the work per key, in 60ths per second
+KEY_WORK_KEPT_OF_60 = 59  # 60ths of the work per key that are kept each second
 CACHED_RUNS = 2  # mean running times for which the data of the last key surely stays cached
 
 
@@ -35,9 +35,9 @@
         """Add the work of a job with this key."""
         self.key_work[key] += work
 
-    def add_key_work(self, wants: Iterable[tuple[int, float]]) -> None:
+    def add_key_work(self, key_work: Iterable[tuple[int, float]]) -> None:
         """Add the work per key that another dispatcher reported, as (key, work)."""
-        self.key_work.update(dict(wants))
+        self.key_work.update(dict(key_work))
 
     def fleet_changed(self) -> None:
         """Recompute orders and homes after the set of ready workers changed."""
@@ -76,7 +76,7 @@
 
     def assign_homes(self) -> None:
         """Give each key as many homes as its jobs fill: the first uncrowded workers in its order."""
-        workers, share_of_worker = len(self._fleet.ready), Counter()
+        workers, work_shares = len(self._fleet.ready), Counter()
         # Adds one mean job of other keys per worker, so that the first jobs do not dominate the shares.
         smoothed_work = sum(self.key_work.values()) + workers * self._estimates.running_time.mean
         total_work = max(1.0, smoothed_work)
@@ -85,11 +85,9 @@
             share, order = work / total_work, self.order(key)
             count = 1 + int(share * workers)
             max_share = MAX_SHARE_OF_KEYS / workers if workers else 0.0
-            homes = [worker for worker in order if share_of_worker[worker] + share / count <= max_share][
-                :count
-            ]
+            homes = [worker for worker in order if work_shares[worker] + share / count <= max_share][:count]
             self.homes[key] = homes = homes or order[:1]
-            share_of_worker.update(dict.fromkeys(homes, share / count))
+            work_shares.update(dict.fromkeys(homes, share / count))
 
     def fade(self) -> None:
         """Decay the work per key once a second, and keep only the `MAX_KEYS` keys with the most work."""
--- a/mastledge/scheduling/decisions.py
+++ b/mastledge/scheduling/decisions.py
@@ -6,9 +6,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LaunchJob:
-    """Send the job to the worker, its last byte `within` this time or not at all; 0: while the job is open.
+    """Send the job to the worker. The launches of a job are numbered from 0.
 
-    The launches of a job are numbered from 0.
+    `within`: time in which the last byte has to be sent, else the launch must not be sent; 0: no limit while
+    the job is open.
     """
 
     job: Hashable
--- a/mastledge/scheduling/estimation.py
+++ b/mastledge/scheduling/estimation.py
@@ -51,14 +51,11 @@
         if job.hint:
             basis, unit = queue_type.hint_ratio, job.hint
         else:
-            basis, unit = (
-                self._estimate_of_key(job.key, queue_type) if job.key else queue_type.running_time,
-                1,
-            )
+            basis, unit = self._key_estimate(job.key, queue_type) if job.key else queue_type.running_time, 1
         job.mean = max(unit * basis.mean, LEAST_MEAN_US)
         job.variation = VARIATION_MULTIPLIER * unit * basis.variation
 
-    def _estimate_of_key(self, key: int, queue_type) -> Estimate:
+    def _key_estimate(self, key: int, queue_type) -> Estimate:
         """Return the key's estimate; a new key starts at the mean of the others."""
         estimate = self.by_key.get(key)
         if estimate is None:
--- a/mastledge/scheduling/gossip.py
+++ b/mastledge/scheduling/gossip.py
@@ -82,8 +82,8 @@
         """Return the loads of the busiest workers, and the keys with the most work since the last message."""
         busiest = sorted(self._fleet.ready, key=lambda worker: -worker.load)[:MAX_LOADS]
         loads = [(worker.name_hash, worker.load) for worker in busiest if worker.load]
-        most_wanted = self.unsent_key_work.most_common(MAX_WANTS)
-        return loads, [(key, self.unsent_key_work.pop(key)) for key, _ in most_wanted]
+        most_work = self.unsent_key_work.most_common(MAX_WANTS)
+        return loads, [(key, self.unsent_key_work.pop(key)) for key, _ in most_work]
 
     def survey(self, arrival_rate: float) -> None:
         """Set the interval between messages for this arrival rate (jobs per second), once a second."""
--- a/mastledge/scheduling/hedging.py
+++ b/mastledge/scheduling/hedging.py
@@ -25,10 +25,8 @@
 
 HEDGE_SHARE = 0.2  # share of jobs that may be hedged, or moved under pressure
 FIRST_BUDGET = 2.0  # launches
-SLACK_PARTS_HEDGED, SLACK_PARTS_MOVED = (
-    2,
-    3,
-)  # divisors: a launch not started in that part of the slack is late
+# A launch is late if it has not started within the slack divided by this.
+SLACK_PARTS_HEDGED, SLACK_PARTS_MOVED = 2, 3
 LATE_VARIATIONS = 4  # variations above the mean start lag after which a worker counts as silent
 LONG_SILENCE_NOTES = 2  # missed progress notes after which a run-once launch may stop counting as load
 LONG_RUN_FACTOR = 2  # a running launch is late after this many times its upper bound
@@ -68,10 +66,8 @@
         At most one second's budget is saved, so that hundreds of dispatchers cannot spend savings at once.
         Under overload a hedge is wasted work, and a moved job loses its place in a worker's queue.
         """
-        normal_share, share_under_pressure = (
-            (HEDGE_SHARE, 0.0) if self._settings["parallel"] else (1.0, HEDGE_SHARE)
-        )
-        share = share_under_pressure if self._admission.pressure else normal_share
+        normal, under_pressure = (HEDGE_SHARE, 0.0) if self._settings["parallel"] else (1.0, HEDGE_SHARE)
+        share = under_pressure if self._admission.pressure else normal
         self.budget = min(1 + share * self._traffic.arrival_rate, self.budget + share)
 
     def first_check_at(self, launch: Launch, now: int) -> int:
--- a/mastledge/scheduling/outliers.py
+++ b/mastledge/scheduling/outliers.py
@@ -15,9 +15,12 @@
 # Reasons for an ejection; any other reason is the name of a queue type whose jobs fail on the worker.
 LOST_OR_SILENT = None
 CONNECTION_REFUSED = -1
-FIRST_PAUSE_US, LONGEST_PAUSE_US = 125_000, 4_000_000  # between an ejection and its first trial
-RUN_ONCE_FACTOR = 4  # multiplies the pause after a run-once job that may have run failed
-RUN_ONCE_EXTRA_PAUSES = 2  # longest pauses added for run-once jobs, so that other jobs are the trials
+# Pause between an ejection and its first trial; the first ejection already doubles FIRST_PAUSE_US.
+FIRST_PAUSE_US, LONGEST_PAUSE_US = 125_000, 4_000_000
+# Multiplies the first and the longest pause after a failed launch of a run-once job that may have run.
+RUN_ONCE_FACTOR = 4
+# Longest pauses that run-once jobs wait in addition, so that jobs of other effects are the trials.
+RUN_ONCE_EXTRA_PAUSES = 2
 
 
 @dataclass(slots=True)
@@ -91,8 +94,8 @@
         # A run-once job also avoids workers that fail another queue type: trials by other jobs cost less.
         for reason in ejections if is_run_once else own_reasons:
             ejection = ejections.get(reason)
-            # A failure that most of the fleet shares ejects no worker. Refused connections do eject while one
-            # worker is left: with a zone cut off, the remaining workers carry the jobs.
+            # A failure shared by more than half of the fleet keeps jobs off no worker. Refused connections do
+            # unless all workers refuse them: with a zone cut off, the remaining workers carry the jobs.
             max_ejected = ready - 1 if reason == CONNECTION_REFUSED else ready / 2
             if ejection is None or self.counts[reason] > max_ejected:
                 continue
@@ -106,7 +109,10 @@
 
 
 def _extra_pause_us(reason, is_own: bool, ejection: Ejection) -> int:
-    """Return how much longer a run-once job is kept off the worker."""
+    """Return how much longer than other jobs a run-once job is kept off the worker, in microseconds.
+
+    0 if jobs of its own queue type failed there: no other job could be the trial.
+    """
     if reason in (LOST_OR_SILENT, CONNECTION_REFUSED):
         return RUN_ONCE_EXTRA_PAUSES * LONGEST_PAUSE_US
     return 0 if is_own else ejection.pause_us
--- a/mastledge/scheduling/random_source.py
+++ b/mastledge/scheduling/random_source.py
@@ -30,7 +30,5 @@
 
         With few jobs in flight most ranks tie, so this draw spreads the load over the fleet.
         """
-        cumulative_units = list(accumulate([worker.units for worker in workers]))
-        return workers[
-            min(bisect_left(cumulative_units, self.chance() * cumulative_units[-1]), len(workers) - 1)
-        ]
+        cumulative = list(accumulate([worker.units for worker in workers]))
+        return workers[min(bisect_left(cumulative, self.chance() * cumulative[-1]), len(workers) - 1)]
--- a/mastledge/scheduling/retry.py
+++ b/mastledge/scheduling/retry.py
@@ -16,7 +16,7 @@
 NO_LIMITS = RelaunchLimits(None, None)
 
 
-def relaunch_limits(job: Job, most_launches: int, now: int) -> RelaunchLimits | None:
+def relaunch_limits(job: Job, max_launches: int, now: int) -> RelaunchLimits | None:
     """Return the limits of the job's next launch; None: it must not be launched again."""
     limits = NO_LIMITS
     queue_type = job.queue_type
@@ -28,4 +28,4 @@
         if queue_type.effect == DEDUPLICATED and limits.group_of is None:
             limits = RelaunchLimits(launch.worker, launch.sent_at + queue_type.window)
     too_late = limits.until is not None and now >= limits.until
-    return None if too_late or len(job.launches) >= most_launches else limits
+    return None if too_late or len(job.launches) >= max_launches else limits
--- a/mastledge/scheduling/scheduler.py
+++ b/mastledge/scheduling/scheduler.py
@@ -108,7 +108,7 @@
         return self.fleet.ready
 
     def usable_slots(self, now: int) -> float:
-        """Return the slots of all ready workers; during slow start those that a worker has at least."""
+        """Return the slots of all ready workers; one in slow start counts by its minimum capacity."""
         return sum(worker.slots * least_warmth(worker, now, self.settings) for worker in self.ready)
 
     def learned_state(self) -> dict[str, list]:
@@ -348,7 +348,10 @@
             self._revocations.append(launch)
 
     def _hold(self, job, now, limits):
-        """Hold a job without an eligible worker until its target, or longer if it may have run."""
+        """Hold a job without an eligible worker until its target, and at least for the connect timeout.
+
+        A repeat that has to stay in a group is held for as long as the group may still take it.
+        """
         if job.in_flight:
             return None
         connect_timeout = self.settings["connect_timeout"]
--- a/mastledge/scheduling/selection.py
+++ b/mastledge/scheduling/selection.py
@@ -89,7 +89,8 @@
             else:
                 rank = 0.0, load * span
             if fetch or (has_reports and worker.last_report):
-                # Prefers more slots, as machine kinds differ. A slot that waits for a fetch does no work.
+                # Ranks by the free capacity, not the load alone, as machine kinds differ in slots. A fetch
+                # counts as contention, as a slot that waits for one does no work.
                 capacity = worker.slots * int(upper_bound) if worker.last_report else 0.0
                 rank = rank[0] + FETCH_CONTENTION_WEIGHT * load * fetch, rank[1] - capacity
             ranked.append((rank, worker))
@@ -98,9 +99,12 @@
         return ranked, least
 
     def _draw_of_best(self, job, ranked, least):
-        """Draw among the workers whose areas differ by less than the variation, preferring the own zone."""
-        least_contention, max_area = least[0], least[1] + job.load * job.variation
-        tied = [worker for rank, worker in ranked if rank[0] == least_contention and rank[1] <= max_area]
+        """Draw among workers of least contention and about the least load, if possible in the own zone.
+
+        Integrated loads that differ by no more than the job's variation count as equal.
+        """
+        least_contention, max_load = least[0], least[1] + job.load * job.variation
+        tied = [worker for rank, worker in ranked if rank[0] == least_contention and rank[1] <= max_load]
         if self._settings["price_crossing"]:
             zone = self._settings["zone"]
             tied = [worker for worker in tied if worker.zone == zone] or tied
--- a/mastledge/scheduling/state.py
+++ b/mastledge/scheduling/state.py
@@ -150,7 +150,7 @@
         "load",
         "mean",  # estimated running time on the mean worker, including the fetch
         "fetch_time",  # expected time to fetch the key's data; 0.0: none
-        "fetch_certain",  # it is known whether the key's data had to be fetched
+        "fetch_certain",  # it is certain that no fetch is needed: no key, or its data is still cached
         "uncontended",  # running time and slowness may be learned from it
         "curve_entry",  # entry in the worker's load curve; None: removed
         "ended",
--- a/mastledge/scheduling/subset.py
+++ b/mastledge/scheduling/subset.py
@@ -29,7 +29,7 @@
     def survey(self, arrival_rate: float) -> None:
         """Update the members for this arrival rate (jobs per second), once a second."""
         ready = self._fleet.ready
-        self.max_considered = self._affordable_looks(arrival_rate)
+        self.max_considered = self._affordable_candidates(arrival_rate)
         # As many workers as get two jobs each within the idle timeout of a connection.
         usable = min(int(arrival_rate * self._settings["conn_idle"] / 2e6), self.max_considered)
         size = max(SMALLEST_SUBSET, usable)
@@ -43,7 +43,7 @@
         position = int(self._random.chance() * len(self.members))
         self.members[position : position + 1] = [worker]
 
-    def _affordable_looks(self, arrival_rate: float) -> int:
+    def _affordable_candidates(self, arrival_rate: float) -> int:
         """Return how many workers may be considered for a job; all of a large fleet would make jobs late."""
         settings = self._settings
         limits = (settings["cpu_a_job"], settings["cpu_a_second"] / arrival_rate)
--- a/tests/test_decisions_unchanged.py
+++ b/tests/test_decisions_unchanged.py
@@ -24,9 +24,7 @@
 def summary(world):
     """Return the summary to store of a world: input and output counts, and a digest of the outputs."""
     lines = world.outputs
-    kinds = Counter(
-        output[1] if isinstance(output[0], int) else output[0] for output in map(json.loads, lines)
-    )
+    kinds = Counter(row[1] if isinstance(row[0], int) else row[0] for row in map(json.loads, lines))
     return {
         "inputs": world.player.inputs,
         "outputs": dict(sorted(kinds.items())),
--- a/tests/test_load_messages.py
+++ b/tests/test_load_messages.py
@@ -151,7 +151,7 @@
     assert homes[0] == homes[1] and max(map(homes[0].count, range(9))) < 2 * 199 / 9
 
 
-def test_key_has_as_many_homes_as_its_jobs_fill():
+def test_key_has_as_many_homes_as_its_jobs_fill_and_none_is_crowded():
     dispatcher = scheduler(workers=10)
     dispatcher.affinity.key_work.update({1: 5e9, **{key: 5e7 for key in range(2, 102)}})
     dispatcher.affinity.assign_homes()
