--- a/mastledge/consensus/relay_children.py
+++ b/mastledge/consensus/relay_children.py
@@ -19,7 +19,7 @@
 from mastledge.consensus.restriction_sharing import RestrictionSharing
 from mastledge.consensus.timing import LOST_AFTER_HEARTBEATS, SOON_US
 
-MAX_CHILDREN_PER_FAN_OUT = 4  # times the fan-out, to replace relays that are down
+MAX_CHILDREN_PER_FAN_OUT = 4  # times the fan-out: room for the children of relays that are down
 MIN_PAUSE_QUARTER_HEARTBEATS = 3  # minimum interval between messages to one child
 CHILD_HEARTBEATS = 2  # leader heartbeats between messages to a child when nothing is new
 
@@ -51,7 +51,10 @@
         return names
 
     def covered_index(self) -> int:
-        """Return the index of the oldest state that this member, or a child with its lease, may act on."""
+        """Return the index of the oldest state that this member or a child with a lease may act on.
+
+        0 without a fleet, and while leases that the previous process granted may still be valid.
+        """
         state_machine, now = self.core.state.state_machine, self.core.clock.now
         if state_machine is None:
             return 0
--- a/mastledge/consensus/worker_restrictions.py
+++ b/mastledge/consensus/worker_restrictions.py
@@ -148,8 +148,8 @@
 class ListExchange:
     """The known lists of a member, and the generations that its peers have reported.
 
-    A peer gets restrictions only if it still lacks generations that were known here when it was last looked
-    at: usually the peer's own watch is faster.
+    A peer gets restrictions only if it still lacks generations that were known here when its restrictions
+    were last computed: usually the peer's own watch is faster.
     """
 
     def __init__(self):
