--- a/tests/decision_players.py
+++ b/tests/decision_players.py
@@ -50,7 +50,7 @@
     FollowEndpoints: "follow",
     SendLoadMessage: "message",
 }
-ASIDE_FIELDS = ("pause", "trickle", "good", "back_at")
+EJECTION_FIELDS = ("pause", "trickle", "good", "back_at")
 
 
 def plain_decision(decision):
@@ -68,7 +68,7 @@
             slots,
             peak,
             slow,
-            [[reason, [ejection[name] for name in ASIDE_FIELDS]] for reason, ejection in ejections],
+            [[reason, [ejection[name] for name in EJECTION_FIELDS]] for reason, ejection in ejections],
         ]
         for worker, (slots, peak, slow, ejections) in learned.items()
     }
--- a/tests/decision_world.py
+++ b/tests/decision_world.py
@@ -17,7 +17,7 @@
     def __init__(self, name, zone, machine, cell, units, slots, pace):
         self.name, self.zone, self.machine, self.cell, self.units = name, zone, machine, cell, units
         self.slots, self.pace, self.state, self.born = slots, pace, "ready", 0
-        self.running, self.queue, self.trouble, self.trouble_until = 0, [], None, 0
+        self.running, self.queue, self.fault, self.fault_until = 0, [], None, 0
 
     def entry(self):
         return (self.zone, self.name, self.state, self.born, self.machine, self.cell, self.units)
@@ -66,7 +66,7 @@
         for after, what, *given in script["course"]:
             self.later(after * MS, getattr(self, what), *given)
         if script.get("trouble_every"):
-            self.later(script["trouble_every"] * MS, self.trouble)
+            self.later(script["trouble_every"] * MS, self.start_random_fault)
         while self.now < script["length"] * MS:
             self.step()
         for number in self.dispatchers:
@@ -194,19 +194,19 @@
         worker = launch["worker"]
         if launch["at"] != "way":
             return None
-        trouble = worker.trouble if self.now < worker.trouble_until else None
+        fault = worker.fault if self.now < worker.fault_until else None
         if worker.state == "gone":
             return self.end(launch, "unreachable")
-        if trouble == "mute":
+        if fault == "mute":
             launch["at"] = "mute"
             self.later(self.script.get("mute_for", 2500) * MS, self.end, launch, "timeout")
             if self.script.get("tells_silent"):
                 self.later(300 * MS, self.silent, launch)
             return None
-        if trouble == "failing type" and launch["job"]["type"] == 0:
+        if fault == "failing type" and launch["job"]["type"] == 0:
             return self.end(launch, "error")
-        if trouble is not None and trouble != "failing type" and self.chance() < 0.9:
-            return self.end(launch, trouble)
+        if fault is not None and fault != "failing type" and self.chance() < 0.9:
+            return self.end(launch, fault)
         if len(worker.queue) >= self.script.get("queue", 6):
             return self.end(launch, "doubted" if self.draw_direct_only(0.2) else "full")
         if worker.running >= worker.slots:
@@ -294,19 +294,17 @@
 
     # Faults and changes
 
-    def trouble(self):
+    def start_random_fault(self):
         """Give a random worker one of the script's faults for a while."""
-        self.later(2 * self.chance() * self.script["trouble_every"] * MS, self.trouble)
+        self.later(2 * self.chance() * self.script["trouble_every"] * MS, self.start_random_fault)
         worker = self.choose(self.workers)
-        worker.trouble = self.choose(self.script["troubles"])
-        worker.trouble_until = self.now + int(
-            (0.2 + self.chance()) * self.script.get("trouble_for", 600) * MS
-        )
+        worker.fault = self.choose(self.script["troubles"])
+        worker.fault_until = self.now + int((0.2 + self.chance()) * self.script.get("trouble_for", 600) * MS)
 
     def cut(self, share, fault, duration):
         """Give a part of the fleet a fault, like a zone that is cut off."""
         for worker in self.workers[: int(share * len(self.workers))]:
-            worker.trouble, worker.trouble_until = fault, self.now + duration * MS
+            worker.fault, worker.fault_until = fault, self.now + duration * MS
 
     def slowed(self, factor):
         """Multiply the running times on all workers, as with a slow shared store."""
