--- a/mastledge/idempotency/key_table.py
+++ b/mastledge/idempotency/key_table.py
@@ -66,9 +66,8 @@
         self.retention_us, self.unix_offset_us = retention_us, unix_offset_us
         self.room = TableCapacity(max_records, max_bytes)
         self.records: dict[ScopedKey, Record] = {}
-        self.expirations: deque[tuple[int, Record]] = (
-            deque()
-        )  # ordered by time, except for shortened retentions
+        # Ordered by time, except for shortened retentions.
+        self.expirations: deque[tuple[int, Record]] = deque()
         self.changes: list[LogEntry] = []
         self.claimed_count = 0
         self.verdict_counts: Counter[Verdict] = Counter()
--- a/mastledge/idempotency/keyed_request.py
+++ b/mastledge/idempotency/keyed_request.py
@@ -11,7 +11,7 @@
 MAX_KEY_BYTES = 255
 FIRST_VISIBLE_ASCII, LAST_VISIBLE_ASCII = 33, 126
 FINGERPRINT_BYTES = 16
-MAX_TARGET_BYTES = 64  # part of the target in the fingerprint: the longest key that BLAKE2b accepts
+MAX_TARGET_BYTES = 64  # of the target, as part of the fingerprint: the longest key that BLAKE2b accepts
 
 # Tenant and key. A plain tuple, because the garbage collector stops tracking one without containers, while it
 # would keep tracking 100,000 instances of a subclass such as a named tuple.
--- a/mastledge/idempotency/records.py
+++ b/mastledge/idempotency/records.py
@@ -32,9 +32,9 @@
     state: RecordState = RecordState.CLAIMED
     status: int = 0  # HTTP status of the answer
     content: bytes = b""  # body of the answer
-    size_bytes: int = 0  # room that the record takes
+    size_bytes: int = 0  # memory charged to the tenant
 
     @property
     def tenant(self) -> str:
-        """Return the tenant of the key, which the room of the record is charged to."""
+        """Return the tenant of the key, which the memory of the record is charged to."""
         return self.scoped_key[0]
--- a/mastledge/replication/catch_up.py
+++ b/mastledge/replication/catch_up.py
@@ -1,9 +1,9 @@
 """Catch-up: a new replica reads the records it has to hold from the current replicas.
 
-Before a replica sends its records it raises its fence: it refuses requests of earlier epochs from then on. So
-the new replica reads all that a majority of the current replicas has stored by then, and later requests need
-a majority of the next replicas too. If too many current replicas are lost, records may be unread; the new
-replica then waits until every claim and retention of that time has expired.
+Before a current replica sends its records it raises its fence, and from then on refuses requests of earlier
+epochs. So the new replica reads all that a majority of the current replicas has stored by then, and later
+requests need a majority of the next replicas too. If too many current replicas are lost, records may be
+unread; the new replica then waits until every claim and retention of that time has expired.
 """
 
 from __future__ import annotations
@@ -122,7 +122,10 @@
 
 
 class _Scan:
-    """How far one new replica has read. Keys that are claimed after the start reach it as claims."""
+    """How far one new replica has read. Keys that are claimed after the start reach the replica as claims.
+
+    With `skips_kept` the replica keeps its records, so keys that it already holds are left out.
+    """
 
     __slots__ = ("epoch", "scoped_keys", "skips_kept", "position", "next_index", "response")
 
--- a/mastledge/replication/claim_resolution.py
+++ b/mastledge/replication/claim_resolution.py
@@ -84,7 +84,7 @@
             self._retry_claim(now, job)
 
     def on_deadline(self, now: int, job: KeyedJob, claim_name: str) -> None:
-        """Answer the job as unsure: the walltime of the claim is over and its outcome is unknown."""
+        """Answer the job as unsure: the walltime of the claim or of the job ended without an outcome."""
         if self._is_awaiting(job, claim_name):
             self._jobs.reply(job, Verdict.UNSURE)
 
--- a/mastledge/replication/coordinator.py
+++ b/mastledge/replication/coordinator.py
@@ -88,7 +88,7 @@
         self._outcomes.job_ended(now, ended)
 
     def client_left(self, now: int, left: ClientLeft) -> None:
-        """Drop a job that no client waits for; the outcome of a running job is still distributed."""
+        """Drop a job that no client waits for, or whose walltime is over; outcomes are still distributed."""
         job = self._jobs.get(left.job_id)
         if job is None:
             return
--- a/mastledge/replication/existing_records.py
+++ b/mastledge/replication/existing_records.py
@@ -18,7 +18,7 @@
 
 
 class ExistingRecords:
-    """Decides on jobs by the responses of replicas; the response that knows most decides."""
+    """Decides on jobs by the responses of replicas; the most advanced state among them counts."""
 
     def __init__(
         self,
--- a/mastledge/replication/inputs.py
+++ b/mastledge/replication/inputs.py
@@ -47,13 +47,13 @@
 
 
 class ClientLeft(Input):
-    """The client no longer waits for the job."""
+    """No client waits for the job any more, or its walltime is over."""
 
     job_id: int
 
 
 class MessageReceived(Input):
-    """A message of the dispatcher `sender`, whose data directory has the id `directory_id`."""
+    """A message from the dispatcher `sender`, whose data directory has the id `directory_id`."""
 
     sender: str
     directory_id: str
--- a/mastledge/replication/jobs.py
+++ b/mastledge/replication/jobs.py
@@ -34,7 +34,7 @@
 
 
 class KeyedJob:
-    """One job with a key, from its arrival to the end of its retention. Times are microseconds."""
+    """One job with a key, from its arrival until its outcome expires. Times are microseconds."""
 
     __slots__ = (
         "job_id",
@@ -84,7 +84,7 @@
 
 
 class JobTable:
-    """The jobs that wait for a verdict, and the claims whose outcome is known here."""
+    """The jobs that wait for a verdict, and the claims made here until their release or end of retention."""
 
     def __init__(self, calls: QuorumCalls, report: Callable[[JobVerdict], None]):
         """Start without jobs; `report(JobVerdict)` reports a verdict to the host."""
--- a/mastledge/replication/node.py
+++ b/mastledge/replication/node.py
@@ -176,7 +176,7 @@
         self._message_handlers[type(message)](now, sender, directory_id, message)
 
     def _refusal(self, epoch: int) -> ReplicaResult | None:
-        """Return why no request can be granted now, or None if requests can be granted."""
+        """Return why requests of this epoch are refused now, or None if they are accepted."""
         if epoch < self.fence:
             return ReplicaResult.STALE_EPOCH
         return ReplicaResult.DISK_FAILED if self.outbox.disk_failed else None
@@ -209,7 +209,7 @@
             self.outbox.send_once_persisted(sender, self.replica.release(request))
 
     def on_read_key(self, now: int, sender: str, directory_id: str, request: ReadKey) -> None:
-        """Answer a read at once: it needs no disk write."""
+        """Answer a read at once, without waiting for the disk."""
         self.outbox.send(sender, self.replica.read(now, request))
 
     def on_replica_response(
--- a/mastledge/replication/outbox.py
+++ b/mastledge/replication/outbox.py
@@ -9,7 +9,7 @@
 
 
 class _WaitingForDisk(msgspec.Struct, gc=False):
-    """Sent once the records with this token are on the disk; None for records of the current step."""
+    """Message to send once the records with `token` are on the disk; None: those of the current step."""
 
     token: int | None
     recipient: str
--- a/mastledge/replication/persisted_state.py
+++ b/mastledge/replication/persisted_state.py
@@ -6,7 +6,7 @@
 
 
 class PersistedReplica(PersistedKeys):
-    """State of the records of keys and of two more kinds of records.
+    """Replayed state of a log that has, besides the records of keys, two more kinds of records.
 
     ("holder", directory id, starts) has the id of the data directory and how often it was opened;
     ("fence", epoch) says that requests of earlier epochs are refused.
--- a/mastledge/replication/placement.py
+++ b/mastledge/replication/placement.py
@@ -33,7 +33,7 @@
 
 
 def majority(dispatcher_count: int, replica_count: int) -> int:
-    """Return the majority size; there are never more replicas of a key than dispatchers."""
+    """Return the size of a majority of a key's replicas, which are never more than the dispatchers."""
     return min(replica_count, dispatcher_count) // 2 + 1
 
 
--- a/mastledge/replication/replica.py
+++ b/mastledge/replication/replica.py
@@ -70,7 +70,7 @@
         return self._claim_ends[0][0] if self._claim_ends else None
 
     def expire(self, now: int) -> None:
-        """Mark claims as unsure whose walltime ended without an outcome."""
+        """Mark claims as unsure if no outcome came by the end of their walltime and the grace time."""
         claim_ends = self._claim_ends
         while claim_ends and claim_ends[0][0] <= now:
             record = heappop(claim_ends)[2]
@@ -114,7 +114,8 @@
             and not record.claim_name
             and record.state == RecordState.UNSURE
         ):
-            table.release(record)  # it was merged from two claims, and the answer shows which one counts
+            # The record was merged from two claims, and the answer shows which claim counts.
+            table.release(record)
             record = None
         if record is not None and record.claim_name != request.claim_name:
             # The record belongs to another claim, which lost and will be released, or was made later.
@@ -125,7 +126,8 @@
                 return ReplicaResponse(request.call_id, ReplicaResult.FULL)
         self._raise_to(now, record, request, request.answered)
         if request.answered and record.state != RecordState.ANSWERED:
-            # The table had no room for the answer and stored the claim as unsure: that is no copy.
+            # The table had no room for the answer and stored the claim as unsure, so the answer is not
+            # acknowledged.
             return ReplicaResponse(request.call_id, ReplicaResult.FULL)
         return ReplicaResponse(request.call_id, ReplicaResult.DONE)
 
--- a/mastledge/replication/timers.py
+++ b/mastledge/replication/timers.py
@@ -42,7 +42,7 @@
     def random_delay(self, max_delay_us: int) -> int:
         """Return a delay between half of `max_delay_us` and all of it.
 
-        It keeps dispatchers that claimed a key at the same time from colliding again.
+        The spread keeps dispatchers that claimed a key at the same time from colliding again.
         """
         self._draws += 1
         return int(
--- a/mastledge/storage/data_directory.py
+++ b/mastledge/storage/data_directory.py
@@ -30,7 +30,7 @@
         except OSError:
             os.close(lock)
             raise DirectoryLockedError(
-                errno.EBUSY, f"folder {self.path} is locked by another process"
+                errno.EBUSY, f"folder {self.path} is held by another process"
             ) from None
         self.lock = lock
         return self
@@ -43,7 +43,7 @@
             )
         except OSError as error:
             raise DataDirectoryError(
-                error.errno, f"folder {self.path} cannot be written: {error.strerror}"
+                error.errno, f"folder {self.path} can't be written: {error.strerror}"
             ) from None
 
     def release(self) -> None:
--- a/mastledge/storage/write_ahead_log.py
+++ b/mastledge/storage/write_ahead_log.py
@@ -43,7 +43,7 @@
         state: ReplayedState,
         log: Callable[..., None] = lambda event, **fields: None,
     ) -> None:
-        """Set the file `name` in a directory that this process has locked.
+        """Prepare a log in the file `name` of a directory that this process has locked.
 
         `owner` identifies the owner of the records: a file with another value for one of its keys is refused.
         `log` takes an event and its fields.
@@ -125,9 +125,7 @@
             content = frames.whole_frame(data, offset)
             if content is None:
                 if frames.has_whole_frame_after(data, offset):
-                    raise DamagedLogError(
-                        0, f"{self.path} is damaged at byte {offset}, before its last frame"
-                    )
+                    raise DamagedLogError(0, f"{self.path} is spoilt at byte {offset}, and not at its end")
                 break
             self._apply(frames.decode_content(content), offset)
             offset += frames.FRAME_HEADER.size + len(content)
@@ -138,23 +136,21 @@
             try:
                 self.state.apply(record)
             except (ValueError, TypeError, IndexError) as error:
-                raise DamagedLogError(
-                    0, f"{self.path} has an invalid record at byte {offset}: {error}"
-                ) from None
+                raise DamagedLogError(0, f"{self.path} can't be followed at byte {offset}: {error}") from None
 
     def _check_header(self, data: bytes) -> int:
         """Check the format and the owner in the file's header, and return the offset after it."""
         if not data.startswith(frames.FILE_MAGIC):
-            raise DamagedLogError(0, f"{self.path} is not a mastledge write-ahead log")
+            raise DamagedLogError(0, f"{self.path} is no journal of mastledge")
         content = frames.whole_frame(data, len(frames.FILE_MAGIC))
         if content is None:
-            raise DamagedLogError(0, f"{self.path} has a damaged header")
+            raise DamagedLogError(0, f"{self.path} is spoilt at its head")
         header = frames.decode_file_header(content)
         if header["format"] != frames.FORMAT_VERSION:
             raise UnsupportedFormatError(
                 0,
-                f"{self.path} has format {header['format']}, written by another version; "
-                f"this version reads format {frames.FORMAT_VERSION}",
+                f"{self.path} is of format {header['format']}, written by another version; "
+                f"this one reads {frames.FORMAT_VERSION}",
             )
         self._check_owner(header)
         return len(frames.FILE_MAGIC) + frames.FRAME_HEADER.size + len(content)
--- a/mastledge/storage/writer.py
+++ b/mastledge/storage/writer.py
@@ -53,9 +53,8 @@
     def __init__(self, wal: WriteAheadLog) -> None:
         """Start the thread; from now on only the thread uses the log and its state."""
         self.wal = wal
-        self.fd = os.eventfd(
-            0, os.EFD_NONBLOCK | os.EFD_CLOEXEC
-        )  # readable when there are results for `completed`
+        # Readable when there are results for `completed`.
+        self.fd = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self.longest_write_us = 0
         self._requests: SimpleQueue[WriteRequest] = SimpleQueue()
         self._deferred: WriteRequest | None = None  # taken from the queue, but not part of the previous batch
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,6 +1,6 @@
 """Idempotency keys on one dispatcher: repeats in memory, after a restart and over sockets.
 
-They guard against launching a job again that may have run, before its retention is over.
+The tests guard against a second launch of a job that may have run, before its retention is over.
 """
 
 import threading
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -57,7 +57,7 @@
     assert made.recovery.restored.rejected_parts == {"all": "nothing is kept"}
     apply_list(made, 7, "ready", "draining")
     run_loop(made, lambda: made.recovery.persistence.stored_list is not None)
-    with pytest.raises(DataDirectoryError, match="locked by another process"):
+    with pytest.raises(DataDirectoryError, match="held by another process"):
         program(tmp_path).recovery.begin()
     close(made)
     logged = []
@@ -96,10 +96,7 @@
 
 @pytest.mark.parametrize(
     ("spoil", "says"),
-    [
-        (lambda raw: b"x" + raw, "not a mastledge write-ahead log"),
-        (lambda raw: raw[:60] + b"\xff" + raw[61:], "damaged"),
-    ],
+    [(lambda raw: b"x" + raw, "no journal"), (lambda raw: raw[:60] + b"\xff" + raw[61:], "spoilt")],
 )
 def test_a_spoilt_folder_is_begun_anew_and_nothing_of_it_restored(tmp_path, spoil, says):
     made = started(tmp_path)
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -72,9 +72,8 @@
         WALLTIME - 1,
     )
     assert replica.claim(1, claim_request(B, fingerprint=b"q" * 16)).result == ReplicaResult.OTHER_REQUEST
-    assert (
-        replica.release(ReleaseClaim(1, "t", b"k", B)).result == ReplicaResult.DONE
-    )  # not the claim that holds the key
+    # B is not the claim that holds the key.
+    assert replica.release(ReleaseClaim(1, "t", b"k", B)).result == ReplicaResult.DONE
     assert replica.claim(2, claim_request(B)).result == ReplicaResult.CLAIMED
     assert replica.claim(3, claim_request(B, released=[A])).result == ReplicaResult.GRANTED
     assert replica.claim(4, claim_request(A)).result == ReplicaResult.CLAIMED
@@ -146,16 +145,14 @@
     replica.claim(0, claim_request(A))
     replica.merge(1, Record("t", b"k", FINGERPRINT, B, RecordState.ANSWERED, 500, 200, b"r"))
     assert replica.read(2, ReadKey(1, "t", b"k")).claim_name == B
-    assert (
-        replica.read(502, ReadKey(1, "t", b"k")).result == ReplicaResult.UNKNOWN_KEY
-    )  # a merge does not restart the retention
+    # A merge does not restart the retention.
+    assert replica.read(502, ReadKey(1, "t", b"k")).result == ReplicaResult.UNKNOWN_KEY
     replica.claim(600, claim_request(A))
     replica.merge(601, Record("t", b"k", FINGERPRINT, B, RecordState.CLAIMED, 500))
     assert replica.read(602, ReadKey(1, "t", b"k")).result == ReplicaResult.UNSURE  # either claim may count
     replica.release(ReleaseClaim(1, "t", b"k", A))
-    assert (
-        replica.read(604, ReadKey(1, "t", b"k")).result == ReplicaResult.UNSURE
-    )  # neither owner can release the merged record
+    # Neither owner can release the merged record.
+    assert replica.read(604, ReadKey(1, "t", b"k")).result == ReplicaResult.UNSURE
     assert (
         replica.complete(605, complete_request(A)).result == ReplicaResult.DONE
         and replica.read(606, ReadKey(1, "t", b"k")).claim_name == A
@@ -371,10 +368,11 @@
         ([("a", "1", ReplicaResult.UNSURE)], Verdict.NO_QUORUM),
         ([("a", "1", ReplicaResult.CLAIMED)], Verdict.NO_QUORUM),
         ([("a", "1", ReplicaResult.UNSURE), ("b", "1", ReplicaResult.GRANTED)], Verdict.UNSURE),
+        # Replica b has lost its disk, and perhaps an answer.
         (
             [("a", "1", ReplicaResult.UNSURE), ("b", "2", ReplicaResult.GRANTED)],
             Verdict.NO_QUORUM,
-        ),  # replica b has lost its disk, and perhaps an answer
+        ),
         ([("a", "1", ReplicaResult.FULL)], Verdict.FULL),
         ([], Verdict.NO_QUORUM),
     ],
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -157,19 +157,19 @@
 def test_log_of_another_format_is_refused(log_file, monkeypatch):
     log_file.write_frames()
     monkeypatch.setattr("mastledge.storage.frames.FORMAT_VERSION", 2)
-    with pytest.raises(UnsupportedFormatError, match="has format 1"):
+    with pytest.raises(UnsupportedFormatError, match="of format 1"):
         log_file.opened()
 
 
 def test_file_that_is_not_a_log_is_refused(log_file):
     log_file.path.write_bytes(b"something else")
-    with pytest.raises(DamagedLogError, match="not a mastledge write-ahead log"):
+    with pytest.raises(DamagedLogError, match="no journal"):
         log_file.opened()
 
 
 def test_directory_is_locked_by_one_process_at_a_time(log_file, tmp_path):
     log_file.opened()
-    with pytest.raises(DirectoryLockedError, match="locked by another process"):
+    with pytest.raises(DirectoryLockedError, match="held by another process"):
         DataDirectory(str(tmp_path)).acquire()
     log_file.release_log()
     directory = DataDirectory(str(tmp_path)).acquire()
@@ -178,7 +178,7 @@
 
 def test_directory_that_cannot_be_written_is_refused(tmp_path):
     (tmp_path / "file").write_bytes(b"")
-    with pytest.raises(DataDirectoryError, match="cannot be written"):
+    with pytest.raises(DataDirectoryError, match="can't be written"):
         DataDirectory(str(tmp_path / "file" / "below")).acquire()
 
 
