--- a/mastledge/replication/catch_up.py
+++ b/mastledge/replication/catch_up.py
@@ -81,7 +81,7 @@
         unread = self._unread()
         if len(unread) <= self._placement.max_unread_replicas() or now >= self._records_expired_at:
             self._is_done = True
-            self._outbox.caught_up(self._epoch)
+            self._outbox.report_caught_up(self._epoch)
         elif now >= self._retry_at:
             self._retry_at = now + RETRY_US
             for name in sorted(unread):
--- a/mastledge/replication/outbox.py
+++ b/mastledge/replication/outbox.py
@@ -54,7 +54,7 @@
         """Report a verdict on a job to the host."""
         self._outputs.append(verdict)
 
-    def caught_up(self, epoch: int) -> None:
+    def report_caught_up(self, epoch: int) -> None:
         """Report that this replica has caught up, once the records of this step are on the disk."""
         self._waiting.append(_WaitingForDisk(None, self._name, CaughtUp(epoch)))
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -548,7 +548,7 @@
         placement = self.placement
         is_next = placement.next and placement.next.get(self.name) == self.directory_id
         if is_next and self.name not in placement.caught_up:
-            self.outbox.caught_up(placement.epoch)
+            self.outbox.report_caught_up(placement.epoch)
 
 
 class PresumedReleaseNode(Node):
