--- a/mastledge/routing/__init__.py
+++ b/mastledge/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Between the sockets and the decisions: the one task that owns the scheduler, its jobs and launches."""
+"""The router: the task between sockets and scheduler that owns jobs, launches and timers."""
--- a/mastledge/routing/endpoints.py
+++ b/mastledge/routing/endpoints.py
@@ -1,4 +1,4 @@
-"""The workers of the endpoint list as this dispatcher's sockets know them."""
+"""The workers of the endpoint list, with their addresses and idle connections."""
 
 from collections.abc import Collection
 
@@ -6,22 +6,22 @@
 from mastledge.protocol.worker_connections import WorkerConnections
 from mastledge.protocol.worker_endpoint import WorkerEndpoint
 
-WHOLE_LISTS = ("whole", "cached")  # kinds that name every worker there is
+WHOLE_LISTS = ("whole", "cached")  # kinds of change that name all workers
 
 
 class EndpointTable:
-    """All endpoints of the list by id, and which of them operators exclude."""
+    """Holds all endpoints of the list by worker id, and which of them operators exclude."""
 
     def __init__(self, connections: WorkerConnections) -> None:
-        """`connections` closes idle ones to who is to get nothing new."""
+        """Create an empty table; `connections` closes idle connections to workers that take no launches."""
         self.by_id: dict[str, WorkerEndpoint] = {}
         self.excluded: frozenset[str] = frozenset()
         self._connections = connections
 
     def update(self, change: EndpointsChanged) -> list[tuple]:
-        """Takes over a change; its entries as `Scheduler.update_endpoints` takes them.
+        """Apply a change, and return its entries in the form that `Scheduler.update_endpoints` takes.
 
-        Who is gone stays in the table until `remove_gone`, as the decisions are told of it first.
+        Workers that are gone stay in the table until `remove_gone`, as the scheduler is told of them first.
         """
         updated = []
         for worker_id, address, zone, state, started_at, machine_type, cell, weight in change.entries:
@@ -31,7 +31,7 @@
                 self.by_id[worker_id] = endpoint
             moved = endpoint.address and address != endpoint.address
             if state != "ready" or started_at > endpoint.started_at or moved:
-                # Nothing new goes there, or its connections died with its former incarnation.
+                # It takes no new launches, or its connections ended with its previous incarnation.
                 self._connections.close_idle(endpoint)
             endpoint.address, endpoint.state = address, state
             endpoint.started_at = max(started_at, endpoint.started_at)
@@ -41,11 +41,11 @@
         return updated
 
     def remove_gone(self) -> None:
-        """Forgets who is gone; launches under way hold what they need of it."""
+        """Remove workers that are gone; launches in flight keep their own reference to the endpoint."""
         self.by_id = {endpoint.id: endpoint for endpoint in self.by_id.values() if endpoint.state != "gone"}
 
     def exclude(self, excluded: frozenset[str]) -> None:
-        """Takes over which workers are excluded from here on."""
+        """Replace the set of excluded workers."""
         self.excluded = excluded
         for endpoint in self.by_id.values():
             was_excluded, endpoint.excluded = endpoint.excluded, endpoint.id in excluded
--- a/mastledge/routing/events.py
+++ b/mastledge/routing/events.py
@@ -1,4 +1,4 @@
-"""What the program puts into the router's queue; what comes from sockets stands in `protocol.events`."""
+"""Events that the program puts into the router's queue; those of the sockets are in `protocol.events`."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -6,9 +6,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkersExcluded:
-    """Operators exclude these workers and no others; `on_applied` is called once that holds.
+    """Operators exclude these workers and no others; `on_applied` is called once the router has applied that.
 
-    `included_at` are the times from which workers are back, in microseconds of the monotonic clock.
+    `included_at`: when workers were included again, by id, in microseconds of the monotonic clock.
     """
 
     excluded: frozenset[str]
@@ -18,37 +18,37 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseLapsed:
-    """What is in force is not known here any more."""
+    """The lease has lapsed: this dispatcher no longer knows which restrictions are in force."""
 
 
 @dataclass(frozen=True, slots=True)
 class LearnedStateRestored:
-    """What another process of this dispatcher has learned, as `Scheduler.restore_learned` takes it."""
+    """State learned by another process of this dispatcher, as `Scheduler.restore_learned` takes it."""
 
     learned: dict[str, list]
 
 
 @dataclass(frozen=True, slots=True)
 class TrafficShareChanged:
-    """This process's part of the dispatcher's jobs, from 0 to 1."""
+    """The share of the dispatcher's jobs that this process serves, from 0 to 1."""
 
     share: float
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """New settings of the decisions."""
+    """New settings for the scheduler."""
 
     settings: dict
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownScheduled:
-    """The process ends at that time, in microseconds of the monotonic clock."""
+    """The process ends at `end_at`, in microseconds of the monotonic clock."""
 
     end_at: int
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownDue:
-    """The process ends now: each open job is answered."""
+    """The process ends now: each open job has to be answered."""
--- a/mastledge/routing/jobs.py
+++ b/mastledge/routing/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs and launches as the router keeps them. All times are microseconds of the monotonic clock."""
+"""Jobs and launches as the router holds them. All times are microseconds of the monotonic clock."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class JobEnd(StrEnum):
-    """How a job was closed; the values are those of the log."""
+    """How a job was closed; the values appear in the log."""
 
     COMPLETED = "completed"
     REJECTED = "rejected"
@@ -24,14 +24,14 @@
     __slots__ = ("id", "exchange", "launches", "in_flight", "arrived_at")
 
     def __init__(self, job_id: int, exchange: Exchange, now: int) -> None:
-        """A job that has just arrived; `exchange` is the way back to its client."""
+        """Create a job that has just arrived; `exchange` sends the answer to its client."""
         self.id, self.exchange, self.arrived_at = job_id, exchange, now
         self.launches: list[Launch] = []
-        self.in_flight = 0  # launches that have not ended
+        self.in_flight = 0  # number of launches that have not ended
 
 
 class Launch:
-    """What a launch is to the host; the decisions name it by its job and its number among that job's."""
+    """A launch as the router holds it; the scheduler names it by job id and number within that job."""
 
     __slots__ = (
         "job",
@@ -49,37 +49,37 @@
     )
 
     def __init__(self, job: Job, endpoint: WorkerEndpoint, now: int) -> None:
-        """The next launch of a job, of which nothing is sent yet."""
+        """Create the next launch of a job; nothing of it is sent yet."""
         self.job, self.number, self.endpoint = job, len(job.launches), endpoint
         self.name, self.created_at, self.send_by = job.exchange.name, now, job.exchange.until
         self.task, self.started_at, self.ended = None, None, False
-        # What the connection to the worker keeps here: is the request out, the answer's head read?
+        # Set by the worker connection: request sent, its connection, head of the answer read.
         self.sent, self.conn, self.headed = False, None, False
 
 
 class JobTable:
-    """All jobs that are open or have a launch under way, and how those before them were closed."""
+    """Holds all jobs that are open or have a launch in flight, and counts how earlier ones were closed."""
 
     def __init__(self, log: Callable[..., None]) -> None:
-        """`log(event, **fields)` writes a line for each job that is closed."""
+        """Create an empty table; `log(event, **fields)` writes a line for each job that is closed."""
         self.by_id: dict[int, Job] = {}
-        self.count = 0  # of all that arrived
+        self.count = 0  # of jobs that arrived; the last job id
         self.totals = {end.value: 0 for end in JobEnd}
         self._log = log
 
     def add(self, exchange: Exchange, now: int) -> Job:
-        """A job for an exchange that has just arrived."""
+        """Create the job for an exchange that has just arrived."""
         self.count += 1
         job = exchange.job = self.by_id[self.count] = Job(self.count, exchange, now)
         return job
 
     def find(self, exchange: Exchange) -> Job | None:
-        """The job of an exchange while it is known here."""
+        """Return the job of an exchange, or None once it was discarded."""
         job: Any = exchange.job
         return job if job is not None and job.id in self.by_id else None
 
     def record_end(self, job: Job, end: JobEnd, now: int) -> None:
-        """Counts and logs a job that is closed."""
+        """Count and log a job that is closed."""
         self.totals[end] += 1
         last = job.launches[-1] if job.launches else None
         self._log(
@@ -94,6 +94,6 @@
         )
 
     def discard_if_over(self, job: Job) -> None:
-        """Forgets a job that is closed and has no launch under way."""
+        """Discard a job that is closed and has no launch in flight."""
         if not job.in_flight and not job.exchange.open:
             self.by_id.pop(job.id, None)
--- a/mastledge/routing/router.py
+++ b/mastledge/routing/router.py
@@ -1,4 +1,4 @@
-"""The task that owns the decisions: reports what came in, carries out what is decided, keeps their timers."""
+"""The router task: reports events to the scheduler, carries out its decisions and wakes at its timers."""
 
 import traceback
 from collections.abc import Callable
@@ -39,19 +39,19 @@
 from mastledge.scheduling.scheduler import Scheduler
 from mastledge.transport.loop import Coroutine, Loop, Queue
 
-# After which who was rejected for want of a lease may come again: elsewhere there is one.
+# `Retry-After` of jobs rejected without a lease: another dispatcher probably holds one.
 RETRY_WITHOUT_LEASE_US = 250_000
-LOGGED_ENTRIES = 12  # of a change of the endpoint list
+LOGGED_ENTRIES = 12  # per change of the endpoint list
 
 
 class Router:
-    """Takes the entries of the queue one by one into the decisions, and does what these say.
+    """Reports the queued events one by one to the scheduler, and carries out its decisions.
 
-    Where dispatchers agree (consensus), `rule` says whether this one may act now; `on_endpoint_list(kind,
-    entries)` is called with each change of the list. Both are None elsewhere.
+    In a fleet with consensus, `rule` tells whether this dispatcher may act now (holds a valid lease), and
+    `on_endpoint_list(kind, entries)` is called with each change of the endpoint list. Both are None without.
     """
 
-    def __init__(  # noqa: PLR0913 - the program wires it once, each part is another owner's
+    def __init__(  # noqa: PLR0913 - called once at startup; each argument is a separate component
         self,
         loop: Loop,
         inbox: Queue,
@@ -60,18 +60,18 @@
         discovery: Discovery,
         log: Callable[..., None],
     ) -> None:
-        """`inbox` brings what `protocol.events` and `routing.events` define."""
+        """Create a router; `inbox` delivers the events of `protocol.events` and `routing.events`."""
         self.loop, self.inbox, self.scheduler = loop, inbox, scheduler
         self.workers, self.discovery, self.log = workers, discovery, log
         self.job_table = JobTable(log)
         self.endpoint_table = EndpointTable(workers)
-        self.faults = 0  # errors that ended nothing but the call they came from
+        self.faults = 0  # errors that were caught by `call_guarded` or `run_launch`
         self.rule = None
         self.on_endpoint_list = None
-        self.handlers = self._handlers_by_class()
-        self.carriers = self._carriers_by_class()
+        self.handlers = self._event_handlers_by_class()
+        self.decision_handlers = self._decision_handlers_by_class()
 
-    def _handlers_by_class(self) -> dict[type, Callable[..., None]]:
+    def _event_handlers_by_class(self) -> dict[type, Callable[..., None]]:
         return {
             EndpointsChanged: self.on_endpoints_changed,
             JobArrived: self.on_job_arrived,
@@ -90,7 +90,7 @@
             ShutdownDue: self.on_shutdown_due,
         }
 
-    def _carriers_by_class(self) -> dict[type, Callable[..., None]]:
+    def _decision_handlers_by_class(self) -> dict[type, Callable[..., None]]:
         return {
             LaunchJob: self.launch_job,
             RejectJob: self.reject_job,
@@ -99,11 +99,11 @@
             FollowEndpoints: self.follow_endpoints,
         }
 
-    # What the program may read.
+    # State that the program reads
 
     @property
     def jobs(self) -> dict[int, Job]:
-        """All jobs that are open or have a launch under way, by id."""
+        """All jobs that are open or have a launch in flight, by id."""
         return self.job_table.by_id
 
     @property
@@ -113,13 +113,13 @@
 
     @property
     def excluded(self) -> frozenset[str]:
-        """The workers that get nothing new by an operator's word, as it is in force here."""
+        """The workers that operators exclude from new launches, as applied here."""
         return self.endpoint_table.excluded
 
     # The task
 
     def run(self) -> Coroutine:
-        """Takes entries, carries out decisions and waits for the next entry or timer, without end."""
+        """Handle events, carry out decisions and wait for the next event or timer, without end."""
         inbox, handlers = self.inbox, self.handlers
         while True:
             now = self.loop.now()
@@ -131,7 +131,9 @@
             yield from inbox.wait(None if wake_at is None else max(wake_at, now + 1))
 
     def call_guarded(self, call: Callable[..., None], *arguments: object) -> None:
-        """A fault over one job must not end the others; its client is answered when its time is over."""
+        """Call, and log an error instead of raising it: a fault in one job must not end the others.
+
+        The client of a job that is left so is answered when its walltime is over."""
         try:
             call(*arguments)
         except Exception as error:
@@ -146,50 +148,52 @@
     # Inputs from the sockets
 
     def on_endpoints_changed(self, now: int, change: EndpointsChanged) -> None:
-        """The endpoint list was read or has changed."""
+        """Handle an endpoint list that was read or has changed."""
         kind, entries = change
         self.scheduler.update_endpoints(now, kind, self.endpoint_table.update(change))
         self.endpoint_table.remove_gone()
         if entries:
-            brief = [(e[0], e[3], e[4] and (now - e[4]) / 1e6) for e in entries[:LOGGED_ENTRIES]]
+            first_entries = [(e[0], e[3], e[4] and (now - e[4]) / 1e6) for e in entries[:LOGGED_ENTRIES]]
             generation = self.discovery.generation
-            self.log("endpoint_list", kind=kind, generation=generation, count=len(entries), first=brief)
+            self.log(
+                "endpoint_list", kind=kind, generation=generation, count=len(entries), first=first_entries
+            )
         if self.on_endpoint_list is not None:
             self.on_endpoint_list(kind, entries)
 
     def on_job_arrived(self, now: int, event: JobArrived) -> None:
-        """A job was let in."""
+        """Handle a job that was admitted."""
         job = self.job_table.add(event.exchange, now)
         self.scheduler.job_arrived(now, job.id, *event.terms)
 
     def on_job_abandoned(self, now: int, event: JobAbandoned) -> None:
-        """Nobody waits for a job's answer, and it is not to go on."""
+        """Handle a job whose answer no client waits for and that must not continue."""
         job = self.job_table.find(event.exchange)
         if job is not None:
             self._abandon(now, job)
 
     def on_client_left(self, now: int, event: ClientLeft) -> None:
-        """A client has gone; others may wait for the same answer."""
+        """Handle a client that has disconnected; others may wait for the same answer."""
         self._stop_if_clients_left(now, self.job_table.find(event.exchange))
 
     def on_launch_started(self, now: int, event: LaunchStarted) -> None:
-        """A worker tells that it has begun."""
+        """Handle a worker's report that it has started a launch."""
         launch = event.launch
         launch.started_at = now
         self.scheduler.launch_started(now, launch.job.id, launch.number)
 
     def on_launch_silent(self, now: int, event: LaunchSilent) -> None:
-        """A worker has not told in time that it has a launch."""
+        """Handle a worker that has not confirmed a launch in time."""
         launch = event.launch
         self.scheduler.launch_silent(now, launch.job.id, launch.number)
 
     def on_launch_progressed(self, now: int, event: LaunchProgressed) -> None:
-        """A worker tells the share that is done."""
+        """Handle a worker's report of the share of a launch that is done."""
         launch = event.launch
         self.scheduler.launch_progressed(now, launch.job.id, launch.number, event.share)
 
     def on_launch_ended(self, now: int, event: LaunchEnded) -> None:
-        """A launch ended; only its first end counts."""
+        """Handle the end of a launch; only the first end of each launch counts."""
         launch, outcome, result, report = event
         if launch.ended:
             return
@@ -220,7 +224,7 @@
     # Inputs from the program
 
     def on_workers_excluded(self, now: int, event: WorkersExcluded) -> None:
-        """Nothing new goes to who is excluded, also what was decided and is not written yet."""
+        """Exclude workers: they get no new launches, and those not sent to them yet are revoked."""
         excluded = event.excluded
         if excluded != self.excluded:
             self.log("workers_excluded", out=sorted(excluded))
@@ -233,29 +237,29 @@
         event.on_applied()
 
     def on_lease_lapsed(self, now: int, event: LeaseLapsed) -> None:
-        """What is in force is not known here any more: who waits for a worker is told to come again."""
+        """Reject or kill the open jobs without a launch in flight: the restrictions in force are unknown."""
         for job in list(self.jobs.values()):
             if not job.in_flight and job.exchange.open:
                 self._reject_or_kill(now, job)
 
     def on_learned_state_restored(self, now: int, event: LearnedStateRestored) -> None:
-        """The process before, or the one beside this, has learned that."""
+        """Restore the state learned by the previous process, or by the sibling process."""
         self.scheduler.restore_learned(now, event.learned)
 
     def on_traffic_share_changed(self, now: int, event: TrafficShareChanged) -> None:
-        """Another process takes a part of the jobs, or none any more."""
+        """Apply the new share: a sibling process takes a part of the jobs, or none any more."""
         self.scheduler.set_traffic_share(now, event.share)
 
     def on_settings_changed(self, now: int, event: SettingsChanged) -> None:
-        """Other settings are in force."""
+        """Apply other settings."""
         self.scheduler.reconfigure(now, event.settings)
 
     def on_shutdown_scheduled(self, now: int, event: ShutdownScheduled) -> None:
-        """The program has to end at a time that is known."""
+        """Tell the scheduler when the process will end."""
         self.scheduler.shut_down_at(now, event.end_at)
 
     def on_shutdown_due(self, now: int, event: ShutdownDue) -> None:
-        """The program has to end: what is still open gets the answer that promises nothing."""
+        """Answer each open job as killed: it may have run, and the process ends now."""
         for job in list(self.jobs.values()):
             if job.exchange.open:
                 job.exchange.killed()
@@ -263,30 +267,30 @@
                 self._close_job(now, job, JobEnd.KILLED)
 
     def job_handed_off(self, now: int, job: Job, launch: Launch) -> None:
-        """Another process goes on with a job and its one launch, and with their connections."""
+        """Drop a job, its one launch and their connections, which another process has taken over."""
         launch.ended, job.exchange.open = True, False
         job.in_flight -= 1
         self.loop.cancel(launch.task)
         self.scheduler.job_abandoned(now, job.id)
         self._close_job(now, job, JobEnd.HANDED_OFF)
 
-    # Decisions
+    # Decisions of the scheduler
 
     def carry_out_decisions(self, now: int) -> None:
-        """Asks for decisions and does what they say, until there is none."""
+        """Ask the scheduler for decisions and carry them out, until there is none."""
         decide = self.scheduler.decide
         while (decision := decide(now)) is not None:
             self.carry_out(now, decision)
 
     def carry_out(self, now: int, decision: Decision) -> None:
-        """Does what was decided; TypeError for what is no decision of a dispatcher without load messages."""
-        carrier = self.carriers.get(decision.__class__)
-        if carrier is None:
-            raise TypeError(f"no such decision: {decision}")
-        carrier(now, decision)
+        """Carry out a decision; raise TypeError for a class of decision that the router does not know."""
+        handler = self.decision_handlers.get(decision.__class__)
+        if handler is None:
+            raise TypeError(f"the router cannot carry out this decision: {decision}")
+        handler(now, decision)
 
     def launch_job(self, now: int, decision: LaunchJob) -> None:
-        """Starts a launch, which tells its end through the queue."""
+        """Start a launch; its end is reported through the queue. Nothing is sent without a lease."""
         job = self.jobs[decision.job]
         launch = Launch(job, decision.worker, now)
         job.launches.append(launch)
@@ -299,40 +303,41 @@
         launch.task = self.loop.spawn(self.run_launch(launch, job.exchange.until))
 
     def run_launch(self, launch: Launch, until: int) -> Coroutine:
-        """Runs a launch on a connection, up to the end of the walltime."""
+        """Run a launch on a worker connection, until its end or `until`, the end of the walltime."""
         try:
             yield from self.workers.launch(launch.endpoint, launch, launch.job.exchange, until)
         except Exception as error:
-            # Whatever went wrong here, the decisions have to hear of one end of each launch.
+            # After any error too, the scheduler needs an end of each launch.
             self.faults += 1
             self.log("internal_error", call="launch", why=f"{type(error).__name__}: {error}")
             outcome = Outcome.ERROR if launch.sent else Outcome.UNSENT
             self.inbox.put(LaunchEnded(launch, outcome, None, ()))
 
     def reject_job(self, now: int, decision: RejectJob) -> None:
-        """Answers that a retry is harmless."""
+        """Reject a job: it has not run, so a retry is harmless."""
         job = self.jobs[decision.job]
         job.exchange.rejected(decision.retry_after)
         self._close_job(now, job, JobEnd.REJECTED)
 
     def kill_job(self, now: int, decision: KillJob) -> None:
-        """Answers that the job may have run."""
+        """Kill a job: the client is told that it may have run."""
         job = self.jobs[decision.job]
         job.exchange.killed()
         self._close_job(now, job, JobEnd.KILLED)
 
     def revoke_launch(self, now: int, decision: RevokeLaunch) -> None:
-        """Ends a launch, wherever it is."""
+        """Revoke a launch, whether it was sent or not."""
         self._revoke(self.jobs[decision.job].launches[decision.number])
 
     def follow_endpoints(self, now: int, decision: FollowEndpoints) -> None:
-        """Starts the watch of the endpoint list unless it is kept up already."""
+        """Start the watch of the endpoint list unless it already runs."""
         self.discovery.follow()
 
     # The ends of jobs and launches
 
     def _withhold(self, now: int, launch: Launch) -> None:
-        # It was decided by rules that may no longer hold. Nothing is sent, as the decisions hear at once.
+        # The lease has lapsed since, so the worker may be excluded by now. Nothing is sent, and the scheduler
+        # is told at once.
         job, launch.ended = launch.job, True
         self.scheduler.launch_ended(now, job.id, launch.number, Outcome.UNSENT, 0, False, ())
         if not job.in_flight:
@@ -341,14 +346,14 @@
     def _revoke(self, launch: Launch) -> None:
         if not launch.ended:
             self.loop.cancel(launch.task)
-            # Without its last byte a worker does not begin it.
+            # A worker does not start a launch before it has received the last byte.
             outcome = Outcome.REVOKED if launch.sent else Outcome.UNSENT
             self.inbox.put(LaunchEnded(launch, outcome, None, ()))
 
     def _stop_if_clients_left(self, now: int, job: Job | None) -> None:
-        """Nobody waits for its answer, unless somebody has joined since: nothing new is sent for it.
+        """Send nothing more for a job that no client waits for; do nothing if a client has joined since.
 
-        What may be running goes on where its key is kept, as its outcome is promised to who asks again.
+        A job with an idempotency key keeps its launches in flight, as a retry is promised their outcome.
         """
         if job is None or not job.exchange.open or not job.exchange.client_has_left():
             return
@@ -361,7 +366,7 @@
             self._reject_or_kill(now, job)
 
     def cancel_unsent_launches(self, now: int, job: Job) -> None:
-        """Ends launches whose last byte has not gone out: it would go out behind the job's answer."""
+        """End the launches that are not fully sent, lest their last byte go out after the job's answer."""
         for launch in job.launches:
             if not launch.ended and not launch.sent:
                 self.loop.cancel(launch.task)
