--- a/mastledge/recovery/__init__.py
+++ b/mastledge/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of a start after most is lost: restored state, stages, admission, snapshots. No I/O."""
+"""Recovery after a restart: restored state, startup stages, admission ramp, fleet snapshots. No I/O."""
--- a/mastledge/recovery/admission_ramp.py
+++ b/mastledge/recovery/admission_ramp.py
@@ -1,14 +1,15 @@
-"""How many jobs may be in flight after a start, and in an overload that feeds itself.
+"""The limit of jobs in flight after a start, and in an overload that retries keep up.
 
-The limit begins at half of this dispatcher's share of the workers' slots and grows with the jobs that
+The limit starts at half of this dispatcher's share of the workers' slots and grows with the jobs that
 complete: slow start and additive increase of TCP (RFC 5681), on jobs in place of segments. A job above the
-limit is rejected at once, as nothing of it was sent anywhere. Once the limit is the share and what chance
-adds to it, or nothing was rejected for a second, the limit is lifted and the decisions alone shed load.
+limit is rejected at once, before anything of it was sent to a worker. Once the limit has reached the share
+plus a margin for random bursts, or no job was rejected for a second, the limit is lifted, and only the
+scheduler sheds load.
 
-Where retries feed an overload whose cause has gone (Bronson et al., "Metastable failures in distributed
-systems", HotOS 2021) less than half of the admitted jobs complete. Then the limit is in force again, at the
-share. While it is in force retries get only what first attempts leave idle: they are admitted while less than
-four fifths of the share are in flight.
+If retries keep up an overload after its cause is gone (Bronson et al., "Metastable failures in distributed
+systems", HotOS 2021), less than half of the admitted jobs complete. Then the limit is in force again, at the
+share. While it is in force, first attempts come before retries: a retry is admitted only while less than four
+fifths of the share are in flight.
 
 All times are whole microseconds of one monotonic clock.
 """
@@ -20,43 +21,43 @@
 from zlib import crc32
 
 INITIAL_FRACTION = 0.5
-"""Of the share of slots: the limit at the start, where nothing is known of other dispatchers."""
+"""Fraction of the share of slots: the initial limit, while the load of other dispatchers is unknown."""
 MIN_FRACTION = 0.5
-"""Of the share of slots: what the limit never falls below in a start."""
+"""Fraction of the share of slots: the lowest limit during a start."""
 BURST_ROOTS = 3.0
-"""Times the root of the share is added to it, as by chance more is in flight at once (Poisson arrivals)."""
+"""Square roots of the share that the full limit adds to it, for random bursts (Poisson arrivals)."""
 DECREASE_FACTOR = 0.75
-"""Times the limit, where the decisions reject what was admitted."""
+"""Factor on the limit when the scheduler rejects an admitted job."""
 RETRY_FRACTION = 0.8
-"""Of the share of slots: with more in flight no retry is admitted."""
+"""Fraction of the share of slots: with more jobs in flight, no retry is admitted."""
 MAX_RECENT_OUTCOMES = 32
 OUTCOME_AGE_US = 4_000_000
-"""Older outcomes are not set against those of now."""
+"""Outcomes older than this are discarded."""
 MIN_OUTCOMES = 8
-"""With fewer recent outcomes no overload is concluded."""
+"""With fewer recent outcomes, no overload is detected."""
 HEALTHY_FRACTION = 0.5
-"""Of the recent outcomes that completed; with less it is an overload."""
+"""Fraction of the recent outcomes; if fewer completed, there is an overload."""
 REJECTION_WINDOW_US = 1_000_000
-"""Over which rejections are counted for `Retry-After`."""
+"""Window over which rejections are counted for `Retry-After`."""
 QUIET_US = 1_000_000
-"""Without a rejection, after which nothing is limited."""
+"""Time without a rejection after which the limit is lifted."""
 MIN_RETRY_AFTER_US = 20_000
 RUN_TIME_GAIN = 0.125
-"""Of a new run time in the smoothed one."""
+"""Weight of a new run time in the smoothed run time."""
 
 
 class AdmittedJobOutcome(Enum):
-    """What became of an admitted job."""
+    """The outcome of an admitted job."""
 
     COMPLETED = "completed"
     REJECTED = "rejected"
-    """By the decisions, before it cost a worker anything."""
+    """Rejected by the scheduler, before any worker ran it."""
     FAILED = "failed"
-    """Anything else: given up, lost, its client has gone."""
+    """Any other end: killed, lost, or its client disconnected."""
 
 
 class LimitReason(Enum):
-    """Why a limit is in force; the values are what operators are shown."""
+    """Why a limit is in force; operators are shown the values."""
 
     NONE = ""
     START = "start"
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerLoad:
-    """What another dispatcher has in flight, and whether it admits without a limit."""
+    """The jobs that another dispatcher has in flight, and whether it admits jobs without a limit."""
 
     in_flight: int
     unlimited: bool
@@ -73,7 +74,7 @@
 
 @dataclass(slots=True)
 class AdmissionCounts:
-    """Events since the start of the process."""
+    """Counts of events since the start of the process."""
 
     admitted: int = 0
     rejected_first_attempts: int = 0
@@ -83,10 +84,10 @@
 
 
 class AdmissionRamp:
-    """The limit of jobs in flight, by what workers can take and what became of the admitted jobs."""
+    """Limits the jobs in flight, by the slots of the workers and the outcomes of the admitted jobs."""
 
     def __init__(self, seed: int, now: int, max_ramp_us: int, max_retry_after_us: int):
-        """`max_ramp_us`: after which a start is over whatever was seen; `max_retry_after_us`: 0 for none."""
+        """Create a ramp; `max_ramp_us` bounds a start, `max_retry_after_us` (0 for none) a `Retry-After`."""
         self.slot_share = 1.0
         self.limit = 0.0
         self.limited = True
@@ -106,24 +107,24 @@
         self._quiet_since = now
 
     def start(self, now: int) -> None:
-        """The dispatcher may serve from here on; time before, without a lease say, lifts no limit."""
+        """Start the ramp once the dispatcher may serve; earlier time, as without a lease, lifts no limit."""
         self._ramp_ends_at = now + self._max_ramp_us
         self._quiet_since = now
 
     def resize(self, slots: float, dispatchers: int) -> None:
-        """`slots`: of the eligible workers as far as they are warm, which `dispatchers` share."""
-        before = self.slot_share
+        """Set the share: the slots of the eligible workers, as far as they are warm, over `dispatchers`."""
+        previous_share = self.slot_share
         self.slot_share = max(1.0, slots / max(1, dispatchers))
         if not self.limit:
             self.limit = self.slot_share * INITIAL_FRACTION
-        elif self.limited and before != self.slot_share:
+        elif self.limited and previous_share != self.slot_share:
             self.limit = max(self.limit, self.slot_share * MIN_FRACTION)
 
     def use_peer_loads(self, loads: Sequence[PeerLoad]) -> None:
-        """Raises the limit of a start where most of the other dispatchers admit without a limit.
+        """Raise the limit of a start if most of the other dispatchers admit jobs without a limit.
 
-        A fleet that serves has room for one more that takes as much as each of them. Where most have just
-        started as well nothing follows.
+        A fleet that serves can take one more dispatcher with as much load as each of the others. If most of
+        them have just started as well, their load says nothing, and the limit stays.
         """
         serving = [load.in_flight for load in loads if load.unlimited]
         if not self.limited or self.reason != LimitReason.START or 2 * len(serving) <= len(loads):
@@ -132,11 +133,13 @@
         self.limit = max(self.limit, min(2 * mean_in_flight + 1, self.full_limit()))
 
     def full_limit(self) -> float:
-        """The limit that holds nothing back but a queue."""
+        """Return the limit at which the ramp is over: the share plus a margin for random bursts."""
         return self.slot_share + BURST_ROOTS * self.slot_share**0.5
 
     def admit(self, now: int, is_retry: bool) -> int | None:
-        """None: admitted, and its outcome has to be recorded. Else the `Retry-After` of its rejection."""
+        """Admit a job and return None, or return the `Retry-After` of its rejection in microseconds.
+
+        The caller records the outcome of each admitted job."""
         self.update(now)
         limit = min(self.limit, RETRY_FRACTION * self.slot_share) if is_retry else self.limit
         if not self.limited or self.in_flight < limit:
@@ -152,9 +155,9 @@
         return self._retry_after_us()
 
     def _retry_after_us(self) -> int:
-        """Until so much has ended that those rejected lately have room, spread by chance."""
-        turns = 1 + len(self._rejections) / self.slot_share
-        wait = (self._run_time_us or MIN_RETRY_AFTER_US) * turns * (0.5 + self._draw())
+        """Return the time until the recently rejected jobs have room, with random jitter."""
+        run_times = 1 + len(self._rejections) / self.slot_share
+        wait = (self._run_time_us or MIN_RETRY_AFTER_US) * run_times * (0.5 + self._draw())
         return min(max(MIN_RETRY_AFTER_US, int(wait)), self._max_retry_after_us)
 
     def _draw(self) -> float:
@@ -162,11 +165,11 @@
         return crc32(b"door %d %d" % (self._seed, self._draws)) / 4294967296.0
 
     def record_outcome(self, now: int, outcome: AdmittedJobOutcome, run_time_us: int) -> None:
-        """An admitted job has its answer `run_time_us` after it was admitted, or its client has gone."""
+        """Record that an admitted job was answered, or its client left, `run_time_us` after its admission."""
         self.in_flight -= 1
         completed = outcome == AdmittedJobOutcome.COMPLETED
         if outcome != AdmittedJobOutcome.REJECTED:
-            # What the decisions rejected has cost the workers nothing.
+            # Jobs that the scheduler rejected have cost the workers nothing.
             self._outcomes.append((now, completed))
             self._recent_completions += completed
         if completed:
@@ -184,7 +187,7 @@
         self.limit = min(self.limit, self.full_limit())
 
     def _decrease(self, now: int) -> None:
-        """Once a run time at most, as what was admitted before ends for so long."""
+        """Lower the limit, at most once per run time: jobs admitted before still end during that time."""
         self._in_slow_start = False
         if now < self._decreased_at + self._run_time_us:
             return
@@ -193,7 +196,7 @@
         self.limit = max(1.0, fraction * self.slot_share, DECREASE_FACTOR * self.limit)
 
     def update(self, now: int) -> None:
-        """Lifts the limit or puts it in force again, by what was seen until now."""
+        """Lift the limit or put it in force again, by the outcomes and rejections until now."""
         self._forget_old(now)
         if self._ramp_ends_at is None:
             return
@@ -236,11 +239,11 @@
         self.counts.overloads += 1
 
     def open_fraction(self) -> float:
-        """The limit as a part of the full one, 0 to 1; 1 without a limit."""
+        """Return the limit as a fraction of the full limit, 0 to 1; 1 without a limit."""
         return min(1.0, self.limit / self.full_limit()) if self.limited else 1.0
 
     def figures(self) -> dict:
-        """What operators are shown; the names are those of `door` at `/api/recovery`."""
+        """Return the figures for operators; the keys are those of `door` at `/api/recovery`."""
         return {
             "let_in": self.counts.admitted,
             "refused_first": self.counts.rejected_first_attempts,
--- a/mastledge/recovery/errors.py
+++ b/mastledge/recovery/errors.py
@@ -1,25 +1,25 @@
-"""What can go wrong with stored or received recovery data. Each message is one line for operators."""
+"""Errors in stored or received recovery data. Each message is one line for operators."""
 
 
 class RecoveryError(ValueError):
-    """The root of this package's errors."""
+    """Base class of this package's errors."""
 
 
 class ClockError(RecoveryError):
-    """The age of a record can't be known by the clocks of now."""
+    """The age of a record cannot be determined from the current clocks."""
 
 
 class RecoveryRecordError(RecoveryError):
-    """A record that makes no sense, or is of a later version."""
+    """A record is malformed or was written by a later version."""
 
 
 class MessageError(RecoveryError):
-    """A message of another dispatcher that can't be read."""
+    """A message from another dispatcher cannot be decoded."""
 
 
 class SnapshotError(RecoveryError):
-    """A fleet snapshot that can't be used."""
+    """A fleet snapshot is damaged, incomplete or of another format."""
 
 
 class FleetStartRefusedError(RecoveryError):
-    """No new fleet may begin here."""
+    """This member may not start a new fleet."""
--- a/mastledge/recovery/fleet_snapshot.py
+++ b/mastledge/recovery/fleet_snapshot.py
@@ -1,6 +1,6 @@
-"""An operator's copy of what a fleet has committed, and the fleet that begins with it after a loss.
+"""Snapshots of a fleet's committed state, and the new fleet that starts from one after a loss.
 
-A snapshot is one JSON object with a checksum over the rest (BLAKE2b, keys in order); docs/formats.md.
+A snapshot is one JSON object; its checksum (BLAKE2b, keys sorted) covers the rest. See docs/formats.md.
 """
 
 from collections.abc import Collection
@@ -18,7 +18,7 @@
 MAX_SNAPSHOT_BYTES = 4 << 20
 MAX_HISTORY_ENTRIES = 64
 SKIPPED_EPOCHS = 1_000_000
-"""No epoch of the lost fleet, also of those after the snapshot, may seem to be one of the new fleet."""
+"""Keeps the new fleet's epochs above all of the lost fleet's, also those after the snapshot."""
 STATE_PARTS = {
     "settings": dict,
     "documents": dict,
@@ -33,12 +33,12 @@
     "lease": int,
     "format": int,
 }
-"""What the committed state has to have, and of which type."""
+"""The required parts of the committed state, with their types."""
 
 
 @dataclass(frozen=True, slots=True)
 class FormationEntry:
-    """What the history of a new fleet says of its beginning; `at`: Unix microseconds."""
+    """The first entry in the history of a new fleet; `at`: Unix microseconds."""
 
     what: str
     by: str
@@ -47,11 +47,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetStart:
-    """What a new fleet would begin with, and what the member that would begin it knows.
+    """The state that a new fleet would start from, and what is known to the member that would start it.
 
-    `state`: None where there is none; `snapshot`: that the state is from, None where it is the member's own;
-    `fleet`, `known_state`: of the fleet that the member is of; `holds_lease`: it serves; `reachable`: members
-    that answered lately and have not lost their data directories.
+    `state`: None if there is none; `snapshot`: the source of the state, None if it is the member's own;
+    `fleet`, `known_state`: the member's current fleet and its state; `holds_lease`: the member serves;
+    `reachable`: members that answered recently and have not lost their data directories.
     """
 
     name: str
@@ -64,7 +64,7 @@
 
 
 def pack_snapshot(state: dict, fleet: str, by: str, at: int) -> dict:
-    """The snapshot as a map; `by`: who made it, `at`: when, in Unix microseconds."""
+    """Return a snapshot as a map; `by`: the dispatcher that made it, `at`: its time in Unix microseconds."""
     snapshot = {
         "kind": KIND,
         "format": FORMAT,
@@ -78,53 +78,51 @@
 
 
 def unpack_snapshot(raw: bytes) -> dict:
-    """The map of a snapshot that is whole and of this format; SnapshotError with the reason."""
+    """Return a snapshot as a map; raise SnapshotError if it is damaged, incomplete or of another format."""
     if len(raw) > MAX_SNAPSHOT_BYTES:
-        raise SnapshotError(f"the snapshot is over {MAX_SNAPSHOT_BYTES >> 20} MiB")
+        raise SnapshotError(f"the snapshot exceeds {MAX_SNAPSHOT_BYTES >> 20} MiB")
     try:
         snapshot = msgspec.json.decode(raw)
     except msgspec.DecodeError as error:
-        raise SnapshotError(f"the snapshot is cut or no JSON: {error}") from None
+        raise SnapshotError(f"the snapshot is truncated or not JSON: {error}") from None
     _validate_envelope(snapshot)
     _validate_state(snapshot["state"])
     return snapshot
 
 
 def _checksum(snapshot: dict) -> str:
-    rest = {name: value for name, value in snapshot.items() if name != "sum"}
-    return blake2b(msgspec.json.encode(rest, order="sorted"), digest_size=CHECKSUM_BYTES).hexdigest()
+    content = {name: value for name, value in snapshot.items() if name != "sum"}
+    return blake2b(msgspec.json.encode(content, order="sorted"), digest_size=CHECKSUM_BYTES).hexdigest()
 
 
 def _validate_envelope(snapshot: object) -> None:
     if not isinstance(snapshot, dict) or snapshot.get("kind") != KIND:
-        raise SnapshotError("this is no snapshot of a fleet")
+        raise SnapshotError("this is not a fleet snapshot")
     if snapshot.get("format") != FORMAT:
-        raise SnapshotError(
-            f"the snapshot is of format {snapshot.get('format')}, this version reads {FORMAT}"
-        )
+        raise SnapshotError(f"the snapshot has format {snapshot.get('format')}, this version reads {FORMAT}")
     if snapshot.get("sum") != _checksum(snapshot):
-        raise SnapshotError("the snapshot is spoilt: its checksum differs")
+        raise SnapshotError("the snapshot is damaged: its checksum differs")
 
 
 def _validate_state(state: dict) -> None:
-    for part, kind in STATE_PARTS.items():
-        if not isinstance(state.get(part), kind):
+    for part, expected_type in STATE_PARTS.items():
+        if not isinstance(state.get(part), expected_type):
             raise SnapshotError(f"the snapshot lacks {part}")
 
 
 def successor_state(
     state: dict, name: str, incarnation: str, directory_id: str, entry: FormationEntry
 ) -> dict:
-    """The state that a fleet begins with after the one that had `state` is lost; `state` is not changed.
+    """Return the state that a new fleet starts from after the fleet of `state` is lost; `state` is unchanged.
 
-    Its members are the same, but only `name`, which begins it, votes: the others come as new incarnations,
-    each by itself. `directory_id`: of this member's directory of keys, "" for none.
+    The members stay, but only `name`, which starts the fleet, is a voter: each of the others joins later as a
+    new incarnation. `directory_id`: of the starting member's data directory for idempotency keys, or "".
     """
     successor = deepcopy(state)
     version = state["version"] + 1
     successor["version"] = version
-    formed = {"version": version, "what": entry.what, "by": entry.by, "at": entry.at}
-    successor["history"] = [*successor["history"], formed][-MAX_HISTORY_ENTRIES:]
+    formation = {"version": version, "what": entry.what, "by": entry.by, "at": entry.at}
+    successor["history"] = [*successor["history"], formation][-MAX_HISTORY_ENTRIES:]
     successor["gone"] = []
     successor["members"] = {
         other: {**member, "life": incarnation if other == name else "", "votes": other == name}
@@ -135,7 +133,7 @@
 
 
 def _void_replicas(copies: dict | None, name: str, directory_id: str) -> None:
-    """What replicas had promised may be found nowhere, so all of it has to run out first: none counts."""
+    """Void all replicas: their records may be lost, so acknowledged keys have to expire first."""
     if not copies or not copies["epoch"]:
         return
     copies["now"] = {other: f"lost {id}" for other, id in copies["now"].items()}
@@ -145,37 +143,39 @@
 
 
 def check_fleet_start(start: FleetStart) -> None:
-    """FleetStartRefusedError with the reason where no fleet may begin here with this state."""
+    """Raise FleetStartRefusedError if this member may not start a fleet with this state."""
     if start.holds_lease:
         raise FleetStartRefusedError("this fleet runs: its majority answers")
     if start.state is None:
         raise FleetStartRefusedError(
-            "nothing is kept here: give a snapshot, or set form where all folders are empty"
+            "no state is stored here: give a snapshot, or set form if the folders of all members are empty"
         )
     if start.name not in start.state["members"]:
-        raise FleetStartRefusedError(f"{start.name} is no member in it")
+        raise FleetStartRefusedError(f"{start.name} is not a member of the fleet in this state")
     if start.snapshot is not None:
         _check_origin(start)
     _check_majority_is_lost(start)
 
 
 def _check_origin(start: FleetStart) -> None:
-    """A snapshot of another fleet, or one older than what is known here, is refused."""
+    """Refuse a snapshot of another fleet, or one that is older than the state known here."""
     if start.fleet and start.snapshot["fleet"] != start.fleet:
-        raise FleetStartRefusedError(f"it is of another fleet: {start.snapshot['fleet']}, not {start.fleet}")
+        raise FleetStartRefusedError(
+            f"the snapshot is of another fleet: {start.snapshot['fleet']}, not {start.fleet}"
+        )
     if start.known_state is None:
         return
     version, known_version = start.state["version"], start.known_state["version"]
     if known_version > version:
         raise FleetStartRefusedError(
-            f"it is of version {version}, and this dispatcher has {known_version}: "
-            "fleet form --accept-loss begins with that"
+            f"the snapshot has version {version}, but this dispatcher has version {known_version}: "
+            "fleet form --accept-loss starts from the latter"
         )
 
 
 def _check_majority_is_lost(start: FleetStart) -> None:
     voters = {name for name, member in start.state["members"].items() if member["votes"]}
-    here = {start.name} if start.known_state is not None else set()
-    present = sorted(voters & (set(start.reachable) | here))
+    own_vote = {start.name} if start.known_state is not None else set()
+    present = sorted(voters & (set(start.reachable) | own_vote))
     if len(present) > len(voters) // 2:
-        raise FleetStartRefusedError(f"a majority is there: {', '.join(present)}")
+        raise FleetStartRefusedError(f"a majority of the voters is reachable: {', '.join(present)}")
--- a/mastledge/recovery/messages.py
+++ b/mastledge/recovery/messages.py
@@ -1,6 +1,6 @@
-"""What a dispatcher that starts asks some others, and what they answer.
+"""Messages by which a starting dispatcher asks some others for their load, and the answers.
 
-The tags and the order of the fields are those on the wire; spans are whole microseconds.
+The tags and the order of the fields are those on the wire; durations are whole microseconds.
 """
 
 import msgspec
@@ -9,7 +9,7 @@
 
 
 class LoadQuery(msgspec.Struct, tag="Ask", array_like=True):
-    """Asks for the load of the receiver; `number` comes back with the answer."""
+    """Asks the receiver for its load; the response repeats `number`."""
 
     number: int
 
@@ -30,7 +30,7 @@
 
 
 def decode(content: bytes) -> AnyMessage:
-    """A message from its bytes; MessageError where it can't be read."""
+    """Return the message in `content`; raise MessageError if it cannot be decoded."""
     try:
         return _decoder.decode(content)
     except msgspec.MsgspecError as error:
--- a/mastledge/recovery/newest_list.py
+++ b/mastledge/recovery/newest_list.py
@@ -1,31 +1,31 @@
-"""The newest endpoint list that was ever received, and the workers that it keeps from new jobs.
+"""The newest endpoint list that was ever received, and the workers that it restricts.
 
-A registry that has lost what it knew may come back with an older list. Such a list frees no worker that a
-newer one restricted.
+A registry that has lost its state may return with an older list. Such a list must not lift the restriction of
+a worker that a newer list restricted (gave a state other than ready).
 """
 
 from collections.abc import Iterable, Mapping
 
 MAX_WORKERS = 4096
 START_TOLERANCE_US = 1000
-"""Start times of one incarnation may differ by this much, as some are given in milliseconds."""
+"""Tolerance for start times of one incarnation, as some sources give them in milliseconds."""
 
 
 class NewestList:
-    """Its generation, and {worker id: start of the worker in Unix microseconds} of the restricted ones."""
+    """Holds the newest generation, and {worker id: start in Unix microseconds} of restricted workers."""
 
     def __init__(self):
-        """No list was received."""
+        """Create the state before any list was received."""
         self.generation = 0
         self.restricted: dict[str, int] = {}
 
     def restore(self, generation: int, restricted: Mapping[str, int]) -> None:
-        """Takes what the last run stored, unless a newer list was received in this one."""
+        """Restore what the previous run stored, unless a newer list was received in this run."""
         if self.generation <= generation:
             self.reset(generation, restricted)
 
     def reset(self, generation: int, restricted: Mapping[str, int] | None = None) -> None:
-        """From here on this list counts as the newest, also if its generation is lower."""
+        """Make this list the newest, even if its generation is lower."""
         self.generation = generation
         self.restricted = dict(restricted or {})
 
@@ -36,17 +36,17 @@
         starts: Mapping[str, int],
         is_whole: bool,
     ) -> None:
-        """Discovery gave a list: [(worker id, state)], of all workers or of those that changed.
+        """Apply a list from discovery: `states` of all workers (`is_whole`), or of those that changed.
 
-        `starts`: of the workers known before. An older list than the newest changes nothing.
+        `starts`: start times of the workers known before. A list older than the newest changes nothing.
         """
         if generation < self.generation:
             return
         self.generation = generation
         states = list(states)
         if is_whole:
-            named = {id for id, _ in states}
-            self.restricted.update({id: start for id, start in starts.items() if id not in named})
+            listed = {id for id, _ in states}
+            self.restricted.update({id: start for id, start in starts.items() if id not in listed})
         for id, state in states:
             if state == "ready":
                 self.restricted.pop(id, None)
@@ -56,9 +56,10 @@
             del self.restricted[next(iter(self.restricted))]
 
     def excluded(self, generation: int | None, starts: Mapping[str, int]) -> frozenset[str]:
-        """The workers that a list of this generation must not free; `starts`: of the workers on it.
+        """Return the workers whose restriction a list of this generation must not lift.
 
-        A worker that was started anew since is free.
+        `starts`: start times of the workers on that list. A worker that was restarted since is not
+        restricted.
         """
         if generation is None or generation >= self.generation:
             return frozenset()
--- a/mastledge/recovery/recovery_record.py
+++ b/mastledge/recovery/recovery_record.py
@@ -1,9 +1,9 @@
-"""The records of a dispatcher's recovery log, and what they amount to.
+"""The records of a dispatcher's recovery log, and the state that they add up to.
 
-Each record is all that is known of one thing when it was written, and says when that was by two clocks: Unix
-time and the machine's monotonic clock, which cannot be set, with the id of its boot. On disk a record is an
-array that begins with its tag (docs/formats.md); the order of the fields below is that of the array. Times
-are whole microseconds, Unix time unless said otherwise.
+Each record replaces all earlier ones of its kind. Its time is given by two clocks: Unix time, and the
+machine's monotonic clock, which cannot be set, with the id of its boot. On disk a record is an array that
+starts with its tag (docs/formats.md); the order of the fields below is that of the array. Times are whole
+microseconds, Unix time unless said otherwise.
 """
 
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """Both clocks at one moment; `boot_id` is "" where it isn't known."""
+    """Both clocks at one moment; `boot_id` is "" if unknown."""
 
     unix_us: int
     monotonic_us: int
@@ -25,7 +25,7 @@
 
 
 class StoredWorker(msgspec.Struct, array_like=True):
-    """A worker as the endpoint list named it; `started_at` is 0 for long ago."""
+    """A worker as the endpoint list gave it; `started_at` is 0 for long ago."""
 
     state: str
     started_at: int
@@ -37,7 +37,7 @@
 
 
 class RestrictedWorker(msgspec.Struct, array_like=True):
-    """A worker of which only its restriction is known: written so, and read as a `StoredWorker`."""
+    """A worker of which only the restriction is known; it is read back as a `StoredWorker`."""
 
     state: str
     started_at: int
@@ -45,7 +45,7 @@
 
 
 class UnfinishedLoad(msgspec.Struct, array_like=True):
-    """Load in slots that was launched on a worker and had not ended; all of it must have ended at `until`."""
+    """Load in slots of launches in flight on a worker; all of them must have ended at `until`."""
 
     started_at: int
     address: list
@@ -54,9 +54,9 @@
 
 
 class LearnedWorker(msgspec.Struct, array_like=True):
-    """What the decisions learned of a worker, as `Scheduler.learned_state` gives it.
+    """State that the scheduler learned of a worker, as `Scheduler.learned_state` returns it.
 
-    `asides`: [reason, fields] of each ejection; `back_at` among the fields is a span from the record's time.
+    `asides`: [reason, fields] of each ejection; its field `back_at` counts from the record's time.
     """
 
     slots: int | float | None
@@ -77,7 +77,7 @@
 
 
 class LoadRecord(msgspec.Struct, tag="out", array_like=True):
-    """Unfinished load by worker id."""
+    """The unfinished load, by worker id."""
 
     unix_us: int
     monotonic_us: int
@@ -86,7 +86,7 @@
 
 
 class LearnedRecord(msgspec.Struct, tag="learned", array_like=True):
-    """What the decisions learned, by worker id."""
+    """The state that the scheduler learned, by worker id."""
 
     unix_us: int
     monotonic_us: int
@@ -98,14 +98,14 @@
 
 
 def encode_record(record: AnyRecord) -> list:
-    """The array that is written for a record."""
+    """Return the array that is written for a record."""
     return msgspec.to_builtins(record)
 
 
 def decode_record(fields: list | tuple) -> AnyRecord:
-    """A record from its array; RecoveryRecordError where it makes no sense or is of a later version."""
+    """Return the record of an array; raise RecoveryRecordError if malformed or of a later version."""
     if fields[0] not in ("list", "out", "learned"):
-        raise RecoveryRecordError(f"a record of a later version: {fields[0]}")
+        raise RecoveryRecordError(f"unknown type of record, written by a later version: {fields[0]}")
     try:
         return msgspec.convert(fields, AnyRecord)
     except msgspec.ValidationError as error:
@@ -113,7 +113,7 @@
 
 
 class RecoveryRecord(msgspec.Struct, kw_only=True):
-    """What all records of a log amount to; the first three times are those of the record written last."""
+    """The state that the records of a log add up to; both clocks are those of the last record written."""
 
     format: int = FORMAT
     unix_us: int = 0
@@ -129,32 +129,32 @@
 
 
 class PersistedRecovery:
-    """The state that the records of a log are replayed into, as `storage.replayed_state` wants it."""
+    """Holds the state into which a log is replayed; implements `storage.replayed_state`."""
 
     def __init__(self):
-        """Nothing is stored yet."""
+        """Create an empty state."""
         self.record = RecoveryRecord()
 
     def reset(self) -> None:
-        """Forgets all records."""
+        """Discard all records."""
         self.record = RecoveryRecord()
 
     def apply(self, fields: list | tuple) -> None:
-        """Follows one record, given as its array; RecoveryRecordError where it can't be read."""
-        taken, record = decode_record(fields), self.record
-        match taken:
+        """Apply one record, given as its array; raise RecoveryRecordError if it cannot be decoded."""
+        update, record = decode_record(fields), self.record
+        match update:
             case ListRecord():
-                record.registry, record.generation = taken.registry, taken.generation
-                record.workers, record.listed_at = taken.workers, taken.unix_us
+                record.registry, record.generation = update.registry, update.generation
+                record.workers, record.listed_at = update.workers, update.unix_us
             case LoadRecord():
-                record.loads = taken.loads
+                record.loads = update.loads
             case LearnedRecord():
-                record.learned, record.learned_at = taken.workers, taken.unix_us
-        record.unix_us = taken.unix_us
-        record.monotonic_us, record.boot_id = taken.monotonic_us, taken.boot_id
+                record.learned, record.learned_at = update.workers, update.unix_us
+        record.unix_us = update.unix_us
+        record.monotonic_us, record.boot_id = update.monotonic_us, update.boot_id
 
     def compacted_records(self) -> list[list]:
-        """The fewest records, as arrays, that lead to the same."""
+        """Return the fewest records, as arrays, that replay to the same state."""
         record = self.record
         if not record.unix_us:
             return []
@@ -163,9 +163,9 @@
             *self._written_at(record.listed_at), record.registry, record.generation, record.workers
         )
         loads = LoadRecord(*self._written_at(record.unix_us), record.loads)
-        return [encode_record(one) for one in (learned, listed, loads)]
+        return [encode_record(compacted) for compacted in (learned, listed, loads)]
 
     def _written_at(self, unix_us: int) -> tuple[int, int, str]:
-        """Both clocks as they stood at this Unix time, from those of the record written last."""
+        """Return both clocks at this Unix time, derived from those of the last record written."""
         record = self.record
         return unix_us, record.monotonic_us - (record.unix_us - unix_us), record.boot_id
--- a/mastledge/recovery/restored_state.py
+++ b/mastledge/recovery/restored_state.py
@@ -1,7 +1,7 @@
-"""What a dispatcher may rely on, after a start, of what it stored in its last run.
+"""The parts of the state stored by the previous run that are still valid after a start.
 
-What can't be placed in time is rejected. Restored state is never looser than the endpoint list: it only
-excludes workers and puts load on them. Times are whole microseconds, Unix time unless said otherwise.
+State of unknown age is rejected. Restored state only restricts further than the endpoint list: it excludes
+workers and adds load to them. Times are whole microseconds, Unix time unless said otherwise.
 """
 
 from collections.abc import Mapping, Sequence
@@ -19,7 +19,7 @@
 )
 
 CLOCK_STEP_US = 5_000_000
-"""That Unix time may stand behind a stored one: small steps are made as clocks are set."""
+"""How far Unix time may be behind a stored time: clock synchronization makes small steps."""
 LEARNED_VALIDITY_US = 30_000_000
 
 
@@ -27,7 +27,7 @@
 class RestoredState:
     """The parts of the stored state that are still valid, and why the others are rejected.
 
-    `age_us`: since the last record was written; `rejected_parts`: reasons by part, "all" for everything.
+    `age_us`: time since the last record was written; `rejected_parts`: reasons by part, "all" for everything.
     """
 
     age_us: int = 0
@@ -39,33 +39,33 @@
 
     @classmethod
     def rejected(cls, reason: str) -> "RestoredState":
-        """Nothing is restored."""
+        """Return a state in which nothing is restored."""
         return cls(rejected_parts={"all": reason})
 
     def restricted(self) -> dict[str, int]:
-        """{worker id: start} of the workers that the stored list kept from new jobs."""
+        """Return {worker id: start} of the workers that the stored list restricted."""
         return {id: worker.started_at for id, worker in self.workers.items() if worker.state != "ready"}
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerIdentity:
-    """An incarnation of a worker: one that was started anew, or stands elsewhere, has lost its jobs."""
+    """An incarnation of a worker: a worker that restarted or moved to another address has lost its jobs."""
 
     started_at: int
     address: Sequence
 
     def same_start(self, started_at: int) -> bool:
-        """Whether a worker that started then is the same incarnation."""
+        """Return whether a worker that started at that time is the same incarnation."""
         return abs(self.started_at - started_at) <= START_TOLERANCE_US
 
     def runs(self, load: UnfinishedLoad) -> bool:
-        """Whether that load may still be on this worker."""
+        """Return whether that load may still run on this worker."""
         return self.same_start(load.started_at) and list(self.address) == list(load.address)
 
 
 @dataclass(frozen=True, slots=True)
 class InheritedWorker:
-    """What the decisions begin with for one worker: what was learned, and load of the last run in slots."""
+    """The scheduler's initial state of one worker: learned values, and the previous run's load in slots."""
 
     slots: float | None
     peak: float | None
@@ -74,16 +74,16 @@
     load: float
 
     def fields(self) -> list:
-        """The form that `Scheduler.restore_learned` takes."""
+        """Return the values in the form that `Scheduler.restore_learned` takes."""
         return [self.slots, self.peak, self.slow, self.asides, self.load]
 
 
 def restore(record: RecoveryRecord, now: ClockReading, registry: str, list_validity_us: int) -> RestoredState:
-    """What is valid now of a stored record; `registry`: the one that names the workers now."""
+    """Return the parts of a stored record that are valid now; `registry`: the current source of the list."""
     if not record.unix_us:
-        return RestoredState.rejected("nothing is kept")
+        return RestoredState.rejected("no recovery record is stored")
     if record.format != FORMAT:
-        return RestoredState.rejected(f"of format {record.format}, this version reads {FORMAT}")
+        return RestoredState.rejected(f"the record has format {record.format}, this version reads {FORMAT}")
     try:
         age_us = record_age_us(record, now)
     except ClockError as error:
@@ -94,7 +94,7 @@
         rejected_parts["list"] = list_reason
     learned = {id: worker for id, worker in record.learned.items() if id in record.workers}
     if age_us + record.unix_us - record.learned_at > LEARNED_VALIDITY_US:
-        rejected_parts["learned"] = "too old"
+        rejected_parts["learned"] = "the learned state is too old"
         learned = {}
     return RestoredState(
         age_us=age_us,
@@ -107,36 +107,36 @@
 
 
 def record_age_us(record: RecoveryRecord, now: ClockReading) -> int:
-    """How long ago the record was written; ClockError where that can't be known.
+    """Return the time since the record was written; raise ClockError if it cannot be determined.
 
-    Within one boot the monotonic clock counts, which nobody sets; else Unix time does.
+    Within one boot the monotonic clock is used, which cannot be set; otherwise Unix time.
     """
     if record.boot_id and record.boot_id == now.boot_id:
         if now.monotonic_us < record.monotonic_us:
-            raise ClockError("its clock ran backwards within one boot")
+            raise ClockError("the monotonic clock ran backwards within one boot")
         return now.monotonic_us - record.monotonic_us
     if now.unix_us < record.unix_us - CLOCK_STEP_US:
         ahead_s = (record.unix_us - now.unix_us) // 1_000_000
-        raise ClockError(f"it was written {ahead_s} s ahead of this clock")
+        raise ClockError(f"the record was written {ahead_s} s ahead of this clock")
     return max(0, now.unix_us - record.unix_us)
 
 
 def _list_rejection(record: RecoveryRecord, age_us: int, registry: str, list_validity_us: int) -> str:
-    """Why the stored list is rejected, "" where it is valid."""
+    """Return why the stored list is rejected, or "" if it is valid."""
     if record.registry != registry:
-        return "it is another registry's"
+        return "the stored list is from another registry"
     if age_us + record.unix_us - record.listed_at > list_validity_us:
-        return f"it is {age_us // 1000} ms old, over {list_validity_us // 1000} ms"
+        return f"the stored list is {age_us // 1000} ms old, over {list_validity_us // 1000} ms"
     return ""
 
 
 def _valid_loads(record: RecoveryRecord, now: ClockReading, age_us: int) -> dict[str, UnfinishedLoad]:
-    """What may still run, with its ends by the clock of now: spans count from when they were written."""
+    """Return the loads that may still run, with `until` converted to the current Unix clock."""
     loads = {}
     for id, load in record.loads.items():
-        left_us = load.until - record.unix_us - age_us
-        if left_us > 0 and load.load > 0:
-            until = now.unix_us + left_us
+        remaining_us = load.until - record.unix_us - age_us
+        if remaining_us > 0 and load.load > 0:
+            until = now.unix_us + remaining_us
             loads[id] = UnfinishedLoad(load.started_at, load.address, load.load, until)
     return loads
 
@@ -144,7 +144,7 @@
 def surviving_loads(
     restored: RestoredState, now: int, workers: Mapping[str, WorkerIdentity]
 ) -> dict[str, float]:
-    """{worker id: load in slots} of the last run that may still be on the workers of the list of now."""
+    """Return {worker id: load in slots} of the previous run that may still run on the current workers."""
     return {
         id: load.load
         for id, load in restored.loads.items()
@@ -155,9 +155,9 @@
 def inherited_workers(
     restored: RestoredState, now: int, workers: Mapping[str, WorkerIdentity]
 ) -> dict[str, InheritedWorker]:
-    """What the decisions begin with, by id of the workers of the list of now of which anything is known.
+    """Return the scheduler's initial state by worker id, for the current workers with restored state.
 
-    Times in `asides` are spans from when they were written, as in the record.
+    Times in `asides` count from the time of the record, as in the record.
     """
     loads = surviving_loads(restored, now, workers)
     inherited = {}
--- a/mastledge/recovery/startup_stages.py
+++ b/mastledge/recovery/startup_stages.py
@@ -1,14 +1,14 @@
-"""The stages of a start, each bounded in time, and the degraded service where a stage is given up.
+"""The stages of a start, each with a timeout, and the degraded service after a stage timed out.
 
-Nothing here waits: the host reports which stages are complete and asks which one the start is at. All times
-are whole microseconds of one monotonic clock.
+Nothing here waits: the caller reports which stages are complete and asks for the current stage. All times are
+whole microseconds of one monotonic clock.
 """
 
 from enum import Enum
 
 
 class StartupStage(Enum):
-    """The stages in their order. The values are what operators and the log are shown."""
+    """The stages in order. The values are shown to operators and in the log."""
 
     READING_STATE = "reading what lasts"
     AWAITING_LEASE = "agreeing"
@@ -26,7 +26,7 @@
     StartupStage.AWAITING_ENDPOINT_LIST: 250_000,
     StartupStage.POLLING_PEERS: 200_000,
 }
-"""Time after which a stage is given up. Ramping up has its own bound, in `admission_ramp`."""
+"""Timeouts of the stages. The time of ramping up is bounded in `admission_ramp`."""
 
 DEGRADED_SERVICE = {
     StartupStage.READING_STATE: "without what its folder holds",
@@ -34,18 +34,17 @@
     StartupStage.AWAITING_ENDPOINT_LIST: "by the list that was held before",
     StartupStage.POLLING_PEERS: "without the others' load",
 }
-"""What operators are shown for a stage that was given up."""
+"""Description for operators of the service after a stage timed out."""
 
 MANDATORY_STAGES = frozenset({StartupStage.AWAITING_LEASE})
-"""Stages that are reported as degraded after their timeout but not passed: without a lease nothing may be
-launched."""
+"""Stages that are not passed at their timeout, only reported as degraded: no launch without a lease."""
 
 
 class StartupStages:
-    """The stage that a start is at, what it waits for, and which stages were given up."""
+    """Tracks the current stage of a start, what it waits for, and the stages that timed out."""
 
     def __init__(self, now: int, needs_lease: bool):
-        """A start that begins at `now`; `needs_lease`: the dispatcher is a member of a fleet."""
+        """Begin a start at `now`; `needs_lease`: the dispatcher is a member of a fleet."""
         self.stage = StartupStage.READING_STATE
         self.stage_began_at = now
         self.degraded: dict[StartupStage, str] = {}
@@ -55,19 +54,19 @@
         self._waits_for: dict[StartupStage, str] = {}
 
     def report(self, stage: StartupStage, complete: bool, waits_for: str = "") -> None:
-        """Records whether a stage is complete, and if not what it waits for."""
+        """Record whether a stage is complete, and if not, what it waits for."""
         self._complete[stage] = complete
         self._waits_for[stage] = waits_for
 
     def advance(self, now: int) -> StartupStage:
-        """Passes all stages that are complete or given up; the stage that the start is at then."""
+        """Pass all stages that are complete or timed out, and return the current stage."""
         while self.stage != StartupStage.OPEN and self._may_pass(now):
             self._durations_us[self.stage] = now - self.stage_began_at
             self.stage = STAGE_ORDER[STAGE_ORDER.index(self.stage) + 1]
             self.stage_began_at = now
-        # A stage that was given up may become complete later.
-        late = [stage for stage in self.degraded if self._complete.get(stage)]
-        for stage in late:
+        # A stage that timed out may become complete later.
+        completed_late = [stage for stage in self.degraded if self._complete.get(stage)]
+        for stage in completed_late:
             del self.degraded[stage]
         return self.stage
 
@@ -83,18 +82,18 @@
         return stage not in MANDATORY_STAGES
 
     def may_serve(self) -> bool:
-        """Whether jobs may be admitted, if only a few."""
+        """Return whether jobs may be admitted, even if the ramp limits them."""
         return self.stage in (StartupStage.RAMPING_UP, StartupStage.OPEN)
 
     def waiting_for(self) -> str:
-        """The stage and what it waits for; "" once the start is over."""
+        """Return the stage and what it waits for, or "" once the start is over."""
         if self.stage == StartupStage.OPEN:
             return ""
         detail = self._waits_for.get(self.stage, "")
         return f"{self.stage.value}: {detail}" if detail else self.stage.value
 
     def figures(self, now: int) -> dict:
-        """What operators are shown; the names are those of `/api/recovery`."""
+        """Return the figures for operators; the keys are those of `/api/recovery`."""
         return {
             "step": self.stage.value,
             "for_ms": (now - self.stage_began_at) // 1000,
--- a/tests/test_fleet_snapshot.py
+++ b/tests/test_fleet_snapshot.py
@@ -45,14 +45,14 @@
 @pytest.mark.parametrize(
     ("raw", "says"),
     [
-        (RAW[:-3], "cut"),
-        (b"", "cut"),
-        (b"[]", "no snapshot"),
-        (RAW.replace(b'"version":5', b'"version":6'), "spoilt"),
-        (RAW.replace(b'"format":1,"fleet"', b'"format":9,"fleet"'), "of format 9"),
-        (b"{}", "no snapshot"),
+        (RAW[:-3], "truncated"),
+        (b"", "truncated"),
+        (b"[]", "not a fleet snapshot"),
+        (RAW.replace(b'"version":5', b'"version":6'), "damaged"),
+        (RAW.replace(b'"format":1,"fleet"', b'"format":9,"fleet"'), "has format 9"),
+        (b"{}", "not a fleet snapshot"),
         (msgspec.json.encode(pack_snapshot({"version": 1, "settings": {}}, "f", "", 0)), "lacks documents"),
-        (b" " * (MAX_SNAPSHOT_BYTES + 1), "over 4 MiB"),
+        (b" " * (MAX_SNAPSHOT_BYTES + 1), "exceeds 4 MiB"),
     ],
 )
 def test_a_snapshot_that_cannot_be_used_is_refused_by_its_reason(raw, says):
@@ -72,15 +72,15 @@
     ("how", "says"),
     [
         ({"holds_lease": True}, "this fleet runs"),
-        ({"state": None}, "nothing is kept"),
-        ({"name": "n9"}, "n9 is no member"),
+        ({"state": None}, "no state is stored here"),
+        ({"name": "n9"}, "n9 is not a member of the fleet"),
         ({"snapshot": {"fleet": "g"}}, "another fleet: g, not f"),
-        ({"reachable": ["n1"]}, "a majority is there: n0, n1"),
-        ({"snapshot": {"fleet": "f"}, "known_state": state(version=8)}, "has 8"),
+        ({"reachable": ["n1"]}, "a majority of the voters is reachable: n0, n1"),
+        ({"snapshot": {"fleet": "f"}, "known_state": state(version=8)}, "this dispatcher has version 8"),
         ({}, ""),
         ({"reachable": ["n9"]}, ""),
         ({"fleet": "", "known_state": None, "reachable": ["n1"]}, ""),
-        ({"known_state": None, "reachable": ["n1", "n2"]}, "a majority"),
+        ({"known_state": None, "reachable": ["n1", "n2"]}, "a majority of the voters"),
     ],
 )
 def test_no_fleet_begins_beside_one_that_runs_or_with_less_than_is_here(how, says):
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -54,7 +54,7 @@
 
 def test_what_was_known_is_restored_by_the_next_process_and_a_second_process_is_refused(tmp_path):
     made = started(tmp_path)
-    assert made.recovery.restored.rejected_parts == {"all": "nothing is kept"}
+    assert made.recovery.restored.rejected_parts == {"all": "no recovery record is stored"}
     apply_list(made, 7, "ready", "draining")
     run_loop(made, lambda: made.recovery.persistence.stored_list is not None)
     with pytest.raises(DataDirectoryError, match="held by another process"):
--- a/tests/test_restored_state.py
+++ b/tests/test_restored_state.py
@@ -82,9 +82,9 @@
 @pytest.mark.parametrize(
     ("stored", "reason"),
     [
-        (RecoveryRecord(), "nothing"),
-        (PersistedRecovery().record, "nothing"),
-        (record(format=9), "format 9"),
+        (RecoveryRecord(), "no recovery record is stored"),
+        (PersistedRecovery().record, "no recovery record is stored"),
+        (record(format=9), "the record has format 9"),
         (record(registry="q"), "another"),
     ],
 )
