--- a/mastledge/peers/__init__.py
+++ b/mastledge/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Links between dispatchers, on `transport/`. Frames go one way; the other side acknowledges each.
+"""Links between dispatchers, on `transport/`. Frames go one way; the receiver acknowledges each.
 
-Nothing here knows what the frames say. docs/formats.md has their format.
+Links do not interpret the content of frames. See docs/formats.md for the format.
 """
--- a/mastledge/peers/errors.py
+++ b/mastledge/peers/errors.py
@@ -1,13 +1,13 @@
-"""What another side can do wrong on a link; each names it in a line for the log."""
+"""Errors of the other side of a link. Each message is one line for the log."""
 
 
 class LinkProtocolError(ValueError):
-    """The other side does not keep to the format of links; its connection is closed."""
+    """The other side violates the link protocol; its connection is closed."""
 
 
 class HandshakeError(LinkProtocolError):
-    """The other side is no dispatcher of this fleet and version."""
+    """The other side is not another dispatcher of this fleet and protocol version."""
 
 
 class OversizedFrameError(LinkProtocolError):
-    """A frame is longer than is allowed at its place."""
+    """A frame is longer than the limit for frames or hellos."""
--- a/mastledge/peers/frames.py
+++ b/mastledge/peers/frames.py
@@ -1,4 +1,4 @@
-"""The format of links: frames, and the hello that begins each link. docs/formats.md is the format page."""
+"""The wire format of links: frames, and the hello that starts each link. See docs/formats.md."""
 
 from collections.abc import Generator
 
@@ -10,13 +10,13 @@
 PROTOCOL_VERSION = 1
 HELLO_MARK = "mastledge peer"
 LENGTH_BYTES = 4
-MAX_FRAME_BYTES = 4 << 20  # of the content
+MAX_FRAME_BYTES = 4 << 20  # of the content, without its length
 MAX_HELLO_BYTES = 4096
-ACKNOWLEDGEMENT = b"."  # one byte for each frame
+ACKNOWLEDGEMENT = b"."  # one byte per frame
 
 
 class Hello(msgspec.Struct, array_like=True):
-    """The first frame of a link: who opens it. `life` is the sender's incarnation."""
+    """The first frame of a link: the identity of its sender. `life` is the sender's incarnation."""
 
     mark: str
     version: int
@@ -31,20 +31,20 @@
 
 
 def encode_frame(content: bytes) -> bytes:
-    """The content behind its length."""
+    """Return the content with its length in front."""
     return len(content).to_bytes(LENGTH_BYTES, "big") + content
 
 
 def take_frame(received: bytearray, max_bytes: int) -> bytes | None:
-    """Take the content of the first frame out of what was received; None while it is not whole.
+    """Remove the first frame from `received` and return its content, or None while it is incomplete.
 
-    Raises `OversizedFrameError` as soon as its length is known to be too long.
+    Raise `OversizedFrameError` as soon as its length is known to exceed `max_bytes`.
     """
     if len(received) < LENGTH_BYTES:
         return None
     length = int.from_bytes(received[:LENGTH_BYTES], "big")
     if length > max_bytes:
-        raise OversizedFrameError(f"a frame of {length} bytes")
+        raise OversizedFrameError(f"a frame of {length} bytes exceeds the limit of {max_bytes} bytes")
     end = LENGTH_BYTES + length
     if len(received) < end:
         return None
@@ -56,10 +56,10 @@
 def read_frame(
     connection: Connection, received: bytearray, max_bytes: int, deadline: int
 ) -> Generator[tuple, int, bytes]:
-    """Coroutine: the content of the next frame; bytes beyond it stay in `received`.
+    """Coroutine: return the content of the next frame; bytes beyond it stay in `received`.
 
-    `deadline` is a time of the loop. Raises `WaitTimeoutError` at it, `EOFError` where the other side has
-    closed, and `OversizedFrameError`.
+    Raise `WaitTimeoutError` at `deadline` (a time of the loop), `EOFError` if the other side has closed, and
+    `OversizedFrameError`.
     """
     while (content := take_frame(received, max_bytes)) is None:
         part = yield from connection.receive(deadline)
--- a/mastledge/peers/link_context.py
+++ b/mastledge/peers/link_context.py
@@ -1,4 +1,4 @@
-"""What both directions of links share: the host that they serve, counters, and a log that limits itself."""
+"""State shared by links of both directions: their dispatcher, counters and a rate-limited log."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkIdentity:
-    """Who a dispatcher says that it is; `fleet` is empty while it belongs to none."""
+    """The identity that a dispatcher sends in its hello; `fleet` is empty while it belongs to none."""
 
     fleet: str
     name: str
@@ -21,21 +21,24 @@
 
 
 class LinkHost(Protocol):
-    """What links need of the dispatcher that they serve."""
+    """The interface of the dispatcher that owns the links."""
 
     def link_identity(self) -> LinkIdentity:
-        """Give the identity of now; links that have told another one are closed."""
+        """Return the current identity; links whose hello had another one are closed."""
 
     def member_address(self, name: str) -> tuple[str, int] | None:
-        """Give where a member listens for links, or None where it is no member."""
+        """Return the address at which a member listens for links, or None for a name that is not a member."""
 
     def frame_received(self, sender: str, incarnation: str, content: bytes) -> None:
-        """Take a frame; `ValueError` for one that cannot be read closes its link."""
+        """Handle a frame; raise ValueError if it cannot be decoded, which closes its link."""
 
 
 @dataclass(slots=True)
 class LinkCounters:
-    """Frames and bytes of content since the links were made; hellos and acknowledgements do not count."""
+    """Counts since the links were created, without hellos and acknowledgements.
+
+    `bytes_sent` includes the length in front of each frame, `bytes_received` does not.
+    """
 
     frames_sent: int = 0
     frames_received: int = 0
@@ -45,15 +48,15 @@
 
 
 class RateLimitedLog:
-    """Writes a line a minute at the most for each event: strangers must not fill the log."""
+    """Writes at most one line a minute for each event, so that unknown peers cannot fill the log."""
 
     def __init__(self, loop: Loop, log: Callable[..., None]) -> None:
-        """`log` takes an event and its fields."""
+        """Create a log that writes with `log(event, **fields)`."""
         self.loop, self.log = loop, log
-        self.written: dict[str, tuple[int, int]] = {}  # by event, when it was last, and how many came since
+        self.written: dict[str, tuple[int, int]] = {}  # (time of the last line, events since) by event
 
     def write(self, event: str, **fields: Any) -> None:
-        """Log the event, or count it; the next line tells the count as `more`."""
+        """Log the event, or count it; the next line has the count as `more`."""
         now = self.loop.now()
         written_at, suppressed = self.written.get(event, (None, 0))
         if written_at is not None and now - written_at < LOG_INTERVAL_US:
@@ -67,11 +70,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkContext:
-    """Handed to each part of the links of one dispatcher."""
+    """Holds the objects that all parts of one dispatcher's links use."""
 
     loop: Loop
     host: LinkHost
     budget: DescriptorBudget
     counters: LinkCounters
     log: RateLimitedLog
-    seed: int  # of the backoff's jitter
+    seed: int  # for the jitter of the backoff
--- a/mastledge/peers/link_listener.py
+++ b/mastledge/peers/link_listener.py
@@ -1,4 +1,4 @@
-"""Links that other dispatchers open: accepts them, checks their hello, and hands their frames on."""
+"""Incoming links: accept connections, check their hello, and pass their frames to the dispatcher."""
 
 import socket
 from collections.abc import Generator
@@ -14,10 +14,10 @@
 from mastledge.transport.loop import READ, Task
 
 ACCEPT_BACKLOG = 64
-ACCEPT_PAUSE_US = 50_000  # where the process has no descriptor left
+ACCEPT_PAUSE_US = 50_000  # while the process has no descriptor left
 HELLO_TIMEOUT_US = 2_000_000
 FRAME_TIMEOUT_US = 5_000_000  # from its first byte
-ACKNOWLEDGEMENT_DELAY_US = 100_000  # for which one may wait for those of the next frames
+ACKNOWLEDGEMENT_DELAY_US = 100_000  # to send those of several frames together
 MAX_DELAYED_ACKNOWLEDGEMENTS = 1000
 MAX_REASON_CHARACTERS = 120
 
@@ -26,21 +26,21 @@
     """The listening socket of a dispatcher's links and the connections that it has accepted."""
 
     def __init__(self, context: LinkContext) -> None:
-        """Listens to nobody yet."""
+        """Create a listener that does not listen yet."""
         self.context = context
         self.sock: socket.socket | None = None
         self.task: Task | None = None
         self.connections: set[Connection] = set()
-        self.unidentified: dict[Connection, None] = {}  # no hello has come yet; the oldest one first
+        self.unidentified: dict[Connection, None] = {}  # without a hello so far, the oldest first
 
     def start(self, address: tuple[str, int]) -> None:
-        """Listen at that address; `OSError` where it cannot be had."""
+        """Listen at that address; raise OSError if it cannot be bound."""
         self.sock = bind_socket(address)
         self.sock.listen(ACCEPT_BACKLOG)
         self.task = self.context.loop.spawn(self._listen(), first=True)
 
     def close(self) -> None:
-        """Stop listening, and close what was accepted."""
+        """Stop listening, and close the accepted connections."""
         loop = self.context.loop
         if self.sock is not None:
             loop.cancel(self.task)
@@ -57,7 +57,7 @@
             yield from self._accept_waiting()
 
     def _accept_waiting(self) -> Generator:
-        """Coroutine: accepts all that wait; pauses where the process has no descriptor left."""
+        """Coroutine: accept all waiting connections; pause while the process has no descriptor left."""
         context = self.context
         while True:
             sock, out_of_descriptors = accept(self.sock, context.budget)
@@ -67,13 +67,13 @@
                     yield (-1, 0, context.loop.now() + ACCEPT_PAUSE_US)
                 return
             if self._take_descriptor():
-                self._adopt(sock)
+                self._start_serving(sock)
             else:
                 context.log.write("peer_connection_limit", used=context.budget.used)
                 sock.close()
 
     def _take_descriptor(self) -> bool:
-        """Whether there is one for a further connection; the oldest unidentified one is closed for it."""
+        """Acquire a descriptor, if needed from the oldest unidentified connection; return whether it did."""
         budget = self.context.budget
         if budget.acquire(DESCRIPTOR_KIND):
             return True
@@ -81,10 +81,10 @@
             return False
         oldest = next(iter(self.unidentified))
         self.context.loop.cancel(oldest.owner)
-        self._close(oldest)  # a coroutine that has not run yet doesn't close it when it is cancelled
+        self._close(oldest)  # a coroutine that is cancelled before its first step doesn't close it
         return budget.acquire(DESCRIPTOR_KIND)
 
-    def _adopt(self, sock: socket.socket) -> None:
+    def _start_serving(self, sock: socket.socket) -> None:
         context = self.context
         try:
             connection = Connection(context.loop, sock, context.budget, DESCRIPTOR_KIND)
@@ -102,7 +102,7 @@
         connection.close()
 
     def _serve(self, connection: Connection) -> Generator:
-        """Coroutine: one accepted connection, to its end."""
+        """Coroutine: serve one accepted connection until it ends."""
         received = bytearray()
         try:
             hello = yield from self._handshake(connection, received)
@@ -111,7 +111,7 @@
         except (ValueError, msgspec.MsgspecError) as error:
             self.context.log.write("peer_refused", why=str(error)[:MAX_REASON_CHARACTERS])
         except WaitTimeoutError:
-            self.context.log.write("peer_refused", why="a frame was not whole in time")
+            self.context.log.write("peer_refused", why="a frame was not complete before its timeout")
         except (OSError, EOFError):
             return
         finally:
@@ -123,32 +123,33 @@
         hello = frames.decode_hello(content)
         own = self.context.host.link_identity()
         if hello.mark != frames.HELLO_MARK or hello.version != frames.PROTOCOL_VERSION:
-            raise HandshakeError(f"another version: {hello.version!r:.20}")
+            raise HandshakeError(f"the hello has another mark or protocol version: {hello.version!r:.20}")
         if own.fleet and hello.fleet and hello.fleet != own.fleet:
-            raise HandshakeError(f"another fleet: {hello.fleet!r:.40}")
+            raise HandshakeError(f"the hello is from another fleet: {hello.fleet!r:.40}")
         if hello.name == own.name:
-            raise HandshakeError(f"it says that it is {own.name} as well")
+            raise HandshakeError(f"the hello has the name {own.name} of this dispatcher")
         return hello
 
     def _receive_frames(self, connection: Connection, received: bytearray, hello: frames.Hello) -> Generator:
-        """Coroutine: hands frames on and acknowledges them, those that come close together at once."""
+        """Coroutine: pass frames to the dispatcher and acknowledge them, several with one write."""
         loop, counters, host = self.context.loop, self.context.counters, self.context.host
-        owed, owed_since = 0, 0  # acknowledgements, and when the first of them fell due
+        # Acknowledgements that are not sent yet, and the time of the oldest.
+        pending_acknowledgements, pending_since = 0, 0
         while True:
-            acknowledge = owed > MAX_DELAYED_ACKNOWLEDGEMENTS
+            acknowledge = pending_acknowledgements > MAX_DELAYED_ACKNOWLEDGEMENTS
             if not received:
-                deadline = owed_since + ACKNOWLEDGEMENT_DELAY_US if owed else None
+                deadline = pending_since + ACKNOWLEDGEMENT_DELAY_US if pending_acknowledgements else None
                 events = yield (connection.fd, READ, deadline)
                 acknowledge = acknowledge or not events
             if acknowledge:
-                connection.sock.send(frames.ACKNOWLEDGEMENT * owed)
-                owed = 0
+                connection.sock.send(frames.ACKNOWLEDGEMENT * pending_acknowledgements)
+                pending_acknowledgements = 0
                 continue
             deadline = loop.now() + FRAME_TIMEOUT_US
             content = yield from frames.read_frame(connection, received, frames.MAX_FRAME_BYTES, deadline)
             counters.frames_received += 1
             counters.bytes_received += len(content)
             host.frame_received(hello.name, hello.life, content)
-            if not owed:
-                owed_since = loop.now()
-            owed += 1
+            if not pending_acknowledgements:
+                pending_since = loop.now()
+            pending_acknowledgements += 1
--- a/mastledge/peers/links.py
+++ b/mastledge/peers/links.py
@@ -1,6 +1,6 @@
-"""All links of one dispatcher: frames to other dispatchers by name, and frames from them.
+"""All links of one dispatcher: sends frames to other dispatchers by name, and receives theirs.
 
-A link is opened by who has something to say and carries frames one way.
+A link carries frames one way and is opened by the sender.
 """
 
 from collections.abc import Callable
@@ -11,14 +11,14 @@
 from mastledge.peers.outgoing_link import OutgoingLink
 from mastledge.transport.loop import Loop
 
-FLUSH_ROUNDS = 2  # the second for what the socket had no room for in the first
+FLUSH_ROUNDS = 2  # the second for frames that the socket had no room for in the first
 
 
 class Links:
-    """Sends frames to other dispatchers and listens for theirs. Frames may be lost, and are in order."""
+    """Sends frames to other dispatchers and listens for theirs. Frames arrive in order, but may be lost."""
 
     def __init__(self, loop: Loop, host: LinkHost, members: int, seed: int, log: Callable[..., None]) -> None:
-        """Links for a fleet of so many members; `seed` is of the jitter between two attempts to connect."""
+        """Create links for a fleet of `members` members; `seed` sets the jitter of the connect backoff."""
         self.loop, self.host = loop, host
         self.counters = LinkCounters()
         self.log = RateLimitedLog(loop, log)
@@ -28,7 +28,7 @@
         self.outgoing: dict[str, OutgoingLink] = {}
 
     def start(self, address: tuple[str, int]) -> None:
-        """Listen for other dispatchers at that address; `OSError` where it cannot be had."""
+        """Listen for other dispatchers at that address; raise OSError if it cannot be bound."""
         self.listener.start(address)
 
     def send(self, name: str, content: bytes) -> None:
@@ -39,17 +39,17 @@
         link.send(content)
 
     def flush(self) -> None:
-        """Send what can be sent without waiting, over links that are up."""
+        """Send the queued frames that can be sent without waiting, over links that are up."""
         for _ in range(FLUSH_ROUNDS):
             for link in self.outgoing.values():
                 link.flush()
 
     def resize(self, members: int) -> None:
-        """Make room for links with so many members."""
+        """Raise the descriptor limit for links with `members` members."""
         self.budget.grow(members)
 
     def close(self) -> None:
-        """Nothing is heard or said from here on."""
+        """Close all links and stop listening."""
         self.listener.close()
         for link in self.outgoing.values():
             link.close()
--- a/mastledge/peers/outgoing_link.py
+++ b/mastledge/peers/outgoing_link.py
@@ -1,7 +1,6 @@
-"""Frames to one other dispatcher: a queue, and the connection that carries it while something is queued.
+"""Frames to one other dispatcher: a queue, and the connection that is opened to send it.
 
-The other side answers each frame with one byte, by which a link that is open and dead is told from one that
-is silent.
+The receiver acknowledges each frame with one byte, which tells a dead connection from an idle one.
 """
 
 import errno
@@ -16,7 +15,7 @@
 from mastledge.transport.errors import OutOfDescriptorsError, WaitTimeoutError
 from mastledge.transport.loop import READ, WRITE, Task
 
-MAX_QUEUED_FRAMES = 256  # beyond it all are dropped: what is said here is said again where it got lost
+MAX_QUEUED_FRAMES = 256  # at the limit all are dropped: senders repeat lost messages
 CONNECT_TIMEOUT_US = 500_000
 ACKNOWLEDGEMENT_TIMEOUT_US = 1_500_000
 IDLE_TIMEOUT_US = 30_000_000
@@ -25,7 +24,7 @@
 ACKNOWLEDGEMENTS_PER_READ = 4096
 US_PER_MS = 1000
 CRC32_RANGE = 4294967296.0
-DEADLINE_REACHED = 0  # with which the loop resumes a coroutine whose time is over
+DEADLINE_REACHED = 0  # events with which the loop resumes a coroutine at its deadline
 
 
 class OutgoingLink:
@@ -44,18 +43,18 @@
     )
 
     def __init__(self, context: LinkContext, member: str) -> None:
-        """A link to the member of that name; nothing is opened yet."""
+        """Create a link to the member of that name, without a connection."""
         self.context, self.member = context, member
         self.queue: deque[bytes] = deque()
         self.task: Task | None = None
         self.connection: Connection | None = None
         self.is_up = False  # connected, and the hello is sent
-        self.failures = 0  # in a row
-        self.unsent = b""  # the rest of a frame that the socket took in part
-        self.unacknowledged: deque[int] = deque()  # when frames went out that are not acknowledged yet
+        self.failures = 0  # consecutive ones
+        self.unsent = b""  # the rest of a partly written frame
+        self.unacknowledged: deque[int] = deque()  # write times of frames without an acknowledgement
 
     def send(self, content: bytes) -> None:
-        """Queue a frame, and write it at once where the link is up."""
+        """Queue a frame, and write it at once if the link is up."""
         if len(self.queue) >= MAX_QUEUED_FRAMES:
             self._drop_queue()
         self.queue.append(frames.encode_frame(content))
@@ -65,17 +64,17 @@
             self._send_at_once()
 
     def flush(self) -> None:
-        """Write what the socket takes without waiting, where the link is up."""
+        """Write as much as the socket takes without waiting, if the link is up."""
         if self.is_up and self.queue and self.task is not None and not self.task.ended:
             self.context.loop.step(self.task, None)
 
     def close(self) -> None:
-        """Forget what is queued and close the connection."""
+        """Stop sending and close the connection."""
         if self.task is not None:
             self.context.loop.cancel(self.task)
 
     def _send_at_once(self) -> None:
-        # Without a turn of the coroutine, unless that has to wait for something new from here on.
+        # Write without resuming the coroutine, unless the events that it has to wait for change.
         must_wake = not self.unacknowledged and not self.unsent
         try:
             self._write_queue()
@@ -89,7 +88,7 @@
         self.queue.clear()
 
     def _run(self) -> Generator:
-        """Coroutine: connects and carries frames while there are any."""
+        """Coroutine: connect and send frames while any are queued."""
         try:
             while self.queue:
                 address = self.context.host.member_address(self.member)
@@ -97,7 +96,7 @@
                     self.queue.clear()
                     return
                 try:
-                    yield from self._carry(address)
+                    yield from self._connect_and_write(address)
                     self.failures = 0
                 except (OSError, WaitTimeoutError, OutOfDescriptorsError) as error:
                     yield from self._back_off(error)
@@ -113,23 +112,23 @@
         retry_at = loop.now() + self._backoff_us()
         while loop.now() < retry_at:
             yield (-1, 0, retry_at)
-        # What has waited meanwhile is old by now, but for its newest.
+        # Frames queued during the wait are outdated, except the newest.
         while len(self.queue) > 1:
             self.queue.popleft()
 
     def _backoff_us(self) -> int:
-        """Doubles with each failure, to the maximum; half of it is jitter, drawn from the seed."""
+        """Return the backoff, doubled per failure up to the maximum; half of it is jitter from the seed."""
         backoff = min(FIRST_BACKOFF_US << min(self.failures, MAX_BACKOFF_DOUBLINGS), MAX_BACKOFF_US)
         draw = crc32(b"%d %s %d" % (self.context.seed, self.member.encode(), self.failures)) / CRC32_RANGE
         return int(backoff * (0.5 + draw / 2))
 
-    def _carry(self, address: tuple[str, int]) -> Generator:
-        """Connects, says hello, and writes until the link fails (an error) or has been idle for long."""
+    def _connect_and_write(self, address: tuple[str, int]) -> Generator:
+        """Coroutine: connect, send the hello, and write until the link has been idle; raise if it fails."""
         loop = self.context.loop
         deadline = loop.now() + CONNECT_TIMEOUT_US
         connection = yield from connect(loop, self.context.budget, DESCRIPTOR_KIND, address, deadline)
         try:
-            # Else a link that was cut for seconds stays silent for as long again once it is whole.
+            # Otherwise, after a network outage of seconds, TCP waits as long again before it retransmits.
             user_timeout_ms = ACKNOWLEDGEMENT_TIMEOUT_US // US_PER_MS
             connection.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, user_timeout_ms)
             identity = self.context.host.link_identity()
@@ -165,7 +164,7 @@
             if events == DEADLINE_REACHED or (events and events & READ):
                 self._read_acknowledgements(connection)
             if self.context.host.link_identity() != identity:
-                return  # it is another one now, and says so on another link
+                return  # the new identity needs a new link with its own hello
             if unacknowledged and loop.now() >= unacknowledged[0] + ACKNOWLEDGEMENT_TIMEOUT_US:
                 raise WaitTimeoutError
             has_work = unacknowledged or self.unsent or self.queue
@@ -173,7 +172,7 @@
                 return
 
     def _write_queue(self) -> None:
-        """Writes what is queued, as far as the socket takes it."""
+        """Write queued frames, as many as the socket takes."""
         counters = self.context.counters
         while self.unsent or self.queue:
             if not self.unsent:
@@ -192,6 +191,6 @@
         except BlockingIOError:
             return
         if not acknowledgements:
-            raise ConnectionResetError(errno.ECONNRESET, "closed by the other side")
+            raise ConnectionResetError(errno.ECONNRESET, "connection closed by the other side")
         for _ in range(min(len(acknowledgements), len(self.unacknowledged))):
             self.unacknowledged.popleft()
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -135,7 +135,7 @@
 
 
 def test_a_frame_that_is_too_long_is_refused_before_it_is_there():
-    with pytest.raises(OversizedFrameError, match="a frame of 6 bytes"):
+    with pytest.raises(OversizedFrameError, match="a frame of 6 bytes exceeds the limit of 5 bytes"):
         frames.take_frame(bytearray((6).to_bytes(4, "big")), 5)
 
 
@@ -179,10 +179,10 @@
 @pytest.mark.parametrize(
     ("contents", "reason"),
     [
-        ([hello(version=2)], "another version: 2"),
-        ([hello(mark="something")], "another version: 1"),
-        ([hello(fleet="theirs")], "another fleet: 'theirs'"),
-        ([hello(name="n0")], "it says that it is n0 as well"),
+        ([hello(version=2)], "another mark or protocol version: 2"),
+        ([hello(mark="something")], "another mark or protocol version: 1"),
+        ([hello(fleet="theirs")], "from another fleet: 'theirs'"),
+        ([hello(name="n0")], "the hello has the name n0 of this dispatcher"),
         ([b"\xc1"], "MessagePack data is malformed"),
         ([b"x" * (frames.MAX_HELLO_BYTES + 1)], f"a frame of {frames.MAX_HELLO_BYTES + 1} bytes"),
         ([hello(), b"unreadable"], "it can't be read"),
@@ -210,7 +210,7 @@
     monkeypatch.setattr(link_listener, "HELLO_TIMEOUT_US", 20_000)
     ends.connect()
     assert ends.rig.turn(lambda: ends.logged("peer_refused"))
-    assert ends.logged("peer_refused") == [{"why": "a frame was not whole in time"}]
+    assert ends.logged("peer_refused") == [{"why": "a frame was not complete before its timeout"}]
 
 
 def test_who_has_not_said_who_it_is_goes_for_the_next_and_others_stay(ends):
