--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links between dispatchers: frames, who is refused and why, limits, and what becomes of frames."""
+"""Tests of the links between dispatchers: frames, handshakes, limits, acknowledgements and backoff."""
 
 import contextlib
 import socket
@@ -19,7 +19,7 @@
 
 
 class Host:
-    """A dispatcher that is `OWN`, knows no address until the test gives one, and keeps what it receives."""
+    """A dispatcher with the identity `OWN`, one member address set by the test, and the received frames."""
 
     def __init__(self):
         self.identity, self.address, self.received = OWN, None, []
@@ -36,8 +36,8 @@
         self.received.append((sender, incarnation, content))
 
 
-class Ends:
-    """Links that are looked at from the other side of real connections."""
+class LinkHarness:
+    """Links under test, with real sockets that play the other dispatcher."""
 
     def __init__(self):
         self.rig, self.host, self.sockets = Rig(), Host(), []
@@ -49,84 +49,87 @@
             sock.close()
 
     def address(self):
-        """Where these links listen."""
+        """Return the address at which the links listen."""
         if self.links.listener.sock is None:
             self.links.start((HERE, 0))
         return self.links.listener.sock.getsockname()
 
     def connect(self, *contents):
-        """A connection to these links, with frames on it."""
-        theirs = socket.create_connection(self.address())
-        self.sockets.append(theirs)
-        theirs.sendall(b"".join(map(frames.encode_frame, contents)))
-        return theirs
+        """Return a connection to the links on which frames with these contents are sent."""
+        peer_socket = socket.create_connection(self.address())
+        self.sockets.append(peer_socket)
+        peer_socket.sendall(b"".join(map(frames.encode_frame, contents)))
+        return peer_socket
 
     def listen(self):
-        """Has the member n1 listen; gives its socket."""
-        theirs = socket.create_server((HERE, 0))
-        theirs.setblocking(False)
-        self.sockets.append(theirs)
-        self.host.address = theirs.getsockname()
-        return theirs
-
-    def accepted(self, theirs):
-        """The next connection at that socket."""
-        got = []
-
-        def came():
+        """Return a listening socket at the address of the member n1."""
+        peer_socket = socket.create_server((HERE, 0))
+        peer_socket.setblocking(False)
+        self.sockets.append(peer_socket)
+        self.host.address = peer_socket.getsockname()
+        return peer_socket
+
+    def accepted(self, peer_socket):
+        """Return the next connection that a listening socket accepts."""
+        accepted_sockets = []
+
+        def has_connection():
             with contextlib.suppress(BlockingIOError):
-                got.append(theirs.accept()[0])
-            return got
+                accepted_sockets.append(peer_socket.accept()[0])
+            return accepted_sockets
 
-        assert self.rig.turn(came)
-        got[0].setblocking(False)
-        self.sockets.append(got[0])
-        return got[0]
+        assert self.rig.turn(has_connection)
+        accepted_sockets[0].setblocking(False)
+        self.sockets.append(accepted_sockets[0])
+        return accepted_sockets[0]
 
-    def read(self, theirs, count):
-        """So many bytes from that connection, or all that come until it is closed."""
-        out, ended = bytearray(), []
+    def read(self, peer_socket, count):
+        """Return at least `count` bytes from a connection, or all until it is closed."""
+        received, ended = bytearray(), []
 
-        def came():
+        def is_complete():
             try:
-                part = theirs.recv(65536)
+                part = peer_socket.recv(65536)
             except BlockingIOError:
                 part = None
             except ConnectionResetError:
-                part = b""  # it was closed with bytes that nobody had read
+                part = b""  # closed while bytes were unread
             if part is not None:
-                out.extend(part)
+                received.extend(part)
                 ended.extend([] if part else [True])
-            return ended or len(out) >= count
+            return ended or len(received) >= count
 
-        assert self.rig.turn(came)
-        return bytes(out)
+        assert self.rig.turn(is_complete)
+        return bytes(received)
 
     def logged(self, event):
+        """Return the fields of each logged line of an event."""
         return [fields for name, fields in self.rig.logged if name == event]
 
 
 @pytest.fixture
-def ends():
-    made = Ends()
-    yield made
-    made.close()
+def harness():
+    link_harness = LinkHarness()
+    yield link_harness
+    link_harness.close()
 
 
-def hello(**changed):
-    return frames.encode_hello(msgspec.structs.replace(OTHER, **changed))
+def hello(**changed_fields):
+    """Return the encoded hello of n1, with some fields changed."""
+    return frames.encode_hello(msgspec.structs.replace(OTHER, **changed_fields))
 
 
 def hello_bytes(identity):
-    told = frames.Hello(frames.HELLO_MARK, 1, identity.fleet, identity.name, identity.incarnation)
-    return frames.encode_frame(frames.encode_hello(told))
+    """Return the frame of the hello that a dispatcher of this identity sends."""
+    message = frames.Hello(frames.HELLO_MARK, 1, identity.fleet, identity.name, identity.incarnation)
+    return frames.encode_frame(frames.encode_hello(message))
 
 
-def test_frames_are_taken_one_after_the_other_and_only_whole():
-    raw = frames.encode_frame(b"one") + frames.encode_frame(b"") + frames.encode_frame(b"three")
-    for cut in range(len(raw)):
+def test_take_frame_returns_complete_frames_in_order():
+    encoded = frames.encode_frame(b"one") + frames.encode_frame(b"") + frames.encode_frame(b"three")
+    for cut in range(len(encoded)):
         received, taken = bytearray(), []
-        for part in (raw[:cut], raw[cut:]):
+        for part in (encoded[:cut], encoded[cut:]):
             received += part
             while (content := frames.take_frame(received, 5)) is not None:
                 taken.append(content)
@@ -134,12 +137,12 @@
         assert not received
 
 
-def test_a_frame_that_is_too_long_is_refused_before_it_is_there():
+def test_oversized_frame_is_refused_from_its_length_alone():
     with pytest.raises(OversizedFrameError, match="a frame of 6 bytes exceeds the limit of 5 bytes"):
         frames.take_frame(bytearray((6).to_bytes(4, "big")), 5)
 
 
-def test_descriptors_of_links_are_counted_and_their_room_only_grows():
+def test_descriptor_budget_counts_sockets_and_never_shrinks():
     budget = DescriptorBudget(1)
     assert [budget.acquire("peers") for _ in range(SPARE_DESCRIPTORS + 3)] == [True] * (
         SPARE_DESCRIPTORS + 2
@@ -153,27 +156,27 @@
     assert not budget.acquire("peers")
 
 
-def test_the_same_event_is_one_line_a_minute_and_tells_how_many_there_were():
-    clock, lines = SimpleNamespace(at=5), []
-    loop = SimpleNamespace(now=lambda: clock.at)
-    log = RateLimitedLog(loop, lambda event, **fields: lines.append((event, fields)))
-    for at in (0, 1, link_context.LOG_INTERVAL_US - 1):
-        clock.at = 5 + at
-        log.write("a", n=at)
+def test_rate_limited_log_writes_an_event_once_a_minute_with_the_suppressed_count():
+    clock, logged_lines = SimpleNamespace(now_us=5), []
+    loop = SimpleNamespace(now=lambda: clock.now_us)
+    log = RateLimitedLog(loop, lambda event, **fields: logged_lines.append((event, fields)))
+    for elapsed_us in (0, 1, link_context.LOG_INTERVAL_US - 1):
+        clock.now_us = 5 + elapsed_us
+        log.write("a", n=elapsed_us)
     log.write("b")
-    clock.at = 5 + link_context.LOG_INTERVAL_US
+    clock.now_us = 5 + link_context.LOG_INTERVAL_US
     log.write("a", n=9)
-    assert lines == [("a", {"n": 0}), ("b", {}), ("a", {"n": 9, "more": 2})]
+    assert logged_lines == [("a", {"n": 0}), ("b", {}), ("a", {"n": 9, "more": 2})]
 
 
-def test_frames_of_another_dispatcher_are_handed_on_and_acknowledged(ends):
-    theirs = ends.connect(hello(), b"one", b"two")
-    assert ends.rig.turn(lambda: len(ends.host.received) == 2)
-    assert ends.host.received == [("n1", "incarnation-1", b"one"), ("n1", "incarnation-1", b"two")]
-    theirs.setblocking(False)
-    assert ends.read(theirs, 2) == frames.ACKNOWLEDGEMENT * 2
-    assert ends.links.counters.frames_received == 2
-    assert ends.links.counters.bytes_received == 6
+def test_received_frames_reach_the_host_and_are_acknowledged(harness):
+    peer_socket = harness.connect(hello(), b"one", b"two")
+    assert harness.rig.turn(lambda: len(harness.host.received) == 2)
+    assert harness.host.received == [("n1", "incarnation-1", b"one"), ("n1", "incarnation-1", b"two")]
+    peer_socket.setblocking(False)
+    assert harness.read(peer_socket, 2) == frames.ACKNOWLEDGEMENT * 2
+    assert harness.links.counters.frames_received == 2
+    assert harness.links.counters.bytes_received == 6
 
 
 @pytest.mark.parametrize(
@@ -188,125 +191,125 @@
         ([hello(), b"unreadable"], "it can't be read"),
     ],
 )
-def test_who_does_not_keep_to_the_format_is_closed_and_named_in_the_log(contents, reason, ends):
-    theirs = ends.connect(*contents)
-    assert ends.rig.turn(lambda: ends.logged("peer_refused"))
-    (fields,) = ends.logged("peer_refused")
+def test_link_with_invalid_hello_or_frame_is_closed_and_logged(contents, reason, harness):
+    peer_socket = harness.connect(*contents)
+    assert harness.rig.turn(lambda: harness.logged("peer_refused"))
+    (fields,) = harness.logged("peer_refused")
     assert reason in fields["why"]
-    theirs.setblocking(False)
-    assert ends.read(theirs, 1) == b""
-    assert ends.host.received == []
-    assert ends.links.budget.used == 0
+    peer_socket.setblocking(False)
+    assert harness.read(peer_socket, 1) == b""
+    assert harness.host.received == []
+    assert harness.links.budget.used == 0
 
 
 @pytest.mark.parametrize("fleet", ["", "fleet"])
-def test_a_dispatcher_without_a_fleet_is_heard_by_all(fleet, ends):
-    ends.host.identity = LinkIdentity(fleet, "n0", "incarnation-0")
-    ends.connect(hello(fleet="" if fleet else "any"), b"one")
-    assert ends.rig.turn(lambda: ends.host.received)
+def test_frames_are_accepted_if_either_side_has_no_fleet(fleet, harness):
+    harness.host.identity = LinkIdentity(fleet, "n0", "incarnation-0")
+    harness.connect(hello(fleet="" if fleet else "any"), b"one")
+    assert harness.rig.turn(lambda: harness.host.received)
 
 
-def test_a_hello_that_is_not_whole_in_time_is_refused(ends, monkeypatch):
+def test_incomplete_hello_is_refused_at_its_timeout(harness, monkeypatch):
     monkeypatch.setattr(link_listener, "HELLO_TIMEOUT_US", 20_000)
-    ends.connect()
-    assert ends.rig.turn(lambda: ends.logged("peer_refused"))
-    assert ends.logged("peer_refused") == [{"why": "a frame was not complete before its timeout"}]
-
-
-def test_who_has_not_said_who_it_is_goes_for_the_next_and_others_stay(ends):
-    ends.links.budget.limit = 2
-    known = ends.connect(hello(), b"one")
-    assert ends.rig.turn(lambda: ends.host.received)
-    stranger = ends.connect()
-    assert ends.rig.turn(lambda: ends.links.listener.unidentified)
-    ends.connect(hello(name="n2"), b"two")
-    assert ends.rig.turn(lambda: len(ends.host.received) == 2)
-    stranger.setblocking(False)
-    assert ends.read(stranger, 1) == b""
-    refused = ends.connect()
+    harness.connect()
+    assert harness.rig.turn(lambda: harness.logged("peer_refused"))
+    assert harness.logged("peer_refused") == [{"why": "a frame was not complete before its timeout"}]
+
+
+def test_unidentified_connection_is_closed_for_a_new_one_at_the_limit(harness):
+    harness.links.budget.limit = 2
+    identified = harness.connect(hello(), b"one")
+    assert harness.rig.turn(lambda: harness.host.received)
+    unidentified = harness.connect()
+    assert harness.rig.turn(lambda: harness.links.listener.unidentified)
+    harness.connect(hello(name="n2"), b"two")
+    assert harness.rig.turn(lambda: len(harness.host.received) == 2)
+    unidentified.setblocking(False)
+    assert harness.read(unidentified, 1) == b""
+    refused = harness.connect()
     refused.setblocking(False)
-    assert ends.read(refused, 1) == b""
-    assert ends.logged("peer_connection_limit") == [{"used": 2}]
-    known.sendall(frames.encode_frame(b"three"))
-    assert ends.rig.turn(lambda: len(ends.host.received) == 3)
+    assert harness.read(refused, 1) == b""
+    assert harness.logged("peer_connection_limit") == [{"used": 2}]
+    identified.sendall(frames.encode_frame(b"three"))
+    assert harness.rig.turn(lambda: len(harness.host.received) == 3)
 
 
-def test_a_frame_goes_behind_a_hello_and_more_go_over_the_same_link(ends):
-    theirs = ends.listen()
-    ends.links.send("n1", b"one")
-    conn = ends.accepted(theirs)
+def test_first_frame_follows_a_hello_and_later_frames_use_the_same_link(harness):
+    peer_socket = harness.listen()
+    harness.links.send("n1", b"one")
+    connection = harness.accepted(peer_socket)
     expected = hello_bytes(OWN) + frames.encode_frame(b"one")
-    assert ends.read(conn, len(expected)) == expected
-    conn.sendall(frames.ACKNOWLEDGEMENT)
-    ends.links.send("n1", b"two")
-    assert ends.read(conn, 1) == frames.encode_frame(b"two")
-    counters = ends.links.counters
+    assert harness.read(connection, len(expected)) == expected
+    connection.sendall(frames.ACKNOWLEDGEMENT)
+    harness.links.send("n1", b"two")
+    assert harness.read(connection, 1) == frames.encode_frame(b"two")
+    counters = harness.links.counters
     assert (counters.frames_sent, counters.frames_dropped) == (2, 0)
     assert counters.bytes_sent == 2 * len(frames.encode_frame(b"one"))
 
 
-def test_another_identity_is_told_on_another_link(ends):
-    theirs = ends.listen()
-    ends.links.send("n1", b"one")
-    conn = ends.accepted(theirs)
-    ends.read(conn, len(hello_bytes(OWN)) + 7)
-    ends.host.identity = LinkIdentity("fleet", "n0", "incarnation-1")
-    ends.links.send("n1", b"two")
-    conn.sendall(frames.ACKNOWLEDGEMENT)
-    assert ends.rig.turn(lambda: not ends.links.outgoing["n1"].is_up)
-    ends.links.send("n1", b"three")
-    again = ends.accepted(theirs)
-    expected = hello_bytes(ends.host.identity) + frames.encode_frame(b"three")
-    assert ends.read(again, len(expected)).startswith(hello_bytes(ends.host.identity))
+def test_changed_identity_opens_a_new_link(harness):
+    peer_socket = harness.listen()
+    harness.links.send("n1", b"one")
+    connection = harness.accepted(peer_socket)
+    harness.read(connection, len(hello_bytes(OWN)) + 7)
+    harness.host.identity = LinkIdentity("fleet", "n0", "incarnation-1")
+    harness.links.send("n1", b"two")
+    connection.sendall(frames.ACKNOWLEDGEMENT)
+    assert harness.rig.turn(lambda: not harness.links.outgoing["n1"].is_up)
+    harness.links.send("n1", b"three")
+    new_connection = harness.accepted(peer_socket)
+    expected = hello_bytes(harness.host.identity) + frames.encode_frame(b"three")
+    assert harness.read(new_connection, len(expected)).startswith(hello_bytes(harness.host.identity))
 
 
-def test_a_link_whose_frames_are_not_acknowledged_is_opened_anew(ends, monkeypatch):
+def test_link_without_acknowledgements_is_reopened(harness, monkeypatch):
     monkeypatch.setattr(outgoing_link, "ACKNOWLEDGEMENT_TIMEOUT_US", 50_000)
-    theirs = ends.listen()
-    ends.links.send("n1", b"one")
-    conn = ends.accepted(theirs)
-    ends.read(conn, len(hello_bytes(OWN)) + 7)
-    assert ends.rig.turn(lambda: ends.logged("peer_lost_n1"))
-    assert ends.logged("peer_lost_n1") == [{"why": "timed out"}]
-    ends.links.send("n1", b"two")
-    again = ends.accepted(theirs)
+    peer_socket = harness.listen()
+    harness.links.send("n1", b"one")
+    connection = harness.accepted(peer_socket)
+    harness.read(connection, len(hello_bytes(OWN)) + 7)
+    assert harness.rig.turn(lambda: harness.logged("peer_lost_n1"))
+    assert harness.logged("peer_lost_n1") == [{"why": "timed out"}]
+    harness.links.send("n1", b"two")
+    new_connection = harness.accepted(peer_socket)
     expected = hello_bytes(OWN) + frames.encode_frame(b"two")
-    assert ends.read(again, len(expected)) == expected
+    assert harness.read(new_connection, len(expected)) == expected
 
 
-def test_a_queue_that_is_full_is_dropped_and_counted(ends):
-    ends.listen()
+def test_full_queue_is_dropped_and_counted(harness):
+    harness.listen()
     for _ in range(outgoing_link.MAX_QUEUED_FRAMES + 1):
-        ends.links.send("n1", b"x")
-    assert ends.links.counters.frames_dropped == outgoing_link.MAX_QUEUED_FRAMES
-    assert len(ends.links.outgoing["n1"].queue) == 1
+        harness.links.send("n1", b"x")
+    assert harness.links.counters.frames_dropped == outgoing_link.MAX_QUEUED_FRAMES
+    assert len(harness.links.outgoing["n1"].queue) == 1
 
 
-def test_frames_to_who_is_no_member_are_forgotten(ends):
-    ends.links.send("n1", b"one")
-    assert ends.rig.turn(lambda: ends.links.outgoing["n1"].task.ended)
-    assert not ends.links.outgoing["n1"].queue
-    assert ends.links.counters.frames_sent == 0
+def test_frames_to_an_unknown_member_are_discarded(harness):
+    harness.links.send("n1", b"one")
+    assert harness.rig.turn(lambda: harness.links.outgoing["n1"].task.ended)
+    assert not harness.links.outgoing["n1"].queue
+    assert harness.links.counters.frames_sent == 0
 
 
-def test_a_backoff_grows_to_its_maximum_and_no_further(ends):
-    link = outgoing_link.OutgoingLink(ends.links.context, "n1")
+def test_backoff_grows_to_its_maximum(harness):
+    link = outgoing_link.OutgoingLink(harness.links.context, "n1")
     for failures in range(1, 20):
         link.failures = failures
-        most = min(outgoing_link.FIRST_BACKOFF_US << failures, outgoing_link.MAX_BACKOFF_US)
-        assert most // 2 <= link._backoff_us() <= most
-
-
-def test_closed_links_say_and_hear_nothing(ends):
-    theirs = ends.listen()
-    ends.links.send("n1", b"one")
-    conn = ends.accepted(theirs)
-    ends.read(conn, len(hello_bytes(OWN)) + 7)
-    heard = ends.connect(hello(), b"two")
-    assert ends.rig.turn(lambda: ends.host.received)
-    ends.links.close()
-    heard.setblocking(False)
-    assert ends.read(heard, 1) == b""
-    assert ends.read(conn, 1) == b""
-    assert ends.links.budget.used == 0
-    assert ends.rig.errors == []
+        maximum = min(outgoing_link.FIRST_BACKOFF_US << failures, outgoing_link.MAX_BACKOFF_US)
+        assert maximum // 2 <= link._backoff_us() <= maximum
+
+
+def test_closed_links_close_all_connections(harness):
+    peer_socket = harness.listen()
+    harness.links.send("n1", b"one")
+    connection = harness.accepted(peer_socket)
+    harness.read(connection, len(hello_bytes(OWN)) + 7)
+    incoming = harness.connect(hello(), b"two")
+    assert harness.rig.turn(lambda: harness.host.received)
+    harness.links.close()
+    incoming.setblocking(False)
+    assert harness.read(incoming, 1) == b""
+    assert harness.read(connection, 1) == b""
+    assert harness.links.budget.used == 0
+    assert harness.rig.errors == []
