--- a/tests/test_fleet_snapshot.py
+++ b/tests/test_fleet_snapshot.py
@@ -1,4 +1,4 @@
-"""State lost: snapshots, and the fleet that begins again by an operator's word."""
+"""Tests of fleet snapshots, and of a new fleet that an operator starts after a majority is lost."""
 
 from contextlib import nullcontext, suppress
 
@@ -25,6 +25,7 @@
 
 
 def state(**changed):
+    """Return the committed state of a fleet of three, with some parts changed."""
     return {
         **initial_state(
             {"a": 1}, 2_000_000, {n: (f"127.0.0.1:{i + 1}", f"l{n}") for i, n in enumerate(NAMES)}
@@ -36,7 +37,7 @@
 RAW = msgspec.json.encode(pack_snapshot(state(version=5), "f", "n0", 7))
 
 
-def test_a_snapshot_comes_back_as_it_was():
+def test_packed_snapshot_unpacks_to_the_same_state():
     snapshot = unpack_snapshot(RAW)
     assert snapshot["state"] == state(version=5)
     assert (snapshot["fleet"], snapshot["version"], snapshot["at"]) == ("f", 5, 7)
@@ -55,14 +56,14 @@
         (b" " * (MAX_SNAPSHOT_BYTES + 1), "exceeds 4 MiB"),
     ],
 )
-def test_a_snapshot_that_cannot_be_used_is_refused_by_its_reason(raw, says):
+def test_unusable_snapshot_is_refused_with_a_reason(raw, says):
     with pytest.raises(SnapshotError, match=says) as error:
         unpack_snapshot(raw)
     assert "\n" not in str(error.value)
 
 
 @given(st.integers(0, len(RAW) - 1), st.integers(1, 255))
-def test_no_snapshot_with_one_byte_changed_is_taken_for_another(at, by):
+def test_snapshot_with_a_changed_byte_never_unpacks_to_another_state(at, by):
     raw = RAW[:at] + bytes([RAW[at] ^ by]) + RAW[at + 1 :]
     with suppress(SnapshotError, UnicodeDecodeError):
         assert unpack_snapshot(raw)["state"] == state(version=5)
@@ -83,7 +84,7 @@
         ({"known_state": None, "reachable": ["n1", "n2"]}, "a majority of the voters"),
     ],
 )
-def test_no_fleet_begins_beside_one_that_runs_or_with_less_than_is_here(how, says):
+def test_fleet_start_is_refused_beside_a_running_fleet_or_with_older_state(how, says):
     fields = {
         "name": "n0",
         "state": state(version=5),
@@ -99,7 +100,7 @@
         check_fleet_start(FleetStart(**fields))
 
 
-def test_after_a_loss_one_votes_the_others_come_anew_and_no_promise_of_keys_is_believed():
+def test_successor_state_has_one_voter_and_voids_all_replicas():
     copies = {
         "epoch": 4,
         "count": 3,
@@ -126,8 +127,8 @@
     assert before["version"] == 5
 
 
-def played(seed=1):
-    """Three in simulated time, of which two are lost with their disks."""
+def fleet_after_majority_loss(seed=1):
+    """Return a simulated fleet of three of which two are lost with their disks."""
     fleet = Fleet(NAMES, seed).start()
     assert fleet.run(20_000_000, lambda: fleet.leader() and fleet.leader().member.lease.in_force_index >= 2)
     fleet.propose("n0", "c1", {"kind": "out", "worker": "w", "by": "", "at": 1})
@@ -139,22 +140,28 @@
     return fleet
 
 
-def begun(fleet):
+def start_successor_fleet(fleet):
+    """Start a new fleet from the state of n0, and return its node."""
     node = fleet.nodes["n0"]
     after = successor_state(
         node.member.state_machine.snapshot(), "n0", "again", "", FormationEntry("formed", "n0", 1)
     )
-    fleet.order, fleet.sums, fleet.leaders, fleet.in_force = {}, {}, {}, 0  # another fleet, judged anew
+    fleet.order, fleet.sums, fleet.leaders, fleet.in_force = (
+        {},
+        {},
+        {},
+        0,
+    )  # the checks start over with the new fleet
     node.step(node.member, inputs.Restore("f2", "again", after))
     return node
 
 
-def test_a_majority_lost_serves_again_by_an_operators_word_and_the_others_come_to_it():
-    fleet = played()
+def test_fleet_start_after_majority_loss_restores_service_and_the_others_join():
+    fleet = fleet_after_majority_loss()
     node = fleet.nodes["n0"]
     assert not node.member.may_act(node.clock())
     assert not node.member.discovery.present_members(node.clock())
-    begun(fleet)
+    start_successor_fleet(fleet)
     assert fleet.run(fleet.now + 5_000_000, lambda: node.member.may_act(node.clock()))
     for name in ("n1", "n2"):
         fleet.nodes[name].start()
@@ -169,13 +176,13 @@
     assert all(one.member.state_machine.state["out"] == ["w"] for one in fleet.nodes.values())
 
 
-def test_one_of_the_fleet_before_has_no_word_until_it_deserts():
-    fleet = played()
+def test_member_of_the_lost_fleet_cannot_act_until_it_abandons_it():
+    fleet = fleet_after_majority_loss()
     other = fleet.nodes["n1"]
-    # It was only away: its disk holds the fleet that is no more.
+    # It was only unreachable: its disk still holds the lost fleet.
     other.disk = [("identity", fleet.nodes["n0"].member.fleet, "old"), *fleet.nodes["n0"].disk[1:]]
-    node = begun(fleet)
-    fleet.check = lambda node: None  # the judge knows one fleet at a time
+    node = start_successor_fleet(fleet)
+    fleet.check = lambda node: None  # the checks know one fleet at a time
     other.start()
     fleet.run(fleet.now + 5_000_000)
     assert not other.member.may_act(other.clock())
