--- a/tests/test_fleet_snapshot.py
+++ b/tests/test_fleet_snapshot.py
@@ -146,12 +146,8 @@
     after = successor_state(
         node.member.state_machine.snapshot(), "n0", "again", "", FormationEntry("formed", "n0", 1)
     )
-    fleet.order, fleet.sums, fleet.leaders, fleet.in_force = (
-        {},
-        {},
-        {},
-        0,
-    )  # the checks start over with the new fleet
+    # The checks start over with the new fleet.
+    fleet.order, fleet.sums, fleet.leaders, fleet.in_force = {}, {}, {}, 0
     node.step(node.member, inputs.Restore("f2", "again", after))
     return node
 
--- a/tests/test_restored_state.py
+++ b/tests/test_restored_state.py
@@ -67,17 +67,15 @@
 
 
 def test_unix_time_decides_the_age_only_after_a_reboot():
-    clock_set_back = restored(
-        record(), now=70_000_000
-    )  # Unix time set back by 30 s within one boot: monotonic time counts
+    # Unix time is set back by 30 s within one boot: monotonic time counts.
+    clock_set_back = restored(record(), now=70_000_000)
     assert clock_set_back.age_us == 1_000_000
     assert clock_set_back.workers
     assert set(clock_set_back.loads) == {"w0"}
     assert clock_set_back.loads["w0"].until == 71_000_000  # in the current Unix time
     assert "30 s ahead" in restored(record(), now=70_000_000, boot_id="y").rejected_parts["all"]
-    clock_ahead = restored(
-        record(), now=130_000_000, boot_id="y"
-    )  # Unix time 30 s ahead: the state counts as too old
+    # Unix time is 30 s ahead: the state counts as too old.
+    clock_ahead = restored(record(), now=130_000_000, boot_id="y")
     assert not clock_ahead.workers
     assert not clock_ahead.loads
     assert restored(record(), now=99_000_000, boot_id="y").age_us == 0  # a small step of the clock
@@ -123,9 +121,8 @@
     assert newest.restricted == {"w1": 5_000}
     newest.observe(8, [("w1", "ready"), ("w2", "draining")], {"w2": 9_000}, False)
     assert newest.restricted == {"w2": 9_000}
-    newest.observe(
-        9, [("w1", "ready")], {"w1": 0, "w2": 9_000}, True
-    )  # a worker that the whole list omits is gone
+    # A worker that a whole list omits is gone.
+    newest.observe(9, [("w1", "ready")], {"w1": 0, "w2": 9_000}, True)
     assert newest.restricted == {"w2": 9_000}
     newest.restore(7, {"w9": 1})  # restored late, from a slow disk
     assert newest.restricted == {"w2": 9_000}
