--- a/mastledge/routing/router.py
+++ b/mastledge/routing/router.py
@@ -47,7 +47,7 @@
 class Router:
     """Reports the queued events one by one to the scheduler, and carries out its decisions.
 
-    In a fleet with consensus, `rule` tells whether this dispatcher may act now (holds a valid lease), and
+    In a fleet with consensus, `rule.may_act(now)` tells whether this dispatcher may launch now, and
     `on_endpoint_list(kind, entries)` is called with each change of the endpoint list. Both are None without.
     """
 
@@ -290,7 +290,7 @@
         handler(now, decision)
 
     def launch_job(self, now: int, decision: LaunchJob) -> None:
-        """Start a launch; its end is reported through the queue. Nothing is sent without a lease."""
+        """Start a launch, unless `rule` forbids it; its end is reported through the queue."""
         job = self.jobs[decision.job]
         launch = Launch(job, decision.worker, now)
         job.launches.append(launch)
@@ -336,8 +336,8 @@
     # The ends of jobs and launches
 
     def _withhold(self, now: int, launch: Launch) -> None:
-        # The lease has lapsed since, so the worker may be excluded by now. Nothing is sent, and the scheduler
-        # is told at once.
+        # The dispatcher may not act any more, and the worker may be excluded by now. Nothing is sent, and the
+        # scheduler is told at once.
         job, launch.ended = launch.job, True
         self.scheduler.launch_ended(now, job.id, launch.number, Outcome.UNSENT, 0, False, ())
         if not job.in_flight:
