--- a/mastledge/recovery/fleet_snapshot.py
+++ b/mastledge/recovery/fleet_snapshot.py
@@ -80,11 +80,11 @@
 def unpack_snapshot(raw: bytes) -> dict:
     """Return a snapshot as a map; raise SnapshotError if it is damaged, incomplete or of another format."""
     if len(raw) > MAX_SNAPSHOT_BYTES:
-        raise SnapshotError(f"the snapshot exceeds {MAX_SNAPSHOT_BYTES >> 20} MiB")
+        raise SnapshotError(f"the snapshot is over {MAX_SNAPSHOT_BYTES >> 20} MiB")
     try:
         snapshot = msgspec.json.decode(raw)
     except msgspec.DecodeError as error:
-        raise SnapshotError(f"the snapshot is truncated or not JSON: {error}") from None
+        raise SnapshotError(f"the snapshot is cut or no JSON: {error}") from None
     _validate_envelope(snapshot)
     _validate_state(snapshot["state"])
     return snapshot
@@ -97,11 +97,13 @@
 
 def _validate_envelope(snapshot: object) -> None:
     if not isinstance(snapshot, dict) or snapshot.get("kind") != KIND:
-        raise SnapshotError("this is not a fleet snapshot")
+        raise SnapshotError("this is no snapshot of a fleet")
     if snapshot.get("format") != FORMAT:
-        raise SnapshotError(f"the snapshot has format {snapshot.get('format')}, this version reads {FORMAT}")
+        raise SnapshotError(
+            f"the snapshot is of format {snapshot.get('format')}, this version reads {FORMAT}"
+        )
     if snapshot.get("sum") != _checksum(snapshot):
-        raise SnapshotError("the snapshot is damaged: its checksum differs")
+        raise SnapshotError("the snapshot is spoilt: its checksum differs")
 
 
 def _validate_state(state: dict) -> None:
@@ -148,10 +150,10 @@
         raise FleetStartRefusedError("this fleet runs: its majority answers")
     if start.state is None:
         raise FleetStartRefusedError(
-            "no state is stored here: give a snapshot, or set form if the folders of all members are empty"
+            "nothing is kept here: give a snapshot, or set form where all folders are empty"
         )
     if start.name not in start.state["members"]:
-        raise FleetStartRefusedError(f"{start.name} is not a member of the fleet in this state")
+        raise FleetStartRefusedError(f"{start.name} is no member in it")
     if start.snapshot is not None:
         _check_origin(start)
     _check_majority_is_lost(start)
@@ -160,16 +162,14 @@
 def _check_origin(start: FleetStart) -> None:
     """Refuse a snapshot of another fleet, or one that is older than the state known here."""
     if start.fleet and start.snapshot["fleet"] != start.fleet:
-        raise FleetStartRefusedError(
-            f"the snapshot is of another fleet: {start.snapshot['fleet']}, not {start.fleet}"
-        )
+        raise FleetStartRefusedError(f"it is of another fleet: {start.snapshot['fleet']}, not {start.fleet}")
     if start.known_state is None:
         return
     version, known_version = start.state["version"], start.known_state["version"]
     if known_version > version:
         raise FleetStartRefusedError(
-            f"the snapshot has version {version}, but this dispatcher has version {known_version}: "
-            "fleet form --accept-loss starts from the latter"
+            f"it is of version {version}, and this dispatcher has {known_version}: "
+            "fleet form --accept-loss begins with that"
         )
 
 
@@ -178,4 +178,4 @@
     own_vote = {start.name} if start.known_state is not None else set()
     present = sorted(voters & (set(start.reachable) | own_vote))
     if len(present) > len(voters) // 2:
-        raise FleetStartRefusedError(f"a majority of the voters is reachable: {', '.join(present)}")
+        raise FleetStartRefusedError(f"a majority is there: {', '.join(present)}")
--- a/mastledge/recovery/recovery_record.py
+++ b/mastledge/recovery/recovery_record.py
@@ -105,7 +105,7 @@
 def decode_record(fields: list | tuple) -> AnyRecord:
     """Return the record of an array; raise RecoveryRecordError if malformed or of a later version."""
     if fields[0] not in ("list", "out", "learned"):
-        raise RecoveryRecordError(f"unknown type of record, written by a later version: {fields[0]}")
+        raise RecoveryRecordError(f"a record of a later version: {fields[0]}")
     try:
         return msgspec.convert(fields, AnyRecord)
     except msgspec.ValidationError as error:
--- a/mastledge/recovery/restored_state.py
+++ b/mastledge/recovery/restored_state.py
@@ -81,9 +81,9 @@
 def restore(record: RecoveryRecord, now: ClockReading, registry: str, list_validity_us: int) -> RestoredState:
     """Return the parts of a stored record that are valid now; `registry`: the current source of the list."""
     if not record.unix_us:
-        return RestoredState.rejected("no recovery record is stored")
+        return RestoredState.rejected("nothing is kept")
     if record.format != FORMAT:
-        return RestoredState.rejected(f"the record has format {record.format}, this version reads {FORMAT}")
+        return RestoredState.rejected(f"of format {record.format}, this version reads {FORMAT}")
     try:
         age_us = record_age_us(record, now)
     except ClockError as error:
@@ -94,7 +94,7 @@
         rejected_parts["list"] = list_reason
     learned = {id: worker for id, worker in record.learned.items() if id in record.workers}
     if age_us + record.unix_us - record.learned_at > LEARNED_VALIDITY_US:
-        rejected_parts["learned"] = "the learned state is too old"
+        rejected_parts["learned"] = "too old"
         learned = {}
     return RestoredState(
         age_us=age_us,
@@ -113,20 +113,20 @@
     """
     if record.boot_id and record.boot_id == now.boot_id:
         if now.monotonic_us < record.monotonic_us:
-            raise ClockError("the monotonic clock ran backwards within one boot")
+            raise ClockError("its clock ran backwards within one boot")
         return now.monotonic_us - record.monotonic_us
     if now.unix_us < record.unix_us - CLOCK_STEP_US:
         ahead_s = (record.unix_us - now.unix_us) // 1_000_000
-        raise ClockError(f"the record was written {ahead_s} s ahead of this clock")
+        raise ClockError(f"it was written {ahead_s} s ahead of this clock")
     return max(0, now.unix_us - record.unix_us)
 
 
 def _list_rejection(record: RecoveryRecord, age_us: int, registry: str, list_validity_us: int) -> str:
     """Return why the stored list is rejected, or "" if it is valid."""
     if record.registry != registry:
-        return "the stored list is from another registry"
+        return "it is another registry's"
     if age_us + record.unix_us - record.listed_at > list_validity_us:
-        return f"the stored list is {age_us // 1000} ms old, over {list_validity_us // 1000} ms"
+        return f"it is {age_us // 1000} ms old, over {list_validity_us // 1000} ms"
     return ""
 
 
