--- a/mastledge/peers/frames.py
+++ b/mastledge/peers/frames.py
@@ -16,7 +16,7 @@
 
 
 class Hello(msgspec.Struct, array_like=True):
-    """The first frame of a link: the identity of its sender. `life` is the sender's incarnation."""
+    """The first frame of a link: the identity of the sender. `life` is the sender's incarnation."""
 
     mark: str
     version: int
--- a/mastledge/peers/link_context.py
+++ b/mastledge/peers/link_context.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkIdentity:
-    """The identity that a dispatcher sends in its hello; `fleet` is empty while it belongs to none."""
+    """The identity that a dispatcher sends in its hello; `fleet` is empty without a fleet."""
 
     fleet: str
     name: str
@@ -24,7 +24,7 @@
     """The interface of the dispatcher that owns the links."""
 
     def link_identity(self) -> LinkIdentity:
-        """Return the current identity; links whose hello had another one are closed."""
+        """Return the current identity; links whose hello had another identity are closed."""
 
     def member_address(self, name: str) -> tuple[str, int] | None:
         """Return the address at which a member listens for links, or None for a name that is not a member."""
@@ -53,7 +53,7 @@
     def __init__(self, loop: Loop, log: Callable[..., None]) -> None:
         """Create a log that writes with `log(event, **fields)`."""
         self.loop, self.log = loop, log
-        self.written: dict[str, tuple[int, int]] = {}  # (time of the last line, events since) by event
+        self.written: dict[str, tuple[int, int]] = {}  # by event: time of the last line, events since
 
     def write(self, event: str, **fields: Any) -> None:
         """Log the event, or count it; the next line has the count as `more`."""
--- a/mastledge/peers/link_listener.py
+++ b/mastledge/peers/link_listener.py
@@ -17,13 +17,13 @@
 ACCEPT_PAUSE_US = 50_000  # while the process has no descriptor left
 HELLO_TIMEOUT_US = 2_000_000
 FRAME_TIMEOUT_US = 5_000_000  # from its first byte
-ACKNOWLEDGEMENT_DELAY_US = 100_000  # to send those of several frames together
+ACKNOWLEDGEMENT_DELAY_US = 100_000  # to acknowledge several frames with one write
 MAX_DELAYED_ACKNOWLEDGEMENTS = 1000
 MAX_REASON_CHARACTERS = 120
 
 
 class LinkListener:
-    """The listening socket of a dispatcher's links and the connections that it has accepted."""
+    """Holds the listening socket of a dispatcher's links and the connections accepted from it."""
 
     def __init__(self, context: LinkContext) -> None:
         """Create a listener that does not listen yet."""
@@ -73,7 +73,7 @@
                 sock.close()
 
     def _take_descriptor(self) -> bool:
-        """Acquire a descriptor, if needed from the oldest unidentified connection; return whether it did."""
+        """Return whether a descriptor was acquired, if needed from the oldest unidentified connection."""
         budget = self.context.budget
         if budget.acquire(DESCRIPTOR_KIND):
             return True
@@ -123,7 +123,9 @@
         hello = frames.decode_hello(content)
         own = self.context.host.link_identity()
         if hello.mark != frames.HELLO_MARK or hello.version != frames.PROTOCOL_VERSION:
-            raise HandshakeError(f"the hello has another mark or protocol version: {hello.version!r:.20}")
+            raise HandshakeError(
+                f"the hello has mark {hello.mark!r:.20}, protocol version {hello.version!r:.20}"
+            )
         if own.fleet and hello.fleet and hello.fleet != own.fleet:
             raise HandshakeError(f"the hello is from another fleet: {hello.fleet!r:.40}")
         if hello.name == own.name:
--- a/mastledge/peers/links.py
+++ b/mastledge/peers/links.py
@@ -1,4 +1,4 @@
-"""All links of one dispatcher: sends frames to other dispatchers by name, and receives theirs.
+"""All links of one dispatcher: send frames to other dispatchers by name, and receive theirs.
 
 A link carries frames one way and is opened by the sender.
 """
--- a/mastledge/peers/outgoing_link.py
+++ b/mastledge/peers/outgoing_link.py
@@ -15,7 +15,7 @@
 from mastledge.transport.errors import OutOfDescriptorsError, WaitTimeoutError
 from mastledge.transport.loop import READ, WRITE, Task
 
-MAX_QUEUED_FRAMES = 256  # at the limit all are dropped: senders repeat lost messages
+MAX_QUEUED_FRAMES = 256  # a full queue is dropped whole: senders repeat lost messages
 CONNECT_TIMEOUT_US = 500_000
 ACKNOWLEDGEMENT_TIMEOUT_US = 1_500_000
 IDLE_TIMEOUT_US = 30_000_000
@@ -49,7 +49,7 @@
         self.task: Task | None = None
         self.connection: Connection | None = None
         self.is_up = False  # connected, and the hello is sent
-        self.failures = 0  # consecutive ones
+        self.failures = 0  # consecutive failures to connect or send
         self.unsent = b""  # the rest of a partly written frame
         self.unacknowledged: deque[int] = deque()  # write times of frames without an acknowledgement
 
@@ -164,7 +164,7 @@
             if events == DEADLINE_REACHED or (events and events & READ):
                 self._read_acknowledgements(connection)
             if self.context.host.link_identity() != identity:
-                return  # the new identity needs a new link with its own hello
+                return  # a new identity needs a new link with another hello
             if unacknowledged and loop.now() >= unacknowledged[0] + ACKNOWLEDGEMENT_TIMEOUT_US:
                 raise WaitTimeoutError
             has_work = unacknowledged or self.unsent or self.queue
--- a/mastledge/recovery/admission_ramp.py
+++ b/mastledge/recovery/admission_ramp.py
@@ -1,12 +1,12 @@
-"""The limit of jobs in flight after a start, and in an overload that retries keep up.
+"""The limit of jobs in flight after a start, and during an overload that retries sustain.
 
 The limit starts at half of this dispatcher's share of the workers' slots and grows with the jobs that
-complete: slow start and additive increase of TCP (RFC 5681), on jobs in place of segments. A job above the
-limit is rejected at once, before anything of it was sent to a worker. Once the limit has reached the share
-plus a margin for random bursts, or no job was rejected for a second, the limit is lifted, and only the
-scheduler sheds load.
+complete, as in slow start and additive increase of TCP (RFC 5681), with jobs in place of segments. A job
+above the limit is rejected at once, before any part of it is sent to a worker. Once the limit has reached
+the share plus a margin for random bursts, or no job was rejected for a second, the limit is lifted, and only
+the scheduler sheds load.
 
-If retries keep up an overload after its cause is gone (Bronson et al., "Metastable failures in distributed
+If retries sustain an overload after its cause is gone (Bronson et al., "Metastable failures in distributed
 systems", HotOS 2021), less than half of the admitted jobs complete. Then the limit is in force again, at the
 share. While it is in force, first attempts come before retries: a retry is admitted only while less than four
 fifths of the share are in flight.
@@ -25,7 +25,7 @@
 MIN_FRACTION = 0.5
 """Fraction of the share of slots: the lowest limit during a start."""
 BURST_ROOTS = 3.0
-"""Square roots of the share that the full limit adds to it, for random bursts (Poisson arrivals)."""
+"""The full limit exceeds the share by this multiple of its square root, for bursts of Poisson arrivals."""
 DECREASE_FACTOR = 0.75
 """Factor on the limit when the scheduler rejects an admitted job."""
 RETRY_FRACTION = 0.8
@@ -36,7 +36,7 @@
 MIN_OUTCOMES = 8
 """With fewer recent outcomes, no overload is detected."""
 HEALTHY_FRACTION = 0.5
-"""Fraction of the recent outcomes; if fewer completed, there is an overload."""
+"""Fraction of the recent outcomes: if fewer of them are completed jobs, there is an overload."""
 REJECTION_WINDOW_US = 1_000_000
 """Window over which rejections are counted for `Retry-After`."""
 QUIET_US = 1_000_000
@@ -84,7 +84,7 @@
 
 
 class AdmissionRamp:
-    """Limits the jobs in flight, by the slots of the workers and the outcomes of the admitted jobs."""
+    """Limits the jobs in flight, by the slots of the workers and the outcomes of admitted jobs."""
 
     def __init__(self, seed: int, now: int, max_ramp_us: int, max_retry_after_us: int):
         """Create a ramp; `max_ramp_us` bounds a start, `max_retry_after_us` (0 for none) a `Retry-After`."""
@@ -112,7 +112,7 @@
         self._quiet_since = now
 
     def resize(self, slots: float, dispatchers: int) -> None:
-        """Set the share: the slots of the eligible workers, as far as they are warm, over `dispatchers`."""
+        """Set the share: `slots`, the warm slots of the eligible workers, divided by `dispatchers`."""
         previous_share = self.slot_share
         self.slot_share = max(1.0, slots / max(1, dispatchers))
         if not self.limit:
@@ -139,7 +139,8 @@
     def admit(self, now: int, is_retry: bool) -> int | None:
         """Admit a job and return None, or return the `Retry-After` of its rejection in microseconds.
 
-        The caller records the outcome of each admitted job."""
+        The caller records the outcome of each admitted job.
+        """
         self.update(now)
         limit = min(self.limit, RETRY_FRACTION * self.slot_share) if is_retry else self.limit
         if not self.limited or self.in_flight < limit:
@@ -155,7 +156,7 @@
         return self._retry_after_us()
 
     def _retry_after_us(self) -> int:
-        """Return the time until the recently rejected jobs have room, with random jitter."""
+        """Return the time in microseconds until the recently rejected jobs have room, with random jitter."""
         run_times = 1 + len(self._rejections) / self.slot_share
         wait = (self._run_time_us or MIN_RETRY_AFTER_US) * run_times * (0.5 + self._draw())
         return min(max(MIN_RETRY_AFTER_US, int(wait)), self._max_retry_after_us)
--- a/mastledge/recovery/fleet_snapshot.py
+++ b/mastledge/recovery/fleet_snapshot.py
@@ -18,7 +18,7 @@
 MAX_SNAPSHOT_BYTES = 4 << 20
 MAX_HISTORY_ENTRIES = 64
 SKIPPED_EPOCHS = 1_000_000
-"""Keeps the new fleet's epochs above all of the lost fleet's, also those after the snapshot."""
+"""Added to the epoch, so that no epoch of the lost fleet, even after the snapshot, is used again."""
 STATE_PARTS = {
     "settings": dict,
     "documents": dict,
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FormationEntry:
-    """The first entry in the history of a new fleet; `at`: Unix microseconds."""
+    """The history entry of the formation of a new fleet; `by`: a dispatcher, `at`: Unix microseconds."""
 
     what: str
     by: str
@@ -50,7 +50,8 @@
     """The state that a new fleet would start from, and what is known to the member that would start it.
 
     `state`: None if there is none; `snapshot`: the source of the state, None if it is the member's own;
-    `fleet`, `known_state`: the member's current fleet and its state; `holds_lease`: the member serves;
+    `fleet`, `known_state`: the member's current fleet ("" for none) and the state of that fleet known to the
+    member, or None; `holds_lease`: the current fleet still runs, as far as the member knows;
     `reachable`: members that answered recently and have not lost their data directories.
     """
 
@@ -118,7 +119,8 @@
     """Return the state that a new fleet starts from after the fleet of `state` is lost; `state` is unchanged.
 
     The members stay, but only `name`, which starts the fleet, is a voter: each of the others joins later as a
-    new incarnation. `directory_id`: of the starting member's data directory for idempotency keys, or "".
+    new incarnation. `directory_id`: the id of the starting member's data directory for idempotency keys, or
+    "" for none.
     """
     successor = deepcopy(state)
     version = state["version"] + 1
@@ -135,7 +137,7 @@
 
 
 def _void_replicas(copies: dict | None, name: str, directory_id: str) -> None:
-    """Void all replicas: their records may be lost, so acknowledged keys have to expire first."""
+    """Mark all replicas as lost: the keys that they acknowledged may be stored nowhere and must expire."""
     if not copies or not copies["epoch"]:
         return
     copies["now"] = {other: f"lost {id}" for other, id in copies["now"].items()}
@@ -160,7 +162,7 @@
 
 
 def _check_origin(start: FleetStart) -> None:
-    """Refuse a snapshot of another fleet, or one that is older than the state known here."""
+    """Raise FleetStartRefusedError for a snapshot of another fleet, or older than the known state."""
     if start.fleet and start.snapshot["fleet"] != start.fleet:
         raise FleetStartRefusedError(f"it is of another fleet: {start.snapshot['fleet']}, not {start.fleet}")
     if start.known_state is None:
--- a/mastledge/recovery/recovery_record.py
+++ b/mastledge/recovery/recovery_record.py
@@ -56,7 +56,7 @@
 class LearnedWorker(msgspec.Struct, array_like=True):
     """State that the scheduler learned of a worker, as `Scheduler.learned_state` returns it.
 
-    `asides`: [reason, fields] of each ejection; its field `back_at` counts from the record's time.
+    `asides`: [reason, fields] of each ejection; its field `back_at` is a duration from the record's time.
     """
 
     slots: int | float | None
@@ -66,7 +66,7 @@
 
 
 class ListRecord(msgspec.Struct, tag="list", array_like=True, forbid_unknown_fields=True):
-    """The endpoint list: its registry, generation and workers by id."""
+    """The endpoint list: the registry that it is from, its generation, and its workers by id."""
 
     unix_us: int
     monotonic_us: int
--- a/mastledge/recovery/restored_state.py
+++ b/mastledge/recovery/restored_state.py
@@ -1,6 +1,6 @@
 """The parts of the state stored by the previous run that are still valid after a start.
 
-State of unknown age is rejected. Restored state only restricts further than the endpoint list: it excludes
+State of unknown age is rejected. Restored state never permits more than the endpoint list: it only excludes
 workers and adds load to them. Times are whole microseconds, Unix time unless said otherwise.
 """
 
@@ -157,7 +157,7 @@
 ) -> dict[str, InheritedWorker]:
     """Return the scheduler's initial state by worker id, for the current workers with restored state.
 
-    Times in `asides` count from the time of the record, as in the record.
+    Times in `asides` are durations from the time of the record, as in the record.
     """
     loads = surviving_loads(restored, now, workers)
     inherited = {}
--- a/mastledge/recovery/startup_stages.py
+++ b/mastledge/recovery/startup_stages.py
@@ -26,7 +26,7 @@
     StartupStage.AWAITING_ENDPOINT_LIST: 250_000,
     StartupStage.POLLING_PEERS: 200_000,
 }
-"""Timeouts of the stages. The time of ramping up is bounded in `admission_ramp`."""
+"""Timeouts of the stages, except ramping up, which is bounded in `admission_ramp`."""
 
 DEGRADED_SERVICE = {
     StartupStage.READING_STATE: "without what its folder holds",
@@ -34,7 +34,7 @@
     StartupStage.AWAITING_ENDPOINT_LIST: "by the list that was held before",
     StartupStage.POLLING_PEERS: "without the others' load",
 }
-"""Description for operators of the service after a stage timed out."""
+"""Descriptions, for operators, of the degraded service after a stage timed out."""
 
 MANDATORY_STAGES = frozenset({StartupStage.AWAITING_LEASE})
 """Stages that are not passed at their timeout, only reported as degraded: no launch without a lease."""
--- a/mastledge/routing/endpoints.py
+++ b/mastledge/routing/endpoints.py
@@ -31,7 +31,7 @@
                 self.by_id[worker_id] = endpoint
             moved = endpoint.address and address != endpoint.address
             if state != "ready" or started_at > endpoint.started_at or moved:
-                # It takes no new launches, or its connections ended with its previous incarnation.
+                # The worker takes no new launches, or its connections ended with its previous incarnation.
                 self._connections.close_idle(endpoint)
             endpoint.address, endpoint.state = address, state
             endpoint.started_at = max(started_at, endpoint.started_at)
--- a/mastledge/routing/router.py
+++ b/mastledge/routing/router.py
@@ -48,7 +48,8 @@
     """Reports the queued events one by one to the scheduler, and carries out its decisions.
 
     In a fleet with consensus, `rule.may_act(now)` tells whether this dispatcher may launch now, and
-    `on_endpoint_list(kind, entries)` is called with each change of the endpoint list. Both are None without.
+    `on_endpoint_list(kind, entries)` is called with each change of the endpoint list. Both are None without
+    consensus.
     """
 
     def __init__(  # noqa: PLR0913 - called once at startup; each argument is a separate component
@@ -133,7 +134,8 @@
     def call_guarded(self, call: Callable[..., None], *arguments: object) -> None:
         """Call, and log an error instead of raising it: a fault in one job must not end the others.
 
-        The client of a job that is left so is answered when its walltime is over."""
+        If the error leaves a job open, its client is answered at the end of the walltime.
+        """
         try:
             call(*arguments)
         except Exception as error:
@@ -283,7 +285,7 @@
             self.carry_out(now, decision)
 
     def carry_out(self, now: int, decision: Decision) -> None:
-        """Carry out a decision; raise TypeError for a class of decision that the router does not know."""
+        """Carry out a decision; raise TypeError without a handler for it, as for SendLoadMessage."""
         handler = self.decision_handlers.get(decision.__class__)
         if handler is None:
             raise TypeError(f"the router cannot carry out this decision: {decision}")
@@ -307,7 +309,7 @@
         try:
             yield from self.workers.launch(launch.endpoint, launch, launch.job.exchange, until)
         except Exception as error:
-            # After any error too, the scheduler needs an end of each launch.
+            # The scheduler needs an end of each launch, also after an unexpected error.
             self.faults += 1
             self.log("internal_error", call="launch", why=f"{type(error).__name__}: {error}")
             outcome = Outcome.ERROR if launch.sent else Outcome.UNSENT
@@ -366,7 +368,7 @@
             self._reject_or_kill(now, job)
 
     def cancel_unsent_launches(self, now: int, job: Job) -> None:
-        """End the launches that are not fully sent, lest their last byte go out after the job's answer."""
+        """End the launches that are not fully sent: their last byte must not follow the job's answer."""
         for launch in job.launches:
             if not launch.ended and not launch.sent:
                 self.loop.cancel(launch.task)
--- a/tests/test_fleet_snapshot.py
+++ b/tests/test_fleet_snapshot.py
@@ -172,10 +172,10 @@
     assert all(one.member.state_machine.state["out"] == ["w"] for one in fleet.nodes.values())
 
 
-def test_member_of_the_lost_fleet_cannot_act_until_it_abandons_it():
+def test_member_of_the_lost_fleet_cannot_act_until_it_abandons_that_fleet():
     fleet = fleet_after_majority_loss()
     other = fleet.nodes["n1"]
-    # It was only unreachable: its disk still holds the lost fleet.
+    # n1 was only unreachable: its disk still holds the lost fleet.
     other.disk = [("identity", fleet.nodes["n0"].member.fleet, "old"), *fleet.nodes["n0"].disk[1:]]
     node = start_successor_fleet(fleet)
     fleet.check = lambda node: None  # the checks know one fleet at a time
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -182,8 +182,8 @@
 @pytest.mark.parametrize(
     ("contents", "reason"),
     [
-        ([hello(version=2)], "another mark or protocol version: 2"),
-        ([hello(mark="something")], "another mark or protocol version: 1"),
+        ([hello(version=2)], "the hello has mark 'mastledge peer', protocol version 2"),
+        ([hello(mark="something")], "the hello has mark 'something', protocol version 1"),
         ([hello(fleet="theirs")], "from another fleet: 'theirs'"),
         ([hello(name="n0")], "the hello has the name n0 of this dispatcher"),
         ([b"\xc1"], "MessagePack data is malformed"),
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -68,7 +68,7 @@
     assert restored.generation == newest.generation == 7
     assert restored.restricted() == newest.restricted == {"w1": 0}
     assert set(restored.workers) == {"w0", "w1"}
-    # It serves by the restored list; an older list does not lift the restriction of w1.
+    # The dispatcher serves by the restored list; an older list does not lift the restriction of w1.
     run_loop(next_dispatcher, lambda: next_dispatcher.recovery.stages.stage == StartupStage.RAMPING_UP)
     assert next_dispatcher.recovery.stages.degraded == {
         StartupStage.AWAITING_ENDPOINT_LIST: DEGRADED_SERVICE[StartupStage.AWAITING_ENDPOINT_LIST]
