--- a/mastledge/recovery/recovery_record.py
+++ b/mastledge/recovery/recovery_record.py
@@ -56,7 +56,9 @@
 class LearnedWorker(msgspec.Struct, array_like=True):
     """State that the scheduler learned of a worker, as `Scheduler.learned_state` returns it.
 
-    `asides`: [reason, fields] of each ejection; its field `back_at` is a duration from the record's time.
+    `peak`: the highest load seen running, in slots; `slow`: how many times as long a job takes as on the mean
+    worker; `asides`: [reason, fields] of each ejection; its field `back_at` is a duration from the
+    record's time.
     """
 
     slots: int | float | None
--- a/tests/test_fleet_snapshot.py
+++ b/tests/test_fleet_snapshot.py
@@ -114,7 +114,7 @@
     assert after["version"] == 6
     assert after["history"][-1]["what"] == "formed, loss accepted"
     assert not after["gone"]
-    assert {n: (one["votes"], one["life"]) for n, one in after["members"].items()} == {
+    assert {name: (member["votes"], member["life"]) for name, member in after["members"].items()} == {
         "n0": (False, ""),
         "n1": (True, "new"),
         "n2": (False, ""),
@@ -164,12 +164,12 @@
     assert fleet.run(
         fleet.now + 20_000_000,
         lambda: all(
-            one.up and one.member.may_act(one.clock()) and one.member.state.is_voter()
-            for one in fleet.nodes.values()
+            each_node.up and each_node.member.may_act(each_node.clock()) and each_node.member.state.is_voter()
+            for each_node in fleet.nodes.values()
         ),
     )
-    assert {one.member.fleet for one in fleet.nodes.values()} == {"f2"}
-    assert all(one.member.state_machine.state["out"] == ["w"] for one in fleet.nodes.values())
+    assert {each_node.member.fleet for each_node in fleet.nodes.values()} == {"f2"}
+    assert all(each_node.member.state_machine.state["out"] == ["w"] for each_node in fleet.nodes.values())
 
 
 def test_member_of_the_lost_fleet_cannot_act_until_it_abandons_that_fleet():
--- a/tests/test_restored_state.py
+++ b/tests/test_restored_state.py
@@ -49,6 +49,7 @@
 
 
 def restored(stored, now=101_000_000, monotonic=51_000_000, boot_id="x"):
+    """Return the state that is restored from a record at these clocks, with a list validity of 10 s."""
     return restore(stored, ClockReading(now, monotonic, boot_id), "r", 10_000_000)
 
 
