--- a/mastledge/command_line.py
+++ b/mastledge/command_line.py
@@ -1,6 +1,6 @@
-"""The whole command line: the commands of the program, and `lab` where the laboratory is installed.
+"""The complete command line: the commands of the program, and `lab` if the laboratory is installed.
 
-It stands above both, so that neither the program nor the laboratory imports it.
+It imports the program and the laboratory; neither of them imports it.
 """
 
 import argparse
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Runs the command that the arguments of the process name; its exit status."""
+    """Run the command that the process's arguments name and return its exit status."""
     arguments = sys.argv[1:]
     parser, commands = command.new_parser()
     command.add_commands(commands, arguments)
@@ -20,7 +20,7 @@
 
 
 def add_laboratory(commands) -> None:
-    """Adds `lab`; where a package that it needs is absent, a `lab` that names the package."""
+    """Add `lab`; if a package that it needs is missing, add a `lab` that reports the package."""
     try:
         from mastledge.lab.command import add  # none of it is needed to serve
     except ImportError as error:
@@ -33,6 +33,6 @@
 
 
 def report_missing(package: str) -> int:
-    """Says what the laboratory lacks and where to get it; status 2."""
+    """Report the package that the laboratory needs and return exit status 2."""
     print(f"mastledge: the laboratory needs {package}: pip install -r requirements-lab.txt", file=sys.stderr)
     return 2
--- a/mastledge/program/__init__.py
+++ b/mastledge/program/__init__.py
@@ -1,1 +1,1 @@
-"""The program round the dispatcher: command line, configuration, logs, phases."""
+"""The dispatcher process: command line, configuration, logs and lifecycle."""
--- a/mastledge/program/command.py
+++ b/mastledge/program/command.py
@@ -1,4 +1,4 @@
-"""The commands of the program itself: serve, check, settings, version, fleet."""
+"""The commands of the program: serve, check, settings, version and fleet."""
 
 import argparse
 import os
@@ -13,7 +13,7 @@
 
 
 def serve(args) -> int:
-    """Runs one dispatcher until SIGTERM."""
+    """Run one dispatcher until SIGTERM and return its exit status."""
     configuration = load_configuration(args.config, os.environ)
     log = Log(sys.stderr.fileno(), configuration["name"], args.log)
     return Dispatcher(
@@ -22,7 +22,7 @@
 
 
 def check(args) -> int:
-    """Reads the configuration and says whether it is good."""
+    """Load the configuration and report whether it is valid."""
     configuration = load_configuration(args.config, os.environ)
     print(
         f"{args.config}: good; {len(configuration['settings']['queue_types'])} queue types, listens on "
@@ -32,47 +32,47 @@
 
 
 def settings(args) -> int:
-    """Shows the settings as the decisions are handed them."""
+    """Print the settings as the scheduler receives them."""
     configuration = load_configuration(args.config, os.environ)
     print(orjson.dumps(configuration["settings"], option=orjson.OPT_INDENT_2).decode())
     return 0
 
 
 def version(args) -> int:
-    """Shows the version."""
+    """Print the version."""
     print(f"mastledge {__version__}")
     return 0
 
 
 class Parser(argparse.ArgumentParser):
-    """Says in one line what can't be read of a call; status 2."""
+    """Reports an invalid command line in one line, with exit status 2."""
 
     def error(self, message):
-        """Ends the process with the message of argparse."""
+        """Print argparse's message to stderr and exit with status 2."""
         print(f"mastledge: {message}", file=sys.stderr)
         raise SystemExit(2)
 
 
 def new_parser():
-    """A parser without commands, and argparse's object to which commands are added."""
+    """Return a parser without commands, and the argparse object to which commands are added."""
     parser = Parser(prog="mastledge", description="A dispatcher that pushes jobs to workers.")
     return parser, parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
 
 
 def offers(command: str, arguments: list[str]) -> bool:
-    """Whether the arguments need a command that is costly to import: they name it, or ask for help."""
+    """Return whether a command that is costly to import is needed: the arguments name it or ask for help."""
     return arguments[:1] in ([command], [], ["-h"], ["--help"])
 
 
 def add_commands(commands, arguments: list[str]) -> None:
-    """Adds the commands of the program; those on a fleet only where the arguments need them."""
-    for call, about in (
+    """Add the commands of the program; the fleet commands only if the arguments need them."""
+    for call, description in (
         (serve, "run one dispatcher until SIGTERM"),
-        (check, "read the configuration and say whether it is good"),
-        (settings, "show the settings as the decisions are handed them"),
-        (version, "show the version"),
+        (check, "load the configuration and report whether it is valid"),
+        (settings, "print the settings as the scheduler receives them"),
+        (version, "print the version"),
     ):
-        command = commands.add_parser(call.__name__, help=about, description=about)
+        command = commands.add_parser(call.__name__, help=description, description=description)
         command.set_defaults(call=call)
         if call is not version:
             command.add_argument(
@@ -86,7 +86,7 @@
                 "--log",
                 choices=("info", "brief"),
                 default="info",
-                help="brief leaves out the lines of single jobs and launches",
+                help="brief omits the events of single jobs and launches",
             )
     if offers("fleet", arguments):
         from mastledge.program import fleet_command
@@ -95,7 +95,7 @@
 
 
 def run(args) -> int:
-    """Runs a parsed command; its exit status, with one line on stderr where it cannot be run."""
+    """Run a parsed command and return its exit status; print one line to stderr if it cannot run."""
     if getattr(args, "config", "") is None and args.command != "fleet":
         return fail("no configuration: give --config or set GW_CONFIG", 2)
     try:
@@ -105,20 +105,20 @@
     except ModuleNotFoundError as error:
         if (error.name or "").partition(".")[0] == "mastledge":
             raise
-        # Only dispatchers that agree need more than a dispatcher alone.
+        # Only a dispatcher in a fleet needs further packages.
         return fail(f"peers needs {error.name}: pip install -r requirements-fleet.txt", 2)
     except OSError as error:
         return fail(f"cannot serve: {error}", 1)
 
 
-def fail(why: str, status: int) -> int:
-    """Says on stderr why a command cannot be run; the status."""
-    print(f"mastledge: {why}", file=sys.stderr)
+def fail(reason: str, status: int) -> int:
+    """Print to stderr why a command cannot run and return the exit status."""
+    print(f"mastledge: {reason}", file=sys.stderr)
     return status
 
 
 def main() -> int:
-    """Runs a command of the program alone, without the laboratory; its exit status."""
+    """Run a command of the program, without the laboratory, and return its exit status."""
     arguments = sys.argv[1:]
     parser, commands = new_parser()
     add_commands(commands, arguments)
--- a/mastledge/program/configuration.py
+++ b/mastledge/program/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of one dispatcher: a file, and the environment for what the file leaves out."""
+"""The configuration of one dispatcher, from a JSON file with defaults from environment variables."""
 
 import os
 from collections.abc import Mapping
@@ -11,12 +11,12 @@
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 256
 DEFAULT_LEASE_MS = 2000
-# Shorter, and a heartbeat is lost in the noise of a busy machine; longer, and nobody waits for it.
+# A shorter lease lapses when a busy machine delays heartbeats; a longer one blocks a takeover for too long.
 MIN_LEASE_MS, MAX_LEASE_MS = 500, 60_000
 DEFAULT_KEEP_MS = 60_000
 DEFAULT_KEY_ENTRIES = 100_000
 DEFAULT_KEY_BYTES = 64 << 20
-MAX_COPIES = 7  # more cost more and make nothing safer than members that vote are
+MAX_COPIES = 7  # more replicas cost more without being safer than the voters are
 DEFAULT_RAMP_MS = 5_000
 DEFAULT_LIST_VALID_MS = 60_000
 MIN_RECOVERY_MS, MAX_RECOVERY_MS = 100, 600_000
@@ -29,13 +29,13 @@
 
 
 class ConfigurationError(ValueError):
-    """The configuration cannot be used: one plain message for whoever starts the program."""
+    """The configuration is invalid; the message is one line for the operator."""
 
 
 def load_configuration(path: str, environment: Mapping[str, str]) -> dict:
-    """A plain map of all that the program is configured with; times are in microseconds.
+    """Return the complete configuration as a plain dict; times are in microseconds.
 
-    ConfigurationError: the file cannot be read, or says what cannot be; the message names file and key.
+    Raise ConfigurationError if the file cannot be read or a value is invalid; the message names file and key.
     """
     document = read_document(path)
     try:
@@ -45,27 +45,30 @@
         configuration["repeats"] = parse_repeats(document, configuration["peers"])
         configuration["recovery"] = parse_recovery(document)
         require_distinct_folders(configuration)
-    except ValueError as error:  # settings and addresses that cannot be read are such
+    except ValueError as error:  # also raised for invalid settings and addresses
         raise ConfigurationError(f"{path}: {error}") from None
     return configuration
 
 
 def read_document(path: str) -> dict:
-    """The JSON object in a file; ConfigurationError where there is none."""
+    """Return the JSON object in a file; raise ConfigurationError if there is none."""
     try:
         with open(path, "rb") as file:
             document = orjson.loads(file.read())
     except OSError as error:
         raise ConfigurationError(f"{path}: {error.strerror}") from None
     except orjson.JSONDecodeError as error:
-        raise ConfigurationError(f"{path} is no JSON: {error}") from None
+        raise ConfigurationError(f"{path} is not valid JSON: {error}") from None
     if not isinstance(document, dict):
-        raise ConfigurationError(f"{path} holds no object")
+        raise ConfigurationError(f"{path} does not contain a JSON object")
     return document
 
 
 def value_of(document: dict, key: str, kind: type, default=None):
-    """The value of a key, or its default; ConfigurationError where both are absent or the type is another."""
+    """Return the value of a key, or the default if the key is absent.
+
+    Raise ConfigurationError if both are absent or the value has another type.
+    """
     value = default if document.get(key) is None else document[key]
     if value is None:
         raise ConfigurationError(f"{key} is missing")
@@ -75,14 +78,14 @@
 
 
 def require_known_keys(part: dict, name: str, known: set[str]) -> None:
-    """ConfigurationError names the first key of a part that means nothing."""
+    """Raise ConfigurationError for the first unknown key of a part; `name` is the part's name."""
     for key in part:
         if key not in known:
             raise ConfigurationError(f"{name}.{key} is unknown")
 
 
 def parse_seed(text: str) -> int:
-    """The seed, written in base 16."""
+    """Return the seed from hexadecimal text; raise ConfigurationError if it is invalid."""
     try:
         return int(text, 16)
     except ValueError:
@@ -90,15 +93,15 @@
 
 
 def parse_dispatcher(document: dict, environment: Mapping[str, str]) -> dict:
-    """What each dispatcher has: its name, addresses, limits and settings."""
+    """Return the configuration that every dispatcher has: name, addresses, limits and settings."""
     configuration = {"name": value_of(document, "name", str, environment.get("GW_NAME", "dispatcher"))}
     for key, variable in (("listen", "GW_LISTEN"), ("discovery", "GW_DISCOVERY")):
         configuration[key] = address_of(value_of(document, key, str, environment.get(variable)))
-    # For operators alone; absent there is no such address.
+    # The operators' address is optional.
     control = value_of(document, "control", str, environment.get("GW_CONTROL") or "")
     configuration["control"] = address_of(control) if control else None
     if configuration["control"] == configuration["listen"]:
-        raise ConfigurationError(f"control is the same address as listen: {control}")
+        raise ConfigurationError(f"control has the same address as listen: {control}")
     configuration["seed"] = parse_seed(value_of(document, "seed", str))
     limits = value_of(document, "limits", dict, {})
     configuration["sockets"] = int(value_of(limits, "sockets", int, DEFAULT_SOCKETS))
@@ -110,7 +113,10 @@
 
 
 def parse_peers(document: dict, name: str, addresses: dict) -> dict | None:
-    """The part on the fleet, None where there is none. `addresses` are in use otherwise, by their key."""
+    """Return the configuration of the fleet, None without `peers`.
+
+    `addresses` maps the dispatcher's other addresses by key; `peers.listen` must differ from them.
+    """
     part = value_of(document, "peers", dict, {})
     if not part:
         return None
@@ -143,7 +149,7 @@
 
 
 def require_sound_members(members: dict, name: str) -> None:
-    """Each member has a name and an address of its own, and `name` is one of them."""
+    """Raise ConfigurationError unless names and addresses are valid and distinct, and `name` is a member."""
     by_address = {}
     for member, address in members.items():
         if not member or not isinstance(address, str):
@@ -151,14 +157,14 @@
         address_of(address)
         if address in by_address:
             both = f"{by_address[address]} and {member}"
-            raise ConfigurationError(f"peers.members has two at one address: {both}")
+            raise ConfigurationError(f"peers.members has two members with the same address: {both}")
         by_address[address] = member
     if name not in members:
-        raise ConfigurationError(f"name is none of peers.members: {name!r}")
+        raise ConfigurationError(f"name is not one of peers.members: {name!r}")
 
 
 def parse_repeats(document: dict, peers: dict | None) -> dict | None:
-    """The part on idempotency keys, None where there is none."""
+    """Return the configuration of idempotency keys, None without `repeats`."""
     part = value_of(document, "repeats", dict, {})
     if not part:
         return None
@@ -176,7 +182,9 @@
     if copies > MAX_COPIES:
         raise ConfigurationError(f"repeats.copies is above {MAX_COPIES}: {copies}")
     if copies > 1 and peers is None:
-        raise ConfigurationError(f"repeats.copies is {copies}, and there are no peers to hold them")
+        raise ConfigurationError(
+            f"repeats.copies is {copies}, but no peers are configured to hold the replicas"
+        )
     repeats["sync"] = value_of(part, "sync", bool, True)
     repeats["keep"] = repeats.pop("keep_ms") * US_PER_MS
     repeats["folder"] = value_of(part, "folder", str)
@@ -184,7 +192,7 @@
 
 
 def parse_recovery(document: dict) -> dict | None:
-    """The part on starts by stages, None where there is none."""
+    """Return the configuration of staged startup, None without `recovery`."""
     part = value_of(document, "recovery", dict, {})
     if not part:
         return None
@@ -202,7 +210,7 @@
 
 
 def require_distinct_folders(configuration: dict) -> None:
-    """Each part locks its folder for itself."""
+    """Raise ConfigurationError if two parts have the same folder, which each of them locks."""
     by_folder = {}
     for name in PARTS_WITH_FOLDERS:
         if configuration[name] is None:
--- a/mastledge/program/connection_handoff.py
+++ b/mastledge/program/connection_handoff.py
@@ -1,6 +1,6 @@
-"""Jobs that outlast a process are handed off to the one beside it, with both of their connections.
+"""The connection hand-off: a process that exits passes running jobs to its sibling, with both connections.
 
-Nothing is decided about them there: what does not end well is killed, as it would have been.
+The sibling does not schedule these jobs again: a job whose launch fails is killed.
 """
 
 import base64
@@ -19,23 +19,23 @@
 from mastledge.transport.errors import WaitTimeoutError
 from mastledge.transport.loop import READ
 
-# Before the time by which the client is told: the old process had its own margin.
+# The answer is due this much earlier here, as the deadline of the sending process has no margin left.
 ANSWER_MARGIN_US = 20_000
 RECEIVED_A_TURN = 16
-SOCKETS_A_JOB = 2  # the client's and the worker's
+SOCKETS_A_JOB = 2  # client and worker
 
 
 class HandedOffJobError(ValueError):
-    """A datagram does not hold a job; the text says why."""
+    """A datagram does not contain a valid job; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandedOffJob:
-    """A job as it stands in a datagram beside its two sockets.
+    """A job as encoded in a datagram, which carries the job's two sockets.
 
-    `kind` is the name of its queue type; `until` the time by which its client is answered, of the machine's
-    monotonic clock in microseconds. `headed`: whether the head of the worker's answer was read; `rest`:
-    what was read of the answer and not used yet.
+    `kind` is the name of the queue type; `until` is the deadline of the answer to the client, in microseconds
+    of the machine's monotonic clock. `headed` says whether the head of the worker's answer has been read;
+    `rest` holds the bytes of the answer that were received and not parsed yet.
     """
 
     name: str
@@ -45,14 +45,14 @@
     rest: bytes
 
     def encode(self) -> bytes:
-        """The datagram."""
+        """Return the datagram."""
         rest = base64.b64encode(self.rest).decode()
         fields = {"name": self.name, "kind": self.kind, "until": self.until, "headed": self.headed}
         return orjson.dumps({**fields, "rest": rest})
 
     @classmethod
     def decode(cls, raw: bytes) -> "HandedOffJob":
-        """The job of a datagram; HandedOffJobError where it holds none."""
+        """Return the job in a datagram; raise HandedOffJobError if there is none."""
         try:
             fields = http.parse_object(raw)
             rest = base64.b64decode(fields["rest"])
@@ -60,17 +60,17 @@
         except (ValueError, KeyError, TypeError, binascii.Error) as error:
             raise HandedOffJobError(f"{type(error).__name__}: {error}") from None
         if not isinstance(job.until, int | float):
-            raise HandedOffJobError(f"until is no time: {job.until!r}")
+            raise HandedOffJobError(f"until is not a number: {job.until!r}")
         return job
 
 
 class HandedOffLaunch:
-    """What the connections to workers need of a launch."""
+    """The fields of a launch that the connections to workers use."""
 
     __slots__ = ("name", "sent", "conn", "headed")
 
     def __init__(self, name: str, conn: Connection, headed: bool):
-        """`conn`: to the worker, which has the whole request."""
+        """Create the launch; `conn` leads to the worker, which has received the whole request."""
         self.name, self.sent, self.conn, self.headed = name, True, conn, headed
 
 
@@ -82,19 +82,19 @@
 
 
 class ConnectionHandoff:
-    """Hands off jobs in the process that ends, and carries them to their end in the one that goes on."""
+    """Hands off jobs in the process that exits, and finishes them in the process that continues."""
 
     def __init__(self, loop, budget, listener, settings: dict, log):
-        """`listener` answers the clients of jobs that were taken over."""
+        """Create both sides; `listener` answers the clients of jobs that were taken over."""
         self.loop, self.budget, self.listener, self.log = loop, budget, listener, log
         self.workers = WorkerConnections(loop, budget, DiscardingInbox(), settings, log)
-        self.exchanges = set()  # of jobs that were taken over and have not ended
+        self.exchanges = set()  # exchanges of taken-over jobs that have not ended
         self._receiver = None
 
-    # In the process that ends
+    # In the process that exits
 
     def hand_off(self, router, path: str) -> int:
-        """Hands off all jobs that stand at a clear place to who receives at `path`; how many."""
+        """Hand off all movable jobs to the process that receives at `path`; return how many."""
         count = 0
         for job in list(router.jobs.values()):
             launch = movable_launch(job)
@@ -105,7 +105,7 @@
             except OSError as error:
                 self.log("connection_not_handed_off", job=job.exchange.name, why=str(error))
                 break
-            self._let_go(router, job, launch)
+            self._release(router, job, launch)
             count += 1
         return count
 
@@ -116,20 +116,20 @@
         sockets = (exchange.conn.sock, launch.conn.sock)
         descriptor_passing.send_sockets(path, message.encode(), sockets)
 
-    def _let_go(self, router, job, launch):
+    def _release(self, router, job, launch):
         for conn in (job.exchange.conn, launch.conn):
             self.loop.unregister(conn.fd)
         router.job_handed_off(self.loop.now(), job, launch)
         self.loop.cancel(job.exchange.conn.owner)
 
-    # In the process that goes on
+    # In the process that continues
 
     def listen(self, path: str):
-        """Coroutine: takes over what is sent to `path`."""
+        """Coroutine: take over the jobs that are sent to `path`."""
         try:
             self._receiver = descriptor_passing.open_receiver(path)
         except OSError as error:
-            # A folder whose path is too long for it, say: what outlasts the old process is killed with it.
+            # For example a path too long for a socket; jobs that outlast the old process are then killed.
             self.log("handoff_disabled", why=str(error))
             return
         while True:
@@ -141,7 +141,7 @@
                 self.take_over(*received)
 
     def take_over(self, raw: bytes, sockets) -> None:
-        """Goes on with the job of a datagram; its connections are closed where that cannot be."""
+        """Continue the job in a datagram; close its sockets if that is not possible."""
         try:
             job = HandedOffJob.decode(raw)
         except HandedOffJobError as error:
@@ -158,14 +158,14 @@
             return
         self._start(job, *connections)
 
-    def _refuse(self, closables, why):
-        self.log("connection_not_received", why=why)
+    def _refuse(self, closables, reason):
+        self.log("connection_not_received", why=reason)
         for closable in closables:
             closable.close()
 
     def attached(self, sock, kind: str, role) -> Connection:
-        """A connection on a socket that was received; OSError where the loop cannot watch it."""
-        # Beyond the budget for a moment, but the process that hands it off closes its own at once.
+        """Return a connection for a received socket; raise OSError if the event loop cannot watch it."""
+        # May exceed the budget briefly: the sending process closes its copy at once.
         conn = http.attach(Connection(self.loop, sock, self.budget, kind), role)
         self.budget.used[kind] += 1
         return conn
@@ -183,38 +183,38 @@
         self.log("connection_received", job=exchange.name)
 
     def finish(self, launch: HandedOffLaunch, exchange: Exchange):
-        """Coroutine: reads the worker's answer and has the client answered."""
+        """Coroutine: read the worker's answer and answer the client."""
         try:
-            how, result, _ = yield from self.workers.answers.read(launch.conn, launch, exchange.until)
+            outcome, result, _ = yield from self.workers.answers.read(launch.conn, launch, exchange.until)
         except (OSError, WaitTimeoutError, ValueError, BodyTooLargeError, h11.RemoteProtocolError) as error:
-            how, result = str(error) or type(error).__name__, None
+            outcome, result = str(error) or type(error).__name__, None
         finally:
             launch.conn.close()
             self.exchanges.discard(exchange)
-        self.log("handed_off_launch_ended", job=exchange.name, how=how)
-        if how == "completed":
+        self.log("handed_off_launch_ended", job=exchange.name, how=outcome)
+        if outcome == "completed":
             exchange.completed(result)
         else:
             exchange.killed()
 
     def kill_jobs(self) -> None:
-        """Ends all jobs that were taken over: this process has to end as well."""
+        """Kill all jobs that were taken over, as this process exits too."""
         for exchange in list(self.exchanges):
             exchange.killed()
             self.loop.cancel(exchange.job)
 
 
 def movable_launch(job):
-    """The one launch of a job that another process can go on with, None where there is none such."""
+    """Return the only running launch of a job if another process can continue it, otherwise None."""
     running = [launch for launch in job.launches if not launch.ended]
-    client = job.exchange.conn  # none where a key is kept: what it came to is told to whoever asks
+    client = job.exchange.conn  # None for a job with an idempotency key, whose answer is stored
     if not job.exchange.open or client is None or len(running) != 1:
         return None
-    return running[0] if is_clear(client, running[0]) else None
+    return running[0] if at_message_boundary(client, running[0]) else None
 
 
-def is_clear(client: Connection, launch) -> bool:
-    """Whether another process can go on reading here: nothing half read, nothing unread from the client."""
+def at_message_boundary(client: Connection, launch) -> bool:
+    """Return whether another process can continue reading: no chunk half read, no data from the client."""
     worker = launch.conn
     return (
         launch.sent
--- a/mastledge/program/dispatcher.py
+++ b/mastledge/program/dispatcher.py
@@ -1,4 +1,4 @@
-"""One dispatcher: puts its parts together and runs them."""
+"""The dispatcher: creates its components and runs them until shutdown."""
 
 import errno
 import socket
@@ -30,19 +30,24 @@
 BIND_ATTEMPTS = 100
 BIND_PAUSE_US = 20_000
 OPERATORS_BACKLOG = 64
-FILE_DESCRIPTORS = 24  # beside the links, of a part that keeps files: strangers, folder, log, its thread
-FLEET_REQUEST_BYTES = 4 << 20  # of what operators may hand in, a snapshot, where there is a fleet
+# Reserved per component that stores files: unidentified connections, directory, log and writer thread.
+FILE_DESCRIPTORS = 24
+FLEET_REQUEST_BYTES = 4 << 20  # largest operator request in a fleet: a fleet snapshot
 
 
 class Dispatcher:
-    """A dispatcher with all its parts.
+    """A dispatcher and all its components.
 
-    The parts that a configuration does not name are None: `fleet`, `idempotency`, `recovery`. Only what is
-    named is imported, as a dispatcher alone needs fewer packages.
+    The optional components `fleet`, `idempotency` and `recovery` are None unless configured. They are
+    imported on use, because a single dispatcher needs fewer packages.
     """
 
     def __init__(self, configuration: dict, log, load_again=None, folder: str | None = None):
-        """`load_again` reads the configuration anew; `folder`: for what two processes of an upgrade share."""
+        """Create the components; nothing runs before `begin`.
+
+        `load_again` reads the configuration again; `folder` holds the files that the two processes of an
+        upgrade share, None for no sharing.
+        """
         self.log = log
         self.loop = Loop(self.report_fault)
         self.inbox = Queue(self.loop)
@@ -59,26 +64,26 @@
         self._add_optional_parts(configuration)
         self._add_operator_api()
 
-    # What the parts read of one another
+    # State that the components read
 
     @property
     def phase(self) -> Phase:
-        """The phase of its lifecycle."""
+        """Return the current lifecycle phase."""
         return self._lifecycle.phase
 
     @property
     def configuration(self) -> dict:
-        """The configuration in force."""
+        """Return the configuration in force."""
         return self._reconfiguration.configuration
 
     @property
     def longest_walltime(self) -> int:
-        """For how long a job may be open, in microseconds."""
+        """Return how long a job may stay open, in microseconds."""
         return self._reconfiguration.longest_walltime
 
     @property
     def has_sibling_process(self) -> bool:
-        """Whether another process of this dispatcher is there, during an upgrade."""
+        """Return whether a sibling process of this dispatcher runs, as during an upgrade."""
         return self.sibling.present
 
     # Composition
@@ -101,7 +106,7 @@
         self.handoff = ConnectionHandoff(loop, budget, self.listener, settings, log)
 
     def _add_upgrade_parts(self, configuration, folder):
-        # Without a second address nobody starts another process beside this one, or excludes workers.
+        # Without an operators' address there are no upgrades and no excluded workers, so nothing to share.
         shared_folder = folder if configuration["control"] is not None else None
         self.upgrade_state = UpgradeState(shared_folder, configuration["listen"], self.log)
         self.sibling = SiblingWatch(self)
@@ -123,7 +128,7 @@
         self.resources.reserve(2 * len(configuration["peers"]["members"]) + FILE_DESCRIPTORS)
 
     def _add_idempotency(self, configuration):
-        """Keys are kept on this dispatcher's disk, or on several dispatchers'."""
+        """Store idempotency keys on this dispatcher's disk only, or replicate them to other dispatchers."""
         if configuration["repeats"]["copies"] > 1:
             from mastledge.program.replication_service import ReplicationService as Service
         else:
@@ -140,7 +145,7 @@
         self.resources.reserve(FILE_DESCRIPTORS)
 
     def _on_endpoint_list(self, kind, entries):
-        """Who goes by what the list says, beside the decisions."""
+        """Pass an endpoint list on to recovery and to the fleet."""
         self.recovery.list_changed(kind, entries)
         if self.fleet is not None:
             self.fleet.listed(kind, entries)
@@ -153,7 +158,7 @@
     # Running
 
     def run(self) -> int:
-        """Runs until the end; 0 after an orderly end, 1 after a fault that ended the service."""
+        """Run until shutdown; return exit status 0 after a graceful shutdown, 1 after an internal error."""
         signals = install_handlers(self.request_stop)
         self.loop.spawn(self._watch_signals(signals))
         self.begin()
@@ -161,14 +166,17 @@
         return 0 if self.phase == Phase.ENDED else 1
 
     def request_stop(self) -> None:
-        """Asks for the end; the next turn of the lifecycle sees it. Safe in a signal handler."""
+        """Request shutdown; the lifecycle acts on it when it next runs. Safe in a signal handler."""
         self.stop_requested = True
 
     def _watch_signals(self, descriptor):
         yield from watch_signals(descriptor, self.reload_configuration, self.wake)
 
     def begin(self) -> None:
-        """Opens the listeners and starts all parts; OSError where an address or a folder cannot be had."""
+        """Open the listeners and start all components.
+
+        Raise OSError if an address or a data directory is not available.
+        """
         self.upgrade_state.take_seat()
         self.sibling.look_for_sibling()
         listen, control = self.configuration["listen"], self.configuration["control"]
@@ -194,19 +202,22 @@
         yield from GracefulShutdown(self).run()
 
     def _bind(self, address, together=False) -> socket.socket:
-        """A bound socket; the address may still be held by the process before, which is ending."""
-        for left in reversed(range(BIND_ATTEMPTS)):
+        """Return a bound socket; retry while an exiting process still holds the address."""
+        for attempts_left in reversed(range(BIND_ATTEMPTS)):
             try:
                 return bind_socket(address, together)
             except OSError as error:
-                if error.errno != errno.EADDRINUSE or not left:
+                if error.errno != errno.EADDRINUSE or not attempts_left:
                     raise OSError(error.errno, f"{address[0]}:{address[1]}: {error.strerror}") from None
                 self.log("address_in_use", address=address)
                 time.sleep(BIND_PAUSE_US / 1e6)
-        raise AssertionError("no attempt to bind was made")
+        raise AssertionError("BIND_ATTEMPTS is 0: the address was not bound")
 
     def supervised(self, steps):
-        """Coroutine that ends the process with a fault: without it the dispatcher only seems to serve."""
+        """Coroutine: run `steps` and stop the event loop if they fail.
+
+        Otherwise the process would stay up without serving.
+        """
         try:
             yield from steps
         except Exception as error:
@@ -214,31 +225,31 @@
             self.loop.running = False
 
     def report_fault(self, error: Exception) -> None:
-        """Logs an error of a coroutine."""
+        """Log the exception that a coroutine raised."""
         self.log("internal_error", why=f"{type(error).__name__}: {error}")
 
-    # What the lifecycle does
+    # Called by the lifecycle
 
     def enter(self, phase: Phase) -> None:
-        """Goes on to a phase; PhaseOrderError where it does not follow the one of now."""
+        """Enter a phase; raise PhaseOrderError if it may not follow the current phase."""
         self._lifecycle.enter(phase)
 
     def _log_phase(self, phase):
         self.log("phase", phase=phase, jobs=len(self.router.jobs), clients=len(self.listener.clients))
 
     def wake(self) -> None:
-        """Has the lifecycle look again at what is asked of it."""
+        """Wake the lifecycle coroutine, which then checks for a requested shutdown or drain."""
         self.loop.wake(self.lifecycle_task)
 
     def accept_clients(self) -> None:
-        """Takes in clients from now on; all new ones where the process before is still there."""
+        """Start accepting clients; steer all new connections here if an older process still runs."""
         self.listening_socket.listen(BACKLOG)
         if self.has_sibling_process:
             self.log("connections_steered", done=select_listener(self.listening_socket, 1))
         self.accept_task = self.loop.spawn(self.listener.listen(self.listening_socket))
 
     def stop_accepting(self) -> None:
-        """Takes in who waits at the listening socket, and closes it."""
+        """Accept the connections that are waiting in the backlog and close the listening socket."""
         if self.accept_task is not None:
             self.loop.cancel(self.accept_task)
         self.listener.closing = True
@@ -247,7 +258,7 @@
         self.listening_socket.close()
 
     def release_folders(self) -> None:
-        """Frees its data directories for a successor, once nothing here needs them any more."""
+        """Release the data directories for the successor once this process no longer uses them."""
         if self.idempotency is not None:
             if not self.idempotency.idle():
                 return
@@ -257,14 +268,14 @@
         if self.fleet is not None:
             self.fleet.hand_over()
 
-    # What its parts ask of it
+    # Called by the components
 
     def reload_configuration(self) -> None:
-        """Reads the configuration again and takes over what can change under load."""
+        """Reload the configuration and apply what can change without a restart."""
         self._reconfiguration.reload()
 
     def apply_committed(self, settings: dict, state: dict) -> None:
-        """What the fleet has committed is in force from here on: settings, and excluded workers."""
+        """Apply the settings and the excluded workers that the fleet has committed."""
         if settings != self.configuration["settings"]:
             self.log("settings_committed", version=state["settings_version"])
             self._reconfiguration.apply_settings(settings)
@@ -273,13 +284,13 @@
         self.refresh_excluded_workers()
 
     def refresh_excluded_workers(self) -> None:
-        """Has the decisions hold anew which workers are excluded, by all that say so."""
+        """Pass the excluded workers of all sources on to the scheduler again."""
         self.sibling.refresh()
 
     def excluded_workers(self) -> frozenset[str]:
-        """Workers that get no new jobs, for whichever reason."""
+        """Return the ids of the workers that get no new jobs, from all sources."""
         return self.excluded.with_shared(self.upgrade_state.shared["out"])
 
     def lease_lapsed(self) -> None:
-        """Without a lease nothing may be launched: waiting jobs are rejected."""
+        """Have the router reject waiting jobs: without a lease nothing may be launched."""
         self.inbox.put(LeaseLapsed())
--- a/mastledge/program/graceful_shutdown.py
+++ b/mastledge/program/graceful_shutdown.py
@@ -1,29 +1,29 @@
-"""The end of a dispatcher: it serves on for a moment, finishes what it has taken, and leaves."""
+"""Graceful shutdown: accept the last clients, finish the open jobs, hand over and exit."""
 
 from mastledge.program import sibling_watch
 from mastledge.program.lifecycle import Phase
 from mastledge.routing.events import ShutdownDue, ShutdownScheduled
 
-ACCEPT_FOR_US = 500_000  # after the signal: new connections go on coming for 0.4 s
-LONGEST_WAIT_US = 3_000_000  # of the walltime that the end waits for
-EXIT_MARGIN_US = 500_000  # and this much more, inside the 0.7 s after which the process is ended from outside
+ACCEPT_FOR_US = 500_000  # new connections keep arriving for 0.4 s after the signal
+LONGEST_WAIT_US = 3_000_000  # open jobs get the longest walltime to finish, but no more than this
+EXIT_MARGIN_US = 500_000  # added to that wait; below the 0.7 s after which the process is killed
 ACCEPT_FOR_WITH_SUCCESSOR_US = 200_000
-KEEP_IDLE_WITH_SUCCESSOR_US = 1_000_000  # idle connections go later than the listener
-HAND_OFF_BEFORE_END_US = 500_000  # what still runs then goes to the successor
+KEEP_IDLE_WITH_SUCCESSOR_US = 1_000_000  # idle connections are closed later than the listener
+HAND_OFF_BEFORE_END_US = 500_000  # jobs that still run this long before the end go to the successor
 POLL_US = 20_000
 LAST_ANSWERS_POLL_US = 5_000
 
 
 class GracefulShutdown:
-    """Leads a dispatcher from the request to stop to its end; times are of the loop's clock."""
+    """Runs a dispatcher from the request for shutdown to its end; times are on the event loop's clock."""
 
     def __init__(self, dispatcher):
-        """`dispatcher`: whose end this is."""
+        """Prepare to shut down `dispatcher`."""
         self._dispatcher = dispatcher
         self._accept_until = self._end_at = self._close_idle_from = 0
 
     def run(self):
-        """Coroutine: returns when the process may exit."""
+        """Coroutine: return when the process may exit."""
         self._start_leaving()
         yield from self._accept_last_clients()
         self._close_listener()
@@ -35,7 +35,7 @@
         dispatcher = self._dispatcher
         now = dispatcher.loop.now()
         self._end_at = now + min(dispatcher.longest_walltime, LONGEST_WAIT_US) + EXIT_MARGIN_US
-        # The others may be ending too, so who is connected is served as long as what comes can still be done.
+        # Other dispatchers may be shutting down too: connected clients are served while new jobs can finish.
         self._accept_until = max(now + ACCEPT_FOR_US, (now + self._end_at) // 2)
         dispatcher.listener.leaving = now
         dispatcher.sibling.announce(ready=False)
@@ -51,16 +51,16 @@
                 self._leave_to_successor()
             if dispatcher.listener.succeeded:
                 dispatcher.release_folders()
-            # Looked up at each turn, as the watch does: both go by the same figure.
+            # Read on each turn, like the sibling watch, so that both use the same interval.
             yield (-1, 0, min(self._accept_until, loop.now() + sibling_watch.POLL_WITH_SIBLING_US))
 
     def _leave_to_successor(self):
-        """All new connections go there: who is connected here comes there with its next job."""
+        """Leave new connections to the successor; connected clients reconnect to it for their next job."""
         dispatcher, now = self._dispatcher, self._dispatcher.loop.now()
         dispatcher.listener.succeeded = dispatcher.listener.closing = True
         self._accept_until = now + ACCEPT_FOR_WITH_SUCCESSOR_US
         self._close_idle_from = now + KEEP_IDLE_WITH_SUCCESSOR_US
-        # First it takes less itself, then the other hears that it may take more.
+        # Reduce this process's share before the successor may raise its own, so that the sum stays within 1.
         dispatcher.sibling.divide_slow_start_budget()
         dispatcher.sibling.announce(leaving=True)
         dispatcher.log("successor_ready")
--- a/mastledge/program/lifecycle.py
+++ b/mastledge/program/lifecycle.py
@@ -1,11 +1,11 @@
-"""The phases of a dispatcher from its start to its end, and which may follow which."""
+"""The lifecycle phases of a dispatcher and the transitions between them."""
 
 from collections.abc import Callable
 from enum import StrEnum
 
 
 class Phase(StrEnum):
-    """A phase; the value is its name in the log and in what operators are told."""
+    """A lifecycle phase; the value is its name in the log and in answers to operators."""
 
     STARTING = "starting"
     WAITING = "waiting for workers"
@@ -28,23 +28,23 @@
 
 
 class PhaseOrderError(RuntimeError):
-    """A phase was to be entered that does not follow the one of now."""
+    """The requested phase may not follow the current phase."""
 
-    def __init__(self, phase: Phase, wanted: Phase):
-        """`phase`: the one of now."""
-        super().__init__(f"no way from {phase} to {wanted}")
+    def __init__(self, current: Phase, requested: Phase):
+        """Create the error for a transition from `current` to `requested`."""
+        super().__init__(f"cannot go from phase {current} to {requested}")
 
 
 class Lifecycle:
-    """Which phase a dispatcher is in."""
+    """Holds the current phase of a dispatcher and enforces the order of phases."""
 
     def __init__(self, on_phase: Callable[[Phase], None]):
-        """`on_phase` is called with each phase that is entered."""
+        """Start in Phase.STARTING; call `on_phase` with each phase that is entered."""
         self.phase = Phase.STARTING
         self._on_phase = on_phase
 
     def enter(self, phase: Phase) -> None:
-        """Goes on to a phase; PhaseOrderError where it does not follow."""
+        """Enter a phase; raise PhaseOrderError if it may not follow the current phase."""
         if phase not in NEXT_PHASES[self.phase]:
             raise PhaseOrderError(self.phase, phase)
         self.phase = phase
--- a/mastledge/program/logs.py
+++ b/mastledge/program/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON line an event."""
+"""The log: one line of JSON per event."""
 
 import os
 import select
@@ -6,31 +6,29 @@
 
 import orjson
 
-LONGEST_LINE_BYTES = (
-    select.PIPE_BUF
-)  # a pipe that reports room takes this much without making the writer wait
+LONGEST_LINE_BYTES = select.PIPE_BUF  # a pipe that polls as writable accepts this much without blocking
 EVENTS_OF_SINGLE_JOBS = frozenset({"job_finished", "launch_ended"})
 ALWAYS_KEPT = ("at", "name", "pid", "event")
 
 
 class Log:
-    """Writes events to a descriptor that may be read slowly or not at all: it never waits.
+    """Writes events to a descriptor without ever blocking, even if nobody reads from it.
 
-    A line that finds no room is lost; the next one that is written says in `lost` how many were.
+    A line that does not fit is lost; the next line that is written holds the number of lost lines in `lost`.
     """
 
     def __init__(self, descriptor: int, name: str, level: str = "info"):
-        """`name`: of the dispatcher; at level `brief` the lines of single jobs and launches are left out."""
+        """Log for the dispatcher `name`; level `brief` omits the events of single jobs and launches."""
         self._descriptor, self._name = descriptor, name
-        self._left_out = EVENTS_OF_SINGLE_JOBS if level == "brief" else frozenset()
-        self._process_id = os.getpid()  # two processes may have one name
+        self._omitted_events = EVENTS_OF_SINGLE_JOBS if level == "brief" else frozenset()
+        self._process_id = os.getpid()  # distinguishes two processes of the same name
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
-        self.lost = 0  # lines since the last one that was written
+        self.lost = 0  # lines lost since the last line that was written
 
     def __call__(self, event: str, **fields) -> None:
-        """Writes an event with its fields; what JSON cannot hold is written as text."""
-        if event in self._left_out:
+        """Write an event with its fields; values that JSON does not support are written as text."""
+        if event in self._omitted_events:
             return
         line = {
             "at": time.time_ns() // 1_000_000,
@@ -47,7 +45,7 @@
             self.lost += 1
 
     def _write(self, raw):
-        """Whether there was room for a line."""
+        """Write a line if it fits; return whether it was written."""
         try:
             ready = self._poll.poll(0)
             if ready and ready[0][1] & select.POLLOUT:
@@ -59,11 +57,11 @@
 
 
 def encode(line: dict) -> bytes:
-    """The line as JSON; only what each line has, and its size, where it is too long."""
+    """Return the line as JSON; a line that is too long is reduced to its standard fields and its size."""
     try:
         raw = orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE)
     except TypeError as error:
-        # A line that cannot be written must not cost what it tells of.
+        # Logging must not raise: a line that cannot be encoded is replaced.
         unwritable = {"event": "line_unwritable", "of": line["event"], "why": ascii(error)}
         return orjson.dumps(unwritable, option=orjson.OPT_APPEND_NEWLINE)
     if len(raw) <= LONGEST_LINE_BYTES:
--- a/mastledge/program/operator_api.py
+++ b/mastledge/program/operator_api.py
@@ -1,25 +1,28 @@
-"""What operators ask for at the second address, and the figures they read there."""
+"""The operators' API: readiness, telemetry, excluded workers and drains."""
 
 import time
 
 from mastledge.protocol.errors import CallRefusedError
 
-# For the sibling process: a caller waits for 1 s, and what was changed holds from then on all the same.
+# Wait for the sibling to apply a change; below the 1 s that a caller waits. The change holds in any case.
 SIBLING_TIMEOUT_US = 700_000
 SIBLING_POLL_US = 5_000
 
 
 class OperatorApi:
-    """The calls of operators. Each returns its answer's text, some as a coroutine; or CallRefusedError."""
+    """The operators' calls.
+
+    Each returns the text of its answer, some as a coroutine, or raises CallRefusedError.
+    """
 
     def __init__(self, program):
-        """`program`: the dispatcher that is asked."""
+        """Answer the calls for the dispatcher `program`."""
         self._program = program
 
     def calls(self) -> dict:
-        """Each path with its method and its call, or with its calls by method."""
+        """Return each path with its method and call, or with a dict of calls by method."""
         return {
-            **self._calls_of_parts(),
+            **self._calls_of_components(),
             "/api/ready": (b"GET", self.ready),
             "/api/telemetry": (b"GET", self.telemetry),
             "/api/exclude/": (b"POST", self.exclude),
@@ -28,7 +31,7 @@
             "/api/rejoin": (b"POST", self.rejoin),
         }
 
-    def _calls_of_parts(self):
+    def _calls_of_components(self):
         fleet, idempotency, recovery = self._program.fleet, self._program.idempotency, self._program.recovery
         calls = fleet.api.calls() if fleet is not None else {}
         if idempotency is not None:
@@ -40,21 +43,21 @@
         return calls
 
     def ready(self) -> str:
-        """Whether the dispatcher takes jobs; a refusal names the phase and what is waited for."""
+        """Return "ready" if the dispatcher accepts jobs; otherwise refuse with the phase and the reason."""
         if self._program.listener.is_ready():
             return "ready"
-        why = self._why_not_ready()
-        raise CallRefusedError(503, f"not ready: {self._program.phase}" + (f"; {why}" if why else ""))
+        reason = self._not_ready_reason()
+        raise CallRefusedError(503, f"not ready: {self._program.phase}" + (f"; {reason}" if reason else ""))
 
-    def _why_not_ready(self):
+    def _not_ready_reason(self):
         fleet, recovery = self._program.fleet, self._program.recovery
-        why = fleet.no_lease_reason() if fleet is not None else ""
-        if not why and recovery is not None:
-            why = recovery.waiting_for()
-        return why
+        reason = fleet.no_lease_reason() if fleet is not None else ""
+        if not reason and recovery is not None:
+            reason = recovery.waiting_for()
+        return reason
 
     def telemetry(self) -> str:
-        """A line a figure. Counts run from the start of this process."""
+        """Return one line per metric. Counters start at zero with the process."""
         listener, router, workers = self._program.listener, self._program.router, self._program.workers
         figures = {
             f"{outcome}.{queue_type}": count
@@ -70,19 +73,19 @@
         return "".join(f"svc.{name}={figure}\n" for name, figure in figures.items())
 
     def exclude(self, worker: str):
-        """Coroutine: from its answer on the worker gets no new jobs."""
+        """Coroutine: exclude a worker; it gets no new jobs once the call is answered."""
         self._require_known(worker)
         yield from self._change(lambda shared: shared.update(out=sorted({*shared["out"], worker})))
         if self._program.fleet is None:
             return f"{worker} is left out"
-        # It holds here at once, whatever becomes of the proposal; once that is committed the mark here is not
-        # needed.
+        # Excluded locally at once, whether or not the proposal commits; after the commit the local mark is
+        # redundant.
         answer = yield from self._program.fleet.api.exclude(worker)
         yield from self._change(lambda shared: shared.update(out=sorted({*shared["out"]} - {worker})))
         return answer
 
     def include(self, worker: str):
-        """Coroutine: the worker may get jobs again; it counts as warming up."""
+        """Coroutine: include a worker again; it counts as warming up."""
         self._require_known(worker)
         now = time.time_ns() // 1000
         warm_before = now - self._program.configuration["settings"]["cold_for"]
@@ -99,12 +102,12 @@
         return f"{worker} may serve"
 
     def evacuate(self):
-        """Coroutine: the dispatcher drains until it is told to rejoin."""
+        """Coroutine: drain the dispatcher until `rejoin`."""
         yield from self._change(lambda shared: shared.update(draining=True))
         return "draining"
 
     def rejoin(self):
-        """Coroutine: ends a drain; refused where the process is ending and no other has taken over."""
+        """Coroutine: end a drain; refused if the process is shutting down without a successor."""
         program = self._program
         if program.stop_requested and not program.listener.succeeded:
             raise CallRefusedError(409, f"ending: {program.phase}")
@@ -116,7 +119,7 @@
             raise CallRefusedError(404, f"nobody has this id: {worker}")
 
     def _change(self, edit):
-        """Changes what both processes share, and waits until the decisions of both hold it."""
+        """Coroutine: edit the shared state and wait until the schedulers of both processes apply it."""
         program, sibling = self._program, self._program.sibling
         serial = sibling.publish(edit)
         if serial is None:
--- a/mastledge/program/operator_client.py
+++ b/mastledge/program/operator_client.py
@@ -1,4 +1,4 @@
-"""Calls at the second address of a dispatcher, for the operators' commands."""
+"""An HTTP client for the operators' API of a dispatcher."""
 
 import http.client
 import os
@@ -19,7 +19,7 @@
 
 
 class CallError(Exception):
-    """The dispatcher has refused a call or does not answer; the text is the line that says why."""
+    """The dispatcher refused a call or did not answer; the message says why in one line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,27 +32,28 @@
 
 
 class OperatorClient:
-    """Calls one dispatcher. All of them raise `CallError` where it does not answer or refuses."""
+    """Calls one dispatcher; all calls raise `CallError` if it refuses or does not answer."""
 
     def __init__(self, find_address: Callable[[], tuple[str, int]]) -> None:
-        """`find_address` gives the dispatcher's second address. It is asked at the first call, not before: a
-        command that is bad in itself says that first.
+        """Create a client; `find_address` returns the operators' address of the dispatcher.
+
+        It is called only at the first call, so that an invalid command is reported before a missing address.
         """
         self.find_address = find_address
 
     def get(self, path: str) -> Response:
-        """Read something."""
+        """Return the response to a GET request."""
         response = self._call("GET", path)
         if response.status != OK:
             raise CallError(response.text.strip())
         return response
 
     def get_json(self, path: str) -> Any:
-        """Read a JSON document."""
+        """Return the JSON document at `path`."""
         return orjson.loads(self.get(path).text)
 
     def post(self, path: str, body: bytes, headers: Iterable[tuple[str, str]] = ()) -> str:
-        """Ask for a change; gives the line that says what became of it."""
+        """Send a POST request and return the text of the answer, which states the result."""
         response = self._call("POST", path, body, headers)
         if response.status not in (OK, ACCEPTED):
             raise CallError(response.text.strip())
@@ -75,9 +76,9 @@
 
 
 def control_address(arguments: Namespace) -> tuple[str, int]:
-    """The second address that --control, the environment or the configuration names, in this order.
+    """Return the operators' address from --control, the environment or the configuration, in this order.
 
-    Raises `ConfigurationError` where none does.
+    Raise `ConfigurationError` if none of them names it.
     """
     text = arguments.control or os.environ.get(ADDRESS_VARIABLE)
     if text:
--- a/mastledge/program/process_seats.py
+++ b/mastledge/program/process_seats.py
@@ -1,6 +1,6 @@
-"""Two seats, locked files, that tell whether another process of the same dispatcher is there.
+"""Two seats, which are file locks: they show whether another process of the same dispatcher runs.
 
-The kernel frees a seat at a death of any kind.
+The kernel releases the lock when a process dies, in whatever way.
 """
 
 import errno
@@ -9,25 +9,28 @@
 import time
 
 ATTEMPTS = 100
-PAUSE_S = 0.02  # the other process looks at a seat for a moment, or is about to end
+PAUSE_S = 0.02  # the other process holds a lock briefly when it checks a seat, or is about to exit
 
 
 def open_locked_file(path: str) -> int:
-    """A descriptor of a file that is there for its lock; OSError where it cannot be opened."""
+    """Return a descriptor of a lock file, not locked yet; raise OSError if it cannot be opened."""
     return os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
 
 
 class ProcessSeats:
-    """The seat of this process, and a look at the other one."""
+    """Holds the seat of this process and checks the other seat."""
 
     def __init__(self, base: str):
-        """`base`: the path with which the names of the files begin."""
+        """Use lock files whose paths start with `base`."""
         self._base = base
         self.seat = 0
         self._own_descriptor = self._other_descriptor = None
 
     def take(self) -> None:
-        """Takes a seat; OSError: both are taken (EADDRINUSE), or the files cannot be opened."""
+        """Take a free seat.
+
+        Raise SeatsTakenError (EADDRINUSE) if both are taken, OSError if the files cannot be opened.
+        """
         for _ in range(ATTEMPTS):
             for seat in (0, 1):
                 if self._try_to_take(seat):
@@ -50,14 +53,14 @@
         return open_locked_file(f"{self._base}.seat{seat}")
 
     def leave(self) -> None:
-        """Frees the seat."""
+        """Release the seat."""
         for descriptor in (self._own_descriptor, self._other_descriptor):
             if descriptor is not None:
                 os.close(descriptor)
         self._own_descriptor = self._other_descriptor = None
 
     def alone(self) -> bool:
-        """Whether nobody has the other seat."""
+        """Return whether the other seat is free."""
         if self._other_descriptor is None:
             return True
         try:
@@ -69,8 +72,8 @@
 
 
 class SeatsTakenError(OSError):
-    """Two processes of this dispatcher are there already."""
+    """Two processes of this dispatcher are running already."""
 
     def __init__(self):
-        """As the system says it of an address, with EADDRINUSE."""
-        super().__init__(errno.EADDRINUSE, "two processes serve here already")
+        """Use EADDRINUSE, as the system does for an address in use."""
+        super().__init__(errno.EADDRINUSE, "two processes of this dispatcher are running already")
--- a/mastledge/program/reconfiguration.py
+++ b/mastledge/program/reconfiguration.py
@@ -1,4 +1,4 @@
-"""What can change under load: a configuration that is read again, and settings."""
+"""Reload of the configuration and change of settings without a restart."""
 
 from mastledge.program.resource_limits import allowed_descriptors
 from mastledge.program.settings_views import settings_for_decisions, settings_for_edges
@@ -8,16 +8,21 @@
 
 
 class Reconfiguration:
-    """Owns the configuration in force. Workers, jobs and what was learned outlast each change of it."""
+    """Owns the configuration in force. Workers, jobs and learned state survive each change."""
 
     def __init__(self, dispatcher, configuration: dict, load_again=None):
-        """`load_again` reads the configuration anew; ValueError or OSError where that cannot be."""
+        """Start with `configuration`.
+
+        `load_again` returns a newly read configuration, or raises ValueError or OSError.
+        """
         self._dispatcher, self._load_again = dispatcher, load_again
         self.configuration = configuration
-        self.longest_walltime = longest_walltime(configuration["settings"])  # us, of all settings so far
+        self.longest_walltime = longest_walltime(
+            configuration["settings"]
+        )  # us; maximum over all settings so far
 
     def reload(self) -> None:
-        """Reads the configuration again and takes over what needs no restart; a bad one changes nothing."""
+        """Reload the configuration and apply what needs no restart; an invalid one changes nothing."""
         dispatcher = self._dispatcher
         try:
             loaded = self._load_again()
@@ -25,7 +30,7 @@
             self.configuration["sockets"], self.configuration["memory"] = loaded["sockets"], loaded["memory"]
             dispatcher.resources.resize(loaded["sockets"], loaded["memory"])
         except Exception as error:
-            # Whoever replaces a file under load must not end the service with a slip in it.
+            # An error in a replaced configuration file must not stop a serving process.
             dispatcher.log("configuration_rejected", why=str(error) or type(error).__name__)
             return
         dispatcher.discovery.move(loaded["discovery"])
@@ -39,32 +44,35 @@
         )
 
     def _take_over_settings(self, loaded):
-        """Whether other settings are in force now. In a fleet all go by what was committed."""
+        """Apply changed settings and return whether they changed.
+
+        A fleet uses its committed settings instead.
+        """
         if self._dispatcher.fleet is None:
             changed = loaded["settings"] != self.configuration["settings"]
             if changed:
                 self.apply_settings(loaded["settings"])
             return changed
-        ours, theirs = self.configuration["document"], loaded["document"]
-        if ours != theirs:
-            # A file that differs is for the operators to know.
-            differs = sorted(key for key in {*ours, *theirs} if ours.get(key) != theirs.get(key))
-            why = "settings are agreed on: fleet settings FILE"
-            self._dispatcher.log("settings_ignored", differs=differs, why=why)
+        current, new = self.configuration["document"], loaded["document"]
+        if current != new:
+            # Tell the operators that the changed settings in the file have no effect.
+            differs = sorted(key for key in {*current, *new} if current.get(key) != new.get(key))
+            reason = "a fleet uses its committed settings; change them with: fleet settings FILE"
+            self._dispatcher.log("settings_ignored", differs=differs, why=reason)
         return False
 
     def apply_settings(self, settings: dict) -> None:
-        """Other settings in the running program, and the same step back.
+        """Apply other settings to the running dispatcher.
 
-        Jobs name their queue type by its place. The listener and the queue change in one turn, so each job
-        reaches the decisions under the settings by which it was read.
+        Jobs refer to their queue type by its index. The listener is configured and the event queued in one
+        turn of the event loop, so the scheduler gets each job under the settings with which it was parsed.
         """
         dispatcher = self._dispatcher
         self.configuration["settings"] = settings
         edges = settings_for_edges(settings)
         zones, kinds = dispatcher.discovery.configure(edges)
         settings = numbered(settings_for_decisions(settings), zones, kinds)
-        # Jobs of before may be open for as long as they were promised.
+        # Open jobs keep the walltime of the settings under which they arrived.
         self.longest_walltime = max(self.longest_walltime, longest_walltime(settings))
         dispatcher.listener.configure(edges)
         dispatcher.workers.configure(settings)
@@ -75,12 +83,12 @@
 
 
 def longest_walltime(settings: dict) -> int:
-    """The walltime of the queue type that has the longest, in microseconds."""
+    """Return the longest walltime of all queue types, in microseconds."""
     return max(queue_type["walltime"] for queue_type in settings["queue_types"])
 
 
 def numbered(settings: dict, zones: list[int], kinds: list[int]) -> dict:
-    """The settings with discovery's numbers of zones and kinds in place of their own."""
+    """Return the settings with zones and kinds replaced by the numbers that discovery assigns."""
     if settings["zone"] < len(zones):
         settings["zone"] = zones[settings["zone"]]
     for queue_type in settings["queue_types"]:
--- a/mastledge/program/resource_limits.py
+++ b/mastledge/program/resource_limits.py
@@ -1,10 +1,10 @@
-"""Descriptors and memory that this process may use."""
+"""Limits on the file descriptors and the memory of this process."""
 
 import resource
 
 
 def allowed_descriptors(wanted: int) -> int:
-    """As many descriptors as wanted or as the system grants; raises the limit of the process."""
+    """Raise the process's descriptor limit towards `wanted`; return how many descriptors it may use."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != resource.RLIM_INFINITY and soft < wanted:
         soft = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
@@ -13,30 +13,30 @@
 
 
 class ResourceLimits:
-    """Divides what the configuration allows between two processes of one dispatcher.
+    """Divides the configured limits between the processes of one dispatcher.
 
-    Descriptors that files and links between dispatchers need are reserved; the rest is the budget of the
+    Descriptors for files and for links between dispatchers are reserved; the rest is the budget for
     connections.
     """
 
     def __init__(self, budget, sockets: int, memory_bytes: int):
-        """`sockets`, `memory_bytes`: for the whole dispatcher, however many processes it has."""
+        """Create limits; `sockets` and `memory_bytes` apply to all processes of the dispatcher together."""
         self._budget = budget
         self._sockets, self._memory_bytes = sockets, memory_bytes
         self._reserved, self._processes = 0, 1
 
     def reserve(self, descriptors: int) -> None:
-        """Keeps more descriptors out of the budget of the connections."""
+        """Reserve further descriptors, which the connections' budget then lacks."""
         self._reserved += descriptors
         self._apply()
 
     def resize(self, sockets: int, memory_bytes: int) -> None:
-        """Other limits for the whole dispatcher."""
+        """Set new limits for the whole dispatcher."""
         self._sockets, self._memory_bytes = sockets, memory_bytes
         self._apply()
 
     def divide(self, processes: int) -> None:
-        """From here on the dispatcher consists of so many processes, which share alike."""
+        """Divide the limits equally between this many processes."""
         self._processes = processes
         self._apply()
 
--- a/mastledge/program/serving.py
+++ b/mastledge/program/serving.py
@@ -1,41 +1,44 @@
-"""The phases of a dispatcher until it is asked to stop: waiting for workers, serving, draining."""
+"""The lifecycle phases until shutdown is requested: waiting for workers, serving and draining."""
 
 from mastledge.program.lifecycle import Phase
 from mastledge.protocol.errors import EndpointListError
 from mastledge.routing.events import LearnedStateRestored
 
-FIRST_LIST_TIMEOUT_US = 250_000  # what discovery is waited for where workers are known already
+FIRST_LIST_TIMEOUT_US = 250_000  # longest wait for discovery if workers are known from a cached list
 READY_POLL_US = 2_000
 DRAIN_POLL_US = 20_000
 
 
-def can_serve(dispatcher, impatient: bool) -> bool:
-    """Whether a worker is known, by a list that is no older than it has to be: a cached one may be old."""
+def can_serve(dispatcher, timed_out: bool) -> bool:
+    """Return whether the dispatcher may act, and knows a ready worker from a current endpoint list.
+
+    A cached list may be stale: it counts only once the wait for discovery has timed out.
+    """
     if dispatcher.fleet is not None and not dispatcher.fleet.lease_guard.may_act(dispatcher.loop.now()):
         return False
     if dispatcher.recovery is not None and not dispatcher.recovery.may_serve():
         return False
     discovery = dispatcher.discovery
-    has_list = impatient or discovery.task is None or discovery.answered
+    has_list = timed_out or discovery.task is None or discovery.answered
     return has_list and any(worker.state == "ready" for worker in dispatcher.router.endpoints.values())
 
 
 class Serving:
-    """Leads a dispatcher from its start to the request to stop."""
+    """Runs a dispatcher from its start until shutdown is requested."""
 
     def __init__(self, dispatcher):
-        """`dispatcher`: whose start and service this is."""
+        """Prepare to run `dispatcher`."""
         self._dispatcher = dispatcher
-        self._patient_until = 0
+        self._first_list_deadline = 0
 
     def run(self):
-        """Coroutine: returns once the dispatcher is asked to stop."""
+        """Coroutine: return once shutdown is requested."""
         dispatcher = self._dispatcher
         if dispatcher.recovery is not None:
             yield from dispatcher.recovery.prepare()
         self._start_discovery()
         dispatcher.enter(Phase.WAITING)
-        self._patient_until = dispatcher.loop.now() + FIRST_LIST_TIMEOUT_US
+        self._first_list_deadline = dispatcher.loop.now() + FIRST_LIST_TIMEOUT_US
         while not dispatcher.stop_requested:
             self._become_ready()
             if dispatcher.accept_task is None and (
@@ -49,7 +52,7 @@
         try:
             dispatcher.discovery.apply(dispatcher.configuration["known"], "cached")
         except EndpointListError as error:
-            # Discovery has the list as well.
+            # Not fatal: discovery sends the list as well.
             dispatcher.log("cached_list_invalid", why=str(error))
         if dispatcher.follows_discovery or dispatcher.discovery.generation is None:
             dispatcher.discovery.follow()
@@ -58,7 +61,7 @@
         dispatcher = self._dispatcher
         if dispatcher.listener.ready:
             return
-        if not can_serve(dispatcher, dispatcher.loop.now() >= self._patient_until):
+        if not can_serve(dispatcher, dispatcher.loop.now() >= self._first_list_deadline):
             return
         dispatcher.listener.ready = True
         if dispatcher.has_sibling_process:
@@ -67,7 +70,7 @@
             dispatcher.inbox.put(LearnedStateRestored(dispatcher.recovery.inherited()))
 
     def _next_wait(self):
-        """Enters the phase that is due; what the loop is to wait for until the next look."""
+        """Enter the phase that is due and return what the event loop waits for next."""
         dispatcher = self._dispatcher
         if dispatcher.listener.draining:
             if dispatcher.phase != Phase.DRAINING:
--- a/mastledge/program/settings.py
+++ b/mastledge/program/settings.py
@@ -1,20 +1,20 @@
-"""From a document of settings to the plain map that the decisions are handed.
+"""The parser of settings: from a settings document to the plain dict that the scheduler receives.
 
-They come nested, as JSON, or as pairs of path and text; either way each is looked up by its path.
+Settings come as nested JSON or as pairs of path and text; both are looked up by path.
 """
 
 
 class SettingError(ValueError):
-    """A required setting is missing or unreadable; the text names its key."""
+    """A required setting is missing or a setting is invalid; the message names its path."""
 
 
 def duration_us(text) -> int:
-    """A duration, written in milliseconds, in microseconds."""
+    """Return a duration given in milliseconds in microseconds; raise ValueError if it is invalid."""
     return round(figure(text) * 1000)
 
 
 def figure(text) -> float:
-    """A number that is not negative and not beyond reason; ValueError otherwise."""
+    """Return a number from 0 to below FIGURE_LIMIT; raise ValueError otherwise."""
     value = float(text)
     if not 0 <= value < FIGURE_LIMIT:
         raise ValueError(text)
@@ -22,33 +22,33 @@
 
 
 def count(text) -> int:
-    """An integer from 1 on; ValueError otherwise."""
+    """Return an integer of at least 1; raise ValueError otherwise."""
     if int(text) < 1:
         raise ValueError(text)
     return int(text)
 
 
 def flag(text) -> bool:
-    """A boolean, also as text; ValueError otherwise."""
+    """Return a boolean, given as such or as text; raise ValueError otherwise."""
     if text not in ("true", "false", True, False):
         raise ValueError(text)
     return text in ("true", True)
 
 
 def words(text) -> list[str]:
-    """A list, as it is or as text with commas."""
+    """Return a list, given as such or as comma-separated text."""
     return [word for word in text.split(",") if word] if isinstance(text, str) else list(text)
 
 
 def numbers(text) -> list[float]:
-    """A list of numbers, as it is or as text with commas."""
+    """Return a list of numbers, given as such or as comma-separated text."""
     return [float(word) for word in words(text)]
 
 
 REQUIRED = object()
 FIGURE_LIMIT = 1e15
 
-# key here: (path in the document, how its text is parsed, default)
+# key: (path in the document, parser of the value, default)
 PLAIN = {
     "dispatchers": ("balancers", count, REQUIRED),
     "me": ("me", int, REQUIRED),
@@ -116,7 +116,7 @@
 
 
 def read(pairs: dict, path: str, parse, default):
-    """The value at a path, parsed, or its default; SettingError names the path."""
+    """Return the parsed value at a path, or the default; raise SettingError, which names the path."""
     text = pairs.get(path)
     if text is None:
         if default is REQUIRED:
@@ -129,37 +129,40 @@
 
 
 def read_list(pairs: dict, path: str, table: dict) -> list[dict]:
-    """The objects of a list, each read by a table as PLAIN."""
+    """Return the objects of a list, each read by a table of the same form as PLAIN."""
     return [
-        {key: read(pairs, f"{path}.{i}.{name}", *how) for key, (name, *how) in table.items()}
+        {key: read(pairs, f"{path}.{i}.{name}", *parsing) for key, (name, *parsing) in table.items()}
         for i in range(read(pairs, f"{path}.count", int, 0))
     ]
 
 
 def flatten_settings(nested: dict, path: str = "") -> dict:
-    """Paths and values of nested JSON, as the pairs have them: a list of objects by count and place."""
+    """Return paths and values of nested JSON; a list of objects becomes a count and paths with an index."""
     pairs = {}
     for name, value in nested.items():
-        here = f"{path}{name}"
+        item_path = f"{path}{name}"
         if isinstance(value, dict):
-            pairs.update(flatten_settings(value, here + "."))
+            pairs.update(flatten_settings(value, item_path + "."))
         elif isinstance(value, list) and all(isinstance(item, dict) for item in value):
-            pairs[here], pairs[here + ".count"] = [], len(value)
+            pairs[item_path], pairs[item_path + ".count"] = [], len(value)
             for n, item in enumerate(value):
-                pairs.update(flatten_settings(item, f"{here}.{n}."))
+                pairs.update(flatten_settings(item, f"{item_path}.{n}."))
         else:
-            pairs[here] = value
+            pairs[item_path] = value
     return pairs
 
 
 def parse_pairs(text: str) -> dict[str, str]:
-    """Paths and values of lines `path=value`."""
+    """Return paths and values from lines of the form `path=value`."""
     return dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
 
 
 def parse_settings(pairs: dict) -> dict:
-    """The settings as the decisions know them, durations in microseconds; SettingError names a path."""
-    settings = {key: read(pairs, *how) for key, how in PLAIN.items()}
+    """Return the settings as the scheduler uses them, durations in microseconds.
+
+    Raise SettingError, which names the path, if a setting is missing or invalid.
+    """
+    settings = {key: read(pairs, *parsing) for key, parsing in PLAIN.items()}
     settings["follow"] = FOLLOW.get(settings["follow"])
     if settings["follow"] is None:
         raise SettingError(f"setting discovery cannot be read: {pairs['discovery']!r}")
@@ -173,14 +176,17 @@
 
 
 def complete_queue_types(queue_types: list[dict], pairs: dict) -> None:
-    """Names, effects and what stands in lists beside the queue types; SettingError names a path."""
-    by_place = {
+    """Set the names, the effects and the values that are listed beside the queue types.
+
+    Raise SettingError, which names the path, if a value is invalid.
+    """
+    by_index = {
         name: read(pairs, f"familyInfo.{name}", numbers, [])
         for name in ("classKind", "classPriority", "classStretch")
     }
     names = set()
     for i, queue_type in enumerate(queue_types):
-        # Types are told from those of other settings by their names.
+        # The name identifies a queue type across a change of settings.
         queue_type["name"] = queue_type["name"] or f"{i}"
         if queue_type["name"] in names:
             raise SettingError(f"setting queueTypes.{i}.name stands twice: {queue_type['name']!r}")
@@ -195,4 +201,4 @@
             ("priority", "classPriority", 0),
             ("stretch", "classStretch", queue_type.pop("aim_stretch") or 0.0),
         ):
-            queue_type[key] = by_place[name][i] if i < len(by_place[name]) else default
+            queue_type[key] = by_index[name][i] if i < len(by_index[name]) else default
--- a/mastledge/program/shared_lease.py
+++ b/mastledge/program/shared_lease.py
@@ -1,8 +1,8 @@
-"""Two processes of one dispatcher while one takes over: one data directory, and one lease for both.
+"""The files by which two processes of one dispatcher share its lease during an upgrade.
 
-Who has the directory's lock is active: it speaks to the other dispatchers. The standby process goes by what
-it reads in a small file, addressed to it alone, for as long as the lease in there lasts, and reports in
-another file what it has applied. docs/consensus.md has the reasons, docs/formats.md the files.
+The active process holds the lock of the data directory and talks to the other dispatchers. It writes a notice
+to the standby process, which acts on it until the lease ends and reports in another file the entry that it
+has applied. See docs/consensus.md for the reasons and docs/formats.md for the files.
 """
 
 import contextlib
@@ -15,14 +15,14 @@
 
 FORMAT_VERSION = 1
 NOTICE_FILE, REPORT_FILE = "said", "taken"
-LEASE_GRANULARITY_US = 50_000  # a lease that lasts no longer than by this is no news
+LEASE_GRANULARITY_US = 50_000  # a lease extension within this step is not written again
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseNotice:
-    """What the active process lends: the state as of entry `index`, and until when it may be acted on.
+    """The active process's notice: the state at entry `index`, and until when the standby may act on it.
 
-    `lease_until` is a monotonic time of this machine in microseconds, `to` the standby's process id.
+    `lease_until` is in microseconds of this machine's monotonic clock; `to` is the standby's process id.
     """
 
     to: int
@@ -33,24 +33,25 @@
 
 @dataclass(frozen=True, slots=True)
 class StandbyReport:
-    """The standby process, and the last entry that it has applied."""
+    """The process id of the standby process and the index of the last entry that it has applied."""
 
     process: int
     index: int
 
 
 class SharedLease:
-    """The two files. What can't be read or written is as if it were not there: leases end by themselves."""
+    """The notice and report files. A file that can't be read or written counts as absent: leases expire."""
 
     def __init__(self, directory: str, log: Callable[..., None]) -> None:
-        """The files in that directory, for this process; `log` takes an event and its fields."""
+        """Use the files in `directory`; `log` takes an event and its fields."""
         self.directory, self.log, self.process = directory, log, os.getpid()
-        self.published: tuple[int, int, int] | None = None  # of the last notice, what makes another one news
+        # Recipient, index and rounded lease end of the last notice; an equal notice is not written again.
+        self.published: tuple[int, int, int] | None = None
 
     # The active process
 
     def publish(self, notice: LeaseNotice) -> bool:
-        """Lend the lease to the standby process; whether it can read of it."""
+        """Lend the lease to the standby process; return False if the notice can't be written."""
         published = (notice.to, notice.index, notice.lease_until // LEASE_GRANULARITY_US)
         if published == self.published:
             return True
@@ -66,14 +67,14 @@
         return True
 
     def standby_report(self) -> StandbyReport | None:
-        """What the standby process has reported; None where there is none."""
+        """Return the standby process's report; None if there is none."""
         document = self._read(REPORT_FILE)
         if document is None or document["from"] == self.process:
             return None
         return StandbyReport(document["from"], document["index"])
 
     def withdraw(self) -> None:
-        """No standby is there any more: the next one must not find what was lent to this one."""
+        """Remove the files once the standby has gone, so that the next standby does not find them."""
         if self.published is not None:
             self.published = None
             self._remove(NOTICE_FILE)
@@ -82,21 +83,21 @@
     # The standby process
 
     def notice(self) -> LeaseNotice | None:
-        """What was lent to this process last."""
+        """Return the last notice to this process; None if there is none."""
         document = self._read(NOTICE_FILE)
         if document is None or document["to"] != self.process:
             return None
         return LeaseNotice(document["to"], document["index"], document["lease_until"], document["state"])
 
     def report(self, index: int) -> None:
-        """Report that this process goes by the state as of that entry; 0 for none yet."""
+        """Report that this process has applied the state at entry `index`; 0 for none yet."""
         self._write(REPORT_FILE, {"index": index})
 
     def _path(self, name: str) -> str:
         return os.path.join(self.directory, name)
 
     def _write(self, name: str, document: dict[str, Any]) -> bool:
-        """Replaces a file as a whole."""
+        """Replace a file atomically; return False, with a log line, if that fails."""
         replacement = self._path(f"{name}.{self.process}")
         content = orjson.dumps({"format": FORMAT_VERSION, "from": self.process, **document})
         try:
--- a/mastledge/program/shared_lease_exchange.py
+++ b/mastledge/program/shared_lease_exchange.py
@@ -1,7 +1,7 @@
-"""How two processes of one dispatcher share its lease while one takes over from the other.
+"""The exchange by which two processes of one dispatcher share its lease during an upgrade.
 
-The active process is a member of the fleet and lends its lease and the agreed state. The standby process goes
-by them, and becomes the active one as soon as it gets the lock of the data directory. docs/consensus.md.
+The active process is a member of the fleet and lends its lease and the agreed state. The standby process acts
+on them and becomes active once it gets the lock of the data directory. See docs/consensus.md.
 """
 
 from collections.abc import Callable, Generator
@@ -17,37 +17,37 @@
     from mastledge.program.dispatcher import Dispatcher
 
 POLL_INTERVAL_US = 5_000
-LEND_INTERVAL_US = 4 * POLL_INTERVAL_US  # while there are two processes
-IDLE_INTERVAL_US = 20 * POLL_INTERVAL_US  # while there is one
+LEND_INTERVAL_US = 4 * POLL_INTERVAL_US  # with a standby process
+IDLE_INTERVAL_US = 20 * POLL_INTERVAL_US  # without a standby process
 LENT_PARTS = ("version", "settings", "settings_version", "lease", "out", "back", "gone", "members")
 
 
 def lent_state(state: dict[str, Any]) -> dict[str, Any]:
-    """What of the agreed state a standby process needs."""
+    """Return the part of the agreed state that a standby process needs."""
     return {name: state[name] for name in LENT_PARTS}
 
 
 class ExchangeHost(Protocol):
-    """What the exchange needs of the fleet that it is part of."""
+    """The interface of the fleet that the exchange uses."""
 
     lease_held: bool | None
     member: Member | None
 
     def apply_state(self, state: dict[str, Any]) -> None:
-        """Put a state in force here."""
+        """Put the agreed state in force in this process."""
 
     def report_lease(self, now: int) -> None:
-        """Look whether there is a lease now."""
+        """Update `lease_held` as of `now` and report a change."""
 
     def become_active(self) -> None:
-        """Take part as a member; this process has the lock of the data directory."""
+        """Start as a member of the fleet; this process holds the lock of the data directory."""
 
 
 class SharedLeaseExchange:
-    """Both sides of the exchange, one after the other: a standby process becomes an active one.
+    """The standby and the active side of the exchange; a standby process becomes the active one.
 
-    What this process was lent, or had when it handed over, goes on counting: `index` is the entry up to which
-    it has applied, `lease_until` a time of the loop.
+    The last lease that this process borrowed or held stays valid for it: `index` is the last entry that it
+    has applied, `lease_until` the end of the lease on the event loop's clock.
     """
 
     def __init__(
@@ -58,14 +58,14 @@
         host: ExchangeHost,
         log: Callable[..., None],
     ) -> None:
-        """For the process that `program` is; `log` takes an event and its fields."""
+        """Create the exchange for the dispatcher `program`; `log` takes an event and its fields."""
         self.program, self.loop, self.log = program, program.loop, log
         self.shared_lease, self.directory, self.host = shared_lease, directory, host
         self.index = self.lease_until = self.active_since = 0
-        self.standby: int | None = None  # process id of the one that reads what is lent
+        self.standby: int | None = None  # process id of the standby that reads the notices
 
     def keep(self, member: Member) -> None:
-        """Go on by the member's lease and state once it is no longer this process's."""
+        """Keep the member's lease and applied index for use after this process has handed the member over."""
         if self.host.lease_held:
             self.lease_until = max(self.lease_until, member.lease.lease_until)
         if member.state_machine:
@@ -74,14 +74,14 @@
     # The standby process
 
     def follow(self) -> Generator:
-        """Coroutine: goes by what the active process lends, until that gives the directory's lock back."""
+        """Coroutine: act on the notices of the active process until it releases the data directory."""
         reported = -1
         self.shared_lease.report(0)
         while True:
             self._take_notice(is_first=reported < 0)
             self.host.report_lease(self.loop.now())
             if reported != self.index:
-                # The decisions have had a turn since.
+                # Report only after the scheduler has had a turn to apply the state.
                 yield (-1, 0, self.loop.now() + POLL_INTERVAL_US)
                 reported = self.index
                 self.shared_lease.report(reported)
@@ -110,7 +110,7 @@
     # The active process
 
     def lend(self, active_since: int) -> Generator:
-        """Coroutine: lends lease and state to the standby process, where there is one."""
+        """Coroutine: lend lease and state to the standby process, if there is one."""
         self.active_since, self.standby = active_since, None
         while True:
             member, now = self.host.member, self.loop.now()
@@ -135,7 +135,10 @@
             member.lease.standby_index = max(member.lease.standby_index or 0, report.index)
 
     def _release_standby(self, member: Member, now: int) -> None:
-        """One that has handed over acts by its last lease; a process that has gone acts by none."""
+        """Drop the standby's index once no other process can act on a lease of this dispatcher.
+
+        That is when the other process has exited, or the last lease from before it handed over has ended.
+        """
         if member.lease.standby_index is None or self.standby is not None:
             return
         if not self.program.has_sibling_process or now > self.active_since + longest_lease_us(
--- a/mastledge/program/signals.py
+++ b/mastledge/program/signals.py
@@ -1,4 +1,4 @@
-"""Signals of the operating system, handed to the event loop."""
+"""Operating system signals, delivered through the event loop."""
 
 import os
 import signal
@@ -10,23 +10,23 @@
 
 
 def install_handlers(on_stop: Callable[[], None]) -> int:
-    """Has SIGTERM and SIGINT call `on_stop`; a descriptor from which each signal's number can be read.
+    """Call `on_stop` on SIGTERM and SIGINT; return a descriptor from which signal numbers can be read.
 
-    SIGHUP does nothing by itself: left to the system it would end the process, and what it asks for is done
+    The handler of SIGHUP does nothing: it replaces the default, which ends the process. The reload runs
     outside of the handler.
     """
-    reads, writes = os.pipe()
-    for descriptor in (reads, writes):
+    read_end, write_end = os.pipe()
+    for descriptor in (read_end, write_end):
         os.set_blocking(descriptor, False)
-    signal.set_wakeup_fd(writes, warn_on_full_buffer=False)
+    signal.set_wakeup_fd(write_end, warn_on_full_buffer=False)
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda number, frame: on_stop())
     signal.signal(signal.SIGHUP, lambda number, frame: None)
-    return reads
+    return read_end
 
 
 def watch_signals(descriptor: int, on_reload: Callable[[], None], on_signal: Callable[[], None]):
-    """Coroutine: calls `on_reload` after a SIGHUP, and `on_signal` after any signals."""
+    """Coroutine: call `on_reload` after a SIGHUP, and `on_signal` after any signal."""
     while True:
         yield (descriptor, READ, None)
         if signal.SIGHUP in os.read(descriptor, READ_BYTES):
--- a/mastledge/program/upgrade_state.py
+++ b/mastledge/program/upgrade_state.py
@@ -1,7 +1,7 @@
-"""What two processes of one dispatcher share while one takes over from the other. It decides nothing.
+"""The state that two processes of one dispatcher share during an upgrade.
 
-What both must know is one small file, replaced as a whole; what the old process has learned of workers is
-another. Without a folder all of it is held by this process alone.
+The shared state is one small file that is replaced atomically; the state that the old process has learned
+about workers is another. Without a folder this process keeps the state in memory only.
 """
 
 import fcntl
@@ -16,15 +16,17 @@
 
 VERSION = 1
 LOCK_ATTEMPTS = 25
-LOCK_PAUSE_S = 0.002  # another process writes the file for a moment
-LEARNED_VALID_NS = 5_000_000_000  # older, it is not of the process beside this one, or stale
+LOCK_PAUSE_S = 0.002  # another process holds the lock only while it writes the file
+LEARNED_VALID_NS = 5_000_000_000  # an older file is stale or was left by an earlier process
 
 SharedEdit = Callable[[dict], object]
 
 
 def empty_shared() -> dict:
-    """Nothing shared: excluded workers; when others were included again, in Unix time (us); the drain; seats
-    that are ready or leaving; which serial each seat has taken up.
+    """Return an empty shared state.
+
+    `out` lists excluded workers; `back` holds when workers were included again, in Unix time (us); `ready`
+    and `leaving` list seats; `seen` holds the serial that each seat has applied.
     """
     return {
         "version": VERSION,
@@ -39,7 +41,7 @@
 
 
 def is_sound(shared) -> bool:
-    """Whether a file's content is what this version writes."""
+    """Return whether a file's content has the format of this version."""
     return (
         isinstance(shared, dict)
         and shared.get("version") == VERSION
@@ -50,40 +52,43 @@
 
 
 class UpgradeState:
-    """The shared state as this process knows it (`shared`), and the files it stands in."""
+    """Holds the shared state as this process knows it (`shared`) and reads and writes its files."""
 
     def __init__(self, folder: str | None, listen: tuple[str, int], log):
-        """`folder` is None where nothing is shared; `listen` is the address that names the dispatcher."""
+        """Create the state; `folder` is None for no sharing, `listen` identifies the dispatcher."""
         self._base = os.path.join(folder, f"mastledge-{listen[0]}-{listen[1]}") if folder else None
         self._seats = ProcessSeats(self._base) if folder else None
         self._log = log
-        self._stamp = None  # of the file that was read last
+        self._stamp = None  # stamp of the file that was read last
         self.shared = empty_shared()
 
     @property
     def enabled(self) -> bool:
-        """Whether another process can share anything with this one."""
+        """Return whether this process can share state with another process."""
         return self._base is not None
 
     @property
     def state_path(self) -> str:
-        """The path of the file of the shared state."""
+        """Return the path of the shared state's file."""
         return f"{self._base}.state"
 
     @property
     def learned_path(self) -> str:
-        """The path of the file of what was learned of workers."""
+        """Return the path of the file with the learned state of workers."""
         return f"{self._base}.learned"
 
     # Seats
 
     @property
     def seat(self) -> int:
-        """The seat of this process, 0 or 1."""
+        """Return the seat of this process, 0 or 1."""
         return self._seats.seat if self._seats is not None else 0
 
     def take_seat(self) -> None:
-        """Takes a seat; SeatsTakenError where both are taken. No folder for it: this process stays alone."""
+        """Take a seat; raise SeatsTakenError if both are taken.
+
+        If the folder cannot be used, sharing is disabled and this process runs without a sibling.
+        """
         if self._seats is None:
             return
         try:
@@ -95,41 +100,44 @@
             self._base = self._seats = None
 
     def leave(self) -> None:
-        """Frees the seat."""
+        """Release the seat."""
         if self._seats is not None:
             self._seats.leave()
 
     def alone(self) -> bool:
-        """Whether there is no sibling process."""
+        """Return whether there is no sibling process."""
         return self._seats is None or self._seats.alone()
 
-    def seat_edit(self, seat: int, **places: bool) -> SharedEdit:
-        """An edit of what is shared: whether a seat stands at each of these places."""
+    def seat_edit(self, seat: int, **flags: bool) -> SharedEdit:
+        """Return an edit of the shared state that sets flags of a seat, `ready` or `leaving`."""
 
         def edit(shared):
-            for place, stands_there in places.items():
-                others = {*shared[place]} - {seat}
-                shared[place] = sorted(others | {seat} if stands_there else others)
+            for flag, is_set in flags.items():
+                others = {*shared[flag]} - {seat}
+                shared[flag] = sorted(others | {seat} if is_set else others)
 
         return edit
 
     def sibling_ready(self) -> bool:
-        """Whether the sibling process serves; read anew, as the signal comes as soon as it says so."""
+        """Return whether the sibling is ready.
+
+        Read the file first, as SIGTERM may come right after the sibling has reported that it is ready.
+        """
         self.refresh()
         return 1 - self.seat in self.shared["ready"] and not self.alone()
 
     def sibling_took_up(self, serial: int) -> bool:
-        """Whether the sibling's decisions hold the change of this serial, or there is no sibling."""
+        """Return whether the sibling's scheduler has applied the change `serial`; True without a sibling."""
         return self.alone() or self.shared["seen"].get(str(1 - self.seat), 0) >= serial
 
     # The shared state
 
     def path_of(self, name: str, seat: int) -> str:
-        """The path of a file or socket that belongs to a seat."""
+        """Return the path of a file or socket that belongs to a seat."""
         return f"{self._base}.{name}{seat}"
 
     def refresh(self) -> bool:
-        """Reads the file if it is another than the last; whether there is news."""
+        """Read the shared state if its file has changed; return whether a valid state was read."""
         if not self.enabled:
             return False
         try:
@@ -144,9 +152,9 @@
         return shared is not None
 
     def change(self, edit: SharedEdit, news: bool = True) -> bool:
-        """Has `edit` change what is shared; False where the other process cannot learn of it.
+        """Apply `edit` to the shared state; return False if the sibling process cannot read the result.
 
-        News carry a serial, by which the other process says that it has taken them up.
+        With `news` the serial is incremented, so that the sibling applies and acknowledges the change.
         """
         try:
             self.shared = (
@@ -187,18 +195,18 @@
             return None
         if is_sound(shared):
             return shared
-        # What a later version or a slip has left must not be guessed at.
-        self._log("upgrade_state_unreadable", why=f"not of version {VERSION}")
+        # A file of another version, or a damaged one, is not interpreted.
+        self._log("upgrade_state_unreadable", why=f"the shared state does not have format version {VERSION}")
         return None
 
     def _file_stamp(self):
         stat = os.stat(self.state_path)
         return stat.st_ino, stat.st_mtime_ns, stat.st_size
 
-    # What was learned of workers
+    # Learned state of workers
 
     def write_learned(self, learned) -> None:
-        """Leaves what was learned of workers for a process that takes over."""
+        """Write the learned state of workers for a process that takes over."""
         if not self.enabled:
             return
         try:
@@ -209,7 +217,7 @@
             self._log("upgrade_state_unwritten", why=str(error))
 
     def read_learned(self) -> dict:
-        """What the other process has learned, or nothing: not what one before it has left."""
+        """Return the sibling's learned state of workers, or {} if there is none or it is too old."""
         try:
             with open(self.learned_path, "rb") as file:
                 learned = orjson.loads(file.read())
@@ -225,14 +233,14 @@
     # Files
 
     def _lock(self):
-        """A descriptor that holds the lock for writing; OSError where another holds it for too long."""
+        """Return a descriptor that holds the write lock; raise OSError if it stays taken."""
         lock = open_locked_file(f"{self._base}.lock")
-        for left in reversed(range(LOCK_ATTEMPTS)):
+        for attempts_left in reversed(range(LOCK_ATTEMPTS)):
             try:
                 fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
                 break
             except OSError:
-                if not left:
+                if not attempts_left:
                     os.close(lock)
                     raise
                 time.sleep(LOCK_PAUSE_S)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -109,8 +109,11 @@
 @pytest.mark.parametrize(
     ("changed", "says"),
     [
-        ({"members": {"n1": f"{HERE}:9102"}}, "name is none of peers.members"),
-        ({"members": {**PEERS["members"], "n2": f"{HERE}:9102"}}, "two at one address: n1 and n2"),
+        ({"members": {"n1": f"{HERE}:9102"}}, "name is not one of peers.members"),
+        (
+            {"members": {**PEERS["members"], "n2": f"{HERE}:9102"}},
+            "two members with the same address: n1 and n2",
+        ),
         ({"listen": GOOD["listen"]}, "same address as listen"),
         ({"lease_ms": 100}, "peers.lease_ms"),
         ({"lease_ms": 100_000}, "peers.lease_ms"),
