--- a/tests/test_connection_handoff.py
+++ b/tests/test_connection_handoff.py
@@ -1,4 +1,4 @@
-"""Jobs that outlast a process, handed on with both of their connections."""
+"""Tests of the hand-off of running jobs, with both of their connections, to a sibling process."""
 
 import socket
 
@@ -22,7 +22,7 @@
 
 
 class Handing(Pair):
-    """A job open in the old process, which is about to end."""
+    """A pair of processes with a job open in the old one, which is about to exit."""
 
     def __init__(self, path, folder, monkeypatch):  # noqa: F811 - the parameter is that fixture
         monkeypatch.setattr(graceful_shutdown, "LONGEST_WAIT_US", 300_000)
@@ -45,14 +45,14 @@
         assert self.turn(until, 3_000_000)
 
     def logged(self, which, event):
-        return [fields for what, fields in which.rig.logged if what == event]
+        return [fields for logged_event, fields in which.rig.logged if logged_event == event]
 
 
 @pytest.fixture
 def handing(tmp_path, folder, monkeypatch):  # noqa: F811 - the parameter is that fixture
-    made = Handing(tmp_path, folder, monkeypatch)
-    yield made
-    made.close()
+    open_handoff = Handing(tmp_path, folder, monkeypatch)
+    yield open_handoff
+    open_handoff.close()
 
 
 @pytest.mark.parametrize(
@@ -65,8 +65,8 @@
         (CHUNKED, b"nonsense\r\n", b"HTTP/1.1 500"),
     ],
 )
-def test_a_job_outlasts_its_process_and_gets_its_one_answer(before, after, answer, handing):
-    # It ran for seconds, and was killed with the old process.
+def test_handed_off_job_gets_exactly_one_answer(before, after, answer, handing):
+    # Guards against killing a long job together with the old process.
     handing.worker.sendall(before)
     handing.ends(lambda: handing.old.made.phase == "ended")
     assert [fields["how"] for fields in handing.logged(handing.old, "job_finished")] == ["handed_on"]
@@ -95,20 +95,20 @@
 @pytest.mark.parametrize(
     "sent", [CHUNKED + chunk("started")[:-6], CHUNKED[:30], b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n"]
 )
-def test_what_stands_at_no_clear_place_ends_as_before(sent, handing):
+def test_job_with_partly_read_answer_is_not_handed_off(sent, handing):
     handing.worker.sendall(sent)
     handing.ends(lambda: handing.old.made.phase == "ended")
     assert handing.old.rig.reply(handing.client).startswith(b"HTTP/1.1 503")
     assert not handing.logged(handing.new, "connection_received")
 
 
-def test_a_client_that_leaves_ends_its_handed_off_job(handing):
+def test_handed_off_job_ends_when_its_client_leaves(handing):
     handing.ends(lambda: handing.logged(handing.new, "connection_received"))
     handing.client.close()
     assert handing.turn(lambda: not handing.new.made.listener.jobs.in_hand)
 
 
-def test_the_time_of_a_job_goes_on_in_the_other_process(handing, monkeypatch):
+def test_handed_off_job_keeps_its_deadline(handing, monkeypatch):
     exchange = next(iter(handing.old.made.router.jobs.values())).exchange
     exchange.until = handing.old.made.loop.now() + 1_600_000
     handing.ends(lambda: handing.logged(handing.new, "connection_received"))
@@ -117,7 +117,7 @@
     assert handing.new.made.loop.now() <= exchange.until
 
 
-def test_a_process_that_ends_answers_the_jobs_that_it_took_over(handing):
+def test_shutdown_answers_handed_off_jobs(handing):
     handing.ends(
         lambda: handing.old.made.phase == "ended" and handing.logged(handing.new, "connection_received")
     )
@@ -130,11 +130,11 @@
     assert handing.new.rig.reply(handing.client).startswith(b"HTTP/1.1 500")
 
 
-def test_where_nobody_is_the_job_stays(handing, monkeypatch):
-    def refused(*told):
+def test_job_stays_if_no_process_receives_it(handing, monkeypatch):
+    def refuse_connection(*arguments):
         raise ConnectionRefusedError("nobody")
 
-    monkeypatch.setattr(descriptor_passing, "send_sockets", refused)
+    monkeypatch.setattr(descriptor_passing, "send_sockets", refuse_connection)
     handing.ends(lambda: handing.old.made.phase == "ended")
     assert handing.old.rig.reply(handing.client).startswith(b"HTTP/1.1 503")
     assert handing.logged(handing.old, "connection_not_handed_off")
@@ -150,30 +150,30 @@
         (b"{}", 0),
     ],
 )
-def test_what_cannot_be_taken_over_is_closed(raw, count, handing):
-    new, door = handing.new.made, listen((HERE, 0))
-    door.setblocking(True)
-    callers = [socket.create_connection(door.getsockname(), 2) for _ in range(count)]
-    ours = [door.accept()[0] for _ in callers]
+def test_invalid_handoff_datagram_closes_its_sockets(raw, count, handing):
+    new, listener = handing.new.made, listen((HERE, 0))
+    listener.setblocking(True)
+    callers = [socket.create_connection(listener.getsockname(), 2) for _ in range(count)]
+    accepted = [listener.accept()[0] for _ in callers]
 
-    def taken():
+    def used_descriptors():
         return {kind: new.budget.used[kind] for kind in ("clients", "workers")}
 
-    before = taken()  # discovery is tried again and again meanwhile
-    descriptor_passing.send_sockets(new.upgrade_state.path_of("jobs", new.upgrade_state.seat), raw, ours)
-    for one in ours:
-        one.close()
+    before = used_descriptors()  # other kinds change meanwhile, as discovery keeps reconnecting
+    descriptor_passing.send_sockets(new.upgrade_state.path_of("jobs", new.upgrade_state.seat), raw, accepted)
+    for connection in accepted:
+        connection.close()
     assert handing.turn(lambda: handing.logged(handing.new, "connection_not_received"))
-    for one in callers:
-        one.settimeout(2)
-        assert one.recv(1) == b""
-        one.close()
-    assert taken() == before and not handing.new.rig.errors
-    door.close()
+    for connection in callers:
+        connection.settimeout(2)
+        assert connection.recv(1) == b""
+        connection.close()
+    assert used_descriptors() == before and not handing.new.rig.errors
+    listener.close()
 
 
-def test_a_full_queue_is_an_error_and_loses_no_connection(tmp_path):
-    inlet = descriptor_passing.open_receiver(str(tmp_path / "jobs0"))
+def test_full_socket_queue_raises_and_loses_no_connection(tmp_path):
+    receiver = descriptor_passing.open_receiver(str(tmp_path / "jobs0"))
     pair = socket.socketpair()
     sent = []
 
@@ -184,34 +184,34 @@
 
     with pytest.raises(BlockingIOError):
         fill()
-    taken = 0
-    while (got := descriptor_passing.receive_sockets(inlet, 2)) is not None:
-        taken += 1
-        assert got[0] == b"x" * 1000
-        for one in got[1]:
-            one.close()
-    assert 0 < taken == len(sent)
-    for one in (inlet, *pair):
-        one.close()
-
-
-def test_a_folder_that_cannot_hold_the_socket_disables_the_handoff(handing, tmp_path):
+    received_count = 0
+    while (received := descriptor_passing.receive_sockets(receiver, 2)) is not None:
+        received_count += 1
+        assert received[0] == b"x" * 1000
+        for open_socket in received[1]:
+            open_socket.close()
+    assert 0 < received_count == len(sent)
+    for open_socket in (receiver, *pair):
+        open_socket.close()
+
+
+def test_too_long_socket_path_disables_the_handoff(handing, tmp_path):
     handoff = handing.new.made.handoff
     task = handing.new.made.loop.spawn(handoff.listen(str(tmp_path / ("x" * 200))))
     assert handing.turn(lambda: task.ended) and handing.logged(handing.new, "handoff_disabled")
     assert not handing.new.rig.errors
 
 
-def test_connections_that_cannot_be_taken_over_are_closed_and_the_next_are_taken(handing, monkeypatch):
-    new, ours = handing.new.made, socket.socketpair()
-    monkeypatch.setattr(new.handoff, "attached", lambda *one: (_ for _ in ()).throw(OSError("reset")))
+def test_failed_takeover_closes_sockets_and_next_datagram_is_received(handing, monkeypatch):
+    new, sockets = handing.new.made, socket.socketpair()
+    monkeypatch.setattr(new.handoff, "attached", lambda *arguments: (_ for _ in ()).throw(OSError("reset")))
     raw = b'{"name":"x","kind":"render","until":9000000000000,"headed":true,"rest":""}'
     before = dict(new.budget.used)
-    descriptor_passing.send_sockets(new.upgrade_state.path_of("jobs", new.upgrade_state.seat), raw, ours)
+    descriptor_passing.send_sockets(new.upgrade_state.path_of("jobs", new.upgrade_state.seat), raw, sockets)
     assert handing.turn(lambda: handing.logged(handing.new, "connection_not_received"))
     monkeypatch.undo()
-    descriptor_passing.send_sockets(new.upgrade_state.path_of("jobs", new.upgrade_state.seat), b"{}", ours)
+    descriptor_passing.send_sockets(new.upgrade_state.path_of("jobs", new.upgrade_state.seat), b"{}", sockets)
     assert handing.turn(lambda: len(handing.logged(handing.new, "connection_not_received")) == 2)
     assert new.budget.used == before and not handing.new.rig.errors
-    for one in ours:
-        one.close()
+    for arguments in sockets:
+        arguments.close()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The second address: its calls, its figures, its own descriptors, and the drain."""
+"""Tests of the operators' API: calls, telemetry, reserved descriptors and drains."""
 
 import errno
 import pathlib
@@ -21,7 +21,7 @@
 
 
 def free():
-    """An address that nobody listens at, each time another: the system may give a port again at once."""
+    """Return an unused address, a different one each time: the system may reuse a port at once."""
     while True:
         sock = listen((HERE, 0))
         port = sock.getsockname()[1]
@@ -32,7 +32,7 @@
 
 
 class Served:
-    """A whole program that serves, with one stand-in worker, in this thread's own loop."""
+    """A complete dispatcher with one fake worker, run in the event loop of the test's thread."""
 
     def __init__(self, path, ready=True, folder=None, **changed):
         peer, self.sock = peer_at()
@@ -86,7 +86,7 @@
         return self.theirs[-1]
 
     def call(self, path, method="GET"):
-        """The status of one call at the second address, and its text."""
+        """Return the status and the text of one call at the operators' address."""
         theirs = self.connect("control")
         theirs.sendall(f"{method} {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
         head, _, text = self.rig.reply(theirs).decode().partition("\r\n\r\n")
@@ -111,10 +111,10 @@
 @pytest.fixture
 def served(tmp_path, monkeypatch):
     monkeypatch.setattr(serving, "FIRST_LIST_TIMEOUT_US", 0)
-    made = Served(tmp_path).serving()
-    yield made
-    made.close()
-    assert not made.rig.errors and not made.made.router.faults
+    served_dispatcher = Served(tmp_path).serving()
+    yield served_dispatcher
+    served_dispatcher.close()
+    assert not served_dispatcher.rig.errors and not served_dispatcher.made.router.faults
 
 
 @pytest.mark.parametrize(
@@ -130,16 +130,16 @@
         ("HEAD", "/api/ready", 405),
     ],
 )
-def test_each_call_has_its_answer(method, path, status, served):
+def test_operator_call_returns_its_status(method, path, status, served):
     assert served.call(path, method)[0] == status
 
 
-def test_ready_at_both_addresses_waits_for_a_worker(tmp_path, monkeypatch):
+def test_both_addresses_are_not_ready_without_a_worker(tmp_path, monkeypatch):
     monkeypatch.setattr(serving, "FIRST_LIST_TIMEOUT_US", 0)
-    made = Served(tmp_path, ready=False)
-    assert made.turn(lambda: made.made.phase == Phase.WAITING)
-    assert (made.call("/api/ready")[0], made.health()) == (503, 503)
-    made.close()
+    served = Served(tmp_path, ready=False)
+    assert served.turn(lambda: served.made.phase == Phase.WAITING)
+    assert (served.call("/api/ready")[0], served.health()) == (503, 503)
+    served.close()
 
 
 @pytest.mark.parametrize(
@@ -152,7 +152,7 @@
         (b"GET /" + b"x" * 40_000, b"414"),
     ],
 )
-def test_a_bad_call_gets_a_no_and_others_do_not_wait_for_it(sent, status, served, monkeypatch):
+def test_invalid_call_is_refused_and_does_not_delay_others(sent, status, served, monkeypatch):
     monkeypatch.setattr(control, "CALL_TIMEOUT_US", 300_000)
     bad = served.connect("control")
     bad.sendall(sent)
@@ -161,38 +161,38 @@
     assert status in reply.split(b"\r\n")[0] or status == b"414" and reply.split()[1] in (b"400", b"431")
 
 
-def test_callers_that_finish_no_call_give_way_to_the_next(served):
+def test_unfinished_calls_are_displaced_by_new_callers(served):
     silent = [served.connect("control") for _ in range(40)]
-    for one in silent[::2]:
-        one.sendall(b"GET /api/re")
+    for connection in silent[::2]:
+        connection.sendall(b"GET /api/re")
     for _ in range(5):
         assert served.call("/api/ready")[0] == 200
     budget = served.made.budget
     assert budget.used["operators"] <= budget.limits["operators"]
 
 
-def test_clients_cannot_use_up_the_descriptors_of_operators(served):
-    crowd = [served.connect() for _ in range(150)]
+def test_clients_cannot_use_up_operators_descriptors(served):
+    clients = [served.connect() for _ in range(150)]
     assert served.turn(lambda: served.made.budget.used["clients"] >= served.made.budget.limits["clients"])
-    assert served.call("/api/ready")[0] == 200 and len(crowd) == 150
+    assert served.call("/api/ready")[0] == 200 and len(clients) == 150
 
 
-def test_operators_are_taken_up_before_clients_in_each_turn(served):
+def test_operators_are_served_before_clients_in_each_turn(served):
     loop, order = served.made.loop, []
     step = loop.step
-    clients_ = [served.connect() for _ in range(30)]
+    clients = [served.connect() for _ in range(30)]
     served.turn(lambda: len(served.made.listener.clients) == 30)
     caller = served.connect("control")
     served.turn(lambda: served.made.control.callers)
-    for one in clients_:
-        one.sendall(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+    for client in clients:
+        client.sendall(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
     caller.sendall(b"GET /api/ready HTTP/1.1\r\nHost: h\r\n\r\n")
     loop.step = lambda task, value: (order.append(task.epoll is loop.priority_epoll), step(task, value))
     loop.run_once(0)
     assert order.index(True) == 0 and False in order
 
 
-def test_every_end_of_a_job_stands_under_one_count(served):
+def test_each_job_outcome_is_counted_once(served):
     before = served.figures()
     assert before == {
         "svc.passed.render": 0,
@@ -205,12 +205,12 @@
     }
     client = served.connect()
     client.sendall(helpers.job(X_Txn="a1", X_Remaining_Ms=4000))
-    theirs, _ = served.rig.called(served.sock)
+    worker_side, _ = served.rig.called(served.sock)
     assert served.figures()["svc.in_progress"] == 1
     raw = b'{"id":"a1","state":"done","result":"r"}\n'
-    theirs.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(raw), raw))
+    worker_side.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(raw), raw))
     assert served.rig.reply(client).startswith(b"HTTP/1.1 200")
-    # Answered by the door alone: no room, a shut door; and what is no job at all.
+    # Answered by the listener alone: no room for jobs, an invalid job, and a job that gets no decision.
     served.made.listener.most_held = 0
     client.sendall(helpers.job(X_Txn="a2"))
     assert served.rig.reply(client).startswith(b"HTTP/1.1 503")
@@ -222,7 +222,7 @@
     late.sendall(helpers.job(X_Txn="a4", X_Remaining_Ms=100))
     assert served.rig.reply(late).startswith(b"HTTP/1.1 500")
     figures = served.figures()
-    assert [figures[f"svc.{what}.render"] for what in ("passed", "dropped", "bad_gateway")] == [1, 1, 1]
+    assert [figures[f"svc.{outcome}.render"] for outcome in ("passed", "dropped", "bad_gateway")] == [1, 1, 1]
     assert figures["svc.upstream_tries"] == 1 and figures["svc.in_progress"] == 0
 
 
@@ -230,16 +230,16 @@
     ("state", "back_at", "skipped"),
     [("ready", None, 0), ("ready", 99, 1), ("ready", -1, 0), ("draining", None, 1), ("gone", None, 0)],
 )
-def test_skipped_workers_are_listed_and_get_nothing_now(state, back_at, skipped):
-    made = scheduler(workers=3)
-    made.update_endpoints(0, "changes", [entry(0, state)])
+def test_skipped_workers_are_draining_or_ejected(state, back_at, skipped):
+    tested_scheduler = scheduler(workers=3)
+    tested_scheduler.update_endpoints(0, "changes", [entry(0, state)])
     if back_at is not None:
-        made.workers[0].ejections["render"] = SimpleNamespace(ends_at=back_at)
-    assert made.count_skipped_workers(0) == skipped
+        tested_scheduler.workers[0].ejections["render"] = SimpleNamespace(ends_at=back_at)
+    assert tested_scheduler.count_skipped_workers(0) == skipped
 
 
 @pytest.mark.parametrize("how", ["call", "twice"])
-def test_a_drain_says_no_at_once_and_leads_back(how, served):
+def test_drain_is_not_ready_at_once_and_can_be_ended(how, served):
     for _ in range(1 + (how == "twice")):
         assert served.call("/api/evacuate", "POST")[0] == 200
     assert (served.call("/api/ready")[0], served.health()) == (503, 503)
@@ -249,24 +249,24 @@
     assert served.turn(lambda: served.made.phase == Phase.SERVING)
 
 
-def test_a_drain_lets_clients_go_between_jobs_and_loses_none(served, monkeypatch):
-    for name, after in (
+def test_drain_closes_clients_between_jobs_and_loses_no_job(served, monkeypatch):
+    for name, delay in (
         ("CLOSES_AFTER_US", 100_000),
         ("REJECTS_AFTER_US", 400_000),
         ("HANGS_UP_AFTER_US", 1_500_000),
     ):
-        monkeypatch.setattr(client_listener, name, after)
+        monkeypatch.setattr(client_listener, name, delay)
     idle, busy, half = (served.connect() for _ in range(3))
-    for one in (idle, half):
-        one.sendall(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-        assert b"200" in served.rig.reply(one)
+    for client in (idle, half):
+        client.sendall(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+        assert b"200" in served.rig.reply(client)
     busy.sendall(helpers.job(X_Txn="b1", X_Remaining_Ms=4000))
-    theirs, _ = served.rig.called(served.sock)
+    worker_side, _ = served.rig.called(served.sock)
     half.sendall(helpers.job(X_Txn="b2")[:-1])
     served.call("/api/evacuate", "POST")
     assert served.turn(lambda: len(served.made.listener.clients) == 2)
     assert idle.recv(1) == b""
-    # Its last byte comes too late for the drain: rejected, so a retry elsewhere is harmless.
+    # The last byte of this job arrives too late in the drain: rejected, so that a retry elsewhere is safe.
     assert served.turn(
         lambda: served.made.loop.now() > served.made.listener.draining + client_listener.REJECTS_AFTER_US
     )
@@ -274,18 +274,18 @@
     reply = served.rig.reply(half)
     assert reply.startswith(b"HTTP/1.1 503") and b"connection: close" in reply.lower()
     raw = b'{"id":"b1","state":"done","result":"r"}\n'
-    theirs.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(raw), raw))
+    worker_side.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(raw), raw))
     reply = served.rig.reply(busy)
     assert reply.startswith(b"HTTP/1.1 200") and b"connection: close" in reply.lower()
     silent = served.connect()
     silent.sendall(helpers.job(X_Txn="b3")[:-1])
-    for one in (busy, half):
-        one.close()
+    for client in (busy, half):
+        client.close()
     served.turn(lambda: False, 100_000)
     assert served.turn(lambda: not served.made.listener.clients) and silent.recv(1) == b""
 
 
-def test_the_end_comes_through_a_drain_as_without_one(served):
+def test_shutdown_during_a_drain_ends_as_usual(served):
     served.call("/api/evacuate", "POST")
     served.made.stop_requested = True
     served.made.loop.wake(served.made.lifecycle_task)
@@ -302,7 +302,7 @@
         (7, {}, "control cannot be read"),
     ],
 )
-def test_a_bad_second_address_stops_the_start(where, env, says, tmp_path):
+def test_invalid_control_address_is_rejected(where, env, says, tmp_path):
     with pytest.raises(ConfigurationError, match=says):
         load_configuration(file(tmp_path, control=where), env)
 
@@ -316,53 +316,55 @@
         ("127.0.0.1:8", {"GW_CONTROL": "127.0.0.1:9"}, ("127.0.0.1", 8)),
     ],
 )
-def test_the_second_address_is_optional(where, env, control_, tmp_path):
+def test_control_address_is_optional(where, env, control_, tmp_path):
     assert load_configuration(file(tmp_path, control=where), env)["control"] == control_
 
 
-def test_without_a_second_address_nothing_of_it_runs(tmp_path, monkeypatch):
+def test_no_operator_listener_without_control_address(tmp_path, monkeypatch):
     monkeypatch.setattr(serving, "FIRST_LIST_TIMEOUT_US", 0)
-    made = Served(tmp_path, control=None).serving().made
+    dispatcher_ = Served(tmp_path, control=None).serving().made
     assert (
-        made.control_socket is None
-        and made.loop.priority_epoll is None
-        and made.budget.limits["operators"] == 0
+        dispatcher_.control_socket is None
+        and dispatcher_.loop.priority_epoll is None
+        and dispatcher_.budget.limits["operators"] == 0
     )
-    made.listening_socket.close()
+    dispatcher_.listening_socket.close()
 
 
-def test_a_second_address_in_use_is_named_in_one_message(tmp_path, monkeypatch):
+def test_control_address_in_use_is_named_in_the_error(tmp_path, monkeypatch):
     monkeypatch.setattr(dispatcher, "BIND_ATTEMPTS", 2)
     holder = listen((HERE, 0))
-    at = "{}:{}".format(*holder.getsockname())
-    with pytest.raises(OSError, match=at) as raised:
-        Served(tmp_path, control=at)
+    address = "{}:{}".format(*holder.getsockname())
+    with pytest.raises(OSError, match=address) as raised:
+        Served(tmp_path, control=address)
     assert raised.value.errno == errno.EADDRINUSE
     holder.close()
 
 
-def test_a_bad_second_address_in_a_new_file_changes_nothing(served):
+def test_reload_with_invalid_control_address_changes_nothing(served):
     path, (host, port) = pathlib.Path(served.path), served.made.configuration["control"]
     path.write_text(path.read_text().replace(f"{host}:{port}", "nowhere"))
     served.made.reload_configuration()
-    assert [what for what, _ in served.rig.logged if what.startswith("config")] == ["configuration_rejected"]
+    assert [event for event, _ in served.rig.logged if event.startswith("config")] == [
+        "configuration_rejected"
+    ]
     assert served.call("/api/ready")[0] == 200
 
 
-def test_a_crowd_is_taken_in_a_few_a_turn(served):
-    crowd = [served.connect() for _ in range(3 * client_listener.MAX_ACCEPTS)]
-    most, door = 0, served.made.listener
-    while len(door.clients) < min(len(crowd), served.made.budget.limits["clients"]):
-        before = len(door.clients)
+def test_accepted_clients_are_limited_in_each_turn(served):
+    clients = [served.connect() for _ in range(3 * client_listener.MAX_ACCEPTS)]
+    most_accepted, listener = 0, served.made.listener
+    while len(listener.clients) < min(len(clients), served.made.budget.limits["clients"]):
+        before = len(listener.clients)
         served.made.loop.run_once(10_000)
-        most = max(most, len(door.clients) - before)
-    assert 0 < most <= client_listener.MAX_ACCEPTS
+        most_accepted = max(most_accepted, len(listener.clients) - before)
+    assert 0 < most_accepted <= client_listener.MAX_ACCEPTS
 
 
-def test_a_new_configuration_during_a_drain_leaves_it_a_drain(served):
+def test_reload_during_a_drain_keeps_the_drain(served):
     served.call("/api/evacuate", "POST")
     served.made.reload_configuration()
     assert served.turn(lambda: served.made.phase == Phase.DRAINING)
-    assert [what for what, _ in served.rig.logged if what.startswith("config")] == ["configuration_loaded"]
+    assert [event for event, _ in served.rig.logged if event.startswith("config")] == ["configuration_loaded"]
     assert served.call("/api/ready")[0] == 503 and served.call("/api/rejoin", "POST")[0] == 200
     assert served.health() == 200
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -357,7 +357,7 @@
 @pytest.mark.parametrize(
     ("changed", "says"),
     [
-        ({"copies": 3}, "copies is 3, and there are no peers"),
+        ({"copies": 3}, "copies is 3, but no peers are configured"),
         ({"copies": 8}, "repeats.copies is above 7"),
         ({"sync": 1}, "sync cannot be read"),
         ({"entries": 0}, "repeats.entries"),
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""Routing and the program round it."""
+"""Tests of the router, the configuration, the log, the lifecycle phases and the command line."""
 
 import os
 import signal
@@ -30,29 +30,29 @@
 from mastledge.transport.listening import listen
 
 
-def router(rig, effect="restartable", listed=1):
-    made = Router(
+def router_with_workers(rig, effect="restartable", listed=1):
+    router = Router(
         rig.loop, rig.inbox, scheduler([queue_type(effect)], workers=0), workers(rig), None, rig.log
     )
-    made.discovery = type("Told", (), {"generation": 1})
-    now, entries, socks = rig.loop.now(), [], []
+    router.discovery = type("Told", (), {"generation": 1})
+    now, entries, sockets = rig.loop.now(), [], []
     for n in range(listed):
         peer, sock = peer_at(f"s-{n}")
-        socks.append(sock)
+        sockets.append(sock)
         entries.append((peer.id, peer.address, 0, "ready", 0, 0, 0, 1.0))
-    made.on_endpoints_changed(now, EndpointsChanged("whole", entries))
-    return made, socks
+    router.on_endpoints_changed(now, EndpointsChanged("whole", entries))
+    return router, sockets
 
 
-def arrived(rig, made, patience=500_000):
-    exchange, given = Exchange(), []
-    exchange.answer, exchange.name, exchange.kind = lambda *answer: given.append(answer), "9b1f", "render"
+def arrive_job(rig, router, patience=500_000):
+    exchange, answers = Exchange(), []
+    exchange.answer, exchange.name, exchange.kind = lambda *answer: answers.append(answer), "9b1f", "render"
     exchange.until = rig.loop.now() + patience
     exchange.method, exchange.target, exchange.headers, exchange.body = b"POST", b"/render", [], b""
     terms = (0, 100_000, 0, 1.0, 0.0, 0, patience)
-    made.on_job_arrived(rig.loop.now(), JobArrived(exchange, terms))
-    made.call_guarded(made.carry_out_decisions, rig.loop.now())
-    return made.jobs[made.job_table.count], given
+    router.on_job_arrived(rig.loop.now(), JobArrived(exchange, terms))
+    router.call_guarded(router.carry_out_decisions, rig.loop.now())
+    return router.jobs[router.job_table.count], answers
 
 
 @pytest.mark.parametrize(
@@ -64,94 +64,94 @@
         (["full", "unreachable"], []),
     ],
 )
-def test_the_first_result_is_the_only_answer(hows, answers):
+def test_client_gets_only_the_first_result(hows, answers):
     rig = Rig()
-    made, _ = router(rig, listed=3)
-    job, given = arrived(rig, made)
+    router, _ = router_with_workers(rig, listed=3)
+    job, given_answers = arrive_job(rig, router)
     for how in hows:
         result = b"r" if how == "completed" else None
-        made.on_launch_ended(rig.loop.now(), LaunchEnded(job.launches[-1], how, result, ()))
-        made.call_guarded(made.carry_out_decisions, rig.loop.now())
-    assert [answer[0] for answer in given] == answers and not made.faults
+        router.on_launch_ended(rig.loop.now(), LaunchEnded(job.launches[-1], how, result, ()))
+        router.call_guarded(router.carry_out_decisions, rig.loop.now())
+    assert [answer[0] for answer in given_answers] == answers and not router.faults
 
 
 @pytest.mark.parametrize(("sent", "how"), [(False, "unsent"), (True, "revoked")])
-def test_a_revoked_launch_ends_as_may_have_run_only_when_it_was_sent(sent, how):
+def test_revoked_launch_may_have_run_only_if_sent(sent, how):
     rig = Rig()
-    made, _ = router(rig)
-    job, _ = arrived(rig, made)
+    router, _ = router_with_workers(rig)
+    job, _ = arrive_job(rig, router)
     job.launches[0].sent = sent
-    made.revoke_launch(rig.loop.now(), RevokeLaunch(job.id, 0))
+    router.revoke_launch(rig.loop.now(), RevokeLaunch(job.id, 0))
     assert rig.inbox.items[-1].outcome == how and job.launches[0].task.ended
 
 
 @pytest.mark.parametrize("how", ["completed", "error", "lost", "timeout"])
-def test_nothing_is_answered_or_launched_for_a_client_that_left(how):
+def test_abandoned_job_is_not_answered_or_relaunched(how):
     rig = Rig()
-    made, _ = router(rig)
-    job, given = arrived(rig, made)
+    router, _ = router_with_workers(rig)
+    job, given_answers = arrive_job(rig, router)
     job.exchange.open = False
-    made.on_job_abandoned(rig.loop.now(), JobAbandoned(job.exchange))
-    made.call_guarded(made.carry_out_decisions, rig.loop.now())
-    made.on_launch_ended(rig.loop.now(), LaunchEnded(job.launches[0], how, b"r", ()))
-    made.call_guarded(made.carry_out_decisions, rig.loop.now())
-    assert not given and not made.jobs and len(job.launches) == 1 and not made.faults
+    router.on_job_abandoned(rig.loop.now(), JobAbandoned(job.exchange))
+    router.call_guarded(router.carry_out_decisions, rig.loop.now())
+    router.on_launch_ended(rig.loop.now(), LaunchEnded(job.launches[0], how, b"r", ()))
+    router.call_guarded(router.carry_out_decisions, rig.loop.now())
+    assert not given_answers and not router.jobs and len(job.launches) == 1 and not router.faults
 
 
-def test_a_program_that_has_to_end_kills_what_is_open():
+def test_shutdown_kills_open_jobs():
     rig = Rig()
-    made, _ = router(rig, "run-once")
-    job, given = arrived(rig, made)
-    made.on_shutdown_due(rig.loop.now(), ShutdownDue())
-    made.call_guarded(made.carry_out_decisions, rig.loop.now())
-    assert [answer[0] for answer in given] == [500] and made.job_table.totals["killed"] == 1
+    router, _ = router_with_workers(rig, "run-once")
+    job, given_answers = arrive_job(rig, router)
+    router.on_shutdown_due(rig.loop.now(), ShutdownDue())
+    router.call_guarded(router.carry_out_decisions, rig.loop.now())
+    assert [answer[0] for answer in given_answers] == [500] and router.job_table.totals["killed"] == 1
     assert job.launches[0].task.ended
 
 
 @pytest.mark.parametrize(("state", "born"), [("draining", 0), ("gone", 0), ("ready", 50)])
-def test_idle_connections_to_a_leaving_or_restarted_worker_are_closed(state, born):
+def test_idle_connections_to_leaving_or_restarted_worker_are_closed(state, born):
     rig = Rig()
-    made, _ = router(rig)
-    (peer,) = made.endpoints.values()
-    hung = []
-    made.workers.close_idle = hung.append
+    router, _ = router_with_workers(rig)
+    (peer,) = router.endpoints.values()
+    closed = []
+    router.workers.close_idle = closed.append
     changes = [(peer.id, peer.address, 0, state, born, 0, 0, 1.0)]
-    made.on_endpoints_changed(rig.loop.now(), EndpointsChanged("changes", changes))
-    known = made.scheduler.workers.get(peer)
-    assert hung == [peer] and (known.state if known else "gone") == state
+    router.on_endpoints_changed(rig.loop.now(), EndpointsChanged("changes", changes))
+    known = router.scheduler.workers.get(peer)
+    assert closed == [peer] and (known.state if known else "gone") == state
 
 
-def test_a_worker_missing_from_a_whole_list_gets_no_idle_connections():
+def test_worker_missing_from_a_whole_list_is_gone():
     rig = Rig()
-    made, _ = router(rig, listed=2)
-    first, second = made.endpoints.values()
+    router, _ = router_with_workers(rig, listed=2)
+    first, second = router.endpoints.values()
     entries = [(second.id, second.address, 0, "ready", 0, 0, 0, 1.0)]
-    made.on_endpoints_changed(rig.loop.now(), EndpointsChanged("whole", entries))
+    router.on_endpoints_changed(rig.loop.now(), EndpointsChanged("whole", entries))
     assert (first.state, second.state) == ("gone", "ready")
 
 
 @pytest.mark.parametrize("out", [True, False])
-def test_who_has_gone_is_forgotten_once_nothing_of_it_is_out(out):
-    # Each release brings new ids, and the records of all former ones were kept for good.
+def test_gone_worker_is_forgotten_after_its_last_launch(out):
+    # Guards against a leak: each release brings new worker ids, and records of former ids were kept for ever.
     rig = Rig()
-    made, _ = router(rig)
-    (peer,) = made.endpoints.values()
+    router, _ = router_with_workers(rig)
+    (peer,) = router.endpoints.values()
     if out:
-        job, given = arrived(rig, made)
+        job, given_answers = arrive_job(rig, router)
     gone = [(peer.id, peer.address, 0, "gone", 0, 0, 0, 1.0)]
-    made.on_endpoints_changed(rig.loop.now(), EndpointsChanged("changes", gone))
-    assert not made.endpoints and (peer in made.scheduler.workers) == out
+    router.on_endpoints_changed(rig.loop.now(), EndpointsChanged("changes", gone))
+    assert not router.endpoints and (peer in router.scheduler.workers) == out
     if out:
-        made.on_launch_ended(rig.loop.now(), LaunchEnded(job.launches[0], "completed", b"r", ()))
-        made.on_endpoints_changed(rig.loop.now(), EndpointsChanged("changes", []))
-        assert given[0][0] == 200 and not made.scheduler.workers and not made.faults
+        router.on_launch_ended(rig.loop.now(), LaunchEnded(job.launches[0], "completed", b"r", ()))
+        router.on_endpoints_changed(rig.loop.now(), EndpointsChanged("changes", []))
+        assert given_answers[0][0] == 200 and not router.scheduler.workers and not router.faults
 
 
-def test_a_fault_over_one_job_is_logged_and_passed():
+def test_internal_error_in_one_job_is_logged_and_contained():
     rig = Rig()
-    made, _ = router(rig)
-    made.call_guarded(made.launch_job, 0, LaunchJob(99, None, 0))
-    assert made.faults == 1 and rig.logged[-1][0] == "internal_error"
+    router, _ = router_with_workers(rig)
+    router.call_guarded(router.launch_job, 0, LaunchJob(99, None, 0))
+    assert router.faults == 1 and rig.logged[-1][0] == "internal_error"
 
 
 GOOD = {
@@ -179,12 +179,12 @@
 
 
 def file(path, **changed):
-    place = path / "config.json"
-    place.write_bytes(orjson.dumps({**GOOD, **changed}))
-    return str(place)
+    config_path = path / "config.json"
+    config_path.write_bytes(orjson.dumps({**GOOD, **changed}))
+    return str(config_path)
 
 
-def test_a_configuration_becomes_a_plain_map(tmp_path):
+def test_configuration_is_loaded_as_a_plain_dict(tmp_path):
     loaded = load_configuration(file(tmp_path, limits={"sockets": 512}), {})
     settings = loaded["settings"]
     assert (loaded["listen"], loaded["seed"], loaded["sockets"]) == (("127.0.0.1", 7070), 0x8C1F, 512)
@@ -205,7 +205,7 @@
         ({"limits": 4}, "limits"),
     ],
 )
-def test_a_bad_configuration_is_one_plain_message(changed, says, tmp_path):
+def test_invalid_configuration_is_reported_in_one_message(changed, says, tmp_path):
     with pytest.raises(ConfigurationError, match=says):
         load_configuration(file(tmp_path, **changed), {})
 
@@ -218,33 +218,33 @@
         ({"a": [{"b": 1}, {"b": 2}]}, {"a": [], "a.count": 2, "a.0.b": 1, "a.1.b": 2}),
     ],
 )
-def test_nested_settings_are_found_by_their_paths(nested, pairs):
+def test_nested_settings_are_flattened_to_paths(nested, pairs):
     assert flatten_settings(nested) == pairs
 
 
-def test_a_log_that_nobody_reads_is_not_waited_for():
-    reads, writes = os.pipe()
-    log = Log(writes, "n1")
+def test_log_does_not_block_on_a_full_pipe():
+    read_end, write_end = os.pipe()
+    log = Log(write_end, "n1")
     for n in range(2_000):
         log("event", n=n, text="x" * 100)
     lost = log.lost
-    while len(os.read(reads, 65536)) == 65536:
+    while len(os.read(read_end, 65536)) == 65536:
         pass
     log("after")
-    assert lost and orjson.loads(os.read(reads, 65536).splitlines()[-1])["lost"] == lost
+    assert lost and orjson.loads(os.read(read_end, 65536).splitlines()[-1])["lost"] == lost
 
 
-def test_a_line_that_cannot_be_written_is_told_as_such():
-    reads, writes = os.pipe()
-    Log(writes, "n1")("event", text="\ud800")
-    assert orjson.loads(os.read(reads, 4096))["of"] == "event"
+def test_log_line_that_cannot_be_encoded_is_replaced():
+    read_end, write_end = os.pipe()
+    Log(write_end, "n1")("event", text="\ud800")
+    assert orjson.loads(os.read(read_end, 4096))["of"] == "event"
 
 
 @pytest.mark.parametrize(
     ("phase", "to"),
     [(Phase.STARTING, Phase.SERVING), (Phase.SERVING, Phase.FINISHING), (Phase.LEAVING, Phase.WAITING)],
 )
-def test_phases_follow_their_order(phase, to):
+def test_phase_out_of_order_is_refused(phase, to):
     entered = []
     lifecycle = Lifecycle(entered.append)
     lifecycle.phase = phase
@@ -262,12 +262,12 @@
         (True, True, "draining", False),
     ],
 )
-def test_ready_is_who_knows_a_worker_and_asked_for_news(answered, impatient, state, can):
+def test_can_serve_needs_a_ready_worker_and_a_current_list(answered, impatient, state, can):
     rig = Rig()
-    made, _ = router(rig)
-    next(iter(made.endpoints.values())).state = state
+    router, _ = router_with_workers(rig)
+    next(iter(router.endpoints.values())).state = state
     discovery = SimpleNamespace(task=object(), answered=answered)
-    dispatcher = SimpleNamespace(router=made, discovery=discovery, fleet=None, recovery=None)
+    dispatcher = SimpleNamespace(router=router, discovery=discovery, fleet=None, recovery=None)
     assert can_serve(dispatcher, impatient) == can
 
 
@@ -283,41 +283,45 @@
         (None, 0, "configuration_rejected"),
     ],
 )
-def test_a_new_configuration_moves_discovery_and_a_bad_one_changes_nothing(changed, moves, event, tmp_path):
-    # SIGHUP came under load and ended the program, with all that it had taken.
+def test_reload_moves_discovery_and_an_invalid_file_changes_nothing(changed, moves, event, tmp_path):
+    # Guards against SIGHUP ending the process with its open jobs.
     rig = Rig()
     path = file(tmp_path, limits={"sockets": 64})
-    made = Dispatcher(load_configuration(path, {}), rig.log, lambda: load_configuration(path, {}))
-    made.discovery.follow()
-    task, size = made.discovery.task, made.budget.limits["clients"]
-    reads, writes = os.pipe()
-    signals = made.loop.spawn(watch_signals(reads, made.reload_configuration, made.wake))
-    made.lifecycle_task = made.loop.spawn(iter(()))
+    dispatcher = Dispatcher(load_configuration(path, {}), rig.log, lambda: load_configuration(path, {}))
+    dispatcher.discovery.follow()
+    task, client_limit = dispatcher.discovery.task, dispatcher.budget.limits["clients"]
+    read_end, write_end = os.pipe()
+    signals = dispatcher.loop.spawn(watch_signals(read_end, dispatcher.reload_configuration, dispatcher.wake))
+    dispatcher.lifecycle_task = dispatcher.loop.spawn(iter(()))
     if changed is None:
         os.remove(path)
     else:
         file(tmp_path, **{"limits": {"sockets": 128}, **changed})
     for _ in range(2):
-        os.write(writes, bytes([signal.SIGHUP]))
-        made.loop.run_once(0)
-        made.loop.run_once(0)
-    assert (made.discovery.task is not task) == bool(moves) and not signals.ended
-    assert made.discovery.address == ("127.0.0.1", 8500 + moves) and task.ended == bool(moves)
-    assert [what for what, _ in rig.logged if what.startswith("configuration")] == 2 * [event]
-    assert (made.budget.limits["clients"] > size) == (event == "configuration_loaded")
-    restart = next(fields for what, fields in rig.logged if what == event).get("needs_restart", [])
-    assert restart == (["listen"] if changed and "listen" in changed else [])
+        os.write(write_end, bytes([signal.SIGHUP]))
+        dispatcher.loop.run_once(0)
+        dispatcher.loop.run_once(0)
+    assert (dispatcher.discovery.task is not task) == bool(moves) and not signals.ended
+    assert dispatcher.discovery.address == ("127.0.0.1", 8500 + moves) and task.ended == bool(moves)
+    assert [
+        logged_event for logged_event, _ in rig.logged if logged_event.startswith("configuration")
+    ] == 2 * [event]
+    assert (dispatcher.budget.limits["clients"] > client_limit) == (event == "configuration_loaded")
+    needs_restart = next(fields for logged_event, fields in rig.logged if logged_event == event).get(
+        "needs_restart", []
+    )
+    assert needs_restart == (["listen"] if changed and "listen" in changed else [])
 
 
 @pytest.mark.parametrize("sent", [True, False])
-def test_a_launch_whose_carrying_out_fails_still_ends(sent):
+def test_launch_that_raises_an_error_still_ends(sent):
     rig = Rig()
-    made, _ = router(rig)
-    job, _ = arrived(rig, made)
+    router, _ = router_with_workers(rig)
+    job, _ = arrive_job(rig, router)
     launch = job.launches[0]
     launch.sent, launch.endpoint.address = sent, None
     rig.inbox.items.clear()
-    assert list(made.run_launch(launch, launch.created_at)) == []
+    assert list(router.run_launch(launch, launch.created_at)) == []
     ended = rig.inbox.items[-1]
     assert type(ended) is LaunchEnded and ended[:2] == (launch, "error" if sent else "unsent")
 
@@ -331,7 +335,7 @@
         (["version"], 0, "mastledge "),
     ],
 )
-def test_the_command_line_says_what_is_wrong_in_one_line(words, code, says, monkeypatch, capsys):
+def test_command_line_reports_errors_in_one_line(words, code, says, monkeypatch, capsys):
     monkeypatch.delenv("GW_CONFIG", raising=False)
     monkeypatch.setattr("sys.argv", ["mastledge", *words])
     assert main() == code
@@ -342,15 +346,15 @@
 @pytest.mark.parametrize(
     ("answered", "longest", "status"), [(True, 900_000, b"200"), (False, 300_000, b"503")]
 )
-def test_the_end_finishes_what_was_taken_and_not_the_rest(answered, longest, status, tmp_path, monkeypatch):
+def test_shutdown_finishes_open_jobs_within_its_time_limit(answered, longest, status, tmp_path, monkeypatch):
     times = {"ACCEPT_FOR_US": 20_000, "LONGEST_WAIT_US": longest, "EXIT_MARGIN_US": 50_000}
     for name, time in times.items():
         monkeypatch.setattr(graceful_shutdown, name, time)
     monkeypatch.setattr(serving, "FIRST_LIST_TIMEOUT_US", 0)
     peer, sock = peer_at()
-    door = listen((HERE, 0))
-    at = f"{HERE}:{door.getsockname()[1]}"
-    door.close()
+    free_socket = listen((HERE, 0))
+    address = f"{HERE}:{free_socket.getsockname()[1]}"
+    free_socket.close()
     known = {
         "generation": 1,
         "reset": True,
@@ -368,33 +372,34 @@
         ],
     }
     rig = Rig()
-    # Decisions give up two steps before the end: a machine that stands still for a moment must not take both
-    # at once.
+    # The scheduler gives up two steps before the end: a short pause of the machine must not skip both.
     settings = {**GOOD["settings"], "stepMs": 40.0}
-    made = Dispatcher(
-        load_configuration(file(tmp_path, listen=at, known=known, settings=settings), {}), rig.log
+    dispatcher = Dispatcher(
+        load_configuration(file(tmp_path, listen=address, known=known, settings=settings), {}), rig.log
     )
-    rig.loop = made.loop
-    made.begin()
-    assert rig.turn(lambda: made.phase == Phase.SERVING)
-    busy, idle = (socket.create_connection(made.configuration["listen"], 2) for _ in range(2))
+    rig.loop = dispatcher.loop
+    dispatcher.begin()
+    assert rig.turn(lambda: dispatcher.phase == Phase.SERVING)
+    busy, idle = (socket.create_connection(dispatcher.configuration["listen"], 2) for _ in range(2))
     busy.sendall(helpers.job(X_Remaining_Ms=4000))
-    theirs, _ = rig.called(sock)
-    made.stop_requested = True
-    rig.loop.wake(made.lifecycle_task)
-    assert rig.turn(lambda: made.phase == Phase.LEAVING)
-    # All dispatchers may be ending at once: who is connected is still served, as far as there is time.
+    worker_side, _ = rig.called(sock)
+    dispatcher.stop_requested = True
+    rig.loop.wake(dispatcher.lifecycle_task)
+    assert rig.turn(lambda: dispatcher.phase == Phase.LEAVING)
+    # All dispatchers may shut down at once: connected clients are still served while there is time.
     idle.sendall(b"GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
     assert b"close" not in rig.reply(idle)
     if answered:
         raw = b'{"id":"9b1f","state":"done","result":"r"}\n'
-        theirs.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(raw), raw))
+        worker_side.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(raw), raw))
     reply = rig.reply(busy)
     busy.close()
-    assert rig.turn(lambda: not made.loop.running) and made.phase == Phase.ENDED and not rig.errors
+    assert (
+        rig.turn(lambda: not dispatcher.loop.running) and dispatcher.phase == Phase.ENDED and not rig.errors
+    )
     assert reply.startswith(b"HTTP/1.1 " + status)
     assert (b"connection: close" in reply.lower()) != answered
-    assert idle.recv(1) == b"" and not made.router.faults
+    assert idle.recv(1) == b"" and not dispatcher.router.faults
 
 
 OTHER = {
@@ -412,18 +417,18 @@
 }
 
 
-def answers(sock, body):
-    raw = b'{"id":"%s","state":"done","result":"r","load":{"queue":0,"x0":2,"x1":"no figure"}}\n' % body
+def answers(sock, job_id):
+    raw = b'{"id":"%s","state":"done","result":"r","load":{"queue":0,"x0":2,"x1":"no figure"}}\n' % job_id
     sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(raw), raw))
 
 
-def test_settings_are_switched_in_a_running_program_and_back_with_jobs_open(tmp_path, monkeypatch):
-    # SIGHUP only named what had changed, and the move would have cost a restart of each dispatcher.
+def test_reload_changes_settings_and_back_with_open_jobs(tmp_path, monkeypatch):
+    # Guards against a reload that only reports changed settings, so that each change needs a restart.
     monkeypatch.setattr(serving, "FIRST_LIST_TIMEOUT_US", 0)
     peer, sock = peer_at()
-    door = listen((HERE, 0))
-    at = f"{HERE}:{door.getsockname()[1]}"
-    door.close()
+    free_socket = listen((HERE, 0))
+    address = f"{HERE}:{free_socket.getsockname()[1]}"
+    free_socket.close()
     known = {
         "generation": 1,
         "reset": True,
@@ -441,46 +446,50 @@
         ],
     }
     rig = Rig()
-    path = file(tmp_path, listen=at, known=known)
-    made = Dispatcher(load_configuration(path, {}), rig.log, lambda: load_configuration(path, {}))
-    rig.loop = made.loop
-    made.begin()
-    assert rig.turn(lambda: made.phase == Phase.SERVING)
+    path = file(tmp_path, listen=address, known=known)
+    dispatcher = Dispatcher(load_configuration(path, {}), rig.log, lambda: load_configuration(path, {}))
+    rig.loop = dispatcher.loop
+    dispatcher.begin()
+    assert rig.turn(lambda: dispatcher.phase == Phase.SERVING)
     clients, name = [], GOOD["settings"]["queueTypes"][0]["name"]
 
-    def taken(path, txn):
-        clients.append(socket.create_connection(made.configuration["listen"], 2))
+    def send_job(path, txn):
+        clients.append(socket.create_connection(dispatcher.configuration["listen"], 2))
         clients[-1].sendall(helpers.job(path, X_Txn=txn, X_Remaining_Ms=4000))
         return rig.called(sock)
 
-    open_before, head = taken(f"/{name}", "aa01")
+    open_before, head = send_job(f"/{name}", "aa01")
     assert b"aa01" in head
-    file(tmp_path, listen=at, known=known, settings=OTHER)
-    made.reload_configuration()
-    open_between, head = taken("/file-final", "aa02")
-    assert b"aa02" in head and made.router.scheduler.settings["report_how"] == "piggyback"
-    assert made.router.scheduler.settings["may_message"] is False
-    assert made.router.scheduler.settings["zone"] == made.router.scheduler.ready[0].zone
+    file(tmp_path, listen=address, known=known, settings=OTHER)
+    dispatcher.reload_configuration()
+    open_between, head = send_job("/file-final", "aa02")
+    assert b"aa02" in head and dispatcher.router.scheduler.settings["report_how"] == "piggyback"
+    assert dispatcher.router.scheduler.settings["may_message"] is False
+    assert dispatcher.router.scheduler.settings["zone"] == dispatcher.router.scheduler.ready[0].zone
     answers(open_before, b"aa01")
     assert rig.reply(clients[0]).startswith(b"HTTP/1.1 200")
-    file(tmp_path, listen=at, known=known)
-    made.reload_configuration()
+    file(tmp_path, listen=address, known=known)
+    dispatcher.reload_configuration()
     answers(open_between, b"aa02")
     assert rig.reply(clients[1]).startswith(b"HTTP/1.1 200")
-    clients.append(socket.create_connection(made.configuration["listen"], 2))
+    clients.append(socket.create_connection(dispatcher.configuration["listen"], 2))
     clients[2].sendall(helpers.job("/file-final", X_Txn="aa03"))
     assert rig.reply(clients[2]).startswith(b"HTTP/1.1 404")
-    assert [fields["settings"] for what, fields in rig.logged if what == "configuration_loaded"] == [
+    assert [fields["settings"] for event, fields in rig.logged if event == "configuration_loaded"] == [
         True,
         True,
     ]
-    assert made.router.job_table.totals["completed"] == 2 and not made.router.jobs and not made.router.faults
     assert (
-        made.router.job_table.count == 2
-        and made.configuration["settings"] == load_configuration(path, {})["settings"]
+        dispatcher.router.job_table.totals["completed"] == 2
+        and not dispatcher.router.jobs
+        and not dispatcher.router.faults
+    )
+    assert (
+        dispatcher.router.job_table.count == 2
+        and dispatcher.configuration["settings"] == load_configuration(path, {})["settings"]
     )
-    for one in (*clients, open_before, open_between, sock, made.listening_socket):
-        one.close()
+    for open_socket in (*clients, open_before, open_between, sock, dispatcher.listening_socket):
+        open_socket.close()
 
 
 @pytest.mark.parametrize(
@@ -493,21 +502,21 @@
         ({"balancers": 0}, "balancers"),
     ],
 )
-def test_settings_that_fail_their_check_change_nothing_in_a_running_program(changed, says, tmp_path):
+def test_reload_with_invalid_settings_changes_nothing(changed, says, tmp_path):
     rig = Rig()
     path = file(tmp_path)
-    made = Dispatcher(load_configuration(path, {}), rig.log, lambda: load_configuration(path, {}))
-    before = made.configuration["settings"]
+    dispatcher = Dispatcher(load_configuration(path, {}), rig.log, lambda: load_configuration(path, {}))
+    before = dispatcher.configuration["settings"]
     file(tmp_path, settings={**GOOD["settings"], **changed})
-    made.reload_configuration()
-    ((what, fields),) = rig.logged
-    assert what == "configuration_rejected" and says in fields["why"] and "\n" not in fields["why"]
-    assert made.configuration["settings"] is before and not any(
-        isinstance(item, SettingsChanged) for item in made.inbox.items
+    dispatcher.reload_configuration()
+    ((event, fields),) = rig.logged
+    assert event == "configuration_rejected" and says in fields["why"] and "\n" not in fields["why"]
+    assert dispatcher.configuration["settings"] is before and not any(
+        isinstance(item, SettingsChanged) for item in dispatcher.inbox.items
     )
 
 
-def test_a_host_without_messages_never_asks_for_one():
+def test_settings_for_decisions_disable_peer_messages():
     assert settings_for_decisions({"may_message": True, "queue_types": []})["may_message"] is False
 
 
@@ -518,14 +527,14 @@
         ("numpy", ["lab", "names"], "the laboratory needs numpy: pip install -r requirements-lab.txt"),
     ],
 )
-def test_a_package_that_is_missing_is_one_line(hidden, words, says, tmp_path):
+def test_missing_package_is_reported_in_one_line(hidden, words, says, tmp_path):
     (tmp_path / "hidden").mkdir()
     (tmp_path / "hidden" / f"{hidden}.py").write_text(f"raise ModuleNotFoundError(name={hidden!r})\n")
     peers = {"listen": f"{HERE}:1", "members": {"n0": f"{HERE}:1"}, "folder": str(tmp_path / "kept")}
     if words == ["serve"]:
         words = ["serve", "--config", str(file(tmp_path, name="n0", peers=peers))]
     env = {**os.environ, "PYTHONPATH": str(tmp_path / "hidden")}
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-B", "-m", "mastledge", *words], capture_output=True, text=True, env=env
     )
-    assert done.returncode == 2 and done.stderr == f"mastledge: {says}\n"
+    assert completed.returncode == 2 and completed.stderr == f"mastledge: {says}\n"
