--- a/mastledge/program/dispatcher.py
+++ b/mastledge/program/dispatcher.py
@@ -42,11 +42,11 @@
     imported on use, because a single dispatcher needs fewer packages.
     """
 
-    def __init__(self, configuration: dict, log, load_again=None, folder: str | None = None):
+    def __init__(self, configuration: dict, log, read_configuration=None, folder: str | None = None):
         """Create the components; nothing runs before `begin`.
 
-        `load_again` reads the configuration again; `folder` holds the files that the two processes of an
-        upgrade share, None for no sharing.
+        `read_configuration` reads the configuration again; `folder` holds the files that the two processes of
+        an upgrade share, None for no sharing.
         """
         self.log = log
         self.loop = Loop(self.report_fault)
@@ -56,7 +56,7 @@
         self.fleet = self.idempotency = self.recovery = None
         self.excluded = ExcludedWorkers()
         self._lifecycle = Lifecycle(self._log_phase)
-        self._reconfiguration = Reconfiguration(self, configuration, load_again)
+        self._reconfiguration = Reconfiguration(self, configuration, read_configuration)
         self.follows_discovery = configuration["settings"]["follow"] == "pushed"
         self._add_budget(configuration)
         self._add_serving_parts(configuration)
@@ -257,7 +257,7 @@
         self.loop.forget(self.listening_socket.fileno())
         self.listening_socket.close()
 
-    def release_folders(self) -> None:
+    def release_data_directories(self) -> None:
         """Release the data directories for the successor once this process no longer uses them."""
         if self.idempotency is not None:
             if not self.idempotency.idle():
--- a/mastledge/program/graceful_shutdown.py
+++ b/mastledge/program/graceful_shutdown.py
@@ -50,7 +50,7 @@
             if not dispatcher.listener.succeeded and dispatcher.upgrade_state.sibling_ready():
                 self._leave_to_successor()
             if dispatcher.listener.succeeded:
-                dispatcher.release_folders()
+                dispatcher.release_data_directories()
             # Read on each turn, like the sibling watch, so that both use the same interval.
             yield (-1, 0, min(self._accept_until, loop.now() + sibling_watch.POLL_WITH_SIBLING_US))
 
@@ -74,7 +74,7 @@
         dispatcher, loop, listener = self._dispatcher, self._dispatcher.loop, self._dispatcher.listener
         while listener.clients and loop.now() < self._end_at:
             if listener.succeeded:
-                dispatcher.release_folders()
+                dispatcher.release_data_directories()
             if loop.now() >= self._close_idle_from:
                 listener.close_all_idle()
             if listener.succeeded and loop.now() >= self._end_at - HAND_OFF_BEFORE_END_US:
--- a/mastledge/program/operator_api.py
+++ b/mastledge/program/operator_api.py
@@ -125,8 +125,8 @@
         if serial is None:
             raise CallRefusedError(500, "the process beside this one cannot be told")
         wait_until = program.loop.now() + SIBLING_TIMEOUT_US
-        while (sibling.decided_serial or 0) < serial or not program.upgrade_state.sibling_took_up(serial):
+        while (sibling.applied_serial or 0) < serial or not program.upgrade_state.sibling_has_applied(serial):
             if program.loop.now() >= wait_until:
-                program.log("change_not_seen", serial=serial, holds=sibling.decided_serial)
+                program.log("change_not_seen", serial=serial, holds=sibling.applied_serial)
                 return
             yield (-1, 0, program.loop.now() + SIBLING_POLL_US)
--- a/mastledge/program/reconfiguration.py
+++ b/mastledge/program/reconfiguration.py
@@ -10,12 +10,12 @@
 class Reconfiguration:
     """Owns the configuration in force. Workers, jobs and learned state survive each change."""
 
-    def __init__(self, dispatcher, configuration: dict, load_again=None):
+    def __init__(self, dispatcher, configuration: dict, read_configuration=None):
         """Start with `configuration`.
 
-        `load_again` returns a newly read configuration, or raises ValueError or OSError.
+        `read_configuration` returns a newly read configuration, or raises ValueError or OSError.
         """
-        self._dispatcher, self._load_again = dispatcher, load_again
+        self._dispatcher, self._read_configuration = dispatcher, read_configuration
         self.configuration = configuration
         self.longest_walltime = longest_walltime(
             configuration["settings"]
@@ -25,7 +25,7 @@
         """Reload the configuration and apply what needs no restart; an invalid one changes nothing."""
         dispatcher = self._dispatcher
         try:
-            loaded = self._load_again()
+            loaded = self._read_configuration()
             allowed_descriptors(loaded["sockets"])
             self.configuration["sockets"], self.configuration["memory"] = loaded["sockets"], loaded["memory"]
             dispatcher.resources.resize(loaded["sockets"], loaded["memory"])
@@ -71,7 +71,7 @@
         self.configuration["settings"] = settings
         edges = settings_for_edges(settings)
         zones, kinds = dispatcher.discovery.configure(edges)
-        settings = numbered(settings_for_decisions(settings), zones, kinds)
+        settings = with_discovery_numbers(settings_for_decisions(settings), zones, kinds)
         # Open jobs keep the walltime of the settings under which they arrived.
         self.longest_walltime = max(self.longest_walltime, longest_walltime(settings))
         dispatcher.listener.configure(edges)
@@ -87,7 +87,7 @@
     return max(queue_type["walltime"] for queue_type in settings["queue_types"])
 
 
-def numbered(settings: dict, zones: list[int], kinds: list[int]) -> dict:
+def with_discovery_numbers(settings: dict, zones: list[int], kinds: list[int]) -> dict:
     """Return the settings with zones and kinds replaced by the numbers that discovery assigns."""
     if settings["zone"] < len(zones):
         settings["zone"] = zones[settings["zone"]]
--- a/mastledge/program/sibling_watch.py
+++ b/mastledge/program/sibling_watch.py
@@ -18,8 +18,8 @@
         self._dispatcher = dispatcher
         self._shared_state = dispatcher.upgrade_state
         self.present = False  # whether a sibling process runs
-        self.taken_up_serial = None  # serial of the last shared change that this process has read
-        self.decided_serial = None  # serial of the last shared change that the scheduler has applied
+        self.read_serial = None  # serial of the last shared change that this process has read
+        self.applied_serial = None  # serial of the last shared change that the scheduler has applied
         self._slow_start_share = 1.0
 
     def look_for_sibling(self) -> None:
@@ -37,8 +37,8 @@
                 divided = self.present
                 self._sibling_presence_changed()
             self._shared_state.refresh()
-            if self._shared_state.shared["serial"] != self.taken_up_serial:
-                self.take_up()
+            if self._shared_state.shared["serial"] != self.read_serial:
+                self.apply_shared_state()
             self.divide_slow_start_budget()
             if self._dispatcher.phase in (Phase.SERVING, Phase.DRAINING) and loop.now() >= write_learned_at:
                 write_learned_at = loop.now() + WRITE_LEARNED_EVERY_US
@@ -81,20 +81,20 @@
 
     def refresh(self) -> None:
         """Pass the excluded workers on to the scheduler again."""
-        if self.taken_up_serial is None:
+        if self.read_serial is None:
             self._shared_state.refresh()
-        self.take_up()
+        self.apply_shared_state()
 
-    def take_up(self) -> None:
+    def apply_shared_state(self) -> None:
         """Apply the shared state in this process: drain, excluded workers and re-included workers."""
         dispatcher, shared = self._dispatcher, self._shared_state.shared
         now, clock_offset = dispatcher.loop.now(), dispatcher.discovery.since
         self._drain(shared["draining"])
-        self.taken_up_serial = serial = shared["serial"]
+        self.read_serial = serial = shared["serial"]
         included_at = {**shared["back"], **dispatcher.excluded.committed_included_at}
         warming = {worker: min(at - clock_offset, now) for worker, at in included_at.items()}
         excluded = frozenset(dispatcher.excluded_workers())
-        dispatcher.inbox.put(WorkersExcluded(excluded, warming, lambda: self._decided(serial)))
+        dispatcher.inbox.put(WorkersExcluded(excluded, warming, lambda: self._scheduler_applied(serial)))
 
     def _drain(self, wanted):
         """Start or end a drain: readiness changes in this call, the lifecycle phase follows."""
@@ -103,9 +103,9 @@
             dispatcher.listener.draining = wanted and dispatcher.loop.now()
             dispatcher.wake()
 
-    def _decided(self, serial):
+    def _scheduler_applied(self, serial):
         """Record that the scheduler has applied all changes up to `serial`."""
-        self.decided_serial = serial
+        self.applied_serial = serial
         if self.present:
             seat = str(self._shared_state.seat)
             self._shared_state.change(lambda shared: shared["seen"].update({seat: serial}), news=False)
@@ -114,8 +114,8 @@
         """Edit the shared state and apply it; return its serial, None if the sibling cannot read the edit."""
         if not self._shared_state.change(edit):
             return None
-        self.take_up()
-        return self.taken_up_serial
+        self.apply_shared_state()
+        return self.read_serial
 
     def announce(self, **flags: bool) -> None:
         """Set this process's `ready` and `leaving` flags in the shared state."""
--- a/mastledge/program/upgrade_state.py
+++ b/mastledge/program/upgrade_state.py
@@ -22,7 +22,7 @@
 SharedEdit = Callable[[dict], object]
 
 
-def empty_shared() -> dict:
+def empty_shared_state() -> dict:
     """Return an empty shared state.
 
     `out` lists excluded workers; `back` holds when workers were included again, in Unix time (us); `ready`
@@ -40,12 +40,12 @@
     }
 
 
-def is_sound(shared) -> bool:
+def is_valid_shared_state(shared) -> bool:
     """Return whether a file's content has the format of this version."""
     return (
         isinstance(shared, dict)
         and shared.get("version") == VERSION
-        and all(isinstance(shared.get(name), type(value)) for name, value in empty_shared().items())
+        and all(isinstance(shared.get(name), type(value)) for name, value in empty_shared_state().items())
         and all(isinstance(worker, str) for worker in shared["out"])
         and all(isinstance(at, int) for at in (*shared["back"].values(), *shared["seen"].values()))
     )
@@ -60,7 +60,7 @@
         self._seats = ProcessSeats(self._base) if folder else None
         self._log = log
         self._stamp = None  # stamp of the file that was read last
-        self.shared = empty_shared()
+        self.shared = empty_shared_state()
 
     @property
     def enabled(self) -> bool:
@@ -126,7 +126,7 @@
         self.refresh()
         return 1 - self.seat in self.shared["ready"] and not self.alone()
 
-    def sibling_took_up(self, serial: int) -> bool:
+    def sibling_has_applied(self, serial: int) -> bool:
         """Return whether the sibling's scheduler has applied the change `serial`; True without a sibling."""
         return self.alone() or self.shared["seen"].get(str(1 - self.seat), 0) >= serial
 
@@ -193,7 +193,7 @@
         except (OSError, ValueError) as error:
             self._log("upgrade_state_unreadable", why=str(error))
             return None
-        if is_sound(shared):
+        if is_valid_shared_state(shared):
             return shared
         # A file of another version, or a damaged one, is not interpreted.
         self._log("upgrade_state_unreadable", why=f"the shared state does not have format version {VERSION}")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,7 +19,7 @@
 
 from mastledge.program import operator_api, process_seats, serving, sibling_watch
 from mastledge.program.lifecycle import Phase
-from mastledge.program.upgrade_state import UpgradeState, empty_shared
+from mastledge.program.upgrade_state import UpgradeState, empty_shared_state
 from mastledge.protocol.client_connection import ClientConnection
 from mastledge.protocol.events import LaunchEnded
 from mastledge.routing.events import WorkersExcluded
@@ -53,12 +53,12 @@
 def test_shared_change_is_read_and_acknowledged_by_the_sibling(tmp_path):
     first, second = with_seat(tmp_path), with_seat(tmp_path)
     assert first.change(lambda shared: shared.update(out=["s-1"]))
-    assert not first.sibling_took_up(first.shared["serial"])
+    assert not first.sibling_has_applied(first.shared["serial"])
     assert second.refresh() and second.shared["out"] == ["s-1"] and not second.refresh()
     second.change(lambda shared: shared["seen"].update({str(second.seat): shared["serial"]}), news=False)
-    assert first.refresh() and first.sibling_took_up(1) and first.shared["serial"] == 1
+    assert first.refresh() and first.sibling_has_applied(1) and first.shared["serial"] == 1
     second.leave()
-    assert first.sibling_took_up(99)
+    assert first.sibling_has_applied(99)
 
 
 @pytest.mark.parametrize(
@@ -67,11 +67,11 @@
         b"",
         b"{",
         b"\xff\xfe",
-        orjson.dumps(empty_shared())[:-9],
-        orjson.dumps({**empty_shared(), "version": 2}),
+        orjson.dumps(empty_shared_state())[:-9],
+        orjson.dumps({**empty_shared_state(), "version": 2}),
         b"[]",
-        orjson.dumps({**empty_shared(), "out": [1]}),
-        orjson.dumps({**empty_shared(), "back": {"s": "soon"}}),
+        orjson.dumps({**empty_shared_state(), "out": [1]}),
+        orjson.dumps({**empty_shared_state(), "back": {"s": "soon"}}),
     ],
 )
 def test_unusable_state_file_is_logged_and_replaced(left, tmp_path):
@@ -79,7 +79,11 @@
     first = with_seat(tmp_path, lambda event, **fields: logged.append(event))
     with open(first.state_path, "wb") as state_file:
         state_file.write(left)
-    assert not first.refresh() and first.shared == empty_shared() and logged == ["upgrade_state_unreadable"]
+    assert (
+        not first.refresh()
+        and first.shared == empty_shared_state()
+        and logged == ["upgrade_state_unreadable"]
+    )
     assert not first.refresh() and len(logged) == 1
     assert first.change(lambda shared: shared.update(out=["s-1"]))
     second = with_seat(tmp_path)
