--- a/mastledge/command_line.py
+++ b/mastledge/command_line.py
@@ -14,7 +14,7 @@
     arguments = sys.argv[1:]
     parser, commands = command.new_parser()
     command.add_commands(commands, arguments)
-    if command.offers("lab", arguments):
+    if command.needs_command("lab", arguments):
         add_laboratory(commands)
     return command.run(parser.parse_args(arguments))
 
--- a/mastledge/program/command.py
+++ b/mastledge/program/command.py
@@ -59,7 +59,7 @@
     return parser, parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
 
 
-def offers(command: str, arguments: list[str]) -> bool:
+def needs_command(command: str, arguments: list[str]) -> bool:
     """Return whether a command that is costly to import is needed: the arguments name it or ask for help."""
     return arguments[:1] in ([command], [], ["-h"], ["--help"])
 
@@ -88,7 +88,7 @@
                 default="info",
                 help="brief omits the events of single jobs and launches",
             )
-    if offers("fleet", arguments):
+    if needs_command("fleet", arguments):
         from mastledge.program import fleet_command
 
         fleet_command.add_commands(commands)
--- a/mastledge/program/configuration.py
+++ b/mastledge/program/configuration.py
@@ -134,7 +134,7 @@
     for key, address in addresses.items():
         if peers["listen"] == address:
             raise ConfigurationError(f"peers.listen is the same address as {key}: {part['listen']}")
-    require_sound_members(peers["members"], name)
+    require_valid_members(peers["members"], name)
     lease_ms = peers.pop("lease_ms")
     if not MIN_LEASE_MS <= lease_ms <= MAX_LEASE_MS:
         raise ConfigurationError(f"peers.lease_ms is not from {MIN_LEASE_MS} to {MAX_LEASE_MS}: {lease_ms}")
@@ -148,7 +148,7 @@
     return peers
 
 
-def require_sound_members(members: dict, name: str) -> None:
+def require_valid_members(members: dict, name: str) -> None:
     """Raise ConfigurationError unless names and addresses are valid and distinct, and `name` is a member."""
     by_address = {}
     for member, address in members.items():
--- a/mastledge/program/settings.py
+++ b/mastledge/program/settings.py
@@ -10,86 +10,86 @@
 
 def duration_us(text) -> int:
     """Return a duration given in milliseconds in microseconds; raise ValueError if it is invalid."""
-    return round(figure(text) * 1000)
+    return round(non_negative_number(text) * 1000)
 
 
-def figure(text) -> float:
-    """Return a number from 0 to below FIGURE_LIMIT; raise ValueError otherwise."""
+def non_negative_number(text) -> float:
+    """Return a number from 0 to below NUMBER_LIMIT; raise ValueError otherwise."""
     value = float(text)
-    if not 0 <= value < FIGURE_LIMIT:
+    if not 0 <= value < NUMBER_LIMIT:
         raise ValueError(text)
     return value
 
 
-def count(text) -> int:
+def positive_integer(text) -> int:
     """Return an integer of at least 1; raise ValueError otherwise."""
     if int(text) < 1:
         raise ValueError(text)
     return int(text)
 
 
-def flag(text) -> bool:
+def boolean(text) -> bool:
     """Return a boolean, given as such or as text; raise ValueError otherwise."""
     if text not in ("true", "false", True, False):
         raise ValueError(text)
     return text in ("true", True)
 
 
-def words(text) -> list[str]:
+def string_list(text) -> list[str]:
     """Return a list, given as such or as comma-separated text."""
     return [word for word in text.split(",") if word] if isinstance(text, str) else list(text)
 
 
-def numbers(text) -> list[float]:
+def number_list(text) -> list[float]:
     """Return a list of numbers, given as such or as comma-separated text."""
-    return [float(word) for word in words(text)]
+    return [float(word) for word in string_list(text)]
 
 
 REQUIRED = object()
-FIGURE_LIMIT = 1e15
+NUMBER_LIMIT = 1e15
 
 # key: (path in the document, parser of the value, default)
-PLAIN = {
-    "dispatchers": ("balancers", count, REQUIRED),
+SCALAR_SETTINGS = {
+    "dispatchers": ("balancers", positive_integer, REQUIRED),
     "me": ("me", int, REQUIRED),
-    "zones": ("zones", words, ()),
-    "kinds": ("kinds", words, ()),
+    "zones": ("zones", string_list, ()),
+    "kinds": ("kinds", string_list, ()),
     "zone": ("locality", int, 0),
     "step": ("stepMs", duration_us, REQUIRED),
     "follow": ("discovery", str, REQUIRED),
-    "excess_utility": ("excessUtility", figure, 1.0),
+    "excess_utility": ("excessUtility", non_negative_number, 1.0),
     "utility_basis": ("utilityBasis", str, "request"),
-    "tells_start": ("familyInfo.tellsStart", flag, False),
+    "tells_start": ("familyInfo.tellsStart", boolean, False),
     "progress_every": ("familyInfo.progressMs", duration_us, 0),
     "queue_order": ("familyInfo.queueOrder", str, "fifo"),
-    "may_revoke": ("limits.cancel", flag, False),
-    "may_probe": ("limits.mayProbe", flag, False),
-    "may_message": ("limits.peerMessages", flag, False),
-    "may_hold_off": ("limits.retryAfter", flag, False),
+    "may_revoke": ("limits.cancel", boolean, False),
+    "may_probe": ("limits.mayProbe", boolean, False),
+    "may_message": ("limits.peerMessages", boolean, False),
+    "may_hold_off": ("limits.retryAfter", boolean, False),
     "most_hold_off": ("limits.maxRetryAfterMs", duration_us, 0),
-    "parallel": ("limits.parallelTries", flag, False),
-    "launches": ("limits.maxLaunches", count, REQUIRED),
+    "parallel": ("limits.parallelTries", boolean, False),
+    "launches": ("limits.maxLaunches", positive_integer, REQUIRED),
     "most_held": ("limits.mostHeld", int, 20_000),
     "conn_idle": ("limits.connIdleMs", duration_us, 5_000_000),
     "connect_timeout": ("limits.connectTimeoutMs", duration_us, 250_000),
-    "cpu_a_second": ("limits.cpuUsPerS", figure, 0.0),
-    "cpu_a_job": ("limits.cpuUsPerRequest", figure, 0.0),
+    "cpu_a_second": ("limits.cpuUsPerS", non_negative_number, 0.0),
+    "cpu_a_job": ("limits.cpuUsPerRequest", non_negative_number, 0.0),
     "answer_slack": ("rules.answerSlackMs", duration_us, 0),
     "ask_within": ("rules.askWithinMs", duration_us, 0),
-    "cold_from": ("rules.coldFrom", figure, REQUIRED),
+    "cold_from": ("rules.coldFrom", non_negative_number, REQUIRED),
     "cold_for": ("rules.coldMs", duration_us, REQUIRED),
     "fall_for": ("rules.fallMs", duration_us, REQUIRED),
-    "fall_multiple": ("rules.fallMultiple", figure, REQUIRED),
+    "fall_multiple": ("rules.fallMultiple", non_negative_number, REQUIRED),
     "grace": ("rules.stopSendingWithinMs", duration_us, REQUIRED),
     "report_how": ("loadInfo.how", str, "silent"),
-    "report_fields": ("loadInfo.fields", words, ()),
-    "price_crossing": ("prices.crossZone", figure, 0.0),
-    "price_peer": ("prices.peer", figure, 0.0),
-    "price_probe": ("prices.probe", figure, 0.0),
-    "price_waste": ("prices.waste", figure, 0.0),
-    "price_late": ("prices.lateFail", figure, 0.0),
-    "tail_part": ("scoreParts.tailPart", figure, 0.0),
-    "borne_misses": ("scoreParts.borneMisses", figure, 0.0),
+    "report_fields": ("loadInfo.fields", string_list, ()),
+    "price_crossing": ("prices.crossZone", non_negative_number, 0.0),
+    "price_peer": ("prices.peer", non_negative_number, 0.0),
+    "price_probe": ("prices.probe", non_negative_number, 0.0),
+    "price_waste": ("prices.waste", non_negative_number, 0.0),
+    "price_late": ("prices.lateFail", non_negative_number, 0.0),
+    "tail_part": ("scoreParts.tailPart", non_negative_number, 0.0),
+    "borne_misses": ("scoreParts.borneMisses", non_negative_number, 0.0),
 }
 QUEUE_TYPE = {
     "name": ("name", str, ""),
@@ -98,11 +98,15 @@
     "effect": ("idempotency", str, REQUIRED),
     "group": ("dedupScope", str, "all"),
     "window": ("windowMs", duration_us, 0),
-    "utility": ("utility", figure, 1.0),
-    "late_utility": ("overdueUtility", figure, 0.0),
-    "aim_stretch": ("aimStretch", figure, 0.0),
+    "utility": ("utility", non_negative_number, 1.0),
+    "late_utility": ("overdueUtility", non_negative_number, 0.0),
+    "aim_stretch": ("aimStretch", non_negative_number, 0.0),
+}
+TENANT = {
+    "name": ("name", str, ""),
+    "portion": ("portion", non_negative_number, 0.0),
+    "quota": ("quotaPerS", non_negative_number, 0.0),
 }
-TENANT = {"name": ("name", str, ""), "portion": ("portion", figure, 0.0), "quota": ("quotaPerS", figure, 0.0)}
 EFFECTS = {"pure": "restartable", "token": "deduplicated", "side_effect": "run-once"}
 DEDUPLICATION_SCOPES = ("all", "zone", "cell")
 FOLLOW = {"pushed": "pushed", "on_request": "asked"}
@@ -129,7 +133,7 @@
 
 
 def read_list(pairs: dict, path: str, table: dict) -> list[dict]:
-    """Return the objects of a list, each read by a table of the same form as PLAIN."""
+    """Return the objects of a list, each read by a table of the same form as SCALAR_SETTINGS."""
     return [
         {key: read(pairs, f"{path}.{i}.{name}", *parsing) for key, (name, *parsing) in table.items()}
         for i in range(read(pairs, f"{path}.count", int, 0))
@@ -162,7 +166,7 @@
 
     Raise SettingError, which names the path, if a setting is missing or invalid.
     """
-    settings = {key: read(pairs, *parsing) for key, parsing in PLAIN.items()}
+    settings = {key: read(pairs, *parsing) for key, parsing in SCALAR_SETTINGS.items()}
     settings["follow"] = FOLLOW.get(settings["follow"])
     if settings["follow"] is None:
         raise SettingError(f"setting discovery cannot be read: {pairs['discovery']!r}")
@@ -181,7 +185,7 @@
     Raise SettingError, which names the path, if a value is invalid.
     """
     by_index = {
-        name: read(pairs, f"familyInfo.{name}", numbers, [])
+        name: read(pairs, f"familyInfo.{name}", number_list, [])
         for name in ("classKind", "classPriority", "classStretch")
     }
     names = set()
