--- a/tests/test_connection_handoff.py
+++ b/tests/test_connection_handoff.py
@@ -21,7 +21,7 @@
     return b"%x\r\n%s\r\n" % (len(raw), raw)
 
 
-class Handing(Pair):
+class OpenJobPair(Pair):
     """A pair of processes with a job open in the old one, which is about to exit."""
 
     def __init__(self, path, folder, monkeypatch):  # noqa: F811 - the parameter is that fixture
@@ -49,8 +49,8 @@
 
 
 @pytest.fixture
-def handing(tmp_path, folder, monkeypatch):  # noqa: F811 - the parameter is that fixture
-    open_handoff = Handing(tmp_path, folder, monkeypatch)
+def open_job_pair(tmp_path, folder, monkeypatch):  # noqa: F811 - the parameter is that fixture
+    open_handoff = OpenJobPair(tmp_path, folder, monkeypatch)
     yield open_handoff
     open_handoff.close()
 
@@ -65,79 +65,83 @@
         (CHUNKED, b"nonsense\r\n", b"HTTP/1.1 500"),
     ],
 )
-def test_handed_off_job_gets_exactly_one_answer(before, after, answer, handing):
+def test_handed_off_job_gets_exactly_one_answer(before, after, answer, open_job_pair):
     # Guards against killing a long job together with the old process.
-    handing.worker.sendall(before)
-    handing.ends(lambda: handing.old.made.phase == "ended")
-    assert [fields["how"] for fields in handing.logged(handing.old, "job_finished")] == ["handed_on"]
-    assert handing.new.figures()["svc.in_progress"] == 1
-    handing.old.made.upgrade_state.leave()
-    handing.both = (handing.new,)
-    handing.client.setblocking(False)
+    open_job_pair.worker.sendall(before)
+    open_job_pair.ends(lambda: open_job_pair.old.made.phase == "ended")
+    assert [fields["how"] for fields in open_job_pair.logged(open_job_pair.old, "job_finished")] == [
+        "handed_on"
+    ]
+    assert open_job_pair.new.figures()["svc.in_progress"] == 1
+    open_job_pair.old.made.upgrade_state.leave()
+    open_job_pair.both = (open_job_pair.new,)
+    open_job_pair.client.setblocking(False)
     with pytest.raises(BlockingIOError):
-        handing.client.recv(1)
+        open_job_pair.client.recv(1)
     if after:
-        handing.worker.sendall(after)
+        open_job_pair.worker.sendall(after)
     else:
-        handing.worker.close()
-    reply = handing.new.rig.reply(handing.client)
+        open_job_pair.worker.close()
+    reply = open_job_pair.new.rig.reply(open_job_pair.client)
     assert reply.startswith(answer) and b"connection: close" in reply.lower()
     assert reply.endswith(b"\r\n\r\nr") == (answer == b"HTTP/1.1 200")
-    figures = handing.new.figures()
+    figures = open_job_pair.new.figures()
     assert (figures["svc.passed.render"] == 1) == (answer == b"HTTP/1.1 200")
     assert figures["svc.in_progress"] == figures["svc.upstream_tries"] == 0
-    handing.client.close()
-    assert handing.turn(
-        lambda: not handing.new.made.handoff.exchanges and not handing.new.made.listener.jobs.in_hand
+    open_job_pair.client.close()
+    assert open_job_pair.turn(
+        lambda: not open_job_pair.new.made.handoff.exchanges
+        and not open_job_pair.new.made.listener.jobs.in_hand
     )
 
 
 @pytest.mark.parametrize(
     "sent", [CHUNKED + chunk("started")[:-6], CHUNKED[:30], b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n"]
 )
-def test_job_with_partly_read_answer_is_not_handed_off(sent, handing):
-    handing.worker.sendall(sent)
-    handing.ends(lambda: handing.old.made.phase == "ended")
-    assert handing.old.rig.reply(handing.client).startswith(b"HTTP/1.1 503")
-    assert not handing.logged(handing.new, "connection_received")
+def test_job_with_partly_read_answer_is_not_handed_off(sent, open_job_pair):
+    open_job_pair.worker.sendall(sent)
+    open_job_pair.ends(lambda: open_job_pair.old.made.phase == "ended")
+    assert open_job_pair.old.rig.reply(open_job_pair.client).startswith(b"HTTP/1.1 503")
+    assert not open_job_pair.logged(open_job_pair.new, "connection_received")
 
 
-def test_handed_off_job_ends_when_its_client_leaves(handing):
-    handing.ends(lambda: handing.logged(handing.new, "connection_received"))
-    handing.client.close()
-    assert handing.turn(lambda: not handing.new.made.listener.jobs.in_hand)
+def test_handed_off_job_ends_when_its_client_leaves(open_job_pair):
+    open_job_pair.ends(lambda: open_job_pair.logged(open_job_pair.new, "connection_received"))
+    open_job_pair.client.close()
+    assert open_job_pair.turn(lambda: not open_job_pair.new.made.listener.jobs.in_hand)
 
 
-def test_handed_off_job_keeps_its_deadline(handing, monkeypatch):
-    exchange = next(iter(handing.old.made.router.jobs.values())).exchange
-    exchange.until = handing.old.made.loop.now() + 1_600_000
-    handing.ends(lambda: handing.logged(handing.new, "connection_received"))
-    handing.both = (handing.new,)
-    assert handing.new.rig.reply(handing.client).startswith(b"HTTP/1.1 500")
-    assert handing.new.made.loop.now() <= exchange.until
+def test_handed_off_job_keeps_its_deadline(open_job_pair, monkeypatch):
+    exchange = next(iter(open_job_pair.old.made.router.jobs.values())).exchange
+    exchange.until = open_job_pair.old.made.loop.now() + 1_600_000
+    open_job_pair.ends(lambda: open_job_pair.logged(open_job_pair.new, "connection_received"))
+    open_job_pair.both = (open_job_pair.new,)
+    assert open_job_pair.new.rig.reply(open_job_pair.client).startswith(b"HTTP/1.1 500")
+    assert open_job_pair.new.made.loop.now() <= exchange.until
 
 
-def test_shutdown_answers_handed_off_jobs(handing):
-    handing.ends(
-        lambda: handing.old.made.phase == "ended" and handing.logged(handing.new, "connection_received")
+def test_shutdown_answers_handed_off_jobs(open_job_pair):
+    open_job_pair.ends(
+        lambda: open_job_pair.old.made.phase == "ended"
+        and open_job_pair.logged(open_job_pair.new, "connection_received")
     )
-    handing.old.made.upgrade_state.leave()
-    handing.both = (handing.new,)
-    assert handing.turn(lambda: not handing.new.made.has_sibling_process)
-    handing.new.made.stop_requested = True
-    handing.new.made.loop.wake(handing.new.made.lifecycle_task)
-    assert handing.turn(lambda: handing.new.made.phase == "ended", 3_000_000)
-    assert handing.new.rig.reply(handing.client).startswith(b"HTTP/1.1 500")
+    open_job_pair.old.made.upgrade_state.leave()
+    open_job_pair.both = (open_job_pair.new,)
+    assert open_job_pair.turn(lambda: not open_job_pair.new.made.has_sibling_process)
+    open_job_pair.new.made.stop_requested = True
+    open_job_pair.new.made.loop.wake(open_job_pair.new.made.lifecycle_task)
+    assert open_job_pair.turn(lambda: open_job_pair.new.made.phase == "ended", 3_000_000)
+    assert open_job_pair.new.rig.reply(open_job_pair.client).startswith(b"HTTP/1.1 500")
 
 
-def test_job_stays_if_no_process_receives_it(handing, monkeypatch):
+def test_job_stays_if_no_process_receives_it(open_job_pair, monkeypatch):
     def refuse_connection(*arguments):
         raise ConnectionRefusedError("nobody")
 
     monkeypatch.setattr(descriptor_passing, "send_sockets", refuse_connection)
-    handing.ends(lambda: handing.old.made.phase == "ended")
-    assert handing.old.rig.reply(handing.client).startswith(b"HTTP/1.1 503")
-    assert handing.logged(handing.old, "connection_not_handed_off")
+    open_job_pair.ends(lambda: open_job_pair.old.made.phase == "ended")
+    assert open_job_pair.old.rig.reply(open_job_pair.client).startswith(b"HTTP/1.1 503")
+    assert open_job_pair.logged(open_job_pair.old, "connection_not_handed_off")
 
 
 @pytest.mark.parametrize(
@@ -150,8 +154,8 @@
         (b"{}", 0),
     ],
 )
-def test_invalid_handoff_datagram_closes_its_sockets(raw, count, handing):
-    new, listener = handing.new.made, listen((HERE, 0))
+def test_invalid_handoff_datagram_closes_its_sockets(raw, count, open_job_pair):
+    new, listener = open_job_pair.new.made, listen((HERE, 0))
     listener.setblocking(True)
     callers = [socket.create_connection(listener.getsockname(), 2) for _ in range(count)]
     accepted = [listener.accept()[0] for _ in callers]
@@ -163,12 +167,12 @@
     descriptor_passing.send_sockets(new.upgrade_state.path_of("jobs", new.upgrade_state.seat), raw, accepted)
     for connection in accepted:
         connection.close()
-    assert handing.turn(lambda: handing.logged(handing.new, "connection_not_received"))
+    assert open_job_pair.turn(lambda: open_job_pair.logged(open_job_pair.new, "connection_not_received"))
     for connection in callers:
         connection.settimeout(2)
         assert connection.recv(1) == b""
         connection.close()
-    assert used_descriptors() == before and not handing.new.rig.errors
+    assert used_descriptors() == before and not open_job_pair.new.rig.errors
     listener.close()
 
 
@@ -195,23 +199,27 @@
         open_socket.close()
 
 
-def test_too_long_socket_path_disables_the_handoff(handing, tmp_path):
-    handoff = handing.new.made.handoff
-    task = handing.new.made.loop.spawn(handoff.listen(str(tmp_path / ("x" * 200))))
-    assert handing.turn(lambda: task.ended) and handing.logged(handing.new, "handoff_disabled")
-    assert not handing.new.rig.errors
+def test_too_long_socket_path_disables_the_handoff(open_job_pair, tmp_path):
+    handoff = open_job_pair.new.made.handoff
+    task = open_job_pair.new.made.loop.spawn(handoff.listen(str(tmp_path / ("x" * 200))))
+    assert open_job_pair.turn(lambda: task.ended) and open_job_pair.logged(
+        open_job_pair.new, "handoff_disabled"
+    )
+    assert not open_job_pair.new.rig.errors
 
 
-def test_failed_takeover_closes_sockets_and_next_datagram_is_received(handing, monkeypatch):
-    new, sockets = handing.new.made, socket.socketpair()
+def test_failed_takeover_closes_sockets_and_next_datagram_is_received(open_job_pair, monkeypatch):
+    new, sockets = open_job_pair.new.made, socket.socketpair()
     monkeypatch.setattr(new.handoff, "attached", lambda *arguments: (_ for _ in ()).throw(OSError("reset")))
     raw = b'{"name":"x","kind":"render","until":9000000000000,"headed":true,"rest":""}'
     before = dict(new.budget.used)
     descriptor_passing.send_sockets(new.upgrade_state.path_of("jobs", new.upgrade_state.seat), raw, sockets)
-    assert handing.turn(lambda: handing.logged(handing.new, "connection_not_received"))
+    assert open_job_pair.turn(lambda: open_job_pair.logged(open_job_pair.new, "connection_not_received"))
     monkeypatch.undo()
     descriptor_passing.send_sockets(new.upgrade_state.path_of("jobs", new.upgrade_state.seat), b"{}", sockets)
-    assert handing.turn(lambda: len(handing.logged(handing.new, "connection_not_received")) == 2)
-    assert new.budget.used == before and not handing.new.rig.errors
+    assert open_job_pair.turn(
+        lambda: len(open_job_pair.logged(open_job_pair.new, "connection_not_received")) == 2
+    )
+    assert new.budget.used == before and not open_job_pair.new.rig.errors
     for arguments in sockets:
         arguments.close()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -402,7 +402,7 @@
     assert idle.recv(1) == b"" and not dispatcher.router.faults
 
 
-OTHER = {
+OTHER_SETTINGS = {
     **GOOD["settings"],
     "balancers": 16,
     "discovery": "on_request",
@@ -460,7 +460,7 @@
 
     open_before, head = send_job(f"/{name}", "aa01")
     assert b"aa01" in head
-    file(tmp_path, listen=address, known=known, settings=OTHER)
+    file(tmp_path, listen=address, known=known, settings=OTHER_SETTINGS)
     dispatcher.reload_configuration()
     open_between, head = send_job("/file-final", "aa02")
     assert b"aa02" in head and dispatcher.router.scheduler.settings["report_how"] == "piggyback"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -30,7 +30,7 @@
 LISTEN = ("127.0.0.1", 7070)
 
 
-def with_seat(folder, log=lambda event, **fields: None):
+def state_with_seat(folder, log=lambda event, **fields: None):
     state = UpgradeState(str(folder), LISTEN, log)
     state.take_seat()
     return state
@@ -38,20 +38,20 @@
 
 def test_two_seats_are_available_and_freed_on_exit(tmp_path, monkeypatch):
     monkeypatch.setattr(process_seats, "ATTEMPTS", 2)
-    first = with_seat(tmp_path)
+    first = state_with_seat(tmp_path)
     assert first.alone()
-    second = with_seat(tmp_path)
+    second = state_with_seat(tmp_path)
     assert not first.alone() and not second.alone() and {first.seat, second.seat} == {0, 1}
     with pytest.raises(OSError, match="two processes") as raised:
-        with_seat(tmp_path)
+        state_with_seat(tmp_path)
     assert raised.value.errno == errno.EADDRINUSE
     first.leave()
     assert second.alone()
-    assert with_seat(tmp_path).seat == first.seat
+    assert state_with_seat(tmp_path).seat == first.seat
 
 
 def test_shared_change_is_read_and_acknowledged_by_the_sibling(tmp_path):
-    first, second = with_seat(tmp_path), with_seat(tmp_path)
+    first, second = state_with_seat(tmp_path), state_with_seat(tmp_path)
     assert first.change(lambda shared: shared.update(out=["s-1"]))
     assert not first.sibling_has_applied(first.shared["serial"])
     assert second.refresh() and second.shared["out"] == ["s-1"] and not second.refresh()
@@ -76,7 +76,7 @@
 )
 def test_unusable_state_file_is_logged_and_replaced(left, tmp_path):
     logged = []
-    first = with_seat(tmp_path, lambda event, **fields: logged.append(event))
+    first = state_with_seat(tmp_path, lambda event, **fields: logged.append(event))
     with open(first.state_path, "wb") as state_file:
         state_file.write(left)
     assert (
@@ -86,7 +86,7 @@
     )
     assert not first.refresh() and len(logged) == 1
     assert first.change(lambda shared: shared.update(out=["s-1"]))
-    second = with_seat(tmp_path)
+    second = state_with_seat(tmp_path)
     assert second.refresh() and second.shared["out"] == ["s-1"]
 
 
@@ -99,7 +99,7 @@
 
 
 def test_write_error_fails_a_change_only_beside_a_sibling(tmp_path, monkeypatch):
-    first = with_seat(tmp_path)
+    first = state_with_seat(tmp_path)
 
     def fail_replace(*paths):
         raise OSError(errno.ENOSPC, "no space")
@@ -107,7 +107,7 @@
     monkeypatch.setattr(os, "replace", fail_replace)
     assert first.change(lambda shared: shared.update(out=["s-1"])) and first.shared["out"] == ["s-1"]
     assert first.shared["serial"] == 1
-    second = with_seat(tmp_path)
+    second = state_with_seat(tmp_path)
     assert not first.change(lambda shared: shared.update(out=[])) and first.shared["out"] == ["s-1"]
     second.leave()
 
@@ -219,7 +219,7 @@
 # Operators' calls
 
 
-def calls(served, *steps):
+def post_all(served, *steps):
     return [served.call(path, "POST")[0] for path in steps]
 
 
@@ -231,7 +231,7 @@
         yield pathlib.Path(path)
 
 
-def begun(path, folder, **changed):
+def start_dispatcher(path, folder, **changed):
     return Served(path, folder=str(folder), **changed)
 
 
@@ -247,8 +247,8 @@
     ],
 )
 def test_calls_exclude_and_include_workers(steps, answers, out, tmp_path, folder):
-    served = begun(tmp_path, folder).serving()
-    assert calls(served, *steps) == answers and served.made.upgrade_state.shared["out"] == out
+    served = start_dispatcher(tmp_path, folder).serving()
+    assert post_all(served, *steps) == answers and served.made.upgrade_state.shared["out"] == out
     assert served.made.router.excluded == frozenset(out)
     assert [ready_worker.id.id for ready_worker in served.made.router.scheduler.ready] == (
         [] if out else ["s-1"]
@@ -265,9 +265,9 @@
     """Two processes of one dispatcher, simulated in one thread with an event loop each."""
 
     def __init__(self, path, folder):
-        self.old = begun(path, folder).serving()
+        self.old = start_dispatcher(path, folder).serving()
         listen = "{}:{}".format(*self.old.made.configuration["listen"])
-        self.new = begun(path, folder, listen=listen)
+        self.new = start_dispatcher(path, folder, listen=listen)
         self.both = (self.old, self.new)
         for served in self.both:
             served.turn = self.turn
@@ -349,19 +349,21 @@
 
 @pytest.mark.parametrize("drained", [False, True])
 def test_only_excluded_workers_survive_a_restart(drained, tmp_path, folder):
-    old = begun(tmp_path, folder).serving()
-    assert calls(old, "/api/exclude/s-1", *["/api/evacuate"] * drained) == [200] * (1 + drained)
+    old = start_dispatcher(tmp_path, folder).serving()
+    assert post_all(old, "/api/exclude/s-1", *["/api/evacuate"] * drained) == [200] * (1 + drained)
     old.made.upgrade_state.leave()
     old.close()
-    new = begun(tmp_path, folder, listen="{}:{}".format(*old.made.configuration["listen"]))
+    new = start_dispatcher(tmp_path, folder, listen="{}:{}".format(*old.made.configuration["listen"]))
     assert new.turn(lambda: new.made.phase == Phase.SERVING)
     assert new.made.router.excluded == {"s-1"} and not new.made.listener.draining
     new.close()
 
 
 def test_new_process_that_is_not_ready_accepts_no_clients(tmp_path, folder):
-    old = begun(tmp_path, folder).serving()
-    new = begun(tmp_path, folder, listen="{}:{}".format(*old.made.configuration["listen"]), known={})
+    old = start_dispatcher(tmp_path, folder).serving()
+    new = start_dispatcher(
+        tmp_path, folder, listen="{}:{}".format(*old.made.configuration["listen"]), known={}
+    )
     for _ in range(20):
         new.made.loop.run_once(2_000)
     assert new.made.accept_task is None
@@ -383,7 +385,7 @@
 # Whole processes
 
 
-def started(tmp_path, folder, listen, peer_port, control):
+def start_process(tmp_path, folder, listen, peer_port, control):
     known = {
         "generation": 1,
         "reset": True,
@@ -407,7 +409,7 @@
     )
 
 
-def asked(address, path):
+def http_status(address, path):
     host, _, port = address.rpartition(":")
     try:
         with socket.create_connection((host, int(port)), 2) as sock:
@@ -417,7 +419,7 @@
         return 0
 
 
-def soon(check, longest=8):
+def wait_until(check, longest=8):
     deadline = time.monotonic() + longest
     while not check() and time.monotonic() < deadline:
         time.sleep(0.02)
@@ -429,17 +431,20 @@
     listen, first, second = free(), free(), free()
     worker = bind_socket((HERE, 0))
     worker.listen(8)
-    old = started(tmp_path, folder, listen, worker.getsockname()[1], first)
+    old = start_process(tmp_path, folder, listen, worker.getsockname()[1], first)
     new = None
     try:
-        assert soon(lambda: asked(first, "/api/ready") == 200)
-        new = started(tmp_path, folder, listen, worker.getsockname()[1], second)
-        assert soon(lambda: asked(second, "/api/ready") == 200)
-        assert all(asked(listen, "/health/ready") == 200 for _ in range(50))
+        assert wait_until(lambda: http_status(first, "/api/ready") == 200)
+        new = start_process(tmp_path, folder, listen, worker.getsockname()[1], second)
+        assert wait_until(lambda: http_status(second, "/api/ready") == 200)
+        assert all(http_status(listen, "/health/ready") == 200 for _ in range(50))
         old.send_signal(number)
-        assert all(asked(listen, "/health/ready") == 200 for _ in range(50))
+        assert all(http_status(listen, "/health/ready") == 200 for _ in range(50))
         assert old.wait(6) == (0 if number == signal.SIGTERM else -signal.SIGKILL)
-        assert asked(listen, "/health/ready") == asked(second, "/api/ready") == 200 and new.poll() is None
+        assert (
+            http_status(listen, "/health/ready") == http_status(second, "/api/ready") == 200
+            and new.poll() is None
+        )
     finally:
         for process in (old, new):
             if process is not None:
@@ -495,13 +500,13 @@
 
 
 def test_seat_flags_of_a_dead_process_are_cleared(tmp_path, folder):
-    old = begun(tmp_path, folder).serving()
+    old = start_dispatcher(tmp_path, folder).serving()
     listen = "{}:{}".format(*old.made.configuration["listen"])
-    dead = begun(tmp_path, folder, listen=listen).serving()
+    dead = start_dispatcher(tmp_path, folder, listen=listen).serving()
     dead.made.sibling.announce(leaving=True)
     assert dead.made.upgrade_state.shared["ready"] == [0, 1]
     dead.made.upgrade_state.leave()
-    new = begun(tmp_path, folder, listen=listen, known={})
+    new = start_dispatcher(tmp_path, folder, listen=listen, known={})
     for _ in range(3):
         new.made.loop.run_once(2_000)
     state = new.made.upgrade_state
@@ -549,7 +554,7 @@
 )
 def test_old_or_invalid_learned_state_is_ignored(left, logged, tmp_path):
     events = []
-    state = with_seat(tmp_path, lambda event, **fields: events.append(event))
+    state = state_with_seat(tmp_path, lambda event, **fields: events.append(event))
     if left is not None:
         with open(state.learned_path, "wb") as file_:
             file_.write(left % time.monotonic_ns() if b"%d" in left else left)
@@ -561,10 +566,10 @@
 def test_serving_starts_no_process_or_thread(tmp_path, folder):
     # The dispatcher must also serve where it may not start or fork processes.
     listen, control = free(), free()
-    process = started(tmp_path, folder, listen, 1, control)
+    process = start_process(tmp_path, folder, listen, 1, control)
     try:
-        assert soon(lambda: asked(control, "/api/ready") == 200)
-        assert all(asked(listen, "/health/ready") == 200 for _ in range(5))
+        assert wait_until(lambda: http_status(control, "/api/ready") == 200)
+        assert all(http_status(listen, "/health/ready") == 200 for _ in range(5))
         with open(f"/proc/{process.pid}/task/{process.pid}/children", encoding="ascii") as children:
             assert children.read() == ""
         assert os.listdir(f"/proc/{process.pid}/task") == [str(process.pid)]
