--- a/mastledge/program/connection_handoff.py
+++ b/mastledge/program/connection_handoff.py
@@ -19,7 +19,7 @@
 from mastledge.transport.errors import WaitTimeoutError
 from mastledge.transport.loop import READ
 
-# The answer is due this much earlier here, as the deadline of the sending process has no margin left.
+# Give up this long before the answer is due: the margin of the sending process does not apply here.
 ANSWER_MARGIN_US = 20_000
 RECEIVED_A_TURN = 16
 SOCKETS_A_JOB = 2  # client and worker
--- a/mastledge/program/dispatcher.py
+++ b/mastledge/program/dispatcher.py
@@ -57,7 +57,7 @@
         self.excluded = ExcludedWorkers()
         self._lifecycle = Lifecycle(self._log_phase)
         self._reconfiguration = Reconfiguration(self, configuration, read_configuration)
-        self.follows_discovery = configuration["settings"]["follow"] == "pushed"
+        self.uses_pushed_discovery = configuration["settings"]["follow"] == "pushed"
         self._add_budget(configuration)
         self._add_serving_parts(configuration)
         self._add_upgrade_parts(configuration, folder)
--- a/mastledge/program/serving.py
+++ b/mastledge/program/serving.py
@@ -54,7 +54,7 @@
         except EndpointListError as error:
             # Not fatal: discovery sends the list as well.
             dispatcher.log("cached_list_invalid", why=str(error))
-        if dispatcher.follows_discovery or dispatcher.discovery.generation is None:
+        if dispatcher.uses_pushed_discovery or dispatcher.discovery.generation is None:
             dispatcher.discovery.follow()
 
     def _become_ready(self):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -81,15 +81,15 @@
         assert self.turn(lambda: self.made.phase == Phase.SERVING)
         return self
 
-    def connect(self, where="listen"):
-        self.theirs.append(socket.create_connection(self.made.configuration[where], 2))
+    def connect(self, address_key="listen"):
+        self.theirs.append(socket.create_connection(self.made.configuration[address_key], 2))
         return self.theirs[-1]
 
     def call(self, path, method="GET"):
         """Return the status and the text of one call at the operators' address."""
-        theirs = self.connect("control")
-        theirs.sendall(f"{method} {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
-        head, _, text = self.rig.reply(theirs).decode().partition("\r\n\r\n")
+        caller = self.connect("control")
+        caller.sendall(f"{method} {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
+        head, _, text = self.rig.reply(caller).decode().partition("\r\n\r\n")
         assert "connection: close" in head.lower()
         return int(head.split()[1]), text
 
@@ -99,13 +99,13 @@
         return {name: int(value) for name, value in (line.split("=") for line in text.splitlines())}
 
     def health(self):
-        theirs = self.connect()
-        theirs.sendall(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-        return int(self.rig.reply(theirs).split()[1])
+        client = self.connect()
+        client.sendall(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+        return int(self.rig.reply(client).split()[1])
 
     def close(self):
-        for one in (*self.theirs, self.sock, self.made.listening_socket, self.made.control_socket):
-            one.close()
+        for open_socket in (*self.theirs, self.sock, self.made.listening_socket, self.made.control_socket):
+            open_socket.close()
 
 
 @pytest.fixture
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -44,12 +44,12 @@
     return router, sockets
 
 
-def arrive_job(rig, router, patience=500_000):
+def arrive_job(rig, router, remaining_us=500_000):
     exchange, answers = Exchange(), []
     exchange.answer, exchange.name, exchange.kind = lambda *answer: answers.append(answer), "9b1f", "render"
-    exchange.until = rig.loop.now() + patience
+    exchange.until = rig.loop.now() + remaining_us
     exchange.method, exchange.target, exchange.headers, exchange.body = b"POST", b"/render", [], b""
-    terms = (0, 100_000, 0, 1.0, 0.0, 0, patience)
+    terms = (0, 100_000, 0, 1.0, 0.0, 0, remaining_us)
     router.on_job_arrived(rig.loop.now(), JobArrived(exchange, terms))
     router.call_guarded(router.carry_out_decisions, rig.loop.now())
     return router.jobs[router.job_table.count], answers
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -274,8 +274,8 @@
             served.rig.turn = self.turn
 
     def turn(self, until, longest=2_000_000):
-        last = time.monotonic() + longest / 1e6
-        while not until() and time.monotonic() < last:
+        deadline = time.monotonic() + longest / 1e6
+        while not until() and time.monotonic() < deadline:
             for served in self.both:
                 served.made.loop.run_once(2_000)
         return until()
