--- a/mastledge/program/configuration.py
+++ b/mastledge/program/configuration.py
@@ -11,12 +11,14 @@
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 256
 DEFAULT_LEASE_MS = 2000
-# A shorter lease lapses when a busy machine delays heartbeats; a longer one blocks a takeover for too long.
+# A shorter lease lapses when a busy machine delays heartbeats. After the loss of a dispatcher, changes come
+# into force only when its lease has ended: a longer one delays them for too long.
 MIN_LEASE_MS, MAX_LEASE_MS = 500, 60_000
 DEFAULT_KEEP_MS = 60_000
 DEFAULT_KEY_ENTRIES = 100_000
 DEFAULT_KEY_BYTES = 64 << 20
-MAX_COPIES = 7  # more replicas cost more without being safer than the voters are
+# The largest number of voters: further replicas cost more, but the fleet survives no more failures.
+MAX_COPIES = 7
 DEFAULT_RAMP_MS = 5_000
 DEFAULT_LIST_VALID_MS = 60_000
 MIN_RECOVERY_MS, MAX_RECOVERY_MS = 100, 600_000
--- a/mastledge/program/connection_handoff.py
+++ b/mastledge/program/connection_handoff.py
@@ -19,10 +19,11 @@
 from mastledge.transport.errors import WaitTimeoutError
 from mastledge.transport.loop import READ
 
-# Give up this long before the answer is due: the margin of the sending process does not apply here.
+# A job is killed this long before its answer is due, so that the client gets the answer in time: the
+# scheduler, which keeps such a margin, does not handle these jobs.
 ANSWER_MARGIN_US = 20_000
-RECEIVED_A_TURN = 16
-SOCKETS_A_JOB = 2  # client and worker
+MAX_JOBS_PER_TURN = 16
+SOCKETS_PER_JOB = 2  # client and worker
 
 
 class HandedOffJobError(ValueError):
@@ -75,10 +76,10 @@
 
 
 class DiscardingInbox:
-    """In place of the queue of the decisions, which know nothing of these jobs."""
+    """Takes the place of the router's inbox: the router does not know the jobs that were taken over."""
 
     def put(self, event) -> None:
-        """Drops an input."""
+        """Discard an event."""
 
 
 class ConnectionHandoff:
@@ -134,8 +135,8 @@
             return
         while True:
             yield (self._receiver.fileno(), READ, None)
-            for _ in range(RECEIVED_A_TURN):
-                received = descriptor_passing.receive_sockets(self._receiver, SOCKETS_A_JOB)
+            for _ in range(MAX_JOBS_PER_TURN):
+                received = descriptor_passing.receive_sockets(self._receiver, SOCKETS_PER_JOB)
                 if received is None:
                     break
                 self.take_over(*received)
--- a/mastledge/program/dispatcher.py
+++ b/mastledge/program/dispatcher.py
@@ -30,7 +30,8 @@
 BIND_ATTEMPTS = 100
 BIND_PAUSE_US = 20_000
 OPERATORS_BACKLOG = 64
-# Reserved per component that stores files: unidentified connections, directory, log and writer thread.
+# Reserved per component that stores files, in addition to links: for connections of peers that are not
+# identified yet, the data directory, the log and the writer thread.
 FILE_DESCRIPTORS = 24
 FLEET_REQUEST_BYTES = 4 << 20  # largest operator request in a fleet: a fleet snapshot
 
@@ -189,8 +190,8 @@
             self.loop.spawn(self.control.listen(self.control_socket), first=True)
             self.loop.spawn(self.supervised(self.sibling.watch()), first=True)
         if self.upgrade_state.enabled:
-            inlet = self.upgrade_state.path_of("jobs", self.upgrade_state.seat)
-            self.loop.spawn(self.handoff.listen(inlet))
+            receiver_path = self.upgrade_state.path_of("jobs", self.upgrade_state.seat)
+            self.loop.spawn(self.handoff.listen(receiver_path))
         for part in (self.fleet, self.idempotency, self.recovery):
             if part is not None:
                 part.begin()
--- a/mastledge/program/graceful_shutdown.py
+++ b/mastledge/program/graceful_shutdown.py
@@ -35,7 +35,7 @@
         dispatcher = self._dispatcher
         now = dispatcher.loop.now()
         self._end_at = now + min(dispatcher.longest_walltime, LONGEST_WAIT_US) + EXIT_MARGIN_US
-        # Other dispatchers may be shutting down too: connected clients are served while new jobs can finish.
+        # Other dispatchers may be shutting down too: connected clients are served while new jobs can end.
         self._accept_until = max(now + ACCEPT_FOR_US, (now + self._end_at) // 2)
         dispatcher.listener.leaving = now
         dispatcher.sibling.announce(ready=False)
@@ -51,7 +51,7 @@
                 self._leave_to_successor()
             if dispatcher.listener.succeeded:
                 dispatcher.release_data_directories()
-            # Read on each turn, like the sibling watch, so that both use the same interval.
+            # The interval is read on each turn, as by the sibling watch, so that both use the same one.
             yield (-1, 0, min(self._accept_until, loop.now() + sibling_watch.POLL_WITH_SIBLING_US))
 
     def _leave_to_successor(self):
--- a/mastledge/program/operator_client.py
+++ b/mastledge/program/operator_client.py
@@ -90,4 +90,4 @@
         address = load_configuration(arguments.config, os.environ)["control"]
         if address:
             return address
-    raise ConfigurationError("no second address: give --control, --config or set GW_CONTROL")
+    raise ConfigurationError("no operators' address: give --control, --config or set GW_CONTROL")
--- a/mastledge/program/process_seats.py
+++ b/mastledge/program/process_seats.py
@@ -12,7 +12,7 @@
 PAUSE_S = 0.02  # the other process holds a lock briefly when it checks a seat, or is about to exit
 
 
-def open_locked_file(path: str) -> int:
+def open_lock_file(path: str) -> int:
     """Return a descriptor of a lock file, not locked yet; raise OSError if it cannot be opened."""
     return os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
 
@@ -50,7 +50,7 @@
         return True
 
     def _open(self, seat):
-        return open_locked_file(f"{self._base}.seat{seat}")
+        return open_lock_file(f"{self._base}.seat{seat}")
 
     def leave(self) -> None:
         """Release the seat."""
--- a/mastledge/program/reconfiguration.py
+++ b/mastledge/program/reconfiguration.py
@@ -17,9 +17,8 @@
         """
         self._dispatcher, self._read_configuration = dispatcher, read_configuration
         self.configuration = configuration
-        self.longest_walltime = longest_walltime(
-            configuration["settings"]
-        )  # us; maximum over all settings so far
+        # In microseconds; the maximum over all settings so far.
+        self.longest_walltime = longest_walltime(configuration["settings"])
 
     def reload(self) -> None:
         """Reload the configuration and apply what needs no restart; an invalid one changes nothing."""
--- a/mastledge/program/shared_lease.py
+++ b/mastledge/program/shared_lease.py
@@ -15,7 +15,7 @@
 
 FORMAT_VERSION = 1
 NOTICE_FILE, REPORT_FILE = "said", "taken"
-LEASE_GRANULARITY_US = 50_000  # a lease extension within this step is not written again
+LEASE_GRANULARITY_US = 50_000  # a notice whose lease ends in the same step is not written again
 
 
 @dataclass(frozen=True, slots=True)
--- a/mastledge/program/shared_lease_exchange.py
+++ b/mastledge/program/shared_lease_exchange.py
@@ -137,7 +137,8 @@
     def _release_standby(self, member: Member, now: int) -> None:
         """Drop the standby's index once no other process can act on a lease of this dispatcher.
 
-        That is when the other process has exited, or the last lease from before it handed over has ended.
+        That is when the other process has exited, or when the last lease from before this process became
+        active has ended. The index of a standby that reads the notices stays.
         """
         if member.lease.standby_index is None or self.standby is not None:
             return
--- a/mastledge/program/upgrade_state.py
+++ b/mastledge/program/upgrade_state.py
@@ -12,7 +12,7 @@
 
 import orjson
 
-from mastledge.program.process_seats import ProcessSeats, SeatsTakenError, open_locked_file
+from mastledge.program.process_seats import ProcessSeats, SeatsTakenError, open_lock_file
 
 VERSION = 1
 LOCK_ATTEMPTS = 25
@@ -59,7 +59,7 @@
         self._base = os.path.join(folder, f"mastledge-{listen[0]}-{listen[1]}") if folder else None
         self._seats = ProcessSeats(self._base) if folder else None
         self._log = log
-        self._stamp = None  # stamp of the file that was read last
+        self._stamp = None  # inode, modification time (ns) and size of the state file that was read last
         self.shared = empty_shared_state()
 
     @property
@@ -234,7 +234,7 @@
 
     def _lock(self):
         """Return a descriptor that holds the write lock; raise OSError if it stays taken."""
-        lock = open_locked_file(f"{self._base}.lock")
+        lock = open_lock_file(f"{self._base}.lock")
         for attempts_left in reversed(range(LOCK_ATTEMPTS)):
             try:
                 fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/tests/test_connection_handoff.py
+++ b/tests/test_connection_handoff.py
@@ -39,20 +39,20 @@
         self.both = both
         assert self.turn(lambda: self.new.made.phase == Phase.SERVING)
 
-    def ends(self, until):
+    def stop_old(self, until):
         self.old.made.stop_requested = True
         self.old.made.loop.wake(self.old.made.lifecycle_task)
         assert self.turn(until, 3_000_000)
 
-    def logged(self, which, event):
-        return [fields for logged_event, fields in which.rig.logged if logged_event == event]
+    def logged(self, process, event):
+        return [fields for logged_event, fields in process.rig.logged if logged_event == event]
 
 
 @pytest.fixture
 def open_job_pair(tmp_path, folder, monkeypatch):  # noqa: F811 - the parameter is that fixture
-    open_handoff = OpenJobPair(tmp_path, folder, monkeypatch)
-    yield open_handoff
-    open_handoff.close()
+    processes = OpenJobPair(tmp_path, folder, monkeypatch)
+    yield processes
+    processes.close()
 
 
 @pytest.mark.parametrize(
@@ -68,7 +68,7 @@
 def test_handed_off_job_gets_exactly_one_answer(before, after, answer, open_job_pair):
     # Guards against killing a long job together with the old process.
     open_job_pair.worker.sendall(before)
-    open_job_pair.ends(lambda: open_job_pair.old.made.phase == "ended")
+    open_job_pair.stop_old(lambda: open_job_pair.old.made.phase == "ended")
     assert [fields["how"] for fields in open_job_pair.logged(open_job_pair.old, "job_finished")] == [
         "handed_on"
     ]
@@ -100,13 +100,13 @@
 )
 def test_job_with_partly_read_answer_is_not_handed_off(sent, open_job_pair):
     open_job_pair.worker.sendall(sent)
-    open_job_pair.ends(lambda: open_job_pair.old.made.phase == "ended")
+    open_job_pair.stop_old(lambda: open_job_pair.old.made.phase == "ended")
     assert open_job_pair.old.rig.reply(open_job_pair.client).startswith(b"HTTP/1.1 503")
     assert not open_job_pair.logged(open_job_pair.new, "connection_received")
 
 
 def test_handed_off_job_ends_when_its_client_leaves(open_job_pair):
-    open_job_pair.ends(lambda: open_job_pair.logged(open_job_pair.new, "connection_received"))
+    open_job_pair.stop_old(lambda: open_job_pair.logged(open_job_pair.new, "connection_received"))
     open_job_pair.client.close()
     assert open_job_pair.turn(lambda: not open_job_pair.new.made.listener.jobs.in_hand)
 
@@ -114,14 +114,14 @@
 def test_handed_off_job_keeps_its_deadline(open_job_pair, monkeypatch):
     exchange = next(iter(open_job_pair.old.made.router.jobs.values())).exchange
     exchange.until = open_job_pair.old.made.loop.now() + 1_600_000
-    open_job_pair.ends(lambda: open_job_pair.logged(open_job_pair.new, "connection_received"))
+    open_job_pair.stop_old(lambda: open_job_pair.logged(open_job_pair.new, "connection_received"))
     open_job_pair.both = (open_job_pair.new,)
     assert open_job_pair.new.rig.reply(open_job_pair.client).startswith(b"HTTP/1.1 500")
     assert open_job_pair.new.made.loop.now() <= exchange.until
 
 
 def test_shutdown_answers_handed_off_jobs(open_job_pair):
-    open_job_pair.ends(
+    open_job_pair.stop_old(
         lambda: open_job_pair.old.made.phase == "ended"
         and open_job_pair.logged(open_job_pair.new, "connection_received")
     )
@@ -139,7 +139,7 @@
         raise ConnectionRefusedError("nobody")
 
     monkeypatch.setattr(descriptor_passing, "send_sockets", refuse_connection)
-    open_job_pair.ends(lambda: open_job_pair.old.made.phase == "ended")
+    open_job_pair.stop_old(lambda: open_job_pair.old.made.phase == "ended")
     assert open_job_pair.old.rig.reply(open_job_pair.client).startswith(b"HTTP/1.1 503")
     assert open_job_pair.logged(open_job_pair.old, "connection_not_handed_off")
 
@@ -221,5 +221,5 @@
         lambda: len(open_job_pair.logged(open_job_pair.new, "connection_not_received")) == 2
     )
     assert new.budget.used == before and not open_job_pair.new.rig.errors
-    for arguments in sockets:
-        arguments.close()
+    for open_socket in sockets:
+        open_socket.close()
