--- a/mastledge/command_line.py
+++ b/mastledge/command_line.py
@@ -1,6 +1,6 @@
 """The complete command line: the commands of the program, and `lab` if the laboratory is installed.
 
-It imports the program and the laboratory; neither of them imports it.
+This module imports the program and the laboratory; neither of them imports this module.
 """
 
 import argparse
@@ -20,7 +20,7 @@
 
 
 def add_laboratory(commands) -> None:
-    """Add `lab`; if a package that it needs is missing, add a `lab` that reports the package."""
+    """Add `lab`; if a package that the laboratory needs is missing, add a `lab` that reports this."""
     try:
         from mastledge.lab.command import add  # none of it is needed to serve
     except ImportError as error:
--- a/mastledge/program/dispatcher.py
+++ b/mastledge/program/dispatcher.py
@@ -98,10 +98,10 @@
     def _add_serving_parts(self, configuration):
         loop, budget, inbox, log = self.loop, self.budget, self.inbox, self.log
         settings = configuration["settings"]
-        edges = settings_for_edges(settings)
-        self.discovery = Discovery(loop, budget, inbox, configuration["discovery"], edges, log)
+        connection_settings = settings_for_edges(settings)
+        self.discovery = Discovery(loop, budget, inbox, configuration["discovery"], connection_settings, log)
         self.workers = WorkerConnections(loop, budget, inbox, settings, log)
-        self.listener = ClientListener(loop, budget, inbox, edges, log)
+        self.listener = ClientListener(loop, budget, inbox, connection_settings, log)
         scheduler = Scheduler(settings_for_decisions(settings), configuration["seed"], loop.now())
         self.router = Router(loop, inbox, scheduler, self.workers, self.discovery, log)
         self.handoff = ConnectionHandoff(loop, budget, self.listener, settings, log)
--- a/mastledge/program/graceful_shutdown.py
+++ b/mastledge/program/graceful_shutdown.py
@@ -51,7 +51,7 @@
                 self._leave_to_successor()
             if dispatcher.listener.succeeded:
                 dispatcher.release_data_directories()
-            # The interval is read on each turn, as by the sibling watch, so that both use the same one.
+            # The sibling watch reads this interval on each turn too, so that both use the same value.
             yield (-1, 0, min(self._accept_until, loop.now() + sibling_watch.POLL_WITH_SIBLING_US))
 
     def _leave_to_successor(self):
--- a/mastledge/program/operator_api.py
+++ b/mastledge/program/operator_api.py
@@ -59,21 +59,21 @@
     def telemetry(self) -> str:
         """Return one line per metric. Counters start at zero with the process."""
         listener, router, workers = self._program.listener, self._program.router, self._program.workers
-        figures = {
+        metrics = {
             f"{outcome}.{queue_type}": count
             for outcome, counts in listener.jobs.ended.items()
             for queue_type, count in counts.items()
         }
-        figures |= {
+        metrics |= {
             "upstream_tries": workers.sent_launches,
             "in_progress": listener.jobs.in_hand,
             "known_workers": len(router.endpoints),
             "skipped_workers": router.scheduler.count_skipped_workers(self._program.loop.now()),
         }
-        return "".join(f"svc.{name}={figure}\n" for name, figure in figures.items())
+        return "".join(f"svc.{name}={value}\n" for name, value in metrics.items())
 
     def exclude(self, worker: str):
-        """Coroutine: exclude a worker; it gets no new jobs once the call is answered."""
+        """Coroutine: exclude a worker, which gets no new jobs once the call is answered."""
         self._require_known(worker)
         yield from self._change(lambda shared: shared.update(out=sorted({*shared["out"], worker})))
         if self._program.fleet is None:
@@ -85,7 +85,7 @@
         return answer
 
     def include(self, worker: str):
-        """Coroutine: include a worker again; it counts as warming up."""
+        """Coroutine: include a worker again, which then counts as warming up."""
         self._require_known(worker)
         now = time.time_ns() // 1000
         warm_before = now - self._program.configuration["settings"]["cold_for"]
--- a/mastledge/program/operator_client.py
+++ b/mastledge/program/operator_client.py
@@ -37,7 +37,7 @@
     def __init__(self, find_address: Callable[[], tuple[str, int]]) -> None:
         """Create a client; `find_address` returns the operators' address of the dispatcher.
 
-        It is called only at the first call, so that an invalid command is reported before a missing address.
+        `find_address` runs at the first call: an invalid command is thus reported before a missing address.
         """
         self.find_address = find_address
 
--- a/mastledge/program/reconfiguration.py
+++ b/mastledge/program/reconfiguration.py
@@ -68,12 +68,12 @@
         """
         dispatcher = self._dispatcher
         self.configuration["settings"] = settings
-        edges = settings_for_edges(settings)
-        zones, kinds = dispatcher.discovery.configure(edges)
+        connection_settings = settings_for_edges(settings)
+        zones, kinds = dispatcher.discovery.configure(connection_settings)
         settings = with_discovery_numbers(settings_for_decisions(settings), zones, kinds)
         # Open jobs keep the walltime of the settings under which they arrived.
         self.longest_walltime = max(self.longest_walltime, longest_walltime(settings))
-        dispatcher.listener.configure(edges)
+        dispatcher.listener.configure(connection_settings)
         dispatcher.workers.configure(settings)
         dispatcher.handoff.workers.configure(settings)
         dispatcher.inbox.put(SettingsChanged(settings))
--- a/mastledge/program/settings.py
+++ b/mastledge/program/settings.py
@@ -9,7 +9,7 @@
 
 
 def duration_us(text) -> int:
-    """Return a duration given in milliseconds in microseconds; raise ValueError if it is invalid."""
+    """Convert a duration from milliseconds to whole microseconds; raise ValueError for an invalid one."""
     return round(non_negative_number(text) * 1000)
 
 
--- a/mastledge/program/shared_lease.py
+++ b/mastledge/program/shared_lease.py
@@ -1,8 +1,9 @@
 """The files by which two processes of one dispatcher share its lease during an upgrade.
 
 The active process holds the lock of the data directory and talks to the other dispatchers. It writes a notice
-to the standby process, which acts on it until the lease ends and reports in another file the entry that it
-has applied. See docs/consensus.md for the reasons and docs/formats.md for the files.
+to the standby process. The standby process acts on the notice until the lease ends, and reports in another
+file the last entry that it has applied. See docs/consensus.md for the reasons and docs/formats.md for the
+files.
 """
 
 import contextlib
--- a/mastledge/program/shared_lease_exchange.py
+++ b/mastledge/program/shared_lease_exchange.py
@@ -46,8 +46,8 @@
 class SharedLeaseExchange:
     """The standby and the active side of the exchange; a standby process becomes the active one.
 
-    The last lease that this process borrowed or held stays valid for it: `index` is the last entry that it
-    has applied, `lease_until` the end of the lease on the event loop's clock.
+    The last lease that this process has borrowed or held stays valid: `index` is the last entry that this
+    process has applied, `lease_until` the end of the lease on the event loop's clock.
     """
 
     def __init__(
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -17,7 +17,7 @@
 from mastledge.protocol import client_listener, control
 from mastledge.transport.listening import listen
 
-GIVEN = set()
+USED_PORTS = set()
 
 
 def free():
@@ -26,8 +26,8 @@
         sock = listen((HERE, 0))
         port = sock.getsockname()[1]
         sock.close()
-        if port not in GIVEN:
-            GIVEN.add(port)
+        if port not in USED_PORTS:
+            USED_PORTS.add(port)
             return f"{HERE}:{port}"
 
 
