--- a/mastledge/program/consensus_driver.py
+++ b/mastledge/program/consensus_driver.py
@@ -1,4 +1,4 @@
-"""Drives one member: hands it what happens, and carries out what follows, with a log, links and a timer."""
+"""Runs the raft member of this dispatcher: its write-ahead log, its links to other members and its timer."""
 
 import uuid
 from collections.abc import Callable, Generator
@@ -26,33 +26,35 @@
 
 LOG_FILE = "agreement"
 MIN_TICK_INTERVAL_US = 500
-SERVICE_FRAME_PREFIX = b"\xc1"  # of frames that are no message of a member's; MessagePack never uses it
-NAME_DIGITS = 16  # hexadecimal ones, of a new incarnation or fleet
+SERVICE_FRAME_PREFIX = (
+    b"\xc1"  # starts frames of other services; no MessagePack message begins with this byte
+)
+NAME_DIGITS = 16  # hexadecimal digits in the name of a new incarnation or fleet
 
 
 def new_name() -> str:
-    """A random name that no incarnation or fleet had before."""
+    """Return a random name for a new incarnation or fleet."""
     return uuid.uuid4().hex[:NAME_DIGITS]
 
 
 class DriverHost(Protocol):
-    """What a driver tells of its member."""
+    """The callbacks through which a driver reports on its member."""
 
     def member_stepped(self, now: int) -> None:
-        """Look at the member after a step that began at `now`."""
+        """Handle a completed step of the member that began at `now`."""
 
     def change_committed(self, committed: outputs.Committed) -> None:
-        """Take the result of a proposed change; must not step the member."""
+        """Handle the result of a proposed change; must not step the member."""
 
     def restrictions_received(self, restrictions: WorkerRestrictions) -> None:
-        """Take what another member's registry restricts."""
+        """Handle the worker restrictions that another member sent."""
 
     def service_frame_received(self, sender: str, content: bytes) -> None:
-        """Take a frame that is for another service; `ValueError` for one that cannot be read."""
+        """Handle a frame for another service; raise `ValueError` if it cannot be decoded."""
 
 
 class ConsensusDriver:
-    """The member while this process is the active one of its dispatcher, and what it needs of the system."""
+    """Runs the member while this process is the active process of its dispatcher."""
 
     def __init__(
         self,
@@ -62,10 +64,10 @@
         host: DriverHost,
         log: Callable[..., None],
     ) -> None:
-        """Opens nothing yet. `program` has the loop and its tasks, `log` takes an event and its fields."""
+        """Store the collaborators; `start` opens the files and links. `log` takes an event and its fields."""
         self.program, self.loop, self.log = program, program.loop, log
         self.configuration, self.directory, self.host = configuration, directory, host
-        self.member: Member | None = None  # None before the start, and once another process is active
+        self.member: Member | None = None  # None before `start` and after `retire`
         self.writer: Writer | None = None
         self.links: Links | None = None
         self.timer: Task | None = None
@@ -73,11 +75,12 @@
         self.longest_step_us = 0
 
     def start(self, settings: dict, standby_index: int) -> None:
-        """Replay the log of the directory, whose lock this process has, and take part from here on.
+        """Replay the write-ahead log and start the member; this process must hold the directory lock.
 
-        `settings` are those of a fleet that begins here. `standby_index` is the entry up to which the process
-        before this one has applied: it goes by its last lease for a while, and until then nothing newer is
-        said to be in force here. Raises `DataDirectoryError`, and gives the lock back then.
+        `settings` are the initial settings if this member bootstraps a new fleet. `standby_index` is the last
+        entry that the previous process applied: that process may act under its last lease for a while, and
+        until then no newer entry is reported as in force here. Release the lock and raise
+        `DataDirectoryError` if the log cannot be opened.
         """
         persisted = PersistedState()
         self.writer = Writer(self._open_log(persisted))
@@ -115,13 +118,13 @@
         )
 
     def leave(self) -> None:
-        """Have another member lead; said at once, as nothing runs here any more in a moment."""
+        """Transfer leadership to another member, and flush the messages before this process stops."""
         if self.member is not None:
             self.step(inputs.Leave())
             self.links.flush()
 
     def close(self) -> None:
-        """End the tasks, the links and the log, and give the directory's lock back."""
+        """Stop the tasks, close the links and the log, and release the directory lock."""
         for task in self.tasks:
             self.loop.cancel(task)
         self.tasks = []
@@ -132,22 +135,26 @@
             self.directory.release()
 
     def retire(self) -> None:
-        """Close for good: another process is active from here on."""
+        """Close and drop the member, because another process becomes the active one."""
         self.close()
         self.member = None
 
     # Inputs
 
     def step(self, input: inputs.Input) -> None:
-        """Hand the member one input and carry out what follows; nothing where there is no member."""
+        """Pass one input to the member and carry out its outputs; do nothing if there is no member."""
         if self.member is None:
             return
         now = self.loop.now()
-        due = self.member.wake_at()
+        previous_wake_at = self.member.wake_at()
         for output in self.member.step(now, input):
             self._carry_out(output)
         self.host.member_stepped(now)
-        if self.timer is not None and self.member.wake_at() < due and not isinstance(input, inputs.Tick):
+        if (
+            self.timer is not None
+            and self.member.wake_at() < previous_wake_at
+            and not isinstance(input, inputs.Tick)
+        ):
             self.loop.wake(self.timer)
         self.longest_step_us = max(self.longest_step_us, self.loop.now() - now)
 
@@ -194,19 +201,19 @@
             return
         self.log("fleet_" + name, **fields)
 
-    # What the links need
+    # Callbacks of the links
 
     def link_identity(self) -> LinkIdentity:
-        """Give who this dispatcher is for the others."""
+        """Return the identity that this dispatcher presents to its peers."""
         return LinkIdentity(self.member.fleet, self.configuration.name, self.member.incarnation)
 
     def member_address(self, name: str) -> tuple[str, int] | None:
-        """Give where a member listens for links, or None where it is not known."""
+        """Return the link address of a member, or None if it is not known."""
         address = self.member.address_of(name)
         return None if address is None else address_of(address)
 
     def frame_received(self, sender: str, incarnation: str, content: bytes) -> None:
-        """Take a frame of another dispatcher; `ValueError` for one that cannot be read."""
+        """Handle a frame of another dispatcher; raise `ValueError` if it cannot be decoded."""
         if content.startswith(SERVICE_FRAME_PREFIX):
             self.host.service_frame_received(sender, content)
             return
--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -1,7 +1,7 @@
-"""Idempotency keys on one dispatcher and its disk: the table's log, and which client waits for what.
+"""Idempotency keys that a single dispatcher stores: the log of the key table, and the clients of each job.
 
-Imported only where the configuration names `repeats`. A claim is on the disk before its job is handed to the
-decisions, an outcome before its answer.
+Imported only if the configuration has `repeats`. A claim is on the disk before its job is passed to the
+scheduler, and an outcome is on the disk before the client gets its answer.
 """
 
 from collections.abc import Callable, Generator, Mapping
@@ -30,18 +30,18 @@
 
 
 class IdempotencyService(KeyedService):
-    """Keys of which this dispatcher alone has the records."""
+    """Serves keyed jobs whose records this dispatcher alone holds."""
 
     def __init__(self, program: "Dispatcher", configuration: Mapping, log: Callable[..., None]) -> None:
-        """As of `KeyedService`."""
+        """Create the service; see `KeyedService`."""
         super().__init__(program, configuration, log)
-        self.first_jobs: dict[ScopedKey, KeyedJob] = {}  # the job that is under way for a key
+        self.first_jobs: dict[ScopedKey, KeyedJob] = {}  # the running job of each key
         self.rewriting: Task | None = None
 
     # The log
 
     def open(self) -> None:
-        """Reads the log and starts to serve; DataDirectoryError where it can't be read."""
+        """Read the log and start serving; raise DataDirectoryError if the log cannot be read."""
         persisted = PersistedKeys(unix_now_us)
         log = self.open_log(
             WriteAheadLog(self.directory, "repeats", {"name": self.name}, persisted, self.log)
@@ -54,13 +54,13 @@
         self.tasks = [self.loop.spawn(self.program.supervised(self._take_writer_results()), first=True)]
 
     def save(self) -> int:
-        """Hands the table's changes to the writer; the token under which they are on the disk."""
+        """Pass the changes of the table to the writer and return the token of this write."""
         self.last_token += 1
         self.writer.append(self.last_token, self.key_table.take_changes())
         return self.last_token
 
     def persist(self, job: KeyedJob) -> Generator[tuple, object, bool]:
-        """Waits until the table as it is now is on the disk; False where the disk fails."""
+        """Wait until the current table is on the disk; return False if the disk fails."""
         token = self.save()
         if self.disk_failing:
             return False
@@ -84,10 +84,10 @@
         self.tasks.append(self.rewriting)
 
     def _rewrite(self) -> Coroutine:
-        """Writes all of the table anew, again and again until that goes well."""
+        """Rewrite the whole table, and retry until that succeeds."""
         while True:
             yield (-1, 0, self.loop.now() + DISK_RETRY_US)
-            self.key_table.take_changes()  # they are in the snapshot
+            self.key_table.take_changes()  # the snapshot below contains them
             self.last_token += 1
             self.save_waiters[self.last_token] = self.rewriting
             self.writer.rewrite(self.last_token, self.key_table.snapshot())
@@ -101,9 +101,9 @@
     def offer(
         self, conn: Connection, exchange: Exchange, arrival: tuple
     ) -> Generator[tuple, object, Reply | None]:
-        """The answer to a job with a key, or None where its client has gone.
+        """Return the reply to a job with a key, or None if its client has left.
 
-        `arrival`: fields of the job as the decisions take them.
+        `arrival`: the fields of the job that the scheduler takes.
         """
         yield from self.wait_until_open(exchange.until, conn)
         if http.has_left(conn):
@@ -119,7 +119,7 @@
             return replay(record.status, record.content)
         elif verdict not in (Verdict.JOIN, Verdict.ANSWER):
             return rejection(verdict)
-        # An answer that is not on the disk yet is waited for like one that is not there yet.
+        # An outcome that is not on the disk yet must not be replayed, so the client waits for that job.
         return (yield from self._wait_for_job(self.first_jobs[record.scoped_key], conn, exchange.until))
 
     def _start_job(self, record: Record, exchange: Exchange, arrival: tuple) -> None:
@@ -139,36 +139,36 @@
                 self.inbox.put(ClientLeft(job.exchange))
 
     def _run_job(self, job: KeyedJob, arrival: tuple) -> Coroutine:
-        """Sees a first job through, whoever of its clients stays: all of them are promised its outcome."""
+        """Run the first job of a key to its end and wake the waiting clients, whichever of them have left."""
         self.jobs_under_way += 1
         try:
-            reply = yield from self._reply_of(job, arrival)
+            reply = yield from self._execute(job, arrival)
         finally:
             self.jobs_under_way -= 1
         for conn in list(job.waiters):
             self.loop.wake(conn.owner, reply)
-        # Where the claim was given back, another job of the key may have begun meanwhile.
+        # After a released claim another job of this key may have started meanwhile.
         if self.first_jobs.get(job.record.scoped_key) is job:
             del self.first_jobs[job.record.scoped_key]
 
-    def _reply_of(self, job: KeyedJob, arrival: tuple) -> Generator[tuple, object, Reply]:
+    def _execute(self, job: KeyedJob, arrival: tuple) -> Generator[tuple, object, Reply]:
         key_table, record, exchange = self.key_table, job.record, job.exchange
         claimed = yield from self.persist(job)
         if not claimed or self.loop.now() >= exchange.until or exchange.client_has_left():
-            # Nothing was launched. What the disk may hold of the claim is taken back once it holds anything.
+            # Nothing was launched. The claim may be on the disk: the next successful write removes it.
             key_table.release(record)
             self.save()
             return REJECTED_REPLY
         reply = yield from self.decide(job.task, exchange, arrival)
-        self._note_outcome(key_table, record, reply)
+        self._record_outcome(key_table, record, reply)
         persisted = yield from self.persist(job)
         if not persisted and reply.status == COMPLETED:
-            # It could not be given again after a crash, so it is not given now.
+            # The answer could not be replayed after a crash, so it is not sent now.
             key_table.mark_unsure(self.loop.now(), record)
             return KILLED_REPLY
         return reply
 
-    def _note_outcome(self, key_table: KeyTable, record: Record, reply: Reply) -> None:
+    def _record_outcome(self, key_table: KeyTable, record: Record, reply: Reply) -> None:
         now = self.loop.now()
         if reply.status == COMPLETED:
             key_table.complete(now, record, reply.status, reply.content)
@@ -180,7 +180,7 @@
     # Operators
 
     def copies(self, request: Request) -> Answer:
-        """What `GET /api/copies` tells: figures of the table and of the disk."""
+        """Answer `GET /api/copies` with figures of the key table and of the disk."""
         if self.key_table is None:
             return Answer(503, "the folder is held by the process before this one")
         figures = {
--- a/mastledge/program/keyed_job.py
+++ b/mastledge/program/keyed_job.py
@@ -1,4 +1,4 @@
-"""A first job of a key that is under way, and the replies that keyed jobs get."""
+"""The running first job of an idempotency key, and the replies to keyed jobs."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -10,11 +10,11 @@
 from mastledge.transport.connection import Connection
 from mastledge.transport.loop import Task
 
-RETRY_AFTER_US = 500_000  # when a client may come back that found no room or a failing disk
+RETRY_AFTER_US = 500_000  # Retry-After when the key table is full or the disk fails
 
 
 class Reply(NamedTuple):
-    """Status, headers and body of a client's answer, in the order in which the listener takes them."""
+    """Status, headers and body of an answer to a client, in the order that the listener expects."""
 
     status: int
     headers: Sequence[tuple[bytes, bytes]]
@@ -26,12 +26,12 @@
 
 
 def replay(status: int, content: bytes) -> Reply:
-    """The answer of the first job once more."""
+    """Return the stored answer of the first job."""
     return Reply(status, [(b"content-type", b"application/octet-stream")], content)
 
 
 def rejection(verdict: Verdict) -> Reply:
-    """What a client hears whose job is not run; with a `Retry-After` in seconds where a retry may help."""
+    """Return the reply to a job that is not run, with `Retry-After` in seconds if a retry may succeed."""
     headers = []
     if verdict == Verdict.FULL:
         headers.append((b"retry-after", b"%.3f" % (RETRY_AFTER_US / 1e6)))
@@ -39,22 +39,22 @@
 
 
 class KeyedJob:
-    """The first job of a key from its claim to its outcome, and whoever waits for that.
+    """The first job of a key from its claim to its outcome, and the clients that wait for the outcome.
 
-    Held by the service and not by the record, which must not become part of a reference cycle.
+    The service holds it, not the record, so that the record does not become part of a reference cycle.
     """
 
     __slots__ = ("exchange", "record", "task", "waiters")
 
     def __init__(self, record: Record, exchange: Exchange) -> None:
-        """`task` is the coroutine that sees the job through, once it is spawned."""
+        """Create the job without its task, the coroutine that runs the job, which is spawned later."""
         self.record, self.exchange = record, exchange
         self.waiters: set[Connection] = set()
         self.task: Task | None = None
         exchange.check_left = self.all_clients_left
 
     def all_clients_left(self) -> bool:
-        """Whether nobody waits any more."""
-        # Each connection is read, whatever the others say: that takes up what its client has sent.
+        """Return whether no client waits any more."""
+        # Read every connection, without short-circuiting: reading also consumes what the client has sent.
         left = [http.has_left(conn) for conn in self.waiters]
         return all(left)
--- a/mastledge/program/keyed_service.py
+++ b/mastledge/program/keyed_service.py
@@ -1,6 +1,7 @@
-"""What services of idempotency keys have in common, whether one dispatcher holds the records or several do.
+"""The common base of the idempotency services, for keys on a single dispatcher and for replicated keys.
 
-That is the data directory, which the process before may still hold, and the way to the decisions and back.
+It holds the data directory, which the previous process may still have locked, and passes jobs to the
+scheduler.
 """
 
 import time
@@ -22,32 +23,32 @@
 if TYPE_CHECKING:
     from mastledge.program.dispatcher import Dispatcher
 
-DIRECTORY_POLL_US = 20_000  # between two tries of a directory that the process before still holds
-DIRECTORY_PATIENCE_US = 1_000_000  # of a job that comes meanwhile
-ANSWER_MARGIN_US = 50_000  # after the decisions must have ended a job
-DISK_RETRY_US = 1_000_000  # between two tries of a disk that has failed
+DIRECTORY_POLL_US = 20_000  # between attempts to lock a directory that the previous process still holds
+DIRECTORY_PATIENCE_US = 1_000_000  # longest wait of a job that arrives meanwhile
+ANSWER_MARGIN_US = 50_000  # after the deadline by which the scheduler must have ended a job
+DISK_RETRY_US = 1_000_000  # between attempts to write to a disk that has failed
 
 
 def unix_now_us() -> int:
-    """Unix time in microseconds."""
+    """Return the Unix time in microseconds."""
     return time.time_ns() // 1000
 
 
 class KeyedService:
-    """The data directory, the table and the writer of its log, and jobs that are handed to the decisions.
+    """Holds the data directory, the key table and the writer of its log, and passes jobs to the scheduler.
 
-    A subclass opens the log (`open`) and says what becomes of a job (`offer`).
+    A subclass opens the log (`open`) and handles a job (`offer`).
     """
 
     def __init__(self, program: "Dispatcher", configuration: Mapping, log: Callable[..., None]) -> None:
-        """`configuration`: all of it; `log(event, **fields)` writes a line of the program's log."""
+        """Take the whole configuration; `log(event, **fields)` writes a line of the program's log."""
         self.program, self.loop, self.inbox, self.log = program, program.loop, program.inbox, log
         self.name, self.settings = configuration["name"], configuration["repeats"]
         self.directory = DataDirectory(self.settings["folder"])
         self.key_table: KeyTable | None = None  # None until the log is open, and after the end
         self.writer: Writer | None = None
-        self.last_token = 0  # of what was handed to the writer
-        self.save_waiters: dict[int, Task] = {}  # by token: whom to wake once that is on the disk
+        self.last_token = 0  # of the last write that was passed to the writer
+        self.save_waiters: dict[int, Task] = {}  # by token: the task to wake when that write is on the disk
         self.disk_failing = False
         self.jobs_under_way = 0
         self.tasks: list[Task] = []
@@ -55,9 +56,9 @@
     # The data directory
 
     def begin(self) -> None:
-        """Opens the directory, or waits until the process before leaves it.
+        """Open the directory, or wait until the previous process of this dispatcher releases it.
 
-        DataDirectoryError where it is held by another one, or can't be used.
+        Raise DataDirectoryError if another dispatcher holds the directory, or if it cannot be used.
         """
         try:
             self.directory.acquire()
@@ -80,11 +81,11 @@
             return
 
     def open(self) -> None:
-        """Reads the log of the directory, which this process holds now, and starts to serve."""
+        """Read the log of the directory, whose lock this process holds, and start serving."""
         raise NotImplementedError
 
     def open_log(self, log: WriteAheadLog) -> WriteAheadLog:
-        """Reads a log; where that fails the directory is free again, and DataDirectoryError is raised."""
+        """Read a log; release the directory and raise DataDirectoryError if that fails."""
         try:
             return log.open()
         except DataDirectoryError:
@@ -92,7 +93,7 @@
             raise
 
     def end(self) -> None:
-        """Writes what is left and gives the directory free."""
+        """Write the pending records and release the directory."""
         for task in self.tasks:
             self.loop.cancel(task)
         self.tasks = []
@@ -103,29 +104,29 @@
         self.directory.release()
 
     def idle(self) -> bool:
-        """Whether another process of this dispatcher may take over: nothing here waits for the disk."""
+        """Return whether no job is running, so that another process may take over the directory."""
         return not self.jobs_under_way
 
     # Jobs
 
     def wait_until_open(self, until: int, conn: Connection) -> Coroutine:
-        """Waits while the process before is about to leave the directory, and as long as the client does.
+        """Wait until the previous process releases the directory, for a bounded time while the client stays.
 
-        `until`: end of the job's walltime.
+        `until`: the end of the job's walltime.
         """
         last = min(until - ANSWER_MARGIN_US, self.loop.now() + DIRECTORY_PATIENCE_US)
         while self._may_open() and self.loop.now() < last and not http.has_left(conn):
             yield (-1, 0, self.loop.now() + DIRECTORY_POLL_US)
 
     def _may_open(self) -> bool:
-        # A process that hands over itself does not get the directory back.
+        # A process that has handed over to its successor does not get the directory back.
         program = self.program
         return program.has_sibling_process and self.key_table is None and not program.listener.succeeded
 
     def decide(self, task: Task, exchange: Exchange, arrival: tuple) -> Generator[tuple, object, Reply]:
-        """Hands a job to the decisions and waits for its answer; `task` is the coroutine that runs this.
+        """Pass a job to the scheduler and return its reply; `task` is the coroutine that runs this.
 
-        `arrival`: fields of the job as the decisions take them.
+        `arrival`: the fields of the job that the scheduler takes.
         """
         exchange.answer = lambda *answer: self.loop.wake(task, Reply(*answer))
         self.inbox.put(JobArrived(exchange, arrival))
--- a/mastledge/program/replicated_jobs.py
+++ b/mastledge/program/replicated_jobs.py
@@ -1,7 +1,7 @@
-"""Jobs whose keys several dispatchers hold: from the client's request to its answer.
+"""Jobs whose idempotency keys are replicated, from the request of the client to its answer.
 
-A quorum of the key's replicas has the claim before the job is handed to the decisions, and the outcome
-before the client hears of it.
+A quorum of the key's replicas has the claim before the job is passed to the scheduler, and has the outcome
+before the client gets its answer.
 """
 
 from collections import Counter
@@ -22,9 +22,9 @@
 
 
 class _Job:
-    """One job, and its client while that one waits.
+    """A job, and the connection of its client while the client waits.
 
-    Its exchange refers to it and not the other way, so that no reference cycle is left of a job.
+    The exchange refers to the job and the job not to the exchange, which would be a reference cycle.
     """
 
     __slots__ = ("job_id", "conn", "task", "is_launched")
@@ -32,15 +32,15 @@
     def __init__(self, job_id: int, conn: Connection):
         self.job_id = job_id
         self.conn: Connection | None = conn
-        self.task: Task | None = None  # the coroutine that sees the job through
-        self.is_launched = False  # the decisions have it, or had it
+        self.task: Task | None = None  # the coroutine that runs the job
+        self.is_launched = False  # whether the job was passed to the scheduler
 
     def client_left(self) -> bool:
         return self.conn is None or http.has_left(self.conn)
 
 
 class ReplicatedJobs:
-    """The jobs of clients that are under way at this dispatcher."""
+    """Runs the keyed jobs of the clients of this dispatcher."""
 
     def __init__(
         self,
@@ -48,7 +48,10 @@
         handle: Callable[[Input], None],
         count_under_way: Callable[[int], None],
     ):
-        """`handle` gives the node an input; `count_under_way(change)` counts jobs that are seen through."""
+        """Take `handle`, which passes an input to the node.
+
+        `count_under_way` takes each change of the number of running jobs.
+        """
         self._service, self._loop = service, service.loop
         self._handle, self._count_under_way = handle, count_under_way
         self._jobs: dict[int, _Job] = {}
@@ -56,7 +59,7 @@
         self.verdict_counts: Counter[Verdict] = Counter()
 
     def on_verdict(self, job_verdict: JobVerdict) -> None:
-        """The node has decided on a job."""
+        """Wake a job with the verdict of the node."""
         self.verdict_counts[job_verdict.verdict] += 1
         job = self._jobs.get(job_verdict.job_id)
         if job is not None:
@@ -65,10 +68,10 @@
     def run(
         self, conn: Connection, exchange: Exchange, arrival: tuple
     ) -> Generator[tuple, object, Reply | None]:
-        """The answer to a job, or None where its client has gone; `arrival` is for the decisions."""
+        """Return the reply to a job, or None if its client has left; the scheduler takes `arrival`."""
         self._last_id += 1
         job = self._jobs[self._last_id] = _Job(self._last_id, conn)
-        job.task = self._loop.spawn(self._see_through(job, exchange, arrival))
+        job.task = self._loop.spawn(self._run_to_end(job, exchange, arrival))
         exchange.check_left = job.client_left
         try:
             reply = yield from self._service.program.listener.jobs.wait_for_answer(conn, exchange.until)
@@ -80,20 +83,21 @@
         return None if reply is None else KILLED_REPLY
 
     def _abandon(self, job: _Job, exchange: Exchange) -> None:
-        """Nobody waits for the job any more."""
+        """Handle that the client of a job no longer waits."""
         if job.is_launched:
-            # Who waits for its claim, here or elsewhere, claims the key anew where it comes to nothing.
+            # If the job ends without an outcome, the requests that wait for its claim, on any dispatcher,
+            # claim the key again.
             self._service.inbox.put(events.ClientLeft(exchange))
         elif job.job_id in self._jobs:
-            # Nothing of it is under way yet.
+            # Not launched yet, so the job can be dropped.
             self._handle(ClientLeft(job.job_id))
             self._loop.cancel(job.task)
 
-    def _see_through(self, job: _Job, exchange: Exchange, arrival: tuple) -> Coroutine:
-        """Runs a job to its end, also where its client has left, and wakes that one with the answer."""
+    def _run_to_end(self, job: _Job, exchange: Exchange, arrival: tuple) -> Coroutine:
+        """Run a job to its end even if its client leaves, and wake the client, if it still waits."""
         self._count_under_way(1)
         try:
-            reply = yield from self._reply_of(job, exchange, arrival)
+            reply = yield from self._claim_and_launch(job, exchange, arrival)
             if job.conn is not None:
                 self._loop.wake(job.conn.owner, reply)
         finally:
@@ -101,7 +105,9 @@
             job.is_launched = False
             self._count_under_way(-1)
 
-    def _reply_of(self, job: _Job, exchange: Exchange, arrival: tuple) -> Generator[tuple, object, Reply]:
+    def _claim_and_launch(
+        self, job: _Job, exchange: Exchange, arrival: tuple
+    ) -> Generator[tuple, object, Reply]:
         remaining_us = exchange.until - self._loop.now()
         fingerprint = request_fingerprint(exchange.target, exchange.body)
         self._handle(Offer(job.job_id, exchange.tenant, exchange.key, fingerprint, remaining_us))
@@ -117,7 +123,7 @@
         return (yield from self._launch(job, exchange, arrival))
 
     def _launch(self, job: _Job, exchange: Exchange, arrival: tuple) -> Generator[tuple, object, Reply]:
-        """Hands the job to the decisions, and its outcome to the replicas."""
+        """Pass the job to the scheduler, and its outcome to the replicas."""
         job.is_launched = True
         reply = yield from self._service.decide(job.task, exchange, arrival)
         outcome = OUTCOME_OF_STATUS.get(reply.status, JobOutcome.UNSURE)
@@ -126,13 +132,13 @@
         job_verdict = yield (-1, 0, max(exchange.until, self._loop.now()) + ANSWER_MARGIN_US)
         is_replicated = isinstance(job_verdict, JobVerdict) and job_verdict.verdict is Verdict.REPLICATED
         if is_answered and not is_replicated:
-            # No quorum has the answer, so a repeat could be answered otherwise: the job may have run.
+            # No quorum has stored the answer, so a retry could get another answer: the job may have run.
             return KILLED_REPLY
         return reply
 
 
 def _reply_without_launch(job_verdict: JobVerdict) -> Reply:
-    """What the client of a job hears that was not granted its key."""
+    """Return the reply to a job that was not granted the claim of its key."""
     if job_verdict.verdict is Verdict.ANSWERED:
         return replay(job_verdict.status, job_verdict.content)
     if job_verdict.verdict is Verdict.UNSURE:
--- a/mastledge/program/replication_api.py
+++ b/mastledge/program/replication_api.py
@@ -1,4 +1,4 @@
-"""What operators ask of replicated keys: figures, and another count of replicas."""
+"""Operator calls on replicated keys: figures, and a change of the replica count."""
 
 from collections.abc import Mapping
 
@@ -16,7 +16,7 @@
 
 
 def requested_count(request: Request) -> int:
-    """How many replicas a call asks for; `No` with 400 where it says no such number."""
+    """Return the replica count of a request; raise `CallRefusedError` with status 400 if it is invalid."""
     try:
         count = orjson.loads(request.body)["count"]
         if not isinstance(count, int) or not 1 <= count <= MAX_COPIES:
@@ -27,7 +27,7 @@
 
 
 def placement_figures(placement: Placement | None, configured_count: int) -> dict:
-    """Who holds keys; before this dispatcher takes part, the configured count alone."""
+    """Return figures of the replica placement; without one, the configured replica count alone."""
     if placement is None:
         return {
             "copies": configured_count,
@@ -50,7 +50,7 @@
 
 
 def node_figures(node: Node | None, verdict_counts: Mapping[Verdict, int], configured_count: int) -> dict:
-    """What the node and its jobs came to; `verdict_counts` has all verdicts of this process."""
+    """Return figures of the node and its jobs; `verdict_counts` has all verdicts of this process."""
     return {
         **(NO_CALLS if node is None else node.coordinator.statistics()),
         **{verdict.value: verdict_counts[verdict] for verdict in COUNTED_VERDICTS},
@@ -61,6 +61,6 @@
 
 
 def json_answer(figures: dict) -> Answer:
-    """Figures as an operator reads them."""
+    """Return an answer with the figures as indented JSON."""
     text = orjson.dumps(figures, option=orjson.OPT_INDENT_2).decode()
     return Answer(200, text, [], "application/json")
--- a/mastledge/program/replication_frames.py
+++ b/mastledge/program/replication_frames.py
@@ -1,4 +1,4 @@
-"""Frames of messages about keys on the links between dispatchers: what one says to another in one turn."""
+"""Frames that carry the replication messages of one turn of the event loop over the links."""
 
 from collections.abc import Callable
 
@@ -7,13 +7,13 @@
 from mastledge.replication.messages import AnyMessage, ScanResponse
 from mastledge.transport.loop import Task
 
-MARK = b"\xc1"  # begins a frame of this kind: MessagePack, which the consensus speaks, never uses it
-MAX_FRAME_BYTES = 1 << 20  # about; a message that is longer goes out alone
-MESSAGE_BYTES = 256  # of a message beside its content, roughly
+MARK = b"\xc1"  # starts a replication frame; no MessagePack message of the consensus begins with this byte
+MAX_FRAME_BYTES = 1 << 20  # approximate; the message that exceeds it ends the frame
+MESSAGE_OVERHEAD_BYTES = 256  # approximate size of a message without its content
 
 
 class Frame(msgspec.Struct, array_like=True):
-    """Messages from one dispatcher to another; `id` is that of the sender's data directory."""
+    """Messages from one dispatcher to another; `id` is the id of the sender's data directory."""
 
     id: str
     messages: list[AnyMessage]
@@ -25,30 +25,30 @@
 
 def _size_bytes(message: AnyMessage) -> int:
     parts = message.records if isinstance(message, ScanResponse) else (message,)
-    return MESSAGE_BYTES + sum(len(part.content) for part in parts if hasattr(part, "content"))
+    return MESSAGE_OVERHEAD_BYTES + sum(len(part.content) for part in parts if hasattr(part, "content"))
 
 
 class FrameSender:
-    """Collects the messages of one turn of the event loop, and sends them as one frame to each dispatcher."""
+    """Collects the messages of one turn of the event loop, and sends them in frames to each dispatcher."""
 
     def __init__(self, fleet, wake: Callable[[Task], None]):
-        """`fleet.links` sends, where there are links; `wake` is the event loop's."""
+        """Take the fleet, whose links send the frames, and `wake` of the event loop."""
         self._fleet, self._wake = fleet, wake
         self._messages: dict[str, list[AnyMessage]] = {}  # by recipient
         self._flush_task: Task | None = None
 
     def add(self, recipient: str, message: AnyMessage) -> None:
-        """Sends a message at the end of this turn."""
+        """Add a message that is sent at the end of this turn."""
         if not self._messages:
             self._wake(self._flush_task)
         self._messages.setdefault(recipient, []).append(message)
 
     def flush_on(self, task: Task) -> None:
-        """`task` is woken when there is something to flush."""
+        """Set the task that is woken when there are messages to flush."""
         self._flush_task = task
 
     def flush(self, directory_id: str) -> None:
-        """Sends what was added; without links it is lost, as on a link that is down."""
+        """Send the added messages; they are lost if there are no links, as on a link that is down."""
         messages_to, self._messages = self._messages, {}
         if self._fleet.links is None:
             return
@@ -58,7 +58,7 @@
 
 
 def _batches(messages: list[AnyMessage]) -> list[list[AnyMessage]]:
-    """The messages in their order, each batch up to the first one that makes it too long."""
+    """Split the messages in order; a batch ends with the message that exceeds the frame size."""
     batches, batch, size_bytes = [], [], 0
     for message in messages:
         batch.append(message)
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -1,7 +1,8 @@
-"""Keys that several dispatchers hold: the data directory, its log, and this dispatcher's part in the fleet.
+"""Replicated idempotency keys: the data directory, its log, and this dispatcher's replica in the fleet.
 
-Imported only where the configuration names `repeats` with more than one copy. This dispatcher takes part
-once the fleet has committed this start of its data directory, as an old copy of one must not be counted.
+Imported only if the configuration has `repeats` with more than one copy. The replica takes part once the
+fleet has committed this start of its data directory: a restored old copy of the directory must not count as
+a replica.
 """
 
 import uuid
@@ -36,16 +37,16 @@
 
 
 class ReplicationService(KeyedService):
-    """Keys of which this dispatcher is one of the replicas."""
+    """Serves keyed jobs whose records several dispatchers hold, among them this dispatcher."""
 
     def __init__(self, program, configuration: Mapping, log: Callable[..., None]):
-        """As of `KeyedService`; the program's fleet is there already."""
+        """Create the service, see `KeyedService`; the fleet of the program must exist already."""
         super().__init__(program, configuration, log)
         self._fleet, self._seed = program.fleet, configuration["seed"]
         self._fleet.replication = self
         self.directory_id, self._start_count, self._fence = "", 0, 0
         self._proposed_start = ""
-        self._first_token = 0  # of the records that say which data directory this is
+        self._first_token = 0  # of the write that records this start of the data directory
         self._is_start_persisted = False
         self._rewrite_task: Task | None = None
         self._frames = FrameSender(self._fleet, self.loop.wake)
@@ -54,7 +55,7 @@
             {
                 Send: self._send,
                 Persist: self._persist,
-                JobVerdict: self._tell_job,
+                JobVerdict: self._deliver_verdict,
                 CaughtUp: self._propose_caught_up,
             },
         )
@@ -62,19 +63,19 @@
 
     @property
     def node(self) -> Node | None:
-        """The node, once this start is committed."""
+        """The replication node; None until this start is committed."""
         return self._replica.node
 
     # The data directory
 
     def open(self) -> None:
-        """Reads the log and starts; DataDirectoryError where it can't be read."""
+        """Read the log and start; raise DataDirectoryError if the log cannot be read."""
         persisted = PersistedReplica(unix_now_us)
         log = self._open_log(persisted)
         now = self.loop.now()
         directory_id = persisted.directory_id or _new_directory_id()
         self.writer = Writer(log)
-        self._begin_with(now, persisted, directory_id, persisted.start_count + 1)
+        self._load(now, persisted, directory_id, persisted.start_count + 1)
         self._spawn_tasks()
         self.log(
             "replicas_loaded",
@@ -91,8 +92,8 @@
             owner["fleet"] = self._fleet.configuration.fleet
         return self.open_log(WriteAheadLog(self.directory, "copies", owner, persisted, self.log))
 
-    def _begin_with(self, now: int, persisted: PersistedReplica, directory_id: str, start_count: int) -> None:
-        """Takes up what the disk held, and writes down this start of the data directory."""
+    def _load(self, now: int, persisted: PersistedReplica, directory_id: str, start_count: int) -> None:
+        """Restore the key table from the persisted state, and write a record of this start."""
         self.directory_id, self._start_count = directory_id, start_count
         self._fence = persisted.fence
         self._replica.stop()
@@ -119,7 +120,7 @@
         self.tasks = [spawn(supervised(self._take_writer_results()), first=True), timer, flush]
 
     def end(self) -> None:
-        """Sends and writes what is left, and gives the directory free."""
+        """Send and write what is pending, and release the directory."""
         if self.node is not None:
             self._frames.flush(self.directory_id)
             if self._fleet.links is not None:
@@ -156,18 +157,18 @@
         self.tasks.append(self._rewrite_task)
 
     def _rewrite(self) -> Coroutine:
-        """Writes all records anew, again and again until that goes well."""
+        """Rewrite all records, and retry until that succeeds."""
         while self.disk_failing:
             yield (-1, 0, self.loop.now() + DISK_RETRY_US)
-            self.key_table.take_changes()  # they are in the snapshot
-            self._skip_token()
+            self.key_table.take_changes()  # the snapshot below contains them
+            self._reserve_token()
             self.save_waiters[self.last_token] = self._rewrite_task
             self.writer.rewrite(self.last_token, self._head_records() + self.key_table.snapshot())
             if (yield (-1, 0, self.loop.now() + DISK_RETRY_US)) is True:
                 self._end_rewriting()
 
-    def _skip_token(self) -> None:
-        """Takes a token for what the service writes itself, and not the node."""
+    def _reserve_token(self) -> None:
+        """Reserve a token for a write of the service itself, so that the node does not use it."""
         if self.node is None:
             self.last_token += 1
             return
@@ -184,7 +185,7 @@
     # The fleet
 
     def _propose_start(self) -> None:
-        """Has the fleet commit this start of the data directory, as soon as there is a fleet."""
+        """Propose this start of the data directory to the fleet, once, as soon as there is a member."""
         name = f"holds.{self.name}.{self.directory_id}.{self._start_count}"
         is_due = self._is_start_persisted and self.node is None and self._proposed_start != name
         if not is_due or self._fleet.member is None:
@@ -205,14 +206,15 @@
         if self.name not in self._fleet.member.state_machine.members:
             self._proposed_start = ""
             return
-        # The directory has been opened less often than was committed, so it lacks what others count on.
+        # The fleet has committed this start or a later one before, so this directory is an old copy and
+        # lacks acknowledged records.
         self.log("replica_directory_stale", why=result.reason)
-        self._begin_with(self.loop.now(), PersistedReplica(unix_now_us), _new_directory_id(), 1)
+        self._load(self.loop.now(), PersistedReplica(unix_now_us), _new_directory_id(), 1)
         self.last_token += 1
         self.writer.rewrite(self.last_token, self._head_records())
 
     def on_committed_state(self, state: Mapping) -> None:
-        """What the fleet has committed, each time that it may have changed."""
+        """Apply the committed state of the fleet, which may have changed."""
         copies = state.get("copies")
         if self.writer is None or copies is None:
             self._propose_start()
@@ -228,7 +230,7 @@
             self._replica.handle(PlacementChanged(copies))
 
     def _start_node(self, committed_count: int) -> None:
-        # After that all that was promised before is over, by whatever clock.
+        # After this time every promise made before this start has expired, by whichever clock.
         promise_us = (
             self.settings["keep"] + 3 * self.program.longest_walltime + 2 * self._fleet.configuration.lease_us
         )
@@ -248,8 +250,9 @@
             self.log("replica_count_differs", agreed=committed_count, here=self.settings["copies"])
 
     def on_frame(self, sender: str, content: bytes) -> None:
-        """A frame of another dispatcher without its mark; msgspec.DecodeError or ClaimNameError, both of them
-        ValueErrors, where it makes no sense.
+        """Handle a frame of another dispatcher, without its mark.
+
+        Raise msgspec.DecodeError or ClaimNameError, both subclasses of ValueError, if it is malformed.
         """
         frame = decode(content)
         for message in frame.messages:
@@ -269,7 +272,7 @@
         self.last_token = persist.token
         self.writer.append(persist.token, persist.records)
 
-    def _tell_job(self, job_verdict: JobVerdict) -> None:
+    def _deliver_verdict(self, job_verdict: JobVerdict) -> None:
         self._jobs.on_verdict(job_verdict)
 
     def _propose_caught_up(self, caught_up: CaughtUp) -> None:
@@ -282,9 +285,9 @@
     def offer(
         self, conn: Connection, exchange: Exchange, arrival: tuple
     ) -> Generator[tuple, object, Reply | None]:
-        """The answer to a job with a key, or None where its client has gone.
+        """Return the reply to a job with a key, or None if its client has left.
 
-        `arrival`: what the decisions get of the job.
+        `arrival`: the fields of the job that the scheduler takes.
         """
         yield from self.wait_until_open(exchange.until, conn)
         if http.has_left(conn):
@@ -299,12 +302,12 @@
     # Operators
 
     def recount(self, request: Request) -> Generator[tuple, object, object]:
-        """What `POST /api/copies` does: another count of replicas, for the whole fleet and under load."""
+        """Handle `POST /api/copies`: change the replica count of the whole fleet while it serves jobs."""
         count = requested_count(request)
         return (yield from self._fleet.changes.commit({"kind": "copies", "count": count}))
 
     def copies(self, request: Request) -> Answer:
-        """What `GET /api/copies` tells."""
+        """Answer `GET /api/copies` with figures of the keys and of the replica."""
         if self.key_table is None:
             return Answer(503, "the folder is held by the process before this one")
         figures = self.key_table.statistics()
