--- a/mastledge/program/recovery_admission.py
+++ b/mastledge/program/recovery_admission.py
@@ -1,4 +1,4 @@
-"""Stands between the client listener and the queue: who is admitted, by the admission ramp."""
+"""Admission control between the client listener and the queue, by the admission ramp."""
 
 from collections.abc import Generator
 
@@ -12,14 +12,14 @@
 
 
 class AdmissionGate:
-    """Rejects a job at once, or has the listener take it and records its outcome."""
+    """Rejects a job, or passes it to the listener and records its outcome."""
 
     def __init__(self, loop: Loop, listener: ClientListener, ramp: AdmissionRamp):
-        """`listener`: whose `taken` carries an admitted job out."""
+        """Take the listener, whose `jobs.take` runs an admitted job."""
         self._loop, self._listener, self._ramp = loop, listener, ramp
 
     def serve(self, connection: Connection, exchange: Exchange, request: tuple, is_retry: bool) -> Generator:
-        """A coroutine that gives the answer (status, headers, body), None where the client has gone."""
+        """Return the answer (status, headers, body), or None if the client has left, as a coroutine."""
         admitted_at = self._loop.now()
         retry_after_us = self._ramp.admit(admitted_at, is_retry)
         if retry_after_us is not None:
@@ -29,7 +29,7 @@
             answer = yield from self._listener.jobs.take(connection, exchange, request)
             return answer
         finally:
-            # Also where the task is cancelled, as the client has gone.
+            # Runs also when the task is cancelled because the client has left.
             status = answer[0] if answer is not None else None
             outcome = OUTCOME_BY_STATUS.get(status, AdmittedJobOutcome.FAILED)
             now = self._loop.now()
--- a/mastledge/program/recovery_clock.py
+++ b/mastledge/program/recovery_clock.py
@@ -1,4 +1,4 @@
-"""Both clocks by which stored state is placed in time."""
+"""The two clocks that give the age of stored state."""
 
 import time
 
@@ -9,7 +9,7 @@
 
 
 def read_boot_id() -> str:
-    """The id of this boot of the machine, "" where it isn't known."""
+    """Return the id of this boot of the machine, or "" if it cannot be read."""
     try:
         with open(BOOT_ID_PATH) as file:
             return file.read().strip()
@@ -18,16 +18,16 @@
 
 
 class RecoveryClock:
-    """Unix time, and the monotonic clock of the event loop with the id of the machine's boot."""
+    """Reads Unix time, and the monotonic clock of the event loop with the boot id of the machine."""
 
     def __init__(self, loop: Loop, boot_id: str):
-        """`loop`: its `now()` gives the monotonic clock in microseconds."""
+        """Take the event loop, whose `now()` is the monotonic clock in microseconds."""
         self._loop, self._boot_id = loop, boot_id
 
     def now(self) -> ClockReading:
-        """Both clocks, in microseconds."""
+        """Return a reading of both clocks, in microseconds."""
         return ClockReading(self.unix_now(), self._loop.now(), self._boot_id)
 
     def unix_now(self) -> int:
-        """Unix time in microseconds."""
+        """Return the Unix time in microseconds."""
         return time.time_ns() // 1000
--- a/mastledge/program/recovery_directory.py
+++ b/mastledge/program/recovery_directory.py
@@ -1,7 +1,7 @@
-"""The data directory of a dispatcher's recovery log, which is read in a thread of its own.
+"""The data directory of a dispatcher's recovery log, which is read in a separate thread.
 
-A slow disk must not keep the dispatcher from saying what it waits for. No answer to a client depends on this
-log, so a damaged one is begun anew.
+A slow disk must not block the event loop, which reports what the start waits for. No answer to a client
+depends on this log, so a damaged log is replaced by an empty one.
 """
 
 import threading
@@ -16,10 +16,10 @@
 
 
 class RecoveryDirectory:
-    """Holds the directory, and reads its log once."""
+    """Locks the directory, and reads its log once."""
 
     def __init__(self, path: str, dispatcher: str, log: Callable[..., None]):
-        """`dispatcher`: its name, to which the log belongs; `log`: takes an event and its fields."""
+        """Take the name of the dispatcher that owns the log; `log` takes an event and its fields."""
         self.trouble: str | None = None
         self.is_read = False
         self.write_ahead_log: WriteAheadLog | None = None
@@ -29,10 +29,11 @@
         self._reader: threading.Thread | None = None
 
     def open(self, other_process_runs: bool) -> None:
-        """Takes the directory and begins to read it.
+        """Lock the directory and start reading its log.
 
-        Where the process that this one takes over from still has it, nothing is read: that one goes on
-        writing, and what it knows comes by the upgrade. Else DataDirectoryError is raised if it can't be had.
+        Nothing is read if the previous process of this dispatcher still holds the directory: it goes on
+        writing, and its state comes with the upgrade. Otherwise raise DataDirectoryError if the directory
+        cannot be locked.
         """
         try:
             self._directory.acquire()
@@ -44,7 +45,7 @@
             self._start_reading()
 
     def take_over(self) -> None:
-        """Takes the directory if the process before this one has left it meanwhile."""
+        """Lock the directory and read its log, if the previous process has released it meanwhile."""
         if self._reader is not None or self._directory.lock is not None:
             return
         try:
@@ -61,30 +62,30 @@
         self._reader.start()
 
     def read_log(self) -> None:
-        """Runs in the thread."""
+        """Read the log, in the reader thread; replace a log that cannot be read."""
         try:
             self.write_ahead_log.open()
         except OSError as error:
             self.trouble = str(error)
             self._persisted.reset()
-            self._begin_anew()
+            self._replace_log()
 
-    def _begin_anew(self) -> None:
+    def _replace_log(self) -> None:
         try:
             self.write_ahead_log.rewrite([])
         except OSError as error:
             self.trouble = f"{self.trouble}; {error.strerror}"
 
     def has_result(self) -> bool:
-        """Whether the thread has ended and its result was not taken yet."""
+        """Return whether the thread has ended and its result was not taken yet."""
         return self._reader is not None and not self._reader.is_alive()
 
     def take_result(self) -> RecoveryRecord:
-        """What the log amounts to; an empty record where it couldn't be read, and `trouble` says why."""
+        """Return the record from the log; an empty one if reading failed, with the reason in `trouble`."""
         self._reader.join()
         self._reader, self.is_read = None, True
         return RecoveryRecord() if self.trouble else self._persisted.record
 
     def close(self) -> None:
-        """Lets other processes have the directory."""
+        """Release the directory, so that other processes can lock it."""
         self._directory.release()
--- a/mastledge/program/recovery_exclusion.py
+++ b/mastledge/program/recovery_exclusion.py
@@ -1,4 +1,4 @@
-"""Keeps workers from new jobs while the endpoint list is older than one that was received before."""
+"""Excludes workers while the current endpoint list is older than one that was received before."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -11,17 +11,20 @@
 
 
 class WorkerExclusion:
-    """Sets `dispatcher.excluded.by_newer_list`, by the newest list and the one of now."""
+    """Sets `dispatcher.excluded.by_newer_list` from the newest endpoint list and the current one."""
 
     def __init__(self, dispatcher: "Dispatcher", list_validity_us: int, log: Callable[..., None]):
-        """`list_validity_us`: after which an older list counts, as registries may count anew."""
+        """Take `list_validity_us`, after which an older list is accepted.
+
+        A registry may have restarted its generations.
+        """
         self.newest_list = NewestList()
         self._dispatcher, self._list_validity_us, self._log = dispatcher, list_validity_us, log
         self._starts: dict[str, int] = {}
         self._older_since: int | None = None
 
     def list_changed(self, kind: str, entries: list) -> None:
-        """Discovery gave `entries`, as the decisions take them; `kind`: "whole", "changes" or "cached"."""
+        """Take `entries` of discovery in the scheduler's form; `kind` is "whole", "changes" or "cached"."""
         generation = self._dispatcher.discovery.generation
         if generation is None or kind not in ("whole", "changes"):
             return
@@ -31,7 +34,7 @@
         self.update()
 
     def update(self) -> None:
-        """Excludes workers or frees them."""
+        """Update which workers are excluded."""
         excluded = self._excluded() if self._dispatcher.discovery.answered else frozenset()
         if excluded == self._dispatcher.excluded.by_newer_list:
             return
--- a/mastledge/program/recovery_peer_poll.py
+++ b/mastledge/program/recovery_peer_poll.py
@@ -1,4 +1,4 @@
-"""Asks some other dispatchers at the start for their load, and answers those that ask."""
+"""Queries some other dispatchers for their load during the start, and answers such queries."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -12,14 +12,14 @@
 MAX_POLLED = 5
 POLL_INTERVAL_US = 50_000
 FRAME_MARK = b"\xc1R"
-"""Begins each message on a link; `program.fleet` tells it from other frames."""
+"""Starts each frame of this poll on a link; `program.fleet` routes frames by it."""
 
 
 class PeerLoadPoll:
-    """Which dispatchers are asked, and what they have answered."""
+    """Holds which dispatchers were queried, and their responses."""
 
     def __init__(self, dispatcher: "Dispatcher", name: str, ramp: AdmissionRamp, draw: Callable[[], float]):
-        """`name`: of this dispatcher; `draw`: gives the next random number from 0 to 1."""
+        """Take the name of this dispatcher; `draw` returns the next random number from 0 to 1."""
         self._dispatcher, self._name, self._ramp, self._draw = dispatcher, name, ramp, draw
         self._started_at = dispatcher.loop.now()
         self._next_poll_at = 0
@@ -28,30 +28,30 @@
         self._responses: dict[str, LoadResponse] = {}
 
     def is_complete(self) -> bool:
-        """Whether all that were asked have answered; nobody to ask, not yet or ever, is not complete."""
+        """Return whether every queried dispatcher has answered; False if none was queried."""
         return bool(self._numbers) and len(self._responses) == len(self._numbers)
 
     def polled(self) -> list[str]:
-        """The names of those that were asked."""
+        """Return the sorted names of the queried dispatchers."""
         return sorted(self._numbers)
 
     def answered(self) -> list[str]:
-        """The names of those that have answered."""
+        """Return the sorted names of the dispatchers that have answered."""
         return sorted(self._responses)
 
     def poll(self, now: int) -> None:
-        """Asks those that have not answered, again after an interval."""
+        """Query the dispatchers that have not answered; repeat that after an interval."""
         fleet = self._dispatcher.fleet
         if fleet is None or fleet.member is None or fleet.links is None or self._next_poll_at > now:
             return
         self._next_poll_at = now + POLL_INTERVAL_US
         if not self._numbers:
-            self._choose(sorted(set(fleet.member.state.members()) - {self._name}))
+            self._choose_peers(sorted(set(fleet.member.state.members()) - {self._name}))
         for name, number in self._numbers.items():
             if name not in self._responses:
                 fleet.links.send(name, FRAME_MARK + encode(LoadQuery(number)))
 
-    def _choose(self, others: list[str]) -> None:
+    def _choose_peers(self, others: list[str]) -> None:
         count = min(MAX_POLLED, len(others))
         while len(self._numbers) < count:
             name = others[int(self._draw() * len(others))]
@@ -59,13 +59,13 @@
             self._numbers.setdefault(name, self._last_number)
 
     def receive(self, name: str, content: bytes) -> None:
-        """A message of the dispatcher `name`, without its mark; MessageError where it can't be read."""
+        """Handle a message of the dispatcher `name`, without its mark; raise MessageError if malformed."""
         message = decode(content)
         if isinstance(message, LoadQuery):
             self._respond(name, message)
         elif self._numbers.get(name) == message.number:
             self._responses[name] = message
-            loads = [PeerLoad(one.in_flight, one.unlimited) for one in self._responses.values()]
+            loads = [PeerLoad(peer.in_flight, peer.unlimited) for peer in self._responses.values()]
             self._ramp.use_peer_loads(loads)
 
     def _respond(self, name: str, query: LoadQuery) -> None:
--- a/mastledge/program/recovery_persistence.py
+++ b/mastledge/program/recovery_persistence.py
@@ -1,4 +1,4 @@
-"""Stores, every little while, what changed of the state that a next start may rely on."""
+"""Periodic storage of the changed state that the next start restores."""
 
 from collections.abc import Callable, Generator
 
@@ -11,14 +11,14 @@
 
 STORE_INTERVAL_US = 200_000
 LEARNED_ROUNDS = 10
-"""What was learned is stored once in so many rounds."""
+"""The learned state is stored once in this many rounds."""
 
 
 class RecoveryPersistence:
-    """Hands records to the thread that writes, once there is a log."""
+    """Passes records to the writer thread, once there is a log."""
 
     def __init__(self, builder: RecordBuilder, clock: RecoveryClock, loop: Loop, log: Callable[..., None]):
-        """`log`: takes an event and its fields."""
+        """Create the service without a writer; `log` takes an event and its fields."""
         self.writer: Writer | None = None
         self.is_failing = False
         self.stored_list: tuple | None = None
@@ -27,11 +27,11 @@
         self._token = 0
 
     def start(self, write_ahead_log: WriteAheadLog) -> None:
-        """From here on records are written to this log."""
+        """Start writing records to this log."""
         self.writer = Writer(write_ahead_log)
 
     def run(self, before_start: Callable[[], None]) -> Generator:
-        """A task that stores for ever; `before_start` is called instead as long as there is no log."""
+        """Store periodically, as an endless task; call `before_start` instead while there is no log."""
         rounds = 0
         while True:
             yield (-1, 0, self._loop.now() + STORE_INTERVAL_US)
@@ -52,7 +52,7 @@
                 )
 
     def store(self, with_learned: bool) -> None:
-        """Hands in the records of what changed since the last time."""
+        """Write the records that changed since the last call."""
         written_at = self._clock.now()
         records = [*self._changed_list(written_at), *self._changed_loads(written_at)]
         if with_learned:
@@ -62,7 +62,7 @@
         self._token += 1
         fields = [encode_record(record) for record in records]
         if self.is_failing:
-            # What came before is not on the disk, so all of it is written anew.
+            # Earlier records may be missing on the disk, so write all records again.
             self.stored_list = self._stored_loads = None
             self.writer.rewrite(self._token, fields)
         else:
@@ -86,11 +86,11 @@
         return [record]
 
     def longest_write_us(self) -> int:
-        """Of all writes so far."""
+        """Return the duration of the longest write so far, in microseconds."""
         return self.writer.longest_write_us if self.writer else 0
 
     def stop(self) -> None:
-        """Stores all that is left to be stored, and waits for it."""
+        """Write the pending records and wait until they are written."""
         if self.writer is not None:
             self.store(True)
             self.writer.close()
--- a/mastledge/program/recovery_records.py
+++ b/mastledge/program/recovery_records.py
@@ -1,4 +1,4 @@
-"""Records of what a running dispatcher stores for its next start, and the way back to the decisions."""
+"""Conversion of the state of a running dispatcher to the stored records, and back for the scheduler."""
 
 from dataclasses import astuple
 from typing import TYPE_CHECKING
@@ -22,13 +22,13 @@
     from mastledge.program.dispatcher import Dispatcher
 
 STORED_CONNECTION_REFUSED = "cut_off"
-"""How the reason `CONNECTION_REFUSED` of the decisions, which is no text, is stored."""
+"""Stored form of the scheduler's reason `CONNECTION_REFUSED`, which is not a string."""
 LOAD_END_STEP_US = 100_000
-"""Ends of loads are rounded up to it, lest the same load be written again and again."""
+"""End times of loads are rounded up to this step, so that an unchanged load is not written repeatedly."""
 
 
 def registry_name(configuration: dict) -> str:
-    """The registry that names the workers: as the fleet calls it, else its address."""
+    """Return the name of the registry in the fleet's configuration, or else its address."""
     peers = configuration["peers"]
     if peers and peers["registry"]:
         return peers["registry"]
@@ -37,20 +37,20 @@
 
 
 def start_of(endpoint: WorkerEndpoint, discovery: Discovery) -> int:
-    """When a worker started, in Unix microseconds; 0 for long ago."""
+    """Return the start time of a worker in Unix microseconds; 0 if it started long ago."""
     return endpoint.started_at + discovery.since if endpoint.started_at else 0
 
 
 def worker_starts(dispatcher: "Dispatcher") -> dict[str, int]:
-    """{worker id: start in Unix microseconds} of the workers of the list of now."""
+    """Return {worker id: start in Unix microseconds} for the current endpoint list."""
     endpoints = dispatcher.router.endpoints
     return {id: start_of(endpoint, dispatcher.discovery) for id, endpoint in endpoints.items()}
 
 
 def stored_asides(asides: list, now: int) -> list:
-    """[reason, fields] of why a worker is set aside, with its next trial as a span from `now`.
+    """Return the [reason, fields] pairs of an ejected worker, with its next trial relative to `now`.
 
-    Monotonic clocks end with the machine, so no time of them is stored.
+    A monotonic time has no meaning after a reboot, so none is stored.
     """
     return [
         [
@@ -62,7 +62,7 @@
 
 
 def asides_from_stored(asides: list, now: int) -> list:
-    """The inverse of `stored_asides`; a start counts the spans from itself."""
+    """Return the inverse of `stored_asides`, with the relative times counted from `now`."""
     return [
         [
             CONNECTION_REFUSED if reason == STORED_CONNECTION_REFUSED else reason,
@@ -73,14 +73,14 @@
 
 
 class RecordBuilder:
-    """Makes records of the program's state of now."""
+    """Builds records of the current state of the program."""
 
     def __init__(self, dispatcher: "Dispatcher", newest_list: NewestList):
-        """Only reads what it is given."""
+        """Take the dispatcher and its newest list, which are only read."""
         self._dispatcher, self._newest_list = dispatcher, newest_list
 
     def endpoint_list(self, written_at: ClockReading) -> ListRecord | None:
-        """The list as this process received it; None where what is stored is newer."""
+        """Return the endpoint list that this process received; None if the stored one is newer."""
         discovery = self._dispatcher.discovery
         generation = discovery.generation
         if not discovery.answered or generation is None or generation < self._newest_list.generation:
@@ -112,15 +112,17 @@
         return workers
 
     def unfinished_loads(self, written_at: ClockReading) -> LoadRecord:
-        """What is in flight at each worker, and until when that may be so."""
+        """Return the load in flight at each worker, and until when it may last."""
         discovery = self._dispatcher.discovery
         unix_us, now = written_at.unix_us, written_at.monotonic_us
         loads = {}
         for worker in self._dispatcher.router.scheduler.workers.values():
             endpoint = worker.id
             if worker.load > 0 and endpoint.address is not None:
-                last = max((launch.job.deadline for launch in worker.in_flight.values()), default=now)
-                until = (unix_us + max(0, last - now)) // LOAD_END_STEP_US * LOAD_END_STEP_US
+                last_deadline = max(
+                    (launch.job.deadline for launch in worker.in_flight.values()), default=now
+                )
+                until = (unix_us + max(0, last_deadline - now)) // LOAD_END_STEP_US * LOAD_END_STEP_US
                 loads[endpoint.id] = UnfinishedLoad(
                     start_of(endpoint, discovery),
                     [*endpoint.address],
@@ -130,7 +132,7 @@
         return LoadRecord(*astuple(written_at), loads)
 
     def learned(self, written_at: ClockReading) -> LearnedRecord:
-        """What the decisions learned of each worker."""
+        """Return what the scheduler has learned about each worker."""
         workers = {
             id: LearnedWorker(slots, peak, slow, stored_asides(asides, written_at.monotonic_us))
             for id, (slots, peak, slow, asides) in self._dispatcher.router.scheduler.learned_state().items()
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -1,7 +1,7 @@
-"""A start by stages: what the data directory holds, what others answer, and admission by degrees.
+"""A staged start: restore the data directory, poll other dispatchers for their load, ramp up admission.
 
-Imported only where the configuration names `recovery`. This composes the parts of a start, each in a module
-of its own, and drives the stages; the decisions are those of `recovery/`.
+Imported only if the configuration has `recovery`. This module composes the parts of a start and drives the
+stages; the logic of each stage is in `recovery/`.
 """
 
 from collections.abc import Callable, Generator
@@ -31,47 +31,47 @@
     from mastledge.program.dispatcher import Dispatcher
 
 STAGE_INTERVAL_US = 10_000
-"""Between two looks at the stages."""
+"""Interval between two checks of the stages."""
 RESIZE_INTERVAL_US = 100_000
-"""Between two looks at what the workers can take."""
+"""Interval between two adjustments of the ramp to the number of usable slots."""
 DISCOVERY_SPREAD_US, MAX_DISCOVERY_SPREAD_US = 2_000, 250_000
-"""By which the first call for the list is spread: for each dispatcher, and at most."""
+"""Random delay of the first call for the endpoint list: per dispatcher, and the maximum."""
 
 
 class StartupRandom:
-    """Random numbers from 0 to 1 of one dispatcher's start, the same ones for the same seed."""
+    """Random numbers from 0 to 1 for the start of a dispatcher, reproducible from the seed."""
 
     def __init__(self, seed: int, name: str):
-        """`name`: of the dispatcher."""
+        """Take the seed and the name of the dispatcher."""
         self._seed, self._name, self._draws = seed, name.encode(), 0
 
     def draw(self) -> float:
-        """The next one."""
+        """Return the next number."""
         self._draws += 1
         return crc32(b"start %d %s %d" % (self._seed, self._name, self._draws)) / 4294967296.0
 
 
 class RecoveryService:
-    """Composes the parts of a start; what the program, the fleet and the operators' API call."""
+    """Composes the parts of a start; the program, the fleet and the operators' API call it."""
 
     def __init__(self, dispatcher: "Dispatcher", configuration: dict, log: Callable[..., None]):
-        """`configuration`: of the program, with `recovery`; `log`: takes an event and its fields."""
-        own, settings = configuration["recovery"], configuration["settings"]
+        """Take the whole configuration, with `recovery`; `log` takes an event and its fields."""
+        recovery, settings = configuration["recovery"], configuration["settings"]
         now = dispatcher.loop.now()
         max_retry_after_us = settings["most_hold_off"] if settings["may_hold_off"] else 0
         self.stages = StartupStages(now, bool(configuration["peers"]))
-        self.ramp = AdmissionRamp(configuration["seed"], now, own["open"], max_retry_after_us)
+        self.ramp = AdmissionRamp(configuration["seed"], now, recovery["open"], max_retry_after_us)
         self.gate = AdmissionGate(dispatcher.loop, dispatcher.listener, self.ramp)
         self.restored = RestoredState.rejected("not read yet")
-        self.directory = RecoveryDirectory(own["folder"], configuration["name"], log)
-        self.exclusion = WorkerExclusion(dispatcher, own["list"], log)
+        self.directory = RecoveryDirectory(recovery["folder"], configuration["name"], log)
+        self.exclusion = WorkerExclusion(dispatcher, recovery["list"], log)
         self._clock = RecoveryClock(dispatcher.loop, read_boot_id())
         builder = RecordBuilder(dispatcher, self.exclusion.newest_list)
         self.persistence = RecoveryPersistence(builder, self._clock, dispatcher.loop, log)
         self._random = StartupRandom(configuration["seed"], configuration["name"])
         self.poll = PeerLoadPoll(dispatcher, configuration["name"], self.ramp, self._random.draw)
         self._dispatcher, self._loop, self._log = dispatcher, dispatcher.loop, log
-        self._list_validity_us = own["list"]
+        self._list_validity_us = recovery["list"]
         self._started_at = now
         self._logged_stage: StartupStage | None = None
         self._tasks: list = []
@@ -79,34 +79,34 @@
     # Start and end
 
     def begin(self) -> None:
-        """Opens the directory and starts the tasks; DataDirectoryError where another dispatcher has it."""
+        """Open the directory and start the tasks; raise DataDirectoryError if it is locked."""
         self.directory.open(other_process_runs=self._dispatcher.has_sibling_process)
-        vital, spawn = self._dispatcher.supervised, self._loop.spawn
+        supervised, spawn = self._dispatcher.supervised, self._loop.spawn
         store = self.persistence.run(self._take_over_directory)
-        self._tasks = [spawn(vital(self._run()), first=True), spawn(vital(store), first=True)]
+        self._tasks = [spawn(supervised(self._run()), first=True), spawn(supervised(store), first=True)]
 
     def _take_over_directory(self) -> None:
         if not self._dispatcher.listener.succeeded:
             self.directory.take_over()
 
     def prepare(self) -> Generator:
-        """A coroutine that ends once the first call for the list may be made.
+        """Wait until discovery may be called for the first time, as a coroutine.
 
-        It waits for the directory within the stage's bound and applies the list that it holds; then for a
-        time by chance, lest all that start at once ask discovery in step.
+        Wait for the directory within the time limit of its stage and apply the stored list. Then wait for a
+        random time, so that dispatchers that start together do not all call discovery at once.
         """
         while not self.directory.is_read and self.stages.stage == StartupStage.READING_STATE:
             yield (-1, 0, self._loop.now() + STAGE_INTERVAL_US)
         if self.restored.workers:
             self._dispatcher.discovery.apply(self._restored_list(), "cached")
-            # Changes are counted from a list that its registry has given to this process.
+            # Changes apply only to a list that the registry gave to this process, so ask for a whole list.
             self._dispatcher.discovery.generation = None
         dispatchers = self._dispatcher.configuration["settings"]["dispatchers"]
         spread_us = min(MAX_DISCOVERY_SPREAD_US, DISCOVERY_SPREAD_US * dispatchers)
         yield (-1, 0, self._loop.now() + int(self._random.draw() * spread_us))
 
     def _restored_list(self) -> dict:
-        """The restored endpoint list in the registry's form."""
+        """Return the restored endpoint list in the format of the registry."""
         instances = [
             {
                 "instanceId": id,
@@ -124,7 +124,7 @@
         return {"generation": self.restored.generation, "reset": True, "instances": instances}
 
     def end(self) -> None:
-        """Stores what is left and gives the directory free."""
+        """Store the pending records and release the directory."""
         for task in self._tasks:
             self._loop.cancel(task)
         self._tasks = []
@@ -134,7 +134,7 @@
     # Stages
 
     def _run(self) -> Generator:
-        """A task that drives the stages until the start is over, and the ramp all the time."""
+        """Drive the stages until the start is over, and the ramp for ever, as a task."""
         resize_at = 0
         while True:
             now = self._loop.now()
@@ -152,7 +152,7 @@
             yield (-1, 0, now + STAGE_INTERVAL_US if starting else resize_at)
 
     def _restore(self) -> None:
-        """Takes what the directory's thread has read, once."""
+        """Restore the state that the reader thread has read; called once."""
         record = self.directory.take_result()
         if self.directory.trouble:
             self.restored = RestoredState.rejected(self.directory.trouble)
@@ -172,7 +172,7 @@
 
     def _resize_ramp(self, now: int) -> None:
         scheduler = self._dispatcher.router.scheduler
-        # Also those that are ejected here: that is this one's own view, and ends by jobs that are admitted.
+        # Includes workers that are ejected here: an ejection is local, and only admitted jobs can end it.
         slots = scheduler.usable_slots(now)
         self.ramp.resize(slots, self._dispatcher.configuration["settings"]["dispatchers"])
 
@@ -207,25 +207,25 @@
         report(StartupStage.RAMPING_UP, not self.ramp.limited)
 
     def may_serve(self) -> bool:
-        """Whether jobs may be admitted, if only a few; degraded service counts as well."""
+        """Return whether any jobs may be admitted, also in degraded service."""
         return self.stages.may_serve()
 
     def waiting_for(self) -> str:
-        """What the start waits for; "" once it is over."""
+        """Return what the start waits for; "" once the start is over."""
         return self.stages.waiting_for()
 
-    # What the program and the fleet hand in and take
+    # Calls of the program and the fleet
 
     def list_changed(self, kind: str, entries: list) -> None:
-        """Discovery gave a list of the workers or changes of it, as the decisions take them."""
+        """Take a list of workers, or changes of it, from discovery in the form that the scheduler takes."""
         self.exclusion.list_changed(kind, entries)
 
     def receive(self, name: str, content: bytes) -> None:
-        """A frame of the dispatcher `name`, without its mark; MessageError where it can't be read."""
+        """Handle a frame of the dispatcher `name`, without its mark; raise MessageError if malformed."""
         self.poll.receive(name, content)
 
     def inherited(self) -> dict[str, list]:
-        """What the decisions begin with by worker id, as `Scheduler.restore_learned` takes it."""
+        """Return the restored state of each worker by id, as `Scheduler.restore_learned` takes it."""
         unix_now, starts = self._clock.unix_now(), worker_starts(self._dispatcher)
         workers = {
             id: WorkerIdentity(starts[id], endpoint.address)
@@ -243,7 +243,7 @@
     # Operators
 
     def figures(self, request: Request) -> Answer:
-        """The answer to `GET /api/recovery`, whose fields have the operators' names."""
+        """Answer `GET /api/recovery`; its fields have the names that operators use."""
         figures = {
             **self.stages.figures(self._loop.now()),
             "door": self.ramp.figures(),
