--- a/mastledge/program/agreed_settings.py
+++ b/mastledge/program/agreed_settings.py
@@ -1,4 +1,4 @@
-"""The settings that a fleet agrees on, completed by what is a dispatcher's own, and put in force here."""
+"""The agreed settings of a fleet, completed with the dispatcher's local settings and applied here."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
@@ -8,39 +8,39 @@
 if TYPE_CHECKING:
     from mastledge.program.dispatcher import Dispatcher
 
-OWN_SETTINGS = ("me", "locality")  # that stand in each dispatcher's file
+LOCAL_SETTINGS = ("me", "locality")  # read from the configuration file of each dispatcher, not agreed
 
 
 def shared_settings(document: dict[str, Any]) -> dict[str, Any]:
-    """The settings of a document that a fleet agrees on."""
-    return {name: value for name, value in document.items() if name not in OWN_SETTINGS}
+    """Return the settings of a document without the local ones."""
+    return {name: value for name, value in document.items() if name not in LOCAL_SETTINGS}
 
 
 class AgreedSettings:
-    """Reads the settings of an agreed state, and has the program go by them."""
+    """Parses the settings of an agreed state and applies them to the program."""
 
     def __init__(self, program: "Dispatcher", document: dict[str, Any], log: Callable[..., None]) -> None:
-        """`document` has this dispatcher's own settings, `log` takes an event and its fields."""
+        """Take the local settings from `document`; `log` takes an event and its fields."""
         self.program, self.log = program, log
-        self.own = {name: document[name] for name in OWN_SETTINGS if name in document}
-        self.unreadable_reason = ""  # why the settings of now cannot be read here, "" where they can
+        self.local_settings = {name: document[name] for name in LOCAL_SETTINGS if name in document}
+        self.unreadable_reason = ""  # why the current settings cannot be parsed here, "" if they can
 
     def complete(self, document: dict[str, Any], state: dict[str, Any]) -> dict[str, Any]:
-        """The settings of this dispatcher in a fleet of that state; `ValueError` names a key that is bad."""
-        # A member more takes its part before it may act, one less gives it up later: parts never sum to more
-        # than all.
+        """Return this dispatcher's settings in a fleet of that state; raise `ValueError` for a bad key."""
+        # Removed members still count, and added members count before they may act, so that the shares of all
+        # dispatchers never sum to more than the whole.
         members = len(state["members"]) + len(state["gone"]) if state else 0
-        pairs = flatten_settings({**document, **self.own})
+        pairs = flatten_settings({**document, **self.local_settings})
         pairs["balancers"] = max(int(pairs.get("balancers", 1)), members)
         return parse_settings(pairs)
 
     def apply(self, state: dict[str, Any]) -> bool:
-        """Put an agreed state in force here; whether that could be done."""
+        """Apply an agreed state; return whether its settings could be parsed."""
         try:
             settings = self.complete(state["settings"], state)
         except ValueError as error:
-            # Read well where it was proposed, so this program is of another version: better nothing than half
-            # of it.
+            # The proposing dispatcher parsed them, so this program has another version. Apply none of the
+            # settings rather than some of them.
             version = state["settings_version"]
             self.unreadable_reason = f"cannot read settings of version {version}: {error}"
             self.log("fleet_settings_unreadable", why=self.unreadable_reason)
--- a/mastledge/program/change_requests.py
+++ b/mastledge/program/change_requests.py
@@ -1,6 +1,6 @@
-"""Changes that this dispatcher wants committed: operators wait for theirs, the program is called back.
+"""Changes that this dispatcher proposes: operators wait for the result, the program gets a callback.
 
-A change is a plain map, as it stands in the log and in messages (`consensus/changes.py`).
+A change is a plain dict, as it is stored in the log and sent in messages (`consensus/changes.py`).
 """
 
 import time
@@ -13,43 +13,44 @@
 from mastledge.protocol.control import Answer
 from mastledge.protocol.errors import CallRefusedError
 
-CALLER_TIMEOUT_US = 700_000  # a caller waits for 1 s
+CALLER_TIMEOUT_US = 700_000  # below the 1 s that a caller waits
 POLL_INTERVAL_US = 5_000
-MAX_RESULTS = 64  # that nobody has taken
+MAX_RESULTS = 64  # results that no caller has taken
 NS_PER_US = US_PER_MS = 1000
 OK, ACCEPTED, UNAVAILABLE = 200, 202, 503
 
 
 def unix_us() -> int:
-    """Unix time in microseconds."""
+    """Return the Unix time in microseconds."""
     return time.time_ns() // NS_PER_US
 
 
 class ChangeRequests:
-    """Proposes changes by the member of this dispatcher, and has who wants them know what became of them."""
+    """Proposes changes through the member of this dispatcher, and delivers their results."""
 
     def __init__(self, driver: ConsensusDriver) -> None:
-        """Changes by the member that this driver has."""
+        """Take the driver whose member proposes the changes."""
         self.driver, self.loop = driver, driver.loop
         self.name, self.seed = driver.configuration.name, driver.configuration.seed
-        self.results: dict[str, outputs.Committed] = {}  # by the id of an operator's change
-        self.callbacks: dict[str, Callable[[ChangeResult], None] | None] = {}  # by the id of the program's
-        self.count = 0
+        self.results: dict[str, outputs.Committed] = {}  # results of operators' changes, by change id
+        self.callbacks: dict[
+            str, Callable[[ChangeResult], None] | None
+        ] = {}  # of the program's own changes, by change id
+        self.proposal_count = 0
 
     def propose(self, id: str, change: dict, on_result: Callable[[ChangeResult], None] | None = None) -> None:
-        """Propose a change that the program itself wants; one with an `id` of before counts once.
+        """Propose a change of the program itself; proposals with the same `id` are applied once.
 
-        `on_result` is called in a turn of its own, while there still is a member.
+        `on_result` is called in a separate turn of the event loop, if there still is a member.
         """
         self.callbacks[id] = on_result
         self.driver.step(inputs.Propose(id, {**change, "by": self.name, "at": 0}))
 
     def commit(self, change: dict) -> Generator[tuple, object, Answer]:
-        """Coroutine: propose an operator's change and wait until it is in force, or as long as a caller does.
+        """Propose an operator's change and wait for it to be in force, within the caller's timeout.
 
-        Gives 200 where it is in force and 202 where it is committed. Raises `CallRefusedError`
-        with the status of a
-        refusal, or with 503 where nobody has committed it in time.
+        Return 200 if it is in force and 202 if it is only committed, as a coroutine. Raise
+        `CallRefusedError` with the status of a refusal, or with 503 if it was not committed in time.
         """
         self.driver_member()
         id = self._new_id()
@@ -65,7 +66,7 @@
         return self._answer(committed)
 
     def driver_member(self) -> Member:
-        """Give the member; `CallRefusedError` where another process of this dispatcher has it."""
+        """Return the member; raise `CallRefusedError` if another process of this dispatcher runs it."""
         if self.driver.member is None:
             raise CallRefusedError(
                 UNAVAILABLE, "here only: the process beside this one speaks for this dispatcher"
@@ -73,7 +74,7 @@
         return self.driver.member
 
     def committed(self, committed: outputs.Committed) -> None:
-        """Take a result from the driver."""
+        """Handle the result of a change from the driver."""
         if committed.id in self.callbacks:
             self.loop.spawn(self._call_back(committed))
             return
@@ -82,9 +83,9 @@
             del self.results[next(iter(self.results))]
 
     def _new_id(self) -> str:
-        self.count += 1
+        self.proposal_count += 1
         incarnation = self.driver.member.incarnation
-        return f"{self.name}.{incarnation}.{self.seed & 0xffff}.{time.time_ns()}.{self.count}"
+        return f"{self.name}.{incarnation}.{self.seed & 0xffff}.{time.time_ns()}.{self.proposal_count}"
 
     def _wait_committed(self, id: str, deadline: int) -> Generator:
         while id not in self.results:
@@ -116,7 +117,7 @@
         )
 
     def _call_back(self, committed: outputs.Committed) -> Generator:
-        """Coroutine without a wait: a step of the member must not begin within another one."""
+        """Call back in a separate task, because a step of the member must not begin within another step."""
         yield from ()
         on_result = self.callbacks.pop(committed.id, None)
         self.driver.step(inputs.ForgetProposal(committed.id))
--- a/mastledge/program/excluded_workers.py
+++ b/mastledge/program/excluded_workers.py
@@ -1,4 +1,4 @@
-"""Workers that get no new jobs, by who says so."""
+"""Workers that get no new jobs, by the source of the exclusion."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -6,11 +6,11 @@
 
 @dataclass(slots=True)
 class ExcludedWorkers:
-    """What excludes workers here beside the marks that two processes of one dispatcher share.
+    """The excluded workers, without those in the upgrade state that two processes of a dispatcher share.
 
     `committed` and `committed_included_at` (when a worker was included again, Unix time in microseconds) are
-    what the dispatchers have agreed on; `restricted_by_fleet` are draining or gone by a newer list of another
-    dispatcher; `by_newer_list` by a newer list than that of now.
+    agreed by the dispatchers. `restricted_by_fleet` are draining or gone in a newer list of another
+    dispatcher, `by_newer_list` in a newer list than the current one of this dispatcher.
     """
 
     committed: frozenset[str] = frozenset()
@@ -19,5 +19,5 @@
     by_newer_list: frozenset[str] = frozenset()
 
     def with_shared(self, shared: Iterable[str]) -> frozenset[str]:
-        """All excluded workers; `shared` are those of the upgrade state."""
+        """Return all excluded workers; `shared` are those of the upgrade state."""
         return frozenset(shared) | self.committed | self.restricted_by_fleet | self.by_newer_list
--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -1,6 +1,6 @@
-"""One dispatcher in a fleet: composes its member, the lease, and what of the program goes by what is agreed.
+"""A dispatcher's part in a fleet: its raft member, its lease, and the agreed state that the program applies.
 
-Imported only where the configuration names `peers`.
+Imported only if the configuration has `peers`.
 """
 
 from collections.abc import Callable
@@ -28,21 +28,22 @@
     from mastledge.program.dispatcher import Dispatcher
     from mastledge.program.replication_service import ReplicationService
 
-RECOVERY_FRAME_PREFIX = SERVICE_FRAME_PREFIX + b"R"  # of what a dispatcher that starts asks, and the answers
+RECOVERY_FRAME_PREFIX = SERVICE_FRAME_PREFIX + b"R"  # of load queries and load responses at a start
 NOTHING_APPLIED = -1
 
 
 class Fleet:
-    """What the program has of its fleet.
+    """Connects the program to its fleet.
 
-    `program` gets agreed settings by `apply_committed`, workers that the lists of others restrict by
-    `excluded.restricted_by_fleet` and `refresh_excluded_workers`, and a lost lease by `lease_lapsed`.
+    The program receives agreed settings through `apply_committed`, the workers that other dispatchers' lists
+    restrict through `excluded.restricted_by_fleet` and `refresh_excluded_workers`, and the loss of the lease
+    through `lease_lapsed`.
     """
 
     def __init__(
         self, program: "Dispatcher", configuration: dict[str, Any], log: Callable[..., None]
     ) -> None:
-        """`configuration` is the whole one of the program; `log` takes an event and its fields."""
+        """Take the whole configuration of the program; `log` takes an event and its fields."""
         self.program, self.log, self.loop = program, log, program.loop
         self.configuration = FleetConfiguration.from_configuration(configuration)
         self.directory = DataDirectory(self.configuration.directory)
@@ -54,27 +55,27 @@
         self.restrictions = RestrictionExchange(program, self.configuration.registry, self.driver.step, log)
         self.lease_guard = LeaseGuard(self.holds_lease, self.configuration.serves_without_lease)
         self.api = FleetApi(self)
-        self.replication: ReplicationService | None = None  # where dispatchers hold keys for one another
-        self.lease_held: bool | None = None  # as it was reported last
+        self.replication: ReplicationService | None = None  # None if keys are not replicated
+        self.lease_held: bool | None = None  # as last reported; None before the first report
         self.applied_index = NOTHING_APPLIED
         self.tasks: list[Task] = []
 
     @property
     def member(self) -> Member | None:
-        """The member, while this process is the active one of its dispatcher."""
+        """The member; None while another process of this dispatcher is the active one."""
         return self.driver.member
 
     @property
     def links(self) -> Links | None:
-        """The links to other dispatchers; None where this process has not been active yet."""
+        """The links to other dispatchers; None if this process has never been active."""
         return self.driver.links
 
     # Start and end
 
     def begin(self) -> None:
-        """Take part as a member, or go by the lease of the process of this dispatcher that does.
+        """Start as a member, or follow the shared lease if a sibling process is the active one.
 
-        Raises `DataDirectoryError` where the directory is another's, or cannot be used.
+        Raise `DataDirectoryError` if another dispatcher holds the directory, or if it cannot be used.
         """
         try:
             self.directory.acquire()
@@ -87,7 +88,7 @@
         self.become_active()
 
     def become_active(self) -> None:
-        """Take part as a member; this process has the lock of the data directory."""
+        """Start as a member; this process must hold the lock of the data directory."""
         settings = shared_settings(self.configuration.document)
         self.driver.start(settings, self.lease_exchange.index)
         supervised, spawn = self.program.supervised, self.loop.spawn
@@ -97,7 +98,7 @@
         ]
 
     def hand_over(self) -> None:
-        """Let another process of this dispatcher be the active one; this one goes by its last lease."""
+        """Let the sibling process become the active one; this process keeps only its last lease."""
         member = self.member
         if member is None:
             return
@@ -109,16 +110,16 @@
         self.driver.retire()
 
     def leave(self) -> None:
-        """Have another member lead from here on."""
+        """Transfer leadership to another member."""
         self.driver.leave()
 
     def end(self) -> None:
-        """End all that runs here, and give the data directory back."""
+        """Stop all tasks, and release the data directory."""
         self._cancel_tasks()
         self.driver.close()
 
     def forget_applied(self) -> None:
-        """Apply the member's state again, whatever its index: it is another fleet's."""
+        """Make the next step apply the member's state whatever its index, as it is that of a new fleet."""
         self.applied_index = NOTHING_APPLIED
 
     def _cancel_tasks(self) -> None:
@@ -129,14 +130,14 @@
     # The lease
 
     def holds_lease(self, now: int) -> bool:
-        """Tell whether what is applied here may be acted on. Asked for each launch, so it stays lean."""
+        """Return whether there is a lease for the applied state; called for each launch, so kept cheap."""
         if self.settings.unreadable_reason:
             return False
         member = self.driver.member
         return now < self.lease_exchange.lease_until or (member is not None and member.may_act(now))
 
     def no_lease_reason(self) -> str:
-        """Give why there is no lease, in a few words."""
+        """Return a short reason why there is no lease."""
         if self.settings.unreadable_reason:
             return self.settings.unreadable_reason
         if self.member is None:
@@ -144,7 +145,7 @@
         return self.member.no_lease_reason()
 
     def report_lease(self, now: int) -> None:
-        """Log a lease that was won or lost, and have the program act on it."""
+        """Log a gained or lost lease, and notify the program."""
         held = self.holds_lease(now)
         if held == self.lease_held:
             return
@@ -154,29 +155,29 @@
             self.program.lease_lapsed()
         self.loop.wake(self.program.lifecycle_task)
 
-    # What is agreed
+    # The agreed state
 
     def version(self) -> int:
-        """Give the version of the state that is applied here; 0 where there is none."""
+        """Return the version of the state that is applied here; 0 if there is none."""
         member = self.member
         return member.state_machine.version if member is not None and member.state_machine else 0
 
     def apply_state(self, state: dict[str, Any]) -> None:
-        """Put an agreed state in force here."""
+        """Apply an agreed state to the program and to the replicated keys."""
         applied = self.settings.apply(state)
         if applied and self.replication is not None and self.member is not None:
             self.replication.on_committed_state(state)
 
     def listed(self, kind: str, entries: list[tuple]) -> None:
-        """Take what this dispatcher's own registry has told."""
+        """Take an update of the endpoint list from this dispatcher's registry."""
         self.restrictions.list_updated(kind, entries)
 
-    # What the driver tells
+    # Callbacks of the driver
 
     def member_stepped(self, now: int) -> None:
-        """Put in force what the member has applied, and look at the lease."""
+        """Apply the newest state of the member, and report a change of the lease."""
         machine = self.driver.member.state_machine
-        # Behind what the process before has lent it would go back in time.
+        # An entry before the index of the shared lease would undo state that the previous process applied.
         if (
             machine is not None
             and machine.applied_index != self.applied_index
@@ -188,15 +189,15 @@
         self.report_lease(now)
 
     def change_committed(self, committed: outputs.Committed) -> None:
-        """Have who wants a change know what became of it."""
+        """Deliver the result of a proposed change."""
         self.changes.committed(committed)
 
     def restrictions_received(self, restrictions: WorkerRestrictions) -> None:
-        """Take what another member's registry restricts."""
+        """Take the worker restrictions that another member sent."""
         self.restrictions.receive(restrictions)
 
     def service_frame_received(self, sender: str, content: bytes) -> None:
-        """Hand a frame to the service that it is for; one of a service that is not used here is ignored."""
+        """Pass a frame to the service that it belongs to; ignore it if that service is not used here."""
         if content.startswith(RECOVERY_FRAME_PREFIX):
             if self.program.recovery is not None:
                 self.program.recovery.receive(sender, content[len(RECOVERY_FRAME_PREFIX) :])
--- a/mastledge/program/fleet_api.py
+++ b/mastledge/program/fleet_api.py
@@ -1,7 +1,7 @@
-"""What operators ask of one dispatcher of a fleet: the calls at its second address.
+"""The operators' API of a dispatcher in a fleet, served at its control address.
 
-Each call takes a request and gives an answer or a text, or is a coroutine that does. `CallRefusedError`
-is a refusal, with its status and reason.
+Each call takes a request and returns an answer or a text, or is a coroutine that does. A call raises
+`CallRefusedError`, with a status and a reason, to refuse a request.
 """
 
 from collections.abc import Callable, Generator, Iterable
@@ -30,20 +30,20 @@
 
 
 def json_answer(document: Any, headers: Iterable[tuple[bytes, bytes]] = ()) -> Answer:
-    """An answer with a document, in lines and with its keys in order."""
+    """Return an answer with a document as indented JSON with sorted keys."""
     text = orjson.dumps(document, option=orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS).decode()
     return Answer(OK, text, [*headers], "application/json")
 
 
 class FleetApi:
-    """Answers operators for one fleet."""
+    """Handles the operators' calls about a fleet."""
 
     def __init__(self, fleet: "Fleet") -> None:
-        """Calls that ask, and change, what this dispatcher has of its fleet."""
+        """Take the fleet that the calls read and change."""
         self.fleet = fleet
 
     def calls(self) -> dict[str, dict[bytes, Call]]:
-        """The calls by path and method; a path that ends with a slash takes a further part."""
+        """Return the calls by path and method; a path that ends with a slash takes one more segment."""
         return {
             "/api/agreed": {b"GET": self.show_agreed},
             "/api/history": {b"GET": self.show_history},
@@ -55,10 +55,10 @@
             "/api/restore": {b"POST": self.restore},
         }
 
-    # What is agreed
+    # The agreed state
 
     def show_agreed(self, request: Any) -> Answer:
-        """Versions, leadership, the lease, members, and figures of this process."""
+        """Return versions, leadership, the lease, the members, and figures of this process."""
         member = self.fleet.changes.driver_member()
         now = self.fleet.loop.now()
         return json_answer(
@@ -84,7 +84,7 @@
         }
 
     def _member_figures(self, member: Member) -> dict[str, Any]:
-        by_relay = member.fan_out and not member.state.is_voter()
+        uses_relay = member.fan_out and not member.state.is_voter()
         return {
             "name": self.fleet.configuration.name,
             "fleet": member.fleet,
@@ -93,7 +93,7 @@
             "leader": member.leader or "",
             "leads": member.role == Role.LEADER,
             "fan_out": member.fan_out,
-            "relay": member.relay_choice.relay or "" if by_relay else "",
+            "relay": member.relay_choice.relay or "" if uses_relay else "",
             "heard_by": sorted(member.relay_children.children),
         }
 
@@ -128,11 +128,11 @@
         return member.state_machine.state
 
     def show_history(self, request: Any) -> Answer:
-        """The last versions."""
+        """Return the latest versions."""
         return json_answer({"history": self._state()["history"]})
 
     def snapshot(self, request: Any) -> Answer:
-        """What is agreed, as it is here; asked of one with a lease it is all that is in force."""
+        """Return a fleet snapshot of the local state; with a lease, it contains all that is in force."""
         state = self._state()
         name, fleet_name = self.fleet.configuration.name, self.fleet.member.fleet
         return json_answer(fleet_snapshot.pack_snapshot(state, fleet_name, name, unix_us()))
@@ -140,19 +140,19 @@
     # Settings
 
     def show_settings(self, request: Any) -> Answer:
-        """The settings of now, with their version as the ETag."""
+        """Return the current settings, with their version as the ETag."""
         state = self._state()
         return json_answer(state["settings"], [(b"etag", b'"%d"' % state["settings_version"])])
 
     def show_settings_version(self, version: str, request: Any) -> Answer:
-        """The settings of one of the last versions."""
+        """Return the settings of a recent version."""
         document = self._state()["documents"].get(version)
         if document is None:
             raise CallRefusedError(NOT_FOUND, f"no settings of version {version} are kept")
         return json_answer(document, [(b"etag", b'"%s"' % version.encode())])
 
     def change_settings(self, request: Any) -> Generator[tuple, object, Answer]:
-        """Coroutine: other settings, where those of now are of the version that If-Match names."""
+        """Change the settings if the current version is the one in If-Match, as a coroutine."""
         expected = request.headers.get(b"if-match", b"").decode("latin-1").strip('W/" ')
         if not expected.isdecimal():
             raise CallRefusedError(
@@ -180,16 +180,16 @@
     # Members and workers
 
     def change_members(self, request: Any) -> Generator[tuple, object, Answer]:
-        """Coroutine: a member more or less."""
+        """Add or remove a member, as a coroutine."""
         change = read_membership_change(request.body)
         adds, name = change["kind"] == ChangeKind.ADD_MEMBER, change["name"]
-        # Refused at once where it is plain; what crosses another change is refused when it is applied.
+        # Refuse an obvious conflict now; a conflict with a concurrent change is refused when it is applied.
         if adds == (name in self._state()["members"]):
             raise CallRefusedError(CONFLICT, f"{name} is {'a member already' if adds else 'no member'}")
         return (yield from self.fleet.changes.commit(change))
 
     def change_relays(self, request: Any) -> Generator[tuple, object, Answer]:
-        """Coroutine: how many dispatchers hear from one; 0: all from the leader."""
+        """Set the fan-out of the relays, as a coroutine; with 0, the leader sends to every dispatcher."""
         member = self.fleet.changes.driver_member()
         fan_out = read_fan_out(request.body)
         if member.role != Role.LEADER:
@@ -200,12 +200,12 @@
         return (yield from self.fleet.changes.commit({"kind": ChangeKind.FAN_OUT.value, "fan_out": fan_out}))
 
     def exclude(self, worker: str) -> Generator[tuple, object, Answer]:
-        """Coroutine: keep a worker from new jobs, at all dispatchers."""
+        """Exclude a worker from new jobs on all dispatchers, as a coroutine."""
         change = {"kind": ChangeKind.EXCLUDE_WORKER.value, "worker": worker}
         return (yield from self.fleet.changes.commit(change))
 
     def include(self, worker: str) -> Generator[tuple, object, Answer]:
-        """Coroutine: a worker that was excluded gets new jobs again, slowly at first."""
+        """Include an excluded worker again, with slow start, as a coroutine."""
         change = {
             "kind": ChangeKind.INCLUDE_WORKER.value,
             "worker": worker,
@@ -217,12 +217,12 @@
     # After a majority is lost
 
     def restore(self, request: Any) -> str:
-        """Begin a fleet with a snapshot, or with what is kept here; or leave one that is no more."""
+        """Start a new fleet from a snapshot or from the state kept here, or abandon a lost fleet."""
         return restore(self.fleet, bytes(request.body))
 
 
 def settings_change(state: dict[str, Any], document: dict[str, Any], expected: int) -> dict[str, Any]:
-    """The change to other settings: the whole document, or only what differs where all know that form."""
+    """Return the change to new settings: only the differences if all members support that, else all of it."""
     differences = difference(state["settings"], document) if state.get("fan_out") else None
     if differences:
         return {"kind": ChangeKind.SETTINGS_PATCH.value, "changes": differences, "expects": expected}
@@ -230,7 +230,7 @@
 
 
 def read_membership_change(body: bytes) -> dict[str, Any]:
-    """The change that an operator asks for; `CallRefusedError` where it is none of members."""
+    """Return the requested membership change; raise `CallRefusedError` if the body is not a valid one."""
     try:
         change = orjson.loads(body)
         kind, name = change["kind"], change["name"]
@@ -245,7 +245,7 @@
 
 
 def read_fan_out(body: bytes) -> int:
-    """The fan-out that an operator asks for; `CallRefusedError` where it is none."""
+    """Return the requested fan-out; raise `CallRefusedError` if it is invalid."""
     try:
         fan_out = orjson.loads(body)["fan_out"]
         if fan_out != 0 and not is_valid_fan_out(fan_out):
--- a/mastledge/program/fleet_command.py
+++ b/mastledge/program/fleet_command.py
@@ -1,7 +1,7 @@
-"""`mastledge fleet`: what operators ask of dispatchers that agree, at the second address of any of them.
+"""`mastledge fleet`: the operators' commands for a fleet, sent to the control address of any dispatcher.
 
-Each command gives the lines that it prints. It raises `CallError` where the dispatcher refuses or does not
-answer (status 1), and `ConfigurationError` where the call itself is bad (status 2).
+Each command returns the lines to print. It raises `CallError` if the dispatcher refuses or does not answer
+(exit status 1), and `ConfigurationError` if the arguments are invalid (exit status 2).
 """
 
 import os
@@ -19,31 +19,31 @@
 from mastledge.program.operator_client import CallError, OperatorClient, control_address
 from mastledge.transport.connection import address_of
 
-OPTIONAL = "?"  # of argparse
-ACCEPT_LOSS, ABANDON = b"accept-loss", b"desert"  # bodies of /api/restore
+OPTIONAL = "?"  # argparse: zero or one
+ACCEPT_LOSS, ABANDON = b"accept-loss", b"desert"  # request bodies of /api/restore
 
 
 def show(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
-    """What is agreed and in force."""
+    """Show what is agreed and in force."""
     return report(arguments, client.get_json("/api/agreed"), fleet_reports.fleet_report)
 
 
 def copies(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
-    """Show the keys that dispatchers hold for one another, or change how many hold each."""
+    """Show the replicated keys, or change the replica count."""
     if arguments.count is None:
         return report(arguments, client.get_json("/api/copies"), fleet_reports.copies_report)
     if not arguments.count.isdecimal():
-        raise ConfigurationError(f"no count of copies: {arguments.count}")
+        raise ConfigurationError(f"the count of copies is not a whole number: {arguments.count}")
     return [client.post("/api/copies", orjson.dumps({"count": int(arguments.count)}))]
 
 
 def recovery(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
-    """How far a start is."""
+    """Show the progress of a start."""
     return report(arguments, client.get_json("/api/recovery"), fleet_reports.recovery_report)
 
 
 def settings(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
-    """Show the settings, or change them to those of a file."""
+    """Show the settings, or replace them by those in a file."""
     current = client.get("/api/settings")
     if arguments.file is None:
         return [current.text.strip()]
@@ -52,12 +52,12 @@
 
 
 def history(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
-    """The last versions."""
+    """Show the latest versions."""
     return fleet_reports.history_report(client.get_json("/api/history"))
 
 
 def rollback(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
-    """The settings of an earlier version again, as a new version."""
+    """Restore the settings of an earlier version, as a new version."""
     document = orjson.dumps(client.get_json(f"/api/settings/{arguments.version}"))
     current = client.get("/api/settings")
     return [client.post("/api/settings", document, [("If-Match", current.headers["ETag"])])]
@@ -79,47 +79,49 @@
 
 
 def relays(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
-    """Set how many hear from one dispatcher; the leader alone takes it."""
+    """Set the fan-out of the relays; only the leader accepts it."""
     if not arguments.fan_out.isdecimal():
-        raise ConfigurationError(f"no fan-out: {arguments.fan_out}")
+        raise ConfigurationError(f"the fan-out is not a whole number: {arguments.fan_out}")
     return [client.post("/api/relays", orjson.dumps({"fan_out": int(arguments.fan_out)}))]
 
 
 def snapshot(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
-    """Write what is agreed to a file."""
+    """Write a fleet snapshot to a file."""
     text = client.get("/api/snapshot").text
     replace_file(arguments.file, text)
     return [f"version {orjson.loads(text)['version']} is in {arguments.file}"]
 
 
 def restore(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
-    """Begin a fleet with a snapshot."""
+    """Start a new fleet from a fleet snapshot."""
     return [client.post("/api/restore", read_file(arguments.file))]
 
 
 def form(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
-    """Begin a fleet with what one dispatcher keeps."""
+    """Start a new fleet from the state that one dispatcher keeps."""
     if not arguments.accept_loss:
-        raise ConfigurationError("fleet form begins anew with what this one dispatcher keeps: --accept-loss")
+        raise ConfigurationError(
+            "fleet form keeps only the state of this dispatcher: confirm with --accept-loss"
+        )
     return [client.post("/api/restore", ACCEPT_LOSS)]
 
 
 def desert(client: OperatorClient, arguments: Namespace) -> Iterable[str]:
-    """Have a dispatcher abandon a fleet that is no more."""
+    """Have a dispatcher abandon a lost fleet."""
     return [client.post("/api/restore", ABANDON)]
 
 
 def report(
     arguments: Namespace, document: dict[str, Any], lines: Callable[[dict[str, Any]], Iterator[str]]
 ) -> Iterable[str]:
-    """A document in lines for people, or whole where --json asks for that."""
+    """Return a document as lines of text, or as JSON with --json."""
     if arguments.json:
         return [orjson.dumps(document, option=orjson.OPT_INDENT_2).decode()]
     return lines(document)
 
 
 def read_file(path: str) -> bytes:
-    """The content of a file that the operator has named."""
+    """Return the content of a file; raise `ConfigurationError` if it cannot be read."""
     try:
         with open(path, "rb") as file:
             return file.read()
@@ -128,25 +130,25 @@
 
 
 def settings_document(path: str) -> Any:
-    """The settings in a file, which may be a whole configuration: that is what operators have at hand."""
+    """Return the settings in a file, which may hold them alone or a whole configuration."""
     try:
         document = orjson.loads(read_file(path))
     except orjson.JSONDecodeError as error:
-        raise ConfigurationError(f"{path} is no JSON: {error}") from None
+        raise ConfigurationError(f"{path} is not valid JSON: {error}") from None
     if isinstance(document, dict) and "settings" in document:
         return document["settings"]
     return document
 
 
 def replace_file(path: str, text: str) -> None:
-    """Write a file beside and rename it, so that a file of this name is a whole one."""
-    replacement = f"{path}.{os.getpid()}"
+    """Write a temporary file and rename it, so that the file is never partly written."""
+    temporary_path = f"{path}.{os.getpid()}"
     try:
-        with open(replacement, "w") as file:
+        with open(temporary_path, "w") as file:
             file.write(text)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(replacement, path)
+        os.replace(temporary_path, path)
     except OSError as error:
         raise ConfigurationError(f"{path}: {error.strerror}") from None
 
@@ -161,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """A command below `fleet`; its name is that of its function."""
+    """A subcommand of `fleet`; its name is that of its function."""
 
     call: Callable[[OperatorClient, Namespace], Iterable[str]]
     help: str
@@ -169,34 +171,38 @@
 
     @property
     def name(self) -> str:
-        """The word on the command line."""
+        """The name of the command on the command line."""
         return self.call.__name__
 
 
 COMMANDS = (
-    Command(show, "what is agreed and in force"),
+    Command(show, "show what is agreed and in force"),
     Command(
         copies,
-        "keys that dispatchers hold for one another; change how many hold each",
+        "show the replicated keys, or change the number of copies of each",
         (Argument("count", OPTIONAL),),
     ),
-    Command(recovery, "how far a start is, and what is believed of before"),
-    Command(settings, "show the settings, or change them to those of a file", (Argument("file", OPTIONAL),)),
-    Command(history, "the last versions"),
-    Command(rollback, "the settings of an earlier version again", (Argument("version"),)),
-    Command(add, "a further dispatcher", (Argument("name"), Argument("address"))),
-    Command(remove, "a dispatcher leaves for good", (Argument("name"),)),
-    Command(relays, "so many hear from one dispatcher; 0: all from the leader", (Argument("fan_out"),)),
-    Command(snapshot, "write what is agreed to a file", (Argument("file"),)),
-    Command(restore, "begin again with a snapshot, after a majority is lost", (Argument("file"),)),
-    Command(form, "begin again with what this dispatcher keeps, after a majority is lost"),
-    Command(desert, "leave a fleet that is no more, to come to the next one as new"),
+    Command(recovery, "show the progress of a start, and the state that it has restored"),
+    Command(settings, "show the settings, or replace them by those in a file", (Argument("file", OPTIONAL),)),
+    Command(history, "show the latest versions"),
+    Command(rollback, "restore the settings of an earlier version", (Argument("version"),)),
+    Command(add, "add a dispatcher to the fleet", (Argument("name"), Argument("address"))),
+    Command(remove, "remove a dispatcher from the fleet", (Argument("name"),)),
+    Command(
+        relays,
+        "set how many others each dispatcher sends to; 0: the leader sends to all",
+        (Argument("fan_out"),),
+    ),
+    Command(snapshot, "write a fleet snapshot to a file", (Argument("file"),)),
+    Command(restore, "start a new fleet from a snapshot, after the loss of a majority", (Argument("file"),)),
+    Command(form, "start a new fleet from the state of this dispatcher, after the loss of a majority"),
+    Command(desert, "abandon a lost fleet, to join the next one as a new member"),
 )
 WITH_JSON = (show, copies, recovery)
 
 
 def run(arguments: Namespace) -> int:
-    """Runs the command that was parsed; gives the exit status."""
+    """Run the parsed command and return the exit status."""
     client = OperatorClient(partial(control_address, arguments))
     try:
         for line in arguments.fleet_command.call(client, arguments):
@@ -208,27 +214,27 @@
 
 
 def add_commands(commands: "_SubParsersAction[ArgumentParser]") -> None:
-    """Adds `fleet` and the commands below it to the program's own."""
+    """Add `fleet` and its subcommands to the commands of the program."""
     fleet = commands.add_parser(
         "fleet",
-        help="ask dispatchers that agree, or change what they agree on",
-        description="Dispatchers that agree.",
+        help="show or change what the dispatchers of a fleet agree on",
+        description="Show or change what the dispatchers of a fleet agree on.",
     )
-    below = fleet.add_subparsers(dest="asked", required=True, metavar="COMMAND")
+    subcommands = fleet.add_subparsers(dest="asked", required=True, metavar="COMMAND")
     for command in COMMANDS:
-        parser = below.add_parser(command.name, help=command.help, description=command.help)
+        parser = subcommands.add_parser(command.name, help=command.help, description=command.help)
         parser.set_defaults(call=run, fleet_command=command)
         add_arguments(parser, command)
 
 
 def add_arguments(parser: ArgumentParser, command: Command) -> None:
-    """Adds the arguments and options of one command."""
+    """Add the arguments and options of a command to its parser."""
     for argument in command.arguments:
         parser.add_argument(argument.name, metavar=argument.name.upper(), nargs=argument.nargs)
     parser.add_argument(
         "--control",
         metavar="ADDRESS",
-        help="second address of any of them (default: $GW_CONTROL, else that of --config)",
+        help="control address of any dispatcher of the fleet (default: $GW_CONTROL, or the one in --config)",
     )
     parser.add_argument(
         "--config",
@@ -238,7 +244,9 @@
     )
     if command.call is form:
         parser.add_argument(
-            "--accept-loss", action="store_true", help="what only those who are lost knew is gone"
+            "--accept-loss",
+            action="store_true",
+            help="accept the loss of all state that only the lost dispatchers had",
         )
     if command.call in WITH_JSON:
-        parser.add_argument("--json", action="store_true", help="all of it")
+        parser.add_argument("--json", action="store_true", help="print the whole document as JSON")
--- a/mastledge/program/fleet_configuration.py
+++ b/mastledge/program/fleet_configuration.py
@@ -1,4 +1,4 @@
-"""What the configuration file says of the fleet that a dispatcher belongs to."""
+"""The fleet settings in the configuration file of a dispatcher."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -7,9 +7,9 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetConfiguration:
-    """The part `peers`, with the dispatcher's own name, settings and seed.
+    """The part `peers` of the configuration, with the dispatcher's name, settings and seed.
 
-    `fleet` is "" where the file names none. `registry` is "" where discovery's address stands for it.
+    `fleet` is "" if the file names none. `registry` is "" if the address of discovery is used as its name.
     """
 
     name: str
@@ -26,7 +26,7 @@
 
     @classmethod
     def from_configuration(cls, configuration: Mapping[str, Any]) -> "FleetConfiguration":
-        """Take it out of the whole configuration, as `configuration.py` has read it."""
+        """Return the fleet part of the whole configuration, as `configuration.py` has parsed it."""
         peers = configuration["peers"]
         return cls(
             name=configuration["name"],
--- a/mastledge/program/fleet_reports.py
+++ b/mastledge/program/fleet_reports.py
@@ -1,4 +1,4 @@
-"""What `mastledge fleet show`, `copies`, `recovery` and `history` print, from the documents of the calls."""
+"""The output of `mastledge fleet show`, `copies`, `recovery` and `history`, from the API's documents."""
 
 import time
 from collections.abc import Iterator
@@ -9,7 +9,7 @@
 
 
 def fleet_report(state: Document) -> Iterator[str]:
-    """The lines of `fleet show`, from `/api/agreed`."""
+    """Yield the lines of `fleet show` from the document of `/api/agreed`."""
     force = "in force" if state["in_force"] else "agreed, not in force everywhere yet"
     yield (
         f"fleet {state['fleet'] or '-'}, version {state['version']} {force}; term {state['term']}, "
@@ -31,21 +31,21 @@
 
 
 def lease_report(state: Document) -> str:
-    """How long this dispatcher may still act, or why it may not."""
+    """Return how long the lease of this dispatcher lasts, or why there is none."""
     if state["lease_left_ms"]:
         return f"lease for {state['lease_left_ms']} ms more"
     return f"no lease: {state['why']}"
 
 
 def member_role(member: Document) -> str:
-    """What a member does in the fleet."""
+    """Return the role of a member in the fleet."""
     if member["votes"]:
         return "votes"
     return "follows" if member["life"] else "has not come yet"
 
 
 def copies_report(state: Document) -> Iterator[str]:
-    """The lines of `fleet copies`, from `/api/copies`."""
+    """Yield the lines of `fleet copies` from the document of `/api/copies`."""
     yield (
         f"{state['held']} keys held here, {state['claimed']} of them under way; "
         f"{state['copies']} copies of each; {state['bytes']} bytes"
@@ -63,38 +63,38 @@
 
 
 def recovery_report(state: Document) -> Iterator[str]:
-    """The lines of `fleet recovery`, from `/api/recovery`."""
+    """Yield the lines of `fleet recovery` from the document of `/api/recovery`."""
     durations = ", ".join(f"{step} {ms} ms" for step, ms in state["took_ms"].items())
     waits = f", waits for: {state['waits_for']}" if state["waits_for"] else ""
     yield f"step: {state['step']} for {state['for_ms']} ms{waits}" + (f" ({durations})" if durations else "")
-    for lesser in state["lesser_service"]:
-        yield f"lesser service: {lesser}"
+    for degradation in state["lesser_service"]:
+        yield f"lesser service: {degradation}"
     yield admission_report(state["door"])
     restored = state["believed"]
     yield (
         f"believed of before: {restored['workers']} workers, {restored['out']} with launches, "
         f"{restored['learned']} learned of, {restored['age_ms']} ms old"
     )
-    for part, why in restored["not"].items():
-        yield f"not believed: {part}: {why}"
+    for part, reason in restored["not"].items():
+        yield f"not believed: {part}: {reason}"
     if state["kept_off"]:
         yield f"kept off, as the list is older than one before: {', '.join(state['kept_off'])}"
     if state["disk"] != "good":
         yield f"its folder: {state['disk']}"
 
 
-def admission_report(door: Document) -> str:
-    """How far the start lets jobs in."""
-    limited = f"open to {100 * door['share']:.0f}%, because of: {door['why']}"
+def admission_report(ramp: Document) -> str:
+    """Return the state of the admission ramp."""
+    limited = f"open to {100 * ramp['share']:.0f}%, because of: {ramp['why']}"
     return (
-        f"door: {'open' if door['open'] else limited}; "
-        f"{door['held']} jobs in hand; refused {door['refused_first']} first and "
-        f"{door['refused_further']} further tries; closed {door['closed']} times"
+        f"door: {'open' if ramp['open'] else limited}; "
+        f"{ramp['held']} jobs in hand; refused {ramp['refused_first']} first and "
+        f"{ramp['refused_further']} further tries; closed {ramp['closed']} times"
     )
 
 
 def history_report(document: Document) -> Iterator[str]:
-    """The lines of `fleet history`, from `/api/history`."""
+    """Yield the lines of `fleet history` from the document of `/api/history`."""
     for version in document["history"]:
         at = "-"
         if version["at"]:
--- a/mastledge/program/fleet_restore.py
+++ b/mastledge/program/fleet_restore.py
@@ -1,4 +1,4 @@
-"""An operator's order to begin another fleet after a majority is lost, or to abandon one that is no more."""
+"""The operators' call that starts a new fleet after the loss of a majority, or abandons a lost fleet."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -18,23 +18,23 @@
 
 
 def restore(fleet: "Fleet", body: bytes) -> str:
-    """Begin a fleet with the snapshot in `body`, or with what is kept here where that says so.
+    """Start a new fleet from the snapshot in `body`, or from the state kept here if `body` accepts the loss.
 
-    Gives the line for the operator. Raises `CallRefusedError` with the reason where it is refused;
-    nothing is changed then.
+    If `body` orders it, abandon the fleet instead. Return a line for the operator. Raise `CallRefusedError`
+    with the reason, without any change, if the request is refused.
     """
     member = fleet.changes.driver_member()
     if body == ABANDON_BODY:
         return abandon(fleet, member)
     snapshot = None if body == ACCEPT_LOSS_BODY else read_snapshot(body)
-    known = member.state_machine.state if member.state_machine else None
-    state = known if snapshot is None else snapshot["state"]
+    local_state = member.state_machine.state if member.state_machine else None
+    state = local_state if snapshot is None else snapshot["state"]
     start = fleet_snapshot.FleetStart(
         name=fleet.configuration.name,
         state=state,
         snapshot=snapshot,
         fleet=member.fleet,
-        known_state=known,
+        known_state=local_state,
         holds_lease=has_lease(fleet, member),
         reachable=member.discovery.present_members(fleet.loop.now()),
     )
@@ -46,12 +46,12 @@
         fleet.settings.complete(state["settings"], state)
     except ValueError as error:
         raise CallRefusedError(BAD_REQUEST, f"its settings can't be read: {error}") from None
-    how = "formed, loss accepted" if snapshot is None else f"restored from version {state['version']}"
-    return begin_fleet(fleet, member, state, how)
+    origin = "formed, loss accepted" if snapshot is None else f"restored from version {state['version']}"
+    return begin_fleet(fleet, member, state, origin)
 
 
 def read_snapshot(body: bytes) -> dict[str, Any]:
-    """The snapshot that an operator sent."""
+    """Return the snapshot in a request body; raise `CallRefusedError` if it is invalid."""
     try:
         return fleet_snapshot.unpack_snapshot(body)
     except SnapshotError as error:
@@ -59,12 +59,12 @@
 
 
 def has_lease(fleet: "Fleet", member: Member) -> bool:
-    """Whether the fleet of now still runs, as far as this member knows."""
+    """Return whether the current fleet still runs, as far as this member knows."""
     return member.may_act(fleet.loop.now()) and not fleet.settings.unreadable_reason
 
 
 def abandon(fleet: "Fleet", member: Member) -> str:
-    """Have the member leave a fleet that is no more."""
+    """Have the member abandon a lost fleet; raise `CallRefusedError` if the fleet runs."""
     if has_lease(fleet, member):
         raise CallRefusedError(CONFLICT, "this fleet runs: its majority answers")
     if member.state_machine is None:
@@ -73,14 +73,14 @@
     return f"{fleet.configuration.name} has left its fleet, and comes to the next one as new"
 
 
-def begin_fleet(fleet: "Fleet", member: Member, state: dict[str, Any], how: str) -> str:
-    """Have the member begin a fleet with the state that follows this one; `how` stands in its history."""
+def begin_fleet(fleet: "Fleet", member: Member, state: dict[str, Any], origin: str) -> str:
+    """Have the member start a fleet with the successor of `state`; `origin` is the entry in its history."""
     incarnation, name = new_name(), fleet.configuration.name
     replication = fleet.replication
     replica = replication.directory_id if replication is not None and replication.node is not None else ""
-    entry = fleet_snapshot.FormationEntry(how, name, unix_us())
+    entry = fleet_snapshot.FormationEntry(origin, name, unix_us())
     successor = fleet_snapshot.successor_state(state, name, incarnation, replica, entry)
-    fleet.log("fleet_restored", version=successor["version"], before=member.fleet, what=how)
+    fleet.log("fleet_restored", version=successor["version"], before=member.fleet, what=origin)
     fleet.forget_applied()
     fleet.driver.step(inputs.Restore(new_name(), incarnation, successor))
-    return f"version {successor['version']}: {how}; the others come with empty folders, or by fleet desert"
+    return f"version {successor['version']}: {origin}; the others come with empty folders, or by fleet desert"
--- a/mastledge/program/restriction_exchange.py
+++ b/mastledge/program/restriction_exchange.py
@@ -1,4 +1,4 @@
-"""Which workers the endpoint lists of dispatchers restrict: told to the others, and taken from them."""
+"""The exchange of worker restrictions, from their endpoint lists, between the dispatchers of a fleet."""
 
 from collections.abc import Callable, Generator, Iterable
 from typing import TYPE_CHECKING
@@ -10,11 +10,11 @@
 if TYPE_CHECKING:
     from mastledge.program.dispatcher import Dispatcher
 
-SHARE_INTERVAL_US = 2_500_000  # between two times that the same restrictions are told
+SHARE_INTERVAL_US = 2_500_000  # between repeated messages with the same restrictions
 
 
 class RestrictionExchange:
-    """Tells the others of the same registry what its list restricts here, and keeps off whom theirs do."""
+    """Sends the local restrictions to dispatchers with the same registry, and applies their newer ones."""
 
     def __init__(
         self,
@@ -23,28 +23,28 @@
         step: Callable[[inputs.Input], None],
         log: Callable[..., None],
     ) -> None:
-        """`registry` is "" where discovery's address stands for it; `step` hands the member an input."""
+        """Take the registry's name, "" for the address of discovery; `step` passes an input to the member."""
         self.program, self.loop, self.log = program, program.loop, log
         self.configured_registry, self.step = registry, step
-        self.own = OwnRestrictions()
-        self.received: WorkerRestrictions | None = None  # the newest of another's
+        self.local_restrictions = OwnRestrictions()
+        self.received: WorkerRestrictions | None = None  # the newest from another dispatcher
 
     def registry(self) -> str:
-        """The name under which dispatchers know that they go by the same list."""
+        """Return the name that dispatchers compare to see whether they use the same endpoint list."""
         host, port = self.program.configuration["discovery"]
         return self.configured_registry or f"{host}:{port}"
 
     def list_updated(self, kind: str, entries: Iterable[tuple]) -> None:
-        """Take what this dispatcher's own registry has told; entries as the decisions get them."""
+        """Take an update of this dispatcher's registry; `entries` are as the scheduler takes them."""
         states = [(entry[0], entry[3]) for entry in entries]
         generation = self.program.discovery.generation
         self.step(inputs.EndpointListUpdate(self.registry(), kind, states, generation))
-        if self.own.update(kind, states, generation):
+        if self.local_restrictions.update(kind, states, generation):
             self._share()
         self._apply()
 
     def receive(self, restrictions: WorkerRestrictions) -> None:
-        """Take what another's registry restricts; another registry, or an older list, changes nothing."""
+        """Take restrictions of another dispatcher; ignore those of another registry or of an older list."""
         if restrictions.registry != self.registry():
             return
         if self.received is None or restrictions.generation >= self.received.generation:
@@ -52,25 +52,29 @@
             self._apply()
 
     def share_repeatedly(self) -> Generator:
-        """Coroutine: tells the others again and again, as messages may be lost."""
+        """Send the restrictions periodically, as messages may be lost; an endless coroutine."""
         while True:
             yield (-1, 0, self.loop.now() + SHARE_INTERVAL_US)
-            if self.own.generation and self.own.restricted and self.program.discovery.answered:
+            if (
+                self.local_restrictions.generation
+                and self.local_restrictions.restricted
+                and self.program.discovery.answered
+            ):
                 self._share()
 
     def _share(self) -> None:
-        self.step(inputs.ShareRestrictions(self.own.to_message(self.registry())))
+        self.step(inputs.ShareRestrictions(self.local_restrictions.to_message(self.registry())))
 
     def _apply(self) -> None:
-        """Another's newer list keeps off whom it restricts, until one's own is as new."""
-        kept_off = self.own.kept_off_by(self.received)
-        if kept_off == self.program.excluded.restricted_by_fleet:
+        """Exclude workers restricted by another dispatcher's newer list, until the local list is as new."""
+        excluded = self.local_restrictions.kept_off_by(self.received)
+        if excluded == self.program.excluded.restricted_by_fleet:
             return
         self.log(
             "workers_restricted_by_peers",
-            out=sorted(kept_off),
+            out=sorted(excluded),
             generation=self.received and self.received.generation,
-            own=self.own.generation,
+            own=self.local_restrictions.generation,
         )
-        self.program.excluded.restricted_by_fleet = kept_off
+        self.program.excluded.restricted_by_fleet = excluded
         self.program.refresh_excluded_workers()
--- a/mastledge/program/settings_views.py
+++ b/mastledge/program/settings_views.py
@@ -1,11 +1,11 @@
-"""The settings as the parts of a dispatcher get them."""
+"""The settings in the forms that the parts of a dispatcher take."""
 
 import time
 from copy import deepcopy
 
 
 def settings_for_edges(settings: dict) -> dict:
-    """What listeners, discovery and connections to workers need of the settings."""
+    """Return the settings that the listeners, discovery and the worker connections need."""
     return {
         "queue_types": [dict(queue_type) for queue_type in settings["queue_types"]],
         "tenants": [tenant["name"] for tenant in settings["tenants"]],
@@ -20,5 +20,5 @@
 
 
 def settings_for_decisions(settings: dict) -> dict:
-    """A copy that the decisions may write to. No load message is carried here, so they send none."""
+    """Return a copy that the scheduler may modify, without load messages, as none are transported here."""
     return {**deepcopy(settings), "may_message": False}
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -466,7 +466,7 @@
 
 def test_the_command_names_a_fan_out_that_is_none(monkeypatch, capsys):
     monkeypatch.setattr("sys.argv", ["mastledge", "fleet", "relays", "many", "--control", "127.0.0.1:1"])
-    assert main() == 2 and capsys.readouterr().err == "mastledge: no fan-out: many\n"
+    assert main() == 2 and capsys.readouterr().err == "mastledge: the fan-out is not a whole number: many\n"
 
 
 def test_a_size_with_relays_is_measured_in_simulated_time():
