--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Processes under faults: the scenarios of the package, and builds that are wrong on purpose."""
+"""Fault scenarios with real processes, build variants that must break a rule, and the fleet commands."""
 
 import json
 import os
@@ -17,7 +17,7 @@
 from mastledge.lab.scenario import known, read
 from mastledge.program.configuration import ConfigurationError, load_configuration
 
-# A wrong build, the scenario in which it shows, who runs it, and the rule that catches it.
+# A wrong build, the scenario that exposes it, the dispatchers that run it, and the rule that it breaks.
 CAUGHT = [
     ("leaseless", "minority", "n2", "nothing_contradicts"),
     ("hasty", "minority", "n0", "nothing_contradicts"),
@@ -39,45 +39,56 @@
 ]
 RUNS = {name: ["lab", "run", name, "--seed", "1", "--quiet"] for name in known()}
 RUNS |= {
-    f"{build} {name}": ["lab", "run", name, "--quiet", "--build", f"{who}=tests/wrong_builds.py:{build}"]
-    for build, name, who, _ in CAUGHT
+    f"{build} {name}": [
+        "lab",
+        "run",
+        name,
+        "--quiet",
+        "--build",
+        f"{dispatchers}=tests/wrong_builds.py:{build}",
+    ]
+    for build, name, dispatchers, _ in CAUGHT
 }
 SECONDS = 120
-CROWD = 1000  # tries a second that clients may come to
+MAX_ATTEMPTS_PER_SECOND = 1000  # a scenario whose clients may exceed this runs alone
 
 
 @pytest.fixture(scope="module")
 def runs(request):
-    """All runs asked for, some at a time: each mostly waits, and none gets more than a part of it all."""
-    wanted = {
+    """Run the scenarios of all selected tests, several at a time, as each mostly waits."""
+    selected = {
         item.callspec.params["run"]
         for item in request.session.items
         if getattr(item, "callspec", None) and "run" in item.callspec.params
     }
     root = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 
-    def one(words):
+    def run_command(arguments):
         return subprocess.run(
-            [sys.executable, "-B", "-m", "mastledge", *words],
+            [sys.executable, "-B", "-m", "mastledge", *arguments],
             capture_output=True,
             text=True,
             timeout=SECONDS,
             cwd=root,
         )
 
-    # Clients that come again in crowds keep the rig itself busy: beside five others it is late, and a late
-    # rig's tries come in heaps, which says nothing of the dispatchers. These run alone.
-    clients = {name: read(RUNS[name][2]).clients for name in wanted if " " not in name}
-    crowds = [name for name, some in sorted(clients.items()) if some.per_second * some.retries > CROWD]
+    # Many retrying clients keep the test rig itself busy: beside five other runs it falls behind and sends
+    # attempts in bursts, which would fail the run without a fault of the dispatchers. So these run alone.
+    clients = {name: read(RUNS[name][2]).clients for name in selected if " " not in name}
+    storms = [
+        name
+        for name, load in sorted(clients.items())
+        if load.per_second * load.retries > MAX_ATTEMPTS_PER_SECOND
+    ]
     cores = len(os.sched_getaffinity(0))
     with ThreadPoolExecutor(max(2, min(6, cores + 1))) as pool:
         futures = {}
-        for name in crowds:
-            futures[name] = pool.submit(one, RUNS[name])
+        for name in storms:
+            futures[name] = pool.submit(run_command, RUNS[name])
             wait([futures[name]])
-        # The longest first, or all would wait for one at the end.
-        names = sorted(wanted - set(crowds), key=lambda name: (-read(RUNS[name][2]).seconds, name))
-        futures |= {name: pool.submit(one, RUNS[name]) for name in names}
+        # Longest first, so that no long run is left alone at the end.
+        names = sorted(selected - set(storms), key=lambda name: (-read(RUNS[name][2]).seconds, name))
+        futures |= {name: pool.submit(run_command, RUNS[name]) for name in names}
         yield lambda name: futures[name].result()
         for future in futures.values():
             future.cancel()
@@ -86,17 +97,17 @@
 @pytest.mark.timeout(600)
 @pytest.mark.parametrize("run", known())
 def test_processes_keep_the_rules_under_faults(run, runs):
-    done = runs(run)
-    assert done.returncode == 0, done.stdout[-2000:] + done.stderr[-2000:]
+    result = runs(run)
+    assert result.returncode == 0, result.stdout[-2000:] + result.stderr[-2000:]
 
 
 @pytest.mark.timeout(600)
 @pytest.mark.parametrize(("run", "rule"), [(f"{build} {name}", rule) for build, name, _, rule in CAUGHT])
 def test_a_wrong_build_is_caught_by_its_rule(run, rule, runs):
-    done = runs(run)
-    output = done.stdout[-2000:] + done.stderr[-2000:]
-    assert done.returncode == 1, output
-    assert f"broken: {rule}" in done.stdout, output
+    result = runs(run)
+    output = result.stdout[-2000:] + result.stderr[-2000:]
+    assert result.returncode == 1, output
+    assert f"broken: {rule}" in result.stdout, output
 
 
 PEERS = {
@@ -121,7 +132,7 @@
         ({"members": {"n1": 3}}, "members"),
     ],
 )
-def test_a_bad_configuration_of_peers_is_one_plain_message(changed, says, tmp_path):
+def test_invalid_peers_configuration_is_rejected_with_one_line(changed, says, tmp_path):
     with pytest.raises(ConfigurationError, match=says) as error:
         load_configuration(file(tmp_path, peers={**PEERS, **changed}), {})
     assert "\n" not in str(error.value)
@@ -138,57 +149,59 @@
         ({"folder": "y"}, "recovery.folder is the same as repeats.folder"),
     ],
 )
-def test_a_bad_configuration_of_starts_is_one_plain_message(part, says, tmp_path):
+def test_invalid_recovery_configuration_is_rejected_with_one_line(part, says, tmp_path):
     part = part or {"open_ms": 1000}
     path = file(tmp_path, recovery=part, repeats={"folder": str(tmp_path / ".." / tmp_path.name / "y")})
     if part.get("folder") == "y":
-        both = {"folder": str(tmp_path / "y")}
-        path = file(tmp_path, recovery=both, repeats=both)
+        shared_directory = {"folder": str(tmp_path / "y")}
+        path = file(tmp_path, recovery=shared_directory, repeats=shared_directory)
     with pytest.raises(ConfigurationError, match=says) as error:
         load_configuration(path, {})
     assert "\n" not in str(error.value)
 
 
-def test_without_peers_nothing_of_them_is_imported_opened_or_written(tmp_path):
+def test_without_peers_no_fleet_module_socket_or_file_is_used(tmp_path):
     path = file(tmp_path, listen=f"{HERE}:7070", discovery=f"{HERE}:7071", control=f"{HERE}:7072")
     code = (
         "import json, os, sys\n"
         "from mastledge import command_line\n"
         "from mastledge.program import command, dispatcher\n"
         "from mastledge.program.configuration import load_configuration\n"
-        f"told = load_configuration({path!r}, {{}})\n"
-        f"made = dispatcher.Dispatcher(told, lambda *a, **k: None, None, {str(tmp_path)!r})\n"
-        "made.begin()\n"
-        "for _ in range(20): made.loop.run_once(10_000)\n"
+        f"configuration = load_configuration({path!r}, {{}})\n"
+        f"program = dispatcher.Dispatcher(configuration, lambda *a, **k: None, None, {str(tmp_path)!r})\n"
+        "program.begin()\n"
+        "for _ in range(20): program.loop.run_once(10_000)\n"
         "links = [os.readlink(f'/proc/self/fd/{fd}') for fd in os.listdir('/proc/self/fd') if fd.isdigit()"
         " and os.path.exists(f'/proc/self/fd/{fd}')]\n"
-        "print(json.dumps([sorted(sys.modules), links, made.fleet is None]))\n"
+        "print(json.dumps([sorted(sys.modules), links, program.fleet is None]))\n"
     )
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-B", "-c", code],
         capture_output=True,
         text=True,
         timeout=20,
         env={**os.environ, "PYTHONPATH": os.getcwd()},
     )
-    modules, links, absent = json.loads(done.stdout)
-    parts = "consensus|storage|peers|lab|idempotency|replication|recovery"
-    parts += "|program\\.(fleet|shared_lease|consensus_driver|change_requests|agreed_settings"
-    parts += "|restriction_exchange|lease_guard|operator_client"
-    parts += "|idempotency_service|keyed_service|keyed_job"
-    parts += "|replication_service|replica_node|replicated_jobs|replication_api"
-    parts += "|replication_frames|recovery_\\w+)"
-    new = re.compile(rf"mastledge\.({parts})|msgspec|numpy")
-    assert absent
-    assert not [name for name in modules if new.match(name)]
-    assert sum("socket" in link for link in links) == 2 + 1  # listen, control, the inlet for handed jobs
+    modules, links, without_fleet = json.loads(result.stdout)
+    package_names = "consensus|storage|peers|lab|idempotency|replication|recovery"
+    package_names += "|program\\.(fleet|shared_lease|consensus_driver|change_requests|agreed_settings"
+    package_names += "|restriction_exchange|lease_guard|operator_client"
+    package_names += "|idempotency_service|keyed_service|keyed_job"
+    package_names += "|replication_service|replica_node|replicated_jobs|replication_api"
+    package_names += "|replication_frames|recovery_\\w+)"
+    fleet_modules = re.compile(rf"mastledge\.({package_names})|msgspec|numpy")
+    assert without_fleet
+    assert not [name for name in modules if fleet_modules.match(name)]
+    assert (
+        sum("socket" in link for link in links) == 2 + 1
+    )  # listen, control, and the socket for handed-off connections
     files = sorted(os.listdir(tmp_path))
     assert files[0] == "config.json"
     assert not [name for name in files if "kept" in name]
 
 
-def served(told, path):
-    path.write_bytes(orjson.dumps(told))
+def run_serve(configuration, path):
+    path.write_bytes(orjson.dumps(configuration))
     return subprocess.run(
         [sys.executable, "-B", "-m", "mastledge", "serve", "--config", str(path)],
         capture_output=True,
@@ -197,28 +210,28 @@
     )
 
 
-def test_a_folder_that_cannot_be_written_is_one_message_and_status_1(tmp_path):
+def test_unwritable_directory_exits_with_one_message_and_status_1(tmp_path):
     (tmp_path / "file").write_text("")
-    told = {
+    configuration = {
         **GOOD,
         "listen": f"{HERE}:7073",
         "discovery": f"{HERE}:7074",
         "peers": {**PEERS, "folder": str(tmp_path / "file" / "kept")},
     }
-    done = served(told, tmp_path / "config.json")
-    assert done.returncode == 1
-    assert done.stderr.splitlines()[-1].startswith("mastledge: cannot serve: folder ")
+    result = run_serve(configuration, tmp_path / "config.json")
+    assert result.returncode == 1
+    assert result.stderr.splitlines()[-1].startswith("mastledge: cannot serve: folder ")
 
 
 @pytest.mark.parametrize("name", ["n0", "n1", "n2"])
-def test_the_example_is_good(name):
+def test_example_configuration_is_valid(name):
     peers = load_configuration(f"deploy/fleet/{name}.json", {})["peers"]
     assert peers["members"][name]
     assert peers["lease"] == 2_000_000
 
 
 class ThreeDispatchers:
-    """Three processes of one fleet, without workers, discovery or faults, asked by the command line alone."""
+    """A fleet of three processes without workers, discovery or faults, queried through the command line."""
 
     NAMES = ("n0", "n1", "n2")
 
@@ -274,7 +287,7 @@
             self.wait(lambda name=name: "lease for" in self.ask(name, "show")[1])
 
     def stop(self):
-        """Ends all; gives the status of each."""
+        """Stop all processes and return their exit statuses."""
         for process in self.processes.values():
             process.terminate()
         return [process.wait(10) for process in self.processes.values()]
@@ -283,58 +296,58 @@
         self.path(name).write_bytes(orjson.dumps(document))
         return str(self.path(name))
 
-    def run(self, *words, timeout=30, **environment):
-        done = subprocess.run(
-            [sys.executable, "-B", "-m", "mastledge", *words],
+    def run(self, *arguments, timeout=30, **environment):
+        result = subprocess.run(
+            [sys.executable, "-B", "-m", "mastledge", *arguments],
             capture_output=True,
             text=True,
             timeout=timeout,
             env={**self.env, **environment},
         )
-        return done.returncode, done.stdout + done.stderr
+        return result.returncode, result.stdout + result.stderr
 
-    def ask(self, name, *words):
-        """Status and output of a command at one of them."""
-        return self.run("fleet", *words, "--control", self.addresses[name]["control"], timeout=20)
+    def ask(self, name, *arguments):
+        """Run a fleet command at a dispatcher and return its exit status and output."""
+        return self.run("fleet", *arguments, "--control", self.addresses[name]["control"], timeout=20)
 
-    def wait(self, holds, seconds=20):
+    def wait(self, condition, seconds=20):
         deadline = time.monotonic() + seconds
-        while not (got := holds()):
+        while not (result := condition()):
             assert time.monotonic() < deadline
             time.sleep(0.05)
-        return got
+        return result
 
-    def logged(self, name, event):
+    def log_entries(self, name, event):
         lines = self.path(f"{name}.log").read_text().splitlines()
         return [orjson.loads(line) for line in lines if event in line]
 
 
 @pytest.fixture
 def three(tmp_path):
-    made = ThreeDispatchers(tmp_path)
+    fleet = ThreeDispatchers(tmp_path)
     try:
-        made.start()
-        yield made
+        fleet.start()
+        yield fleet
     finally:
-        codes = made.stop()
-    assert codes == [0, 0, 0]
-    assert made.ask("n0", "show") == (
+        exit_statuses = fleet.stop()
+    assert exit_statuses == [0, 0, 0]
+    assert fleet.ask("n0", "show") == (
         1,
-        f"mastledge: {made.addresses['n0']['control']} does not answer: [Errno 111] Connection refused\n",
+        f"mastledge: {fleet.addresses['n0']['control']} does not answer: [Errno 111] Connection refused\n",
     )
 
 
 @pytest.mark.timeout(120)
-def test_operators_see_and_change_the_settings_that_are_agreed(three):
+def test_fleet_commands_show_change_and_roll_back_settings(three):
     assert three.ask("n0", "history")[1].split()[0] == "1"
     changed = {**GOOD["settings"], "excessUtility": 0.25}
     status, text = three.ask("n1", "settings", three.write("new.json", changed))
     assert status == 0
     assert "version 2 is in force" in text
     assert '"excessUtility": 0.25' in three.ask("n2", "settings")[1]
-    bad = three.write("new.json", {**changed, "stepMs": "soon"})
+    invalid_file = three.write("new.json", {**changed, "stepMs": "soon"})
     refusal = (1, "mastledge: setting stepMs cannot be read: 'soon'\n")
-    assert three.ask("n1", "settings", bad) == refusal
+    assert three.ask("n1", "settings", invalid_file) == refusal
     status, text = three.ask("n2", "rollback", "1")
     assert status == 0
     assert "version 3" in text
@@ -345,8 +358,8 @@
 
 
 @pytest.mark.timeout(120)
-def test_operators_see_how_far_a_start_is(three):
-    # Nobody answers as discovery: the start goes on with a lesser service, and says so.
+def test_recovery_command_shows_a_degraded_start(three):
+    # Discovery does not answer: the start goes on in degraded service and reports that.
     three.wait(lambda: "step: open" in three.ask("n0", "recovery")[1])
     text = three.ask("n0", "recovery")[1]
     assert "lesser service: by the list that was held before" in text
@@ -355,30 +368,30 @@
 
 
 @pytest.mark.timeout(120)
-def test_operators_change_the_members(three):
+def test_fleet_commands_add_and_remove_members(three):
     assert three.ask("n0", "add", "n3", "nowhere")[0] == 2
     assert three.ask("n0", "add", "n1", f"{HERE}:9999") == (1, "mastledge: n1 is a member already\n")
     status, text = three.ask("n0", "remove", "n2")
     assert status == 0
     assert "version 2" in text
     three.wait(lambda: "no lease: n2 is no member" in three.ask("n2", "show")[1])
-    new = three.write("new.json", {**GOOD["settings"], "stepMs": "soon"})
-    status, text = three.ask("n2", "settings", new)
+    invalid_file = three.write("new.json", {**GOOD["settings"], "stepMs": "soon"})
+    status, text = three.ask("n2", "settings", invalid_file)
     assert status == 1
 
 
 @pytest.mark.timeout(120)
-def test_a_file_that_differs_changes_nothing_and_the_log_names_what_does(three):
-    configuration_of_n0 = three.configuration("n0")
-    settings = {**configuration_of_n0["settings"], "stepMs": 8.0}
-    three.write("n0.json", {**configuration_of_n0, "settings": settings})
+def test_reload_ignores_different_settings_and_logs_their_names(three):
+    configuration = three.configuration("n0")
+    settings = {**configuration["settings"], "stepMs": 8.0}
+    three.write("n0.json", {**configuration, "settings": settings})
     three.processes["n0"].send_signal(signal.SIGHUP)
-    lines = three.wait(lambda: three.logged("n0", "settings_ignored"))
+    lines = three.wait(lambda: three.log_entries("n0", "settings_ignored"))
     assert lines[0]["differs"] == ["stepMs"]
 
 
 @pytest.mark.timeout(120)
-def test_a_folder_that_another_process_holds_is_one_message_and_status_1(three):
+def test_directory_locked_by_another_process_exits_with_one_message_and_status_1(three):
     status, text = three.run(
         "serve",
         "--config",
