--- a/mastledge/program/recovery_directory.py
+++ b/mastledge/program/recovery_directory.py
@@ -20,7 +20,7 @@
 
     def __init__(self, path: str, dispatcher: str, log: Callable[..., None]):
         """Take the name of the dispatcher that owns the log; `log` takes an event and its fields."""
-        self.trouble: str | None = None
+        self.failure_reason: str | None = None
         self.is_read = False
         self.write_ahead_log: WriteAheadLog | None = None
         self._dispatcher, self._log = dispatcher, log
@@ -40,7 +40,7 @@
         except DataDirectoryError as error:
             if not other_process_runs:
                 raise
-            self.is_read, self.trouble = True, str(error)
+            self.is_read, self.failure_reason = True, str(error)
         else:
             self._start_reading()
 
@@ -52,7 +52,7 @@
             self._directory.acquire()
         except DataDirectoryError:
             return
-        self.trouble = None
+        self.failure_reason = None
         self._start_reading()
 
     def _start_reading(self) -> None:
@@ -66,7 +66,7 @@
         try:
             self.write_ahead_log.open()
         except OSError as error:
-            self.trouble = str(error)
+            self.failure_reason = str(error)
             self._persisted.reset()
             self._replace_log()
 
@@ -74,17 +74,17 @@
         try:
             self.write_ahead_log.rewrite([])
         except OSError as error:
-            self.trouble = f"{self.trouble}; {error.strerror}"
+            self.failure_reason = f"{self.failure_reason}; {error.strerror}"
 
     def has_result(self) -> bool:
         """Return whether the thread has ended and its result was not taken yet."""
         return self._reader is not None and not self._reader.is_alive()
 
     def take_result(self) -> RecoveryRecord:
-        """Return the record from the log; an empty one if reading failed, with the reason in `trouble`."""
+        """Return the record from the log; an empty one if reading failed, see `failure_reason`."""
         self._reader.join()
         self._reader, self.is_read = None, True
-        return RecoveryRecord() if self.trouble else self._persisted.record
+        return RecoveryRecord() if self.failure_reason else self._persisted.record
 
     def close(self) -> None:
         """Release the directory, so that other processes can lock it."""
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -154,8 +154,8 @@
     def _restore(self) -> None:
         """Restore the state that the reader thread has read; called once."""
         record = self.directory.take_result()
-        if self.directory.trouble:
-            self.restored = RestoredState.rejected(self.directory.trouble)
+        if self.directory.failure_reason:
+            self.restored = RestoredState.rejected(self.directory.failure_reason)
         else:
             registry = registry_name(self._dispatcher.configuration)
             self.restored = restore(record, self._clock.now(), registry, self._list_validity_us)
@@ -257,7 +257,7 @@
             "kept_off": sorted(self._dispatcher.excluded.by_newer_list),
             "asked": self.poll.polled(),
             "answered": self.poll.answered(),
-            "disk": "failing" if self.persistence.is_failing else self.directory.trouble or "good",
+            "disk": "failing" if self.persistence.is_failing else self.directory.failure_reason or "good",
             "longest_write_us": self.persistence.longest_write_us(),
         }
         text = orjson.dumps(figures, option=orjson.OPT_INDENT_2).decode()
