--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -118,7 +118,7 @@
         self._cancel_tasks()
         self.driver.close()
 
-    def forget_applied(self) -> None:
+    def reset_applied_index(self) -> None:
         """Make the next step apply the member's state whatever its index, as it is that of a new fleet."""
         self.applied_index = NOTHING_APPLIED
 
--- a/mastledge/program/fleet_restore.py
+++ b/mastledge/program/fleet_restore.py
@@ -81,6 +81,6 @@
     entry = fleet_snapshot.FormationEntry(origin, name, unix_us())
     successor = fleet_snapshot.successor_state(state, name, incarnation, replica, entry)
     fleet.log("fleet_restored", version=successor["version"], before=member.fleet, what=origin)
-    fleet.forget_applied()
+    fleet.reset_applied_index()
     fleet.driver.step(inputs.Restore(new_name(), incarnation, successor))
     return f"version {successor['version']}: {origin}; the others come with empty folders, or by fleet desert"
