--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -159,7 +159,7 @@
             key_table.release(record)
             self.save()
             return REJECTED_REPLY
-        reply = yield from self.decide(job.task, exchange, arrival)
+        reply = yield from self.schedule_job(job.task, exchange, arrival)
         self._record_outcome(key_table, record, reply)
         persisted = yield from self.persist(job)
         if not persisted and reply.status == COMPLETED:
--- a/mastledge/program/keyed_service.py
+++ b/mastledge/program/keyed_service.py
@@ -123,7 +123,7 @@
         program = self.program
         return program.has_sibling_process and self.key_table is None and not program.listener.succeeded
 
-    def decide(self, task: Task, exchange: Exchange, arrival: tuple) -> Generator[tuple, object, Reply]:
+    def schedule_job(self, task: Task, exchange: Exchange, arrival: tuple) -> Generator[tuple, object, Reply]:
         """Pass a job to the scheduler and return its reply; `task` is the coroutine that runs this.
 
         `arrival`: the fields of the job that the scheduler takes.
--- a/mastledge/program/replicated_jobs.py
+++ b/mastledge/program/replicated_jobs.py
@@ -125,7 +125,7 @@
     def _launch(self, job: _Job, exchange: Exchange, arrival: tuple) -> Generator[tuple, object, Reply]:
         """Pass the job to the scheduler, and its outcome to the replicas."""
         job.is_launched = True
-        reply = yield from self._service.decide(job.task, exchange, arrival)
+        reply = yield from self._service.schedule_job(job.task, exchange, arrival)
         outcome = OUTCOME_OF_STATUS.get(reply.status, JobOutcome.UNSURE)
         is_answered = outcome is JobOutcome.ANSWERED
         self._handle(JobEnded(job.job_id, outcome, reply.status, reply.content if is_answered else b""))
