--- a/mastledge/program/agreed_settings.py
+++ b/mastledge/program/agreed_settings.py
@@ -26,7 +26,10 @@
         self.unreadable_reason = ""  # why the current settings cannot be parsed here, "" if they can
 
     def complete(self, document: dict[str, Any], state: dict[str, Any]) -> dict[str, Any]:
-        """Return this dispatcher's settings in a fleet of that state; raise `ValueError` for a bad key."""
+        """Return this dispatcher's settings in a fleet of that state.
+
+        Raise `ValueError` that names an invalid key.
+        """
         # Removed members still count, and added members count before they may act, so that the shares of all
         # dispatchers never sum to more than the whole.
         members = len(state["members"]) + len(state["gone"]) if state else 0
@@ -35,12 +38,12 @@
         return parse_settings(pairs)
 
     def apply(self, state: dict[str, Any]) -> bool:
-        """Apply an agreed state; return whether its settings could be parsed."""
+        """Apply an agreed state; if its settings are unreadable, treat the lease as lost and return False."""
         try:
             settings = self.complete(state["settings"], state)
         except ValueError as error:
-            # The proposing dispatcher parsed them, so this program has another version. Apply none of the
-            # settings rather than some of them.
+            # The proposing dispatcher could parse them, so it runs another version of the program. Apply none
+            # of the settings rather than some of them.
             version = state["settings_version"]
             self.unreadable_reason = f"cannot read settings of version {version}: {error}"
             self.log("fleet_settings_unreadable", why=self.unreadable_reason)
--- a/mastledge/program/change_requests.py
+++ b/mastledge/program/change_requests.py
@@ -33,9 +33,8 @@
         self.driver, self.loop = driver, driver.loop
         self.name, self.seed = driver.configuration.name, driver.configuration.seed
         self.results: dict[str, outputs.Committed] = {}  # results of operators' changes, by change id
-        self.callbacks: dict[
-            str, Callable[[ChangeResult], None] | None
-        ] = {}  # of the program's own changes, by change id
+        # Callbacks of the program's own changes, by change id.
+        self.callbacks: dict[str, Callable[[ChangeResult], None] | None] = {}
         self.proposal_count = 0
 
     def propose(self, id: str, change: dict, on_result: Callable[[ChangeResult], None] | None = None) -> None:
--- a/mastledge/program/consensus_driver.py
+++ b/mastledge/program/consensus_driver.py
@@ -26,9 +26,8 @@
 
 LOG_FILE = "agreement"
 MIN_TICK_INTERVAL_US = 500
-SERVICE_FRAME_PREFIX = (
-    b"\xc1"  # starts frames of other services; no MessagePack message begins with this byte
-)
+# Starts frames of other services; no MessagePack message begins with this byte.
+SERVICE_FRAME_PREFIX = b"\xc1"
 NAME_DIGITS = 16  # hexadecimal digits in the name of a new incarnation or fleet
 
 
--- a/mastledge/program/fleet.py
+++ b/mastledge/program/fleet.py
@@ -177,7 +177,8 @@
     def member_stepped(self, now: int) -> None:
         """Apply the newest state of the member, and report a change of the lease."""
         machine = self.driver.member.state_machine
-        # An entry before the index of the shared lease would undo state that the previous process applied.
+        # The state at an entry before the index of the shared lease would undo what the previous process has
+        # applied.
         if (
             machine is not None
             and machine.applied_index != self.applied_index
--- a/mastledge/program/fleet_api.py
+++ b/mastledge/program/fleet_api.py
@@ -132,7 +132,7 @@
         return json_answer({"history": self._state()["history"]})
 
     def snapshot(self, request: Any) -> Answer:
-        """Return a fleet snapshot of the local state; with a lease, it contains all that is in force."""
+        """Return a fleet snapshot of the local state; with the lease held, it has all that is in force."""
         state = self._state()
         name, fleet_name = self.fleet.configuration.name, self.fleet.member.fleet
         return json_answer(fleet_snapshot.pack_snapshot(state, fleet_name, name, unix_us()))
--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -139,7 +139,7 @@
                 self.inbox.put(ClientLeft(job.exchange))
 
     def _run_job(self, job: KeyedJob, arrival: tuple) -> Coroutine:
-        """Run the first job of a key to its end and wake the waiting clients, whichever of them have left."""
+        """Run the first job of a key to its end, even if clients leave, and wake those that still wait."""
         self.jobs_under_way += 1
         try:
             reply = yield from self._execute(job, arrival)
--- a/mastledge/program/keyed_job.py
+++ b/mastledge/program/keyed_job.py
@@ -41,13 +41,13 @@
 class KeyedJob:
     """The first job of a key from its claim to its outcome, and the clients that wait for the outcome.
 
-    The service holds it, not the record, so that the record does not become part of a reference cycle.
+    The service refers to this object. The record does not, as that would form a reference cycle.
     """
 
     __slots__ = ("exchange", "record", "task", "waiters")
 
     def __init__(self, record: Record, exchange: Exchange) -> None:
-        """Create the job without its task, the coroutine that runs the job, which is spawned later."""
+        """Create the job; `task`, the coroutine that runs it, is set when it is spawned."""
         self.record, self.exchange = record, exchange
         self.waiters: set[Connection] = set()
         self.task: Task | None = None
--- a/mastledge/program/keyed_service.py
+++ b/mastledge/program/keyed_service.py
@@ -25,7 +25,7 @@
 
 DIRECTORY_POLL_US = 20_000  # between attempts to lock a directory that the previous process still holds
 DIRECTORY_PATIENCE_US = 1_000_000  # longest wait of a job that arrives meanwhile
-ANSWER_MARGIN_US = 50_000  # after the deadline by which the scheduler must have ended a job
+ANSWER_MARGIN_US = 50_000  # wait for an answer beyond the deadline by which the scheduler ends a job
 DISK_RETRY_US = 1_000_000  # between attempts to write to a disk that has failed
 
 
@@ -104,7 +104,7 @@
         self.directory.release()
 
     def idle(self) -> bool:
-        """Return whether no job is running, so that another process may take over the directory."""
+        """Return whether no job runs or waits for the disk, so that another process may take over."""
         return not self.jobs_under_way
 
     # Jobs
--- a/mastledge/program/lease_guard.py
+++ b/mastledge/program/lease_guard.py
@@ -4,9 +4,10 @@
 
 
 class LeaseGuard:
-    """Checked before each launch is scheduled, and again before its last byte is sent, so it is kept cheap.
+    """Decides whether this dispatcher may act, and measures how long it has served without a lease.
 
-    Times are those of the event loop, in microseconds.
+    The check is made before each launch is scheduled and again before its last byte is sent, so it is kept
+    cheap. Times are those of the event loop, in microseconds.
     """
 
     def __init__(self, holds_lease: Callable[[int], bool], serves_without_lease: bool) -> None:
--- a/mastledge/program/recovery_directory.py
+++ b/mastledge/program/recovery_directory.py
@@ -20,8 +20,8 @@
 
     def __init__(self, path: str, dispatcher: str, log: Callable[..., None]):
         """Take the name of the dispatcher that owns the log; `log` takes an event and its fields."""
-        self.failure_reason: str | None = None
-        self.is_read = False
+        self.failure_reason: str | None = None  # why the log could not be read or locked
+        self.is_read = False  # whether reading has ended, also without a record
         self.write_ahead_log: WriteAheadLog | None = None
         self._dispatcher, self._log = dispatcher, log
         self._directory = DataDirectory(path)
@@ -81,7 +81,7 @@
         return self._reader is not None and not self._reader.is_alive()
 
     def take_result(self) -> RecoveryRecord:
-        """Return the record from the log; an empty one if reading failed, see `failure_reason`."""
+        """Return the record from the log, or an empty record if reading failed (see `failure_reason`)."""
         self._reader.join()
         self._reader, self.is_read = None, True
         return RecoveryRecord() if self.failure_reason else self._persisted.record
--- a/mastledge/program/recovery_exclusion.py
+++ b/mastledge/program/recovery_exclusion.py
@@ -14,9 +14,9 @@
     """Sets `dispatcher.excluded.by_newer_list` from the newest endpoint list and the current one."""
 
     def __init__(self, dispatcher: "Dispatcher", list_validity_us: int, log: Callable[..., None]):
-        """Take `list_validity_us`, after which an older list is accepted.
+        """Take `list_validity_us`, the time after which a list with a lower generation is accepted.
 
-        A registry may have restarted its generations.
+        The registry may have restarted its generations.
         """
         self.newest_list = NewestList()
         self._dispatcher, self._list_validity_us, self._log = dispatcher, list_validity_us, log
@@ -34,7 +34,7 @@
         self.update()
 
     def update(self) -> None:
-        """Update which workers are excluded."""
+        """Recompute which workers are excluded, and log and apply a change."""
         excluded = self._excluded() if self._dispatcher.discovery.answered else frozenset()
         if excluded == self._dispatcher.excluded.by_newer_list:
             return
--- a/mastledge/program/recovery_peer_poll.py
+++ b/mastledge/program/recovery_peer_poll.py
@@ -40,7 +40,7 @@
         return sorted(self._responses)
 
     def poll(self, now: int) -> None:
-        """Query the dispatchers that have not answered; repeat that after an interval."""
+        """Query the dispatchers that have not answered, at most once in `POLL_INTERVAL_US`."""
         fleet = self._dispatcher.fleet
         if fleet is None or fleet.member is None or fleet.links is None or self._next_poll_at > now:
             return
--- a/mastledge/program/recovery_persistence.py
+++ b/mastledge/program/recovery_persistence.py
@@ -52,7 +52,7 @@
                 )
 
     def store(self, with_learned: bool) -> None:
-        """Write the records that changed since the last call."""
+        """Write the records that changed since the last call, and the learned state if `with_learned`."""
         written_at = self._clock.now()
         records = [*self._changed_list(written_at), *self._changed_loads(written_at)]
         if with_learned:
--- a/mastledge/program/recovery_records.py
+++ b/mastledge/program/recovery_records.py
@@ -28,7 +28,7 @@
 
 
 def registry_name(configuration: dict) -> str:
-    """Return the name of the registry in the fleet's configuration, or else its address."""
+    """Return the registry's name in the fleet's configuration, or its address if it has no name there."""
     peers = configuration["peers"]
     if peers and peers["registry"]:
         return peers["registry"]
@@ -62,7 +62,7 @@
 
 
 def asides_from_stored(asides: list, now: int) -> list:
-    """Return the inverse of `stored_asides`, with the relative times counted from `now`."""
+    """Return the [reason, fields] pairs of `stored_asides` with the next trial counted from `now`."""
     return [
         [
             CONNECTION_REFUSED if reason == STORED_CONNECTION_REFUSED else reason,
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -79,7 +79,10 @@
     # Start and end
 
     def begin(self) -> None:
-        """Open the directory and start the tasks; raise DataDirectoryError if it is locked."""
+        """Open the directory and start the tasks.
+
+        Raise DataDirectoryError if it cannot be locked, unless a sibling process holds it.
+        """
         self.directory.open(other_process_runs=self._dispatcher.has_sibling_process)
         supervised, spawn = self._dispatcher.supervised, self._loop.spawn
         store = self.persistence.run(self._take_over_directory)
@@ -217,7 +220,7 @@
     # Calls of the program and the fleet
 
     def list_changed(self, kind: str, entries: list) -> None:
-        """Take a list of workers, or changes of it, from discovery in the form that the scheduler takes."""
+        """Take an endpoint list or its changes from discovery; `entries` are as the scheduler takes them."""
         self.exclusion.list_changed(kind, entries)
 
     def receive(self, name: str, content: bytes) -> None:
--- a/mastledge/program/replicated_jobs.py
+++ b/mastledge/program/replicated_jobs.py
@@ -24,7 +24,8 @@
 class _Job:
     """A job, and the connection of its client while the client waits.
 
-    The exchange refers to the job and the job not to the exchange, which would be a reference cycle.
+    The exchange refers to the job. The job does not refer to the exchange, as that would form a reference
+    cycle.
     """
 
     __slots__ = ("job_id", "conn", "task", "is_launched")
@@ -68,7 +69,10 @@
     def run(
         self, conn: Connection, exchange: Exchange, arrival: tuple
     ) -> Generator[tuple, object, Reply | None]:
-        """Return the reply to a job, or None if its client has left; the scheduler takes `arrival`."""
+        """Return the reply to a job, or None if its client has left.
+
+        `arrival`: the fields of the job that the scheduler takes.
+        """
         self._last_id += 1
         job = self._jobs[self._last_id] = _Job(self._last_id, conn)
         job.task = self._loop.spawn(self._run_to_end(job, exchange, arrival))
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -230,7 +230,7 @@
             self._replica.handle(PlacementChanged(copies))
 
     def _start_node(self, committed_count: int) -> None:
-        # After this time every promise made before this start has expired, by whichever clock.
+        # After this time every promise made before this start has expired, whichever clock measures it.
         promise_us = (
             self.settings["keep"] + 3 * self.program.longest_walltime + 2 * self._fleet.configuration.lease_us
         )
--- a/mastledge/program/restriction_exchange.py
+++ b/mastledge/program/restriction_exchange.py
@@ -14,7 +14,7 @@
 
 
 class RestrictionExchange:
-    """Sends the local restrictions to dispatchers with the same registry, and applies their newer ones."""
+    """Shares the local restrictions, and applies newer ones of dispatchers with the same registry."""
 
     def __init__(
         self,
--- a/mastledge/program/settings_views.py
+++ b/mastledge/program/settings_views.py
@@ -20,5 +20,5 @@
 
 
 def settings_for_decisions(settings: dict) -> dict:
-    """Return a copy that the scheduler may modify, without load messages, as none are transported here."""
+    """Return a copy that the scheduler may modify, with load messages off, as the program carries none."""
     return {**deepcopy(settings), "may_message": False}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -72,10 +72,10 @@
             cwd=root,
         )
 
-    # Many retrying clients keep the test rig itself busy: beside five other runs it falls behind and sends
-    # attempts in bursts, which would fail the run without a fault of the dispatchers. So these run alone.
+    # Many retrying clients keep the test rig itself busy. Beside five other runs it falls behind and sends
+    # attempts in bursts, which can fail the run although the dispatchers are correct. So these run alone.
     clients = {name: read(RUNS[name][2]).clients for name in selected if " " not in name}
-    storms = [
+    run_alone = [
         name
         for name, load in sorted(clients.items())
         if load.per_second * load.retries > MAX_ATTEMPTS_PER_SECOND
@@ -83,11 +83,11 @@
     cores = len(os.sched_getaffinity(0))
     with ThreadPoolExecutor(max(2, min(6, cores + 1))) as pool:
         futures = {}
-        for name in storms:
+        for name in run_alone:
             futures[name] = pool.submit(run_command, RUNS[name])
             wait([futures[name]])
         # Longest first, so that no long run is left alone at the end.
-        names = sorted(selected - set(storms), key=lambda name: (-read(RUNS[name][2]).seconds, name))
+        names = sorted(selected - set(run_alone), key=lambda name: (-read(RUNS[name][2]).seconds, name))
         futures |= {name: pool.submit(run_command, RUNS[name]) for name in names}
         yield lambda name: futures[name].result()
         for future in futures.values():
@@ -192,9 +192,8 @@
     fleet_modules = re.compile(rf"mastledge\.({package_names})|msgspec|numpy")
     assert without_fleet
     assert not [name for name in modules if fleet_modules.match(name)]
-    assert (
-        sum("socket" in link for link in links) == 2 + 1
-    )  # listen, control, and the socket for handed-off connections
+    # The sockets of listen and control, and the socket for handed-off connections.
+    assert sum("socket" in link for link in links) == 2 + 1
     files = sorted(os.listdir(tmp_path))
     assert files[0] == "config.json"
     assert not [name for name in files if "kept" in name]
