--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -17,14 +17,14 @@
 import pytest
 from hypothesis import HealthCheck, settings
 
-# A full machine is no fault of what is tested: no verdict goes by how long an example took.
+# On a busy machine an example may take long: its duration must not fail a test.
 settings.register_profile("any machine", deadline=None, suppress_health_check=[HealthCheck.too_slow])
 settings.load_profile("any machine")
 
-RED = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST = 3
-FORM = "test | always or at times | command with its seed | what was seen | issue"
-# Tests, without their parameters, and why each is not run beside others.
+KNOWN_RED_FILE = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
+MAX_LINES = 3
+LINE_FORM = "test | always or at times | command with its seed | what was seen | issue"
+# Tests, without their parameters, and why each must not run beside others.
 SERIAL = {
     "tests/test_crossing_search.py::test_all_pairs_keep_the_rules": "uses half of the cores, with a bound",
     "tests/test_fleet.py::test_a_wrong_build_is_caught_by_its_rule": "starts up to six fleets at a time",
@@ -40,7 +40,7 @@
 
 
 def is_worker(config):
-    """Whether this is a process to which pytest-xdist hands tests."""
+    """Return whether this process is a pytest-xdist worker."""
     return hasattr(config, "workerinput")
 
 
@@ -60,9 +60,9 @@
         """Return the known failure of a line, or raise a usage error if the line has another form."""
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 5 or not all(parts):
-            raise pytest.UsageError(f"{RED.name}: not of the form {FORM}: {line!r}")
+            raise pytest.UsageError(f"{KNOWN_RED_FILE.name}: not of the form {LINE_FORM}: {line!r}")
         if parts[1] not in ("always", "at times"):
-            raise pytest.UsageError(f"{RED.name}: neither always nor at times: {line!r}")
+            raise pytest.UsageError(f"{KNOWN_RED_FILE.name}: neither always nor at times: {line!r}")
         return cls(line, *parts)
 
     def mark(self) -> pytest.MarkDecorator:
@@ -90,9 +90,13 @@
 
 def known_failures() -> list[KnownFailure]:
     """Return the known failures that KNOWN-RED.txt names."""
-    lines = [line for line in RED.read_text().splitlines() if line.strip()] if RED.exists() else []
-    if len(lines) > MOST:
-        raise pytest.UsageError(f"{RED.name}: {len(lines)} lines, {MOST} at most")
+    lines = (
+        [line for line in KNOWN_RED_FILE.read_text().splitlines() if line.strip()]
+        if KNOWN_RED_FILE.exists()
+        else []
+    )
+    if len(lines) > MAX_LINES:
+        raise pytest.UsageError(f"{KNOWN_RED_FILE.name}: {len(lines)} lines, {MAX_LINES} at most")
     return [KnownFailure.parse(line) for line in lines]
 
 
@@ -101,7 +105,7 @@
     config.known_failures = known_failures()
     config.whole_run = config.args_source is config.ArgsSource.TESTPATHS
     if is_worker(config):
-        # A worker is always told where to look: whether that is all, only the process that was started knows.
+        # A worker always gets paths: only the controller knows whether the whole suite was asked for.
         config.whole_run = config.workerinput["whole_run"]
 
 
@@ -110,7 +114,7 @@
     node.workerinput["whole_run"] = node.config.whole_run
 
 
-# Before anything is deselected by a marker: a test that another part of the run has is there.
+# First, as tests that a marker deselects later do exist.
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config, items):
     for item in items:
@@ -124,8 +128,8 @@
     if not absent or not config.whole_run:
         return
     if not is_worker(config):
-        raise pytest.UsageError(f"{RED.name}: no such test: {absent[0]}")
-    # Raised here, it would read as a crash of the worker: this one runs nothing, and the other side says why.
+        raise pytest.UsageError(f"{KNOWN_RED_FILE.name}: no such test: {absent[0]}")
+    # An error raised here would look like a crash of the worker: the controller raises it instead.
     config.workeroutput["absent"] = absent[0]
     items.clear()
 
@@ -134,7 +138,7 @@
 def pytest_testnodedown(node, error):
     absent = getattr(node, "workeroutput", {}).get("absent")
     if absent:
-        raise pytest.UsageError(f"{RED.name}: no such test: {absent}")
+        raise pytest.UsageError(f"{KNOWN_RED_FILE.name}: no such test: {absent}")
 
 
 def pytest_terminal_summary(terminalreporter, config):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -6,15 +6,15 @@
 
 import pytest
 
-HERE = pathlib.Path(__file__).parent
+TESTS_FOLDER = pathlib.Path(__file__).parent
 BAD_ALWAYS = "tests/test_it.py::test_bad | always | pytest --seed=1 | 0 != 1 | 31"
 BAD_AT_TIMES = "tests/test_it.py::test_bad | at times | pytest --seed=1 | 0 != 1 | 31"
 GOOD_AT_TIMES = "tests/test_it.py::test_good | at times | pytest --seed=1 | 0 != 1 | 31"
 
 
-@pytest.mark.parametrize("how", [(), ("-n", "2", "--dist", "loadfile")], ids=["one process", "workers"])
+@pytest.mark.parametrize("options", [(), ("-n", "2", "--dist", "loadfile")], ids=["one process", "workers"])
 @pytest.mark.parametrize(
-    ("red", "code", "says"),
+    ("lines", "exit_code", "expected_text"),
     [
         (None, 1, "1 failed, 1 passed"),
         (BAD_ALWAYS, 0, f"known red: {BAD_ALWAYS}\n"),
@@ -34,21 +34,21 @@
         ("\n".join([BAD_ALWAYS, BAD_AT_TIMES, GOOD_AT_TIMES, GOOD_AT_TIMES]), 4, "4 lines, 3 at most"),
     ],
 )
-def test_only_what_is_named_is_passed_over(red, code, says, how, tmp_path):
+def test_only_named_tests_may_fail(lines, exit_code, expected_text, options, tmp_path):
     (tmp_path / "tests").mkdir()
     (tmp_path / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
-    (tmp_path / "tests" / "conftest.py").write_text((HERE / "conftest.py").read_text())
+    (tmp_path / "tests" / "conftest.py").write_text((TESTS_FOLDER / "conftest.py").read_text())
     (tmp_path / "tests" / "test_it.py").write_text(
         "def test_good():\n    pass\n\n\ndef test_bad():\n    assert 0\n"
     )
-    if red is not None:
-        (tmp_path / "KNOWN-RED.txt").write_text(red + "\n")
-    done = subprocess.run(
-        [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *how],
+    if lines is not None:
+        (tmp_path / "KNOWN-RED.txt").write_text(lines + "\n")
+    run = subprocess.run(
+        [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *options],
         cwd=tmp_path,
         capture_output=True,
         text=True,
     )
-    assert done.returncode == code and says in done.stdout + done.stderr, done.stdout + done.stderr
-    if code < 4:
-        assert done.stdout.count("known red: ") == len((red or "").splitlines())
+    assert run.returncode == exit_code and expected_text in run.stdout + run.stderr, run.stdout + run.stderr
+    if exit_code < 4:
+        assert run.stdout.count("known red: ") == len((lines or "").splitlines())
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,4 +1,4 @@
-"""The terms of the standing test: each with real connections, and a clock that the test steers."""
+"""Time limits of discovery and of start-up, on real connections."""
 
 import os
 import resource
@@ -23,18 +23,18 @@
 
 ROOT = Path(__file__).parent.parent
 
-TOLD = 6_000_000  # after discovery had it and could be reached, a change counts as told
-LATEST = 3_100_000  # by which it is here; see the constants of protocol/discovery.py
-LAST = 5_600_000  # the same where it is asked for
+ARRIVAL_LIMIT_US = 6_000_000  # limit for a change to arrive, once discovery has it and can be reached
+WATCH_BOUND_US = 3_100_000  # bound for a watch, from the constants of protocol/discovery.py
+POLL_BOUND_US = 5_600_000  # bound for polling
 
 
-def told(generation, state="ready", reset=False, count=1, **how):
-    list_ = {
+def list_line(generation, state="ready", reset=False, count=1, **json_options):
+    listing = {
         "generation": generation,
         "reset": reset,
         "instances": [
             {
-                "instanceId": f"s-{n}",
+                "instanceId": f"s-{index}",
                 "hostPort": "10.1.0.18:7070",
                 "zone": "z",
                 "machineType": "k",
@@ -43,14 +43,14 @@
                 "weight": 1.5,
                 "startedAtMs": 0,
             }
-            for n in range(count)
+            for index in range(count)
         ],
     }
-    return orjson.dumps(list_, **how) + b"\n"
+    return orjson.dumps(listing, **json_options) + b"\n"
 
 
-class Agent:
-    """Discovery, as it does at the moment."""
+class DiscoveryServer:
+    """A discovery server that fails in a way that can be changed."""
 
     def __init__(self, rig, asked=False):
         self.rig, self.clock = rig, ControlledClock(rig.loop)
@@ -58,37 +58,37 @@
         self.address = self.sock.getsockname()
         self.sock.setblocking(False)
         self.made = discovery(rig, self.address, asked)
-        self.does, self.state, self.fed, self.how, self.count = "up", "ready", 0, {}, 1
+        self.mode, self.state, self.drip_at, self.json_options, self.count = "up", "ready", 0, {}, 1
         self.made.follow()
 
-    def becomes(self, does):
-        self.does = does
-        if does == "hangs":
-            # No connection comes up any more: nobody takes those that wait.
+    def change_to(self, mode):
+        self.mode = mode
+        if mode == "hangs":
+            # The backlog is filled, so that no further connection is established.
             while len(self.filled) < 2:
                 self.filled.append(socket.socket())
                 self.filled[-1].setblocking(False)
                 self.filled[-1].connect_ex(self.address)
         else:
-            for one in self.filled:
-                one.close()
+            for sock in self.filled:
+                sock.close()
             self.filled.clear()
         for call in list(self.calls):
-            if does in ("ends", "spoils") and self.calls[call] == "watch":
-                call.sendall(chunk(b'{"generation":"x"}\n') if does == "spoils" else b"0\r\n\r\n")
+            if mode in ("ends", "spoils") and self.calls[call] == "watch":
+                call.sendall(chunk(b'{"generation":"x"}\n') if mode == "spoils" else b"0\r\n\r\n")
 
-    def drains(self):
-        """It is up from here on, and has a change."""
-        self.becomes("up")
+    def start_draining(self):
+        """Recover, with a worker that is draining from now on."""
+        self.change_to("up")
         self.state, self.since = "draining", self.clock.at
 
-    def heard(self):
+    def has_arrived(self):
         return any(entry[3] == "draining" for item in self.rig.inbox.items for entry in item.entries)
 
-    def serves(self):
-        """What it does between two steps of the other side; whether it did anything."""
+    def serve(self):
+        """Serve between two steps of the loop; return whether anything was done."""
         busy = False
-        while self.does != "hangs":
+        while self.mode != "hangs":
             try:
                 call = self.sock.accept()[0]
             except BlockingIOError:
@@ -108,141 +108,146 @@
                 del self.calls[call]
                 continue
             if not what and asked:
-                self.answers(call, b"follow=1" in asked)
+                self.answer(call, b"follow=1" in asked)
                 busy = True
-        if self.does == "drips" and self.clock.at >= self.fed:
-            self.fed = self.clock.at + 200_000
+        if self.mode == "drips" and self.clock.at >= self.drip_at:
+            self.drip_at = self.clock.at + 200_000
             for call, what in list(self.calls.items()):
                 if what == "drips":
                     call.send(chunk(b" "))
                     busy = True
         return busy
 
-    def answers(self, call, watch):
-        does = self.does
-        self.calls[call] = "watch" if watch and does == "up" else does
-        if does == "up":
-            raw = told(len(self.calls) + 7, self.state, not watch, self.count, **self.how)
+    def answer(self, call, watch):
+        mode = self.mode
+        self.calls[call] = "watch" if watch and mode == "up" else mode
+        if mode == "up":
+            raw = list_line(len(self.calls) + 7, self.state, not watch, self.count, **self.json_options)
             call.sendall(CHUNKED + chunk(raw) + (b"" if watch else b"0\r\n\r\n"))
-        elif does in ("head", "drips"):
+        elif mode in ("head", "drips"):
             call.sendall(CHUNKED)
-        elif does == "refuses":
+        elif mode == "refuses":
             call.sendall(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
-        elif does == "spoils":
+        elif mode == "spoils":
             call.sendall(CHUNKED + chunk(b"{]\n"))
-        elif does in ("closes", "ends"):
+        elif mode in ("closes", "ends"):
             call.close()
             del self.calls[call]
 
-    def goes_on(self, span):
-        self.clock.run(lambda: False, span, self.serves)
+    def run_for(self, duration_us):
+        self.clock.run(lambda: False, duration_us, self.serve)
 
-    def over(self):
+    def close_all(self):
         self.rig.loop.cancel(self.made.task)
-        for one in (self.sock, *self.calls, *self.filled):
-            one.close()
+        for sock in (self.sock, *self.calls, *self.filled):
+            sock.close()
         assert not self.rig.errors
 
 
 @pytest.fixture(params=["pushed", "asked"])
-def agent(request):
-    made = Agent(Rig(), request.param == "asked")
-    made.latest = LAST if request.param == "asked" else LATEST
-    made.goes_on(100_000)
-    assert made.made.answered
-    made.rig.inbox.items.clear()
-    yield made
-    made.over()
-
-
-WAYS = ["silent", "hangs", "head", "drips", "refuses", "spoils", "ends", "closes"]
-
-
-@pytest.mark.parametrize("first", WAYS)
-@pytest.mark.parametrize("then", WAYS)
-@pytest.mark.parametrize("spans", [(2_650_000, 900_000), (13_000_000, 2_500_000), (100_000, 3_450_000)])
-def test_a_change_is_here_in_time_whatever_became_of_the_calls_before(first, then, spans, agent):
-    for does, span in zip((first, then), spans, strict=True):
-        agent.becomes(does)
-        agent.goes_on(span)
-    agent.drains()
-    assert agent.clock.run(agent.heard, TOLD, agent.serves), agent.rig.logged
-    assert agent.clock.at - agent.since <= agent.latest < TOLD
-
-
-def test_a_change_that_a_silent_watch_misses_is_here_in_time_also_late_in_the_day(agent):
-    # For 13 s it tells that nothing has changed; then it is silent, and the change goes by.
+def server(request):
+    started = DiscoveryServer(Rig(), request.param == "asked")
+    started.latest = POLL_BOUND_US if request.param == "asked" else WATCH_BOUND_US
+    started.run_for(100_000)
+    assert started.made.answered
+    started.rig.inbox.items.clear()
+    yield started
+    started.close_all()
+
+
+FAILURES = ["silent", "hangs", "head", "drips", "refuses", "spoils", "ends", "closes"]
+
+
+@pytest.mark.parametrize("first_failure", FAILURES)
+@pytest.mark.parametrize("second_failure", FAILURES)
+@pytest.mark.parametrize(
+    "durations_us", [(2_650_000, 900_000), (13_000_000, 2_500_000), (100_000, 3_450_000)]
+)
+def test_change_arrives_in_time_after_any_two_failures(first_failure, second_failure, durations_us, server):
+    for failure, duration in zip((first_failure, second_failure), durations_us, strict=True):
+        server.change_to(failure)
+        server.run_for(duration)
+    server.start_draining()
+    assert server.clock.run(server.has_arrived, ARRIVAL_LIMIT_US, server.serve), server.rig.logged
+    assert server.clock.at - server.since <= server.latest < ARRIVAL_LIMIT_US
+
+
+def test_change_missed_by_a_silent_watch_arrives_in_time(server):
+    # The watch sends empty lines for 13 s and is silent from then on, so that it misses the change.
     for _ in range(6):
-        agent.goes_on(2_000_000)
-        (watch,) = agent.calls
+        server.run_for(2_000_000)
+        (watch,) = server.calls
         watch.sendall(chunk(b"\n"))
-    agent.goes_on(1_000_000)
-    agent.drains()
-    assert agent.clock.run(agent.heard, TOLD, agent.serves) and agent.clock.at - agent.since <= MAX_SILENCE_US
+    server.run_for(1_000_000)
+    server.start_draining()
+    assert (
+        server.clock.run(server.has_arrived, ARRIVAL_LIMIT_US, server.serve)
+        and server.clock.at - server.since <= MAX_SILENCE_US
+    )
 
 
-@pytest.mark.parametrize("does", WAYS)
-def test_a_change_at_the_place_that_a_new_configuration_names_is_here_at_once(does, agent):
-    # It counts as told 4 s after the signal, whatever the former place does.
-    agent.becomes(does)
-    agent.goes_on(2_000_000)
-    other = Agent(agent.rig)
-    agent.rig.loop.cancel(other.made.task)
-    other.clock, other.state, since = agent.clock, "draining", agent.clock.at
-    agent.made.move(other.address)
-    assert agent.clock.run(agent.heard, TOLD, lambda: agent.serves() + other.serves())
-    assert agent.clock.at - since <= 100_000
-    other.over()
+@pytest.mark.parametrize("failure", FAILURES)
+def test_change_at_a_newly_configured_discovery_arrives_at_once(failure, server):
+    # The limit is 4 s after the signal, whatever state the former discovery is in.
+    server.change_to(failure)
+    server.run_for(2_000_000)
+    other = DiscoveryServer(server.rig)
+    server.rig.loop.cancel(other.made.task)
+    other.clock, other.state, since = server.clock, "draining", server.clock.at
+    server.made.move(other.address)
+    assert server.clock.run(server.has_arrived, ARRIVAL_LIMIT_US, lambda: server.serve() + other.serve())
+    assert server.clock.at - since <= 100_000
+    other.close_all()
 
 
 @pytest.mark.parametrize("watch", [False, True])
-def test_a_list_that_comes_indented_is_read(watch, agent):
-    agent.how = {"option": orjson.OPT_INDENT_2}
+def test_indented_list_is_read(watch, server):
+    server.json_options = {"option": orjson.OPT_INDENT_2}
     if not watch:
-        agent.made.generation = None
-    agent.becomes("ends")
-    agent.goes_on(1_000_000)
-    agent.drains()
-    assert agent.clock.run(agent.heard, TOLD, agent.serves)
-    agent.rig.logged.clear()
-    agent.goes_on(1_000_000)
-    assert not [fields for event, fields in agent.rig.logged if event == "discovery_watch_failed"]
-
-
-@pytest.mark.parametrize("raw", [b'{\n "generation": 9\n\n', b"{\n" + told(9)])
-def test_an_indented_change_that_is_cut_off_is_a_bad_one(raw, agent):
-    (watch,) = agent.calls
+        server.made.generation = None
+    server.change_to("ends")
+    server.run_for(1_000_000)
+    server.start_draining()
+    assert server.clock.run(server.has_arrived, ARRIVAL_LIMIT_US, server.serve)
+    server.rig.logged.clear()
+    server.run_for(1_000_000)
+    assert not [fields for event, fields in server.rig.logged if event == "discovery_watch_failed"]
+
+
+@pytest.mark.parametrize("raw", [b'{\n "generation": 9\n\n', b"{\n" + list_line(9)])
+def test_indented_change_that_is_cut_off_is_reported_as_bad_list(raw, server):
+    (watch,) = server.calls
     watch.sendall(chunk(raw))
-    agent.goes_on(100_000)
-    assert [fields["why"] for event, fields in agent.rig.logged if event == "discovery_watch_failed"][
+    server.run_for(100_000)
+    assert [fields["why"] for event, fields in server.rig.logged if event == "discovery_watch_failed"][
         0
     ].startswith("bad list: cut off")
 
 
-class InTurn:
-    """Discovery that many ask: one answer after the other, and no when more wait than it may take.
+class SequentialDiscoveryServer:
+    """A discovery server that answers one request at a time and refuses requests beyond its queue.
 
-    A watch that has been answered stays open and gets an empty line every 2 s, as the protocol page says.
+    A watch that was answered stays open and gets an empty line every 2 s, as the protocol prescribes.
     """
 
-    WAITS = 1_500_000
-    HEARTBEAT = 2_000_000
+    MAX_QUEUE_US = 1_500_000
+    HEARTBEAT_US = 2_000_000
 
-    def __init__(self, rig, count, each):
-        self.each = each
+    def __init__(self, rig, count, answer_us):
+        self.answer_us = answer_us
         self.sock, self.clock = socket.create_server((HERE, 0), backlog=count), ControlledClock(rig.loop)
         self.sock.setblocking(False)
         self.made = [discovery(rig, self.sock.getsockname(), True) for _ in range(count)]
-        self.calls, self.queue, self.free = [], [], 0
-        self.watches = {}  # open ones, and when each gets its next empty line
+        self.calls, self.queue, self.free_at = [], [], 0
+        self.watches = {}  # open watches, and when each gets its next empty line
         self.clock.peers_due = lambda: min(
             [at for at, _ in self.queue[:1]] + list(self.watches.values()), default=None
         )
-        for one in self.made:
-            one.generation = 1
-            one.follow()
+        for client in self.made:
+            client.generation = 1
+            client.follow()
 
-    def serves(self):
+    def serve(self):
         busy, now = False, self.clock.at
         try:
             self.calls.append(self.sock.accept()[0])
@@ -256,46 +261,46 @@
             except BlockingIOError:
                 continue
             busy = True
-            if asked and len(self.queue) * self.each < self.WAITS:
-                self.free = max(self.free, now) + self.each
-                self.queue.append((self.free, call))
+            if asked and len(self.queue) * self.answer_us < self.MAX_QUEUE_US:
+                self.free_at = max(self.free_at, now) + self.answer_us
+                self.queue.append((self.free_at, call))
             elif asked:
                 call.sendall(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
             else:
-                self.calls.remove(call)  # whoever gave up has cost its answer all the same
+                self.calls.remove(call)  # a cancelled request still takes the time of its answer
                 self.watches.pop(call, None)
         while self.queue and self.queue[0][0] <= now:
             call = self.queue.pop(0)[1]
-            busy = self.tells(call, CHUNKED + chunk(b"\n"))
+            busy = self.send_line(call, CHUNKED + chunk(b"\n"))
         for call in [call for call, at in self.watches.items() if at <= now]:
-            busy = self.tells(call, chunk(b"\n"))
+            busy = self.send_line(call, chunk(b"\n"))
         return busy
 
-    def tells(self, call, raw):
+    def send_line(self, call, raw):
         try:
             call.sendall(raw)
-            self.watches[call] = self.clock.at + self.HEARTBEAT
+            self.watches[call] = self.clock.at + self.HEARTBEAT_US
         except OSError:
             self.watches.pop(call, None)
         return True
 
 
-@pytest.mark.parametrize("each", [130_000, 150_000, 180_000])
-def test_many_that_ask_one_discovery_in_turn_all_hear_of_it_in_time(each):
-    # Each gave up after 1 s, and most of the answers were for nobody: some heard nothing in 18 s. Now the
-    # last of them hears of it once discovery has done the work for all, and a refused call's pause later.
+@pytest.mark.parametrize("answer_us", [130_000, 150_000, 180_000])
+def test_all_dispatchers_get_the_list_in_time_from_a_sequential_discovery(answer_us):
+    # Guards against dispatchers that give up too early, so that most answers go to closed connections.
+    # The last dispatcher gets the list once all were answered, plus the pause after a refused call.
     count = 32
     rig = Rig(sockets=512)
     rig.budget.limits["discovery"] = 64
-    place = InTurn(rig, count, each)
-    within = min(TOLD, count * each + MAX_RETRY_US)
-    assert place.clock.run(lambda: all(one.answered for one in place.made), within, place.serves), sum(
-        one.answered for one in place.made
-    )
-    for one in place.made:
-        rig.loop.cancel(one.task)
-    for one in (place.sock, *place.calls):
-        one.close()
+    server = SequentialDiscoveryServer(rig, count, answer_us)
+    limit_us = min(ARRIVAL_LIMIT_US, count * answer_us + MAX_RETRY_US)
+    assert server.clock.run(
+        lambda: all(client.answered for client in server.made), limit_us, server.serve
+    ), sum(client.answered for client in server.made)
+    for client in server.made:
+        rig.loop.cancel(client.task)
+    for sock in (server.sock, *server.calls):
+        sock.close()
 
 
 # Processes
@@ -307,21 +312,26 @@
 
 
 class Process:
-    """A dispatcher as it is run, with peers that the test plays."""
+    """A dispatcher process; the test plays its discovery server and workers."""
 
-    def __init__(self, path, n=0, sockets=128, core=None, workers=2, **changed):
+    def __init__(self, path, index=0, sockets=128, core=None, workers=2, **changed):
         self.disc = socket.create_server((HERE, 0))
         self.disc_at = self.disc.getsockname()
         self.workers = [peer_at()[1] for _ in range(workers)]
-        # An address of its own: a port that is free now may be another's before the process has it.
-        host = f"127.{128 + n}.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"
+        # A separate address: a port that is free now may be taken before the process listens on it.
+        host = f"127.{128 + index}.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"
         self.listen, self.control = f"{host}:7070", f"{host}:7071"
         path.mkdir(exist_ok=True)
         self.place = file(
             path,
             listen=self.listen,
             control=self.control,
-            **{"discovery": at(self.disc), "known": self.list_(), "limits": {"sockets": sockets}, **changed},
+            **{
+                "discovery": at(self.disc),
+                "known": self.listing(),
+                "limits": {"sockets": sockets},
+                **changed,
+            },
         )
         self.began = time.monotonic()
         self.run = subprocess.Popen(
@@ -329,30 +339,30 @@
             cwd=ROOT,
             env={**os.environ, "TMPDIR": str(path)},
             stderr=subprocess.DEVNULL,
-            preexec_fn=lambda: self.narrow(sockets, core),
+            preexec_fn=lambda: self.limit_resources(sockets, core),
         )
 
-    def narrow(self, sockets, core):
+    def limit_resources(self, sockets, core):
         resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets))
         if core is not None:
             os.sched_setaffinity(0, {core})
 
-    def list_(self, generation=1, state="ready"):
+    def listing(self, generation=1, state="ready"):
         return {
             "generation": generation,
             "reset": True,
             "instances": [
                 {
-                    "instanceId": f"s-{n}",
+                    "instanceId": f"s-{index}",
                     "hostPort": at(sock),
                     "zone": "z",
                     "cell": 0,
                     "machineType": "k",
-                    "lifecycle": state if n == 0 else "ready",
+                    "lifecycle": state if index == 0 else "ready",
                     "weight": 1.0,
                     "startedAtMs": 0,
                 }
-                for n, sock in enumerate(self.workers)
+                for index, sock in enumerate(self.workers)
             ],
         }
 
@@ -361,14 +371,14 @@
         return socket.create_connection((host, int(port)), 5)
 
     def call(self, path, where="control"):
-        """What is answered: the status and the body."""
+        """Return the status and the body of the response."""
         with self.connect(where) as theirs:
             theirs.sendall(f"GET {path} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n".encode())
             got = b"".join(iter(lambda: theirs.recv(65536), b""))
         return int(got.split()[1]), got.partition(b"\r\n\r\n")[2].decode()
 
     def ready(self, within=20.0):
-        """When it said so first, in seconds from its start."""
+        """Return after how many seconds from its start the process was ready, None if it never was."""
         while time.monotonic() < self.began + within:
             try:
                 if self.call("/health/ready", "listen")[0] == 200:
@@ -377,36 +387,36 @@
                 time.sleep(0.01)
         return None
 
-    def followed(self):
-        """Its watch, answered."""
+    def accept_watch(self):
+        """Accept and answer the watch of the dispatcher, and return its connection."""
         self.disc.settimeout(5)
         watch = self.disc.accept()[0]
         assert b"follow=1" in watch.recv(65536)
         watch.sendall(CHUNKED + chunk(b"\n"))
         return watch
 
-    def over(self):
+    def close_all(self):
         self.run.kill()
         self.run.communicate()
-        for one in (self.disc, *self.workers):
-            one.close()
+        for sock in (self.disc, *self.workers):
+            sock.close()
 
 
 @pytest.fixture
 def process(tmp_path):
-    made = []
+    started = []
 
-    def starts(**how):
-        made.append(Process(tmp_path / f"{len(made)}", len(made), **how))
-        return made[-1]
+    def start(**options):
+        started.append(Process(tmp_path / f"{len(started)}", len(started), **options))
+        return started[-1]
 
-    yield starts
-    for one in made:
-        one.over()
+    yield start
+    for dispatcher in started:
+        dispatcher.close_all()
 
 
-def launched(process):
-    """The worker that gets the next launch, its connection and the request."""
+def accept_launch(process):
+    """Return the listening socket and the connection of the worker that gets the next launch."""
     came, _, _ = select.select(process.workers, [], [], 5)
     theirs = came[0].accept()[0]
     theirs.settimeout(5)
@@ -416,34 +426,34 @@
     return came[0], theirs
 
 
-def test_idle_clients_that_fill_the_descriptors_take_none_from_what_is_in_hand(process):
-    # Discovery is down meanwhile: what it has to tell at its return is taken in time all the same.
-    one = process(sockets=96)
-    watch = one.followed()
-    assert one.ready()
-    client = one.connect()
+def test_idle_clients_that_fill_the_descriptors_do_not_block_jobs_in_flight(process):
+    # Discovery is down meanwhile: a change that it has at its return still arrives in time.
+    dispatcher = process(sockets=96)
+    watch = dispatcher.accept_watch()
+    assert dispatcher.ready()
+    client = dispatcher.connect()
     client.settimeout(5)
     client.sendall(helpers.job(X_Txn="a1", X_Remaining_Ms=4000))
-    worker, theirs = launched(one)
+    worker, theirs = accept_launch(dispatcher)
     watch.close()
-    one.disc.close()
-    crowd = [one.connect() for _ in range(400)]
-    assert one.call("/api/ready") == (200, "ready\n")
+    dispatcher.disc.close()
+    crowd = [dispatcher.connect() for _ in range(400)]
+    assert dispatcher.call("/api/ready") == (200, "ready\n")
     theirs.sendall(CHUNKED + chunk(b'{"id":"a1","state":"returned"}\n') + b"0\r\n\r\n")
-    other, again = launched(one)
+    other, again = accept_launch(dispatcher)
     assert other is not worker
     answers(again, b"a1")
     assert client.recv(65536).startswith(b"HTTP/1.1 200")
     back = time.monotonic()
-    one.disc = socket.create_server(one.disc_at)
-    one.followed().sendall(chunk(orjson.dumps(one.list_(2, "draining")) + b"\n"))
-    while "skipped_workers=1\n" not in one.call("/api/telemetry")[1]:
-        assert time.monotonic() < back + LATEST / 1e6
-    newcomer = one.connect()
+    dispatcher.disc = socket.create_server(dispatcher.disc_at)
+    dispatcher.accept_watch().sendall(chunk(orjson.dumps(dispatcher.listing(2, "draining")) + b"\n"))
+    while "skipped_workers=1\n" not in dispatcher.call("/api/telemetry")[1]:
+        assert time.monotonic() < back + WATCH_BOUND_US / 1e6
+    newcomer = dispatcher.connect()
     newcomer.settimeout(5)
     newcomer.sendall(helpers.job(X_Txn="a2", X_Remaining_Ms=4000))
-    came, _, _ = select.select([newcomer, *one.workers], [], [], 5)
-    assert came  # served, rejected or shut unread, but not left alone
+    came, _, _ = select.select([newcomer, *dispatcher.workers], [], [], 5)
+    assert came  # answered, rejected or closed unread, but not ignored
     for conn in (*crowd, client, newcomer, theirs, again):
         conn.close()
 
@@ -451,8 +461,8 @@
 def test_nine_in_ten_processes_that_start_at_once_on_one_core_are_ready_in_time(process):
     core = min(os.sched_getaffinity(0))
     began = [process(core=core) for _ in range(10)]
-    watches = [one.followed() for one in began]
-    took = sorted(one.ready() or 99.0 for one in began)
+    watches = [dispatcher.accept_watch() for dispatcher in began]
+    took = sorted(dispatcher.ready() or 99.0 for dispatcher in began)
     assert took[8] < 6.0, took
     for watch in watches:
         watch.close()
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -1,47 +1,47 @@
-"""Builds of the program that are wrong on purpose: what the judge has to catch (`lab run --build`)."""
+"""Mutants of the program that the invariant checker has to catch (`lab run --build`)."""
 
 
 def leaseless():
-    """Acts on what it knows, lease or not."""
+    """Let a dispatcher act on its state without a lease."""
     from mastledge.consensus.member import Member
 
     Member.may_act = lambda self, now: self.state_machine is not None
 
 
 def hasty():
-    """Calls a change in force as soon as it is agreed, whoever has it."""
+    """Report a change as in force once it is committed, before all dispatchers have it."""
     from mastledge.consensus.leases import GrantedLeases
 
     GrantedLeases.covered_index = lambda self, name, now: None
 
 
 def deaf():
-    """Agrees on who is out by hand and launches there all the same."""
+    """Commit the list of excluded workers, but keep launching on them."""
     from mastledge.scheduling.scheduler import Scheduler
 
-    def by_hand(self, now, out, back):
+    def skip_exclusion(self, now, out, back):
         self.fleet_changed()
 
-    Scheduler.set_excluded = by_hand
+    Scheduler.set_excluded = skip_exclusion
     from mastledge.protocol.worker_connections import WorkerConnections
 
-    sent = WorkerConnections.write_while_lawful
+    original_write = WorkerConnections.write_while_lawful
 
     def write_while_lawful(self, conn, peer, *how):
         peer.excluded = False
-        return sent(self, conn, peer, *how)
+        return original_write(self, conn, peer, *how)
 
     WorkerConnections.write_while_lawful = write_while_lawful
 
 
 def twice():
-    """Launches run-once jobs again that may have run."""
+    """Launch run-once jobs again that may have run."""
     from mastledge.scheduling.decisions import LaunchJob
     from mastledge.scheduling.scheduler import Scheduler
 
     settle = Scheduler.decide_job
 
-    def again(self, job, now):
+    def relaunch(self, job, now):
         if job.launches and not job.in_flight and not job.ended:
             for launch in job.launches:
                 launch.may_have_run = False
@@ -56,98 +56,98 @@
             self.timers.set(now + 1000, job)
         return decision
 
-    Scheduler.decide_job = again
+    Scheduler.decide_job = relaunch
 
 
 def late():
-    """Forgets to give jobs up: they are answered when it is too late, or by the last resort."""
+    """Never end every tenth job, so that its client is answered too late."""
     from mastledge.scheduling.scheduler import Scheduler
 
     arrived = Scheduler.job_arrived
 
-    def kept(self, now, job_id, *fields):
+    def job_arrived_unended(self, now, job_id, *fields):
         arrived(self, now, job_id, *fields)
         if job_id % 10 == 0:
             self.jobs[job_id].ended = True
 
-    Scheduler.job_arrived = kept
+    Scheduler.job_arrived = job_arrived_unended
     from mastledge.protocol import client_jobs
 
-    outcome = client_jobs.ClientJobs.answer
+    original_answer = client_jobs.ClientJobs.answer
 
-    def slow(self, conn, exchange):
+    def answer_late(self, conn, exchange):
         exchange.until += 400_000
-        return (yield from outcome(self, conn, exchange))
+        return (yield from original_answer(self, conn, exchange))
 
-    client_jobs.ClientJobs.answer = slow
+    client_jobs.ClientJobs.answer = answer_late
 
 
 def forgetful():
-    """Says that what it agreed is on the disk, and writes nothing."""
+    """Report records as written to the write-ahead log without writing them."""
     from mastledge.storage.write_ahead_log import WriteAheadLog
 
     WriteAheadLog.append = lambda self, records: None
 
 
 def undrained():
-    """Launches on workers that the list says are draining."""
+    """Launch on workers that are draining in the endpoint list."""
     from mastledge.protocol.discovery import Discovery
 
     parse_entry = Discovery.parse_entry
 
-    def ready(self, entry):
+    def parse_as_ready(self, entry):
         return parse_entry(self, {**entry, "lifecycle": "ready"})
 
-    Discovery.parse_entry = ready
+    Discovery.parse_entry = parse_as_ready
 
 
 def cold():
-    """Takes cold workers for warm ones."""
+    """Select cold workers as if they were warm."""
     from mastledge.scheduling.selection import WorkerSelector
 
     pick = WorkerSelector.pick
 
-    def coldest(self, job, now, group_of):
+    def pick_cold(self, job, now, group_of):
         for worker in self._fleet.ready:
             if worker.warming_up and self._settings["cold_for"] > now - worker.born and not job.launches:
                 return worker, 0.0
         return pick(self, job, now, group_of)
 
-    WorkerSelector.pick = coldest
+    WorkerSelector.pick = pick_cold
 
 
 def refusing():
-    """Rejects what has been launched and may have run."""
+    """Reject jobs that were launched and may have run."""
     from mastledge.scheduling.decisions import RejectJob
     from mastledge.scheduling.scheduler import Scheduler
 
     launch = Scheduler.launch
 
-    def doubting(self, job, wkr, now, until=None):
+    def launch_with_short_deadline(self, job, wkr, now, until=None):
         decision = launch(self, job, wkr, now, until)
         if job.id % 7 == 0 and job.queue_type.effect == "run-once":
             job.deadline = now + 5_000
             self.timers.set(job.deadline, job)
         return decision
 
-    def give_up(self, job, hold_off):
+    def reject_launched(self, job, hold_off):
         self.close_job(job)
         return RejectJob(job.id, 0)
 
-    Scheduler.launch = doubting
-    Scheduler.reject_or_kill = give_up
+    Scheduler.launch = launch_with_short_deadline
+    Scheduler.reject_or_kill = reject_launched
     settle = Scheduler.decide_job
 
-    def early(self, job, now):
+    def reject_at_deadline(self, job, now):
         if job.launches and now >= job.deadline:
             return self.reject_or_kill(job, 0)
         return settle(self, job, now)
 
-    Scheduler.decide_job = early
+    Scheduler.decide_job = reject_at_deadline
 
 
 def claimless():
-    """Writes its claim on a key down with the outcome, after the launch."""
+    """Store the claim of a key only with the outcome, after the launch."""
     from mastledge.program.idempotency_service import IdempotencyService
 
     persist = IdempotencyService.persist
@@ -170,7 +170,7 @@
 
 
 def boastful():
-    """Launches without a claim, and tells the holders of a key only what came of it."""
+    """Launch without a claim, and send only the outcome to the replicas of a key."""
     from mastledge.replication.claims import Claims
     from mastledge.replication.jobs import JobPhase
 
@@ -183,31 +183,31 @@
 
 
 def amnesic():
-    """Says that an answer is kept, and keeps only that the job may have run."""
+    """Acknowledge an answer, but store only that the job may have run."""
     from mastledge.idempotency.key_table import RecordState
     from mastledge.replication.messages import ReplicaResult
     from mastledge.replication.replica import Replica
 
     raise_to = Replica._raise_to
 
-    def forgets(self, now, record, known, answered):
+    def raise_without_answer(self, now, record, known, answered):
         raise_to(self, now, record, known, False)
         record.state = RecordState.ANSWERED if answered else record.state
         self.table.mark_unsure(now, record)
 
-    Replica._raise_to = forgets
+    Replica._raise_to = raise_without_answer
     complete = Replica.complete
 
-    def acknowledges(self, now, request):
+    def acknowledge_always(self, now, request):
         response = complete(self, now, request)
         response.result = ReplicaResult.DONE
         return response
 
-    Replica.complete = acknowledges
+    Replica.complete = acknowledge_always
 
 
 def grudging():
-    """Never gives a claim back: a job that was rejected may have run, for all that is known."""
+    """Never release a claim, so that a rejected job counts as one that may have run."""
     from mastledge.replication.claims import Claims
     from mastledge.replication.listeners import ClaimListeners
     from mastledge.replication.messages import ClaimStatus, OwnerResponse
@@ -226,14 +226,14 @@
 
 
 def reckless():
-    """Begins a fleet anew whenever it is told to."""
+    """Form a new fleet without checking that none exists."""
     from mastledge.recovery import fleet_snapshot
 
     fleet_snapshot.check_fleet_start = lambda start: None
 
 
 def ajar():
-    """A door that lets in all that come, whatever becomes of them."""
+    """Admit every request, whatever the admission ramp allows."""
     from mastledge.recovery.admission_ramp import AdmissionRamp
 
     def admit(self, now, is_retry):
@@ -243,7 +243,7 @@
 
 
 def credulous():
-    """Believes a list that is older than what it has heard."""
+    """Accept an endpoint list that is older than the newest known one."""
     from mastledge.recovery.newest_list import NewestList
 
     NewestList.excluded = lambda self, *fields: frozenset()
