--- a/tests/folder_processes.py
+++ b/tests/folder_processes.py
@@ -1,7 +1,7 @@
-"""A dispatcher process on given data folders, with stand-ins, for the guard of stored folders.
+"""Run a dispatcher process on given data directories, with stub workers and a stub discovery server.
 
-Imports nothing of the package: the process is started by its command line and spoken to over HTTP, so
-that the guard holds whatever the package's modules and classes are called.
+Nothing is imported from the package: the process is started by its command line and called over HTTP, so
+that the tests of stored data don't depend on names in the package.
 """
 
 import http.client
@@ -20,39 +20,39 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 KINDS = ("agreement", "repeats", "copies", "recovery")
-"""One fixture each; the folders within have the names of the parts of the configuration."""
+"""One fixture each; its folders are named after parts of the configuration."""
 
 DISPATCHER = "n0"
 WORKERS = ("w0", "w1")
 RESTRICTED = "w1"
-"""The worker that is excluded by hand (agreement) or draining by the newest list (recovery)."""
+"""The worker that an operator excluded (agreement) or that the newest list drains (recovery)."""
 
 FILE_TYPE, AGREED_TYPE = "render", "report"
-"""Queue types: the one of the configuration file, and one that only the agreed settings name."""
+"""Queue types of the configuration file, and of the committed settings only."""
 
 PATCHED_UTILITY = 0.25
-"""The `excessUtility` of the newest agreed settings; the file names none."""
+"""The `excessUtility` of the newest committed settings; the configuration file has none."""
 
 ANSWERED_KEY, OPEN_KEY, BODY = "key-answered", "key-open", b"the body"
 """Keys of a job that was answered, and of one that ran when its dispatcher was killed."""
 
 STORED_GENERATION = 7
-"""Of the list that the recovery folder holds."""
+"""Generation of the endpoint list in the recovery folder."""
 
 KEEP_MS = 100 * 365 * 24 * 3600 * 1000
-"""Keys are kept for a hundred years, so that the committed ones are still in force."""
+"""Retention of a hundred years, so that the keys in the fixtures have not expired."""
 
 WALLTIME_MS = 600_000.0
 WAIT_S = 20.0
-LOOK_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 _pid = os.getpid()
-# As helpers.HERE: runs side by side must not meet.
+# As helpers.HERE: concurrent runs must use different addresses.
 HOST = f"127.{64 + (_pid >> 16) % 64}.{_pid >> 8 & 255}.{_pid & 255}"
 
 
 def settings():
-    """The settings document of the configuration file."""
+    """Return the settings of the configuration file."""
     return {
         "balancers": 1,
         "me": 0,
@@ -83,26 +83,26 @@
 
 
 def wait_until(holds, what):
-    """The first true value of `holds()`; AssertionError naming `what` after WAIT_S seconds."""
+    """Return the first true value of `holds()`; raise AssertionError with `what` after WAIT_S seconds."""
     last = time.monotonic() + WAIT_S
     while not (value := holds()):
-        assert time.monotonic() < last, f"not seen in {WAIT_S:.0f} s: {what}"
-        time.sleep(LOOK_S)
+        assert time.monotonic() < last, f"not true within {WAIT_S:.0f} s: {what}"
+        time.sleep(POLL_INTERVAL_S)
     return value
 
 
 class Server(ThreadingHTTPServer):
-    """A stand-in on a port of its own, served by daemon threads."""
+    """A stub server on a free port, served by daemon threads."""
 
     daemon_threads = True
 
     def __init__(self, handler):
         super().__init__((HOST, 0), handler)
         self.ending = threading.Event()
-        threading.Thread(target=self.serve_forever, args=(LOOK_S,), daemon=True).start()
+        threading.Thread(target=self.serve_forever, args=(POLL_INTERVAL_S,), daemon=True).start()
 
     def handle_error(self, request, client_address):
-        """A dispatcher that was killed leaves its connections; nothing of that is to be printed."""
+        """Ignore errors, as a killed dispatcher leaves broken connections."""
 
     def end(self):
         self.ending.set()
@@ -111,7 +111,7 @@
 
 
 class WorkerHandler(BaseHTTPRequestHandler):
-    """Runs each job at once, but for the open key: that one runs until the stand-in ends."""
+    """Answers each job at once, but a job with OPEN_KEY only when the server ends."""
 
     protocol_version = "HTTP/1.1"
 
@@ -133,14 +133,14 @@
 
 
 class Worker(Server):
-    """`ran`: (key, job) of each job that was sent here."""
+    """A stub worker; `ran` holds (key, job) of each job that it got."""
 
     def __init__(self, name):
         super().__init__(WorkerHandler)
         self.name, self.ran, self.lifecycle = name, [], "ready"
 
     def entry(self):
-        """As discovery lists it."""
+        """Return the entry of this worker in the endpoint list."""
         return {
             "instanceId": self.name,
             "hostPort": f"{HOST}:{self.server_port}",
@@ -154,7 +154,7 @@
 
 
 class DiscoveryHandler(BaseHTTPRequestHandler):
-    """The whole list to whoever asks; to a watch the list whenever its generation is another one."""
+    """Answers a poll with the whole list, and sends it to a watch whenever its generation changes."""
 
     protocol_version = "HTTP/1.1"
 
@@ -173,8 +173,8 @@
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
         told = int(self.path.rpartition("since=")[2])
-        while not self.server.ending.wait(LOOK_S):
-            # An empty line says that the watch lives.
+        while not self.server.ending.wait(POLL_INTERVAL_S):
+            # An empty line is the heartbeat of the watch.
             changed = self.server.generation != told
             told = self.server.generation
             line = (self.server.list() if changed else b"") + b"\n"
@@ -192,7 +192,7 @@
 
 
 class Site:
-    """One dispatcher process on folders below `place`, two workers and a discovery."""
+    """One dispatcher process on folders below `place`, two stub workers and a stub discovery server."""
 
     def __init__(self, place, kind, generation=1):
         self.place, self.kind = Path(place), kind
@@ -202,7 +202,7 @@
         self.listen, self.control, self.peers = self.free(), self.free(), self.free()
 
     def free(self):
-        """An address that nobody listens at; it stays bound here, so that nobody else is given it."""
+        """Return a free address, which stays bound here so that no other process gets it."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((HOST, 0))
@@ -213,11 +213,11 @@
         return self.workers[WORKERS.index(name)]
 
     def registry(self):
-        """The name of the list's registry where the configuration gives none: discovery's address."""
+        """Return the default name of the registry, which is the address of discovery."""
         return f"{HOST}:{self.discovery.server_port}"
 
     def configuration(self, form):
-        """`form`: whether the dispatcher may form a new fleet, which one with a stored fleet need not."""
+        """Return the configuration; `form` allows the dispatcher to form a new fleet if none is stored."""
         told = {
             "name": DISPATCHER,
             "listen": self.listen,
@@ -246,7 +246,7 @@
         return told
 
     def start(self, form=False):
-        """Starts the process and waits until it is ready."""
+        """Start the process and wait until it is ready."""
         config, temporary = self.place / "config.json", self.place / "tmp"
         temporary.mkdir(parents=True, exist_ok=True)
         config.write_text(json.dumps(self.configuration(form)))
@@ -256,8 +256,10 @@
         wait_until(self.ready, "the dispatcher is ready")
 
     def ready(self):
-        ended = self.process.poll()
-        assert ended is None, f"the dispatcher ended with {ended}: {(self.place / 'log').read_text()[-2000:]}"
+        exit_code = self.process.poll()
+        assert (
+            exit_code is None
+        ), f"the dispatcher exited with {exit_code}: {(self.place / 'log').read_text()[-2000:]}"
         try:
             return self.call("GET", "/api/ready")[0] == 200
         except OSError:
@@ -268,7 +270,7 @@
         self.process.wait()
 
     def end(self):
-        """Ends all that was started here."""
+        """Stop the process and the stub servers, and release the reserved addresses."""
         if self.process is not None and self.process.poll() is None:
             self.process.terminate()
             try:
@@ -281,7 +283,7 @@
             sock.close()
 
     def request(self, address, method, path, body=b"", headers=None):
-        """(status, headers, content) of one request on a connection of its own."""
+        """Return (status, headers, content) of one request on a new connection."""
         host, _, port = address.rpartition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=WAIT_S)
         try:
@@ -292,24 +294,24 @@
             connection.close()
 
     def call(self, method, path, body=b"", headers=None):
-        """A call of an operator at the control address."""
+        """Send an operator call to the control address."""
         return self.request(self.control, method, path, body, headers)
 
     def told(self, path):
-        """What an operator reads there, as JSON."""
+        """Return the decoded JSON of an operator call."""
         status, _, content = self.call("GET", path)
         assert status == 200, content
         return json.loads(content)
 
     def job(self, key="", kind=FILE_TYPE, body=BODY):
-        """(status, content) of a job with this key, "" for none."""
+        """Send a job, without a key if `key` is empty; return (status, content)."""
         self.jobs += 1
         headers = {"X-Txn": f"{self.kind}-{self.jobs}", **({"Idempotency-Key": key} if key else {})}
         status, _, content = self.request(self.listen, "POST", f"/{kind}", body, headers)
         return status, content
 
     def served(self, count):
-        """How many of so many jobs each worker has run, all of which have to be answered."""
+        """Send `count` jobs, all of which must succeed, and return how many each worker has run."""
         before = [len(worker.ran) for worker in self.workers]
         for _ in range(count):
             status, content = self.job()
--- a/tests/form_links.py
+++ b/tests/form_links.py
@@ -1,4 +1,4 @@
-"""Both ends of a real link between dispatchers, over loopback."""
+"""Run either end of a real link between dispatchers over loopback."""
 
 import contextlib
 import socket
@@ -7,7 +7,7 @@
 
 
 class LinkEnds:
-    """Real links over loopback: what they put on the wire, and what they take from it."""
+    """Links over loopback, with the bytes that they send and the frames that they receive."""
 
     def __init__(self, fleet, name, life):
         self.rig, self.heard, self.sock = program.Rig(), [], socket.create_server((program.HERE, 0))
@@ -20,40 +20,40 @@
         self.sock.close()
 
     def sends(self, contents, count):
-        """The first `count` bytes on the wire to another dispatcher that is sent these."""
+        """Send these contents to another dispatcher and return the first `count` bytes on the wire."""
         for content in contents:
             program.send_on_link(self.links, content)
-        got, conn = bytearray(), []
+        received, connections = bytearray(), []
         self.sock.setblocking(False)
 
-        def whole():
+        def receive_all():
             try:
-                if not conn:
-                    conn.append(self.sock.accept()[0])
-                    conn[0].setblocking(False)
-                got.extend(conn[0].recv(65536))
+                if not connections:
+                    connections.append(self.sock.accept()[0])
+                    connections[0].setblocking(False)
+                received.extend(connections[0].recv(65536))
             except BlockingIOError:
                 pass
-            return len(got) >= count
+            return len(received) >= count
 
-        self.rig.turn(whole)
-        for one in conn:
-            one.close()
-        return bytes(got)
+        self.rig.turn(receive_all)
+        for connection in connections:
+            connection.close()
+        return bytes(received)
 
     def receives(self, raw, frames):
-        """[(name, life, content)] of what comes as these bytes, and what is sent back for it."""
+        """Receive these bytes; return [(name, incarnation, content)] and the bytes sent back."""
         self.sock.close()
-        theirs = socket.create_connection(program.listen_on_links(self.links))
-        theirs.sendall(raw)
-        theirs.setblocking(False)
+        remote = socket.create_connection(program.listen_on_links(self.links))
+        remote.sendall(raw)
+        remote.setblocking(False)
         back = bytearray()
 
-        def answered():
+        def receive_reply():
             with contextlib.suppress(BlockingIOError):
-                back.extend(theirs.recv(4096))
+                back.extend(remote.recv(4096))
             return len(back) >= frames
 
-        self.rig.turn(answered)
-        theirs.close()
+        self.rig.turn(receive_reply)
+        remote.close()
         return self.heard, bytes(back)
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -1,7 +1,7 @@
-"""The names of the program that the guard of stored and wire forms needs, in one place.
+"""All uses of the program by the tests of stored data and wire messages.
 
-Nothing else of the guard (`forms.py`, `form_samples.py`, `test_stored_and_wire_forms.py`) imports from the
-program or calls anything of it by a name of its own: a rename changes this file alone.
+The other files of these tests (`forms.py`, `form_samples.py`, `test_stored_and_wire_forms.py`) neither import
+from the program nor use its names, so that a rename in the program changes this file only.
 """
 
 import io
@@ -55,18 +55,18 @@
 
 
 class MessageFamily:
-    """One set of messages: what stands before a message, its union type, and its decoder and encoder."""
+    """A set of messages: its union type, decoder and encoder, and the mark that precedes a message."""
 
     def __init__(self, union, decode, encode, mark=b""):
         self.union, self.decode, self.encode, self.mark = union, decode, encode, mark
 
     def classes(self):
-        """Message classes by the tag that the decoder knows them by."""
+        """Return the message classes by tag."""
         return {one.__struct_config__.tag: one for one in get_args(self.union)}
 
     def read(self, raw):
         if not raw.startswith(self.mark):
-            raise ValueError(f"it does not begin with {self.mark!r}")
+            raise ValueError(f"message does not begin with {self.mark!r}")
         return self.decode(raw[len(self.mark) :])
 
     def written(self, message):
@@ -103,7 +103,7 @@
     frames.whole_frame,
 )
 JOURNAL_MAGIC, JOURNAL_FRAME_HEAD = frames.FILE_MAGIC, frames.FRAME_HEADER
-JOURNAL_NOW = 1_700_000_000_000_000  # Unix microseconds at which samples of keys are written anew
+JOURNAL_NOW = 1_700_000_000_000_000  # Unix microseconds, the time at which key journals are compacted
 JOURNALS = {
     "agreement": consensus_persisted.PersistedState,
     "repeats": lambda: PersistedKeys(lambda: JOURNAL_NOW),
@@ -134,7 +134,7 @@
 
 
 def records_of_book(keys, claim):
-    """What a book hands out for a claim that is answered, one that may have run, and one that is dropped."""
+    """Return the records of claims that are answered, unsure, released and still open."""
     records = []
     for number, fate in enumerate(("answered", "unsure", "dropped", "claimed")):
         request = KeyedRequest("tenant", b"key-%d" % number, bytes([number]) * 16, 9_000_000, claim)
@@ -150,7 +150,7 @@
 
 
 def records_of_member(state, contents):
-    """What a member has written that is restored with `state` and then hears messages from the member n1."""
+    """Return the records of a member that restores `state` and gets these messages from the member n1."""
     listed = {name: one["address"] for name, one in state["members"].items()}
     configuration = MemberConfiguration(
         name="n0",
@@ -176,7 +176,7 @@
 
 
 def records_of_holder(copies, heard):
-    """What a holder of copies has written that is told its placement and then hears (name, id, message)."""
+    """Return the records of a replica that gets its placement, then each (name, id, message)."""
     node = Node(NodeOptions("n0", "holder-0", "run-1", 0, 1, 1_000_000), book_of_keys(), 0)
     steps = [replication_inputs.PlacementChanged(copies)]
     steps += [
@@ -199,7 +199,7 @@
 
 
 def decisions_that_learned():
-    """Decisions that have set each of three workers aside for another reason, and have a job out."""
+    """Return a scheduler that ejected three workers for different reasons and has a launch in flight."""
     made = scheduler(workers=0)
     made.update_endpoints(0, "whole", three_workers())
     for job, how in enumerate(("unreachable", "lost", "error"), 1):
@@ -212,12 +212,12 @@
 
 
 def learned_of_decisions():
-    """What decisions hand to the process that takes over, as it stands in the file."""
+    """Return the learned state that a scheduler leaves to its successor process."""
     return decisions_that_learned().learned_state()
 
 
 def learned_again(told):
-    """The same by decisions that have been handed this."""
+    """Return the learned state of a scheduler that restored the given one."""
     made = scheduler(workers=0)
     made.update_endpoints(0, "whole", three_workers())
     made.restore_learned(0, told)
@@ -225,7 +225,7 @@
 
 
 def records_of_start():
-    """What a dispatcher keeps of its list, of what is out and of what it has learned."""
+    """Return a dispatcher's recovery records: its list, its launches in flight and its learned state."""
     discovery = SimpleNamespace(
         answered=True, generation=42, zones={"a": 0}, kinds={"m": 0}, since=1_699_999_000_000_000
     )
@@ -248,7 +248,7 @@
 
 
 def fleet_snapshot(state, fleet, by, at):
-    """The document that an operator is given."""
+    """Return the fleet snapshot that an operator downloads."""
     return json_answer(snapshot_format.pack_snapshot(state, fleet, by, at)).text.encode()
 
 
@@ -313,7 +313,7 @@
 
 
 def brief_of_fleet(state):
-    """What of the agreed state is told to the process beside this one."""
+    """Return the part of the replicated state that is shared with the sibling process."""
     return lent_state(state)
 
 
@@ -327,7 +327,7 @@
 
 
 def handed_on(directory, job):
-    """The datagram by which a job is handed to another process: {name, kind, until, headed, rest}."""
+    """Return the datagram that hands off a job {name, kind, until, headed, rest} to another process."""
     path = str(Path(directory) / "inlet")
     inlet, client, worker = descriptor_passing.open_receiver(path), *socket.socketpair()
     quiet = SimpleNamespace(trailing_data=(b"", False))
@@ -366,7 +366,7 @@
 
 
 def taken_up(raw):
-    """The job as the process that takes it up has it, in the form that `handed_on` takes."""
+    """Return the job that the receiving process gets, in the form that `handed_on` takes."""
     rig, jobs = Rig(), []
     door = SimpleNamespace(serve_resumed=lambda conn, exchange: iter(()))
     made = connection_handoff.ConnectionHandoff(rig.loop, rig.budget, door, scheduler().settings, rig.log)
@@ -390,7 +390,7 @@
 
 
 def links_of(rig, who, address, heard):
-    """Links of a dispatcher that is `who`; each other one is at the address that `address()` gives."""
+    """Return the links of the dispatcher `who`, for which all others have the address `address()`."""
     host = SimpleNamespace(
         link_identity=lambda: LinkIdentity(*who),
         member_address=lambda other: address(),
@@ -404,7 +404,7 @@
 
 
 def listen_on_links(made):
-    """Where other dispatchers reach these links from here on."""
+    """Start to listen, and return the address for other dispatchers."""
     made.start((HERE, 0))
     return made.listener.sock.getsockname()
 
@@ -438,7 +438,7 @@
 
 
 def event_frames(raw):
-    """(clock in milliseconds, records as (code, fields...), tail) of each frame of the input."""
+    """Return (clock in milliseconds, records as (code, fields...), tail) of each input frame."""
     stream, out = io.BytesIO(raw), []
     while (frame := adapter_frames.frame_from(stream)) is not None:
         records = [(code, *fields) for _, code, fields in frame.events()]
--- a/tests/form_samples.py
+++ b/tests/form_samples.py
@@ -1,11 +1,11 @@
-"""Samples of all that is stored or said, as plain values in the form that is on the disk or the wire."""
+"""Samples of all stored records and wire messages, as plain values in their encoded form."""
 
 import math
 import struct
 
 import form_names as program
 
-PROCESS, MONOTONIC_NS = 4242, 777_000_000_000  # as which the files between two processes are written
+PROCESS, MONOTONIC_NS = 4242, 777_000_000_000  # of the process that writes the files for its sibling process
 STATE = {
     "format": 1,
     "version": 5,
@@ -45,7 +45,7 @@
 RECORD = ["tenant", b"key-1", b"\x01" * 16, "1.run-1.n0", "answered", 60_000_000, 200, b"\x00content\xff"]
 KEY = ["tenant", b"key-1"]
 
-# (all that there is, only what has to be there); the second one is None where all of it has to be.
+# (all fields, required fields only); the second is None where all fields are required.
 SAMPLES = {
     "agreement": [
         (["Ask", "fleet-1", False, True, 3_000_000_001, 7, 6, 99], ["Ask", "", True, False, 0]),
@@ -116,7 +116,7 @@
 WORKERS = {
     "s-1": ["ready", 1_699_999_000_000_000, ["127.0.0.1", 8001], "a", "m", 3, 1.5],
     "s-2": ["draining", 0, ["127.0.0.1", 8002], "", "", 0, 1.0],
-    "s-3": ["gone", 0, ["", 0]],  # of an older version, or of one that is only known to be off
+    "s-3": ["gone", 0, ["", 0]],  # written by an older version, or known only as restricted
 }
 ASIDE = {"pause": 100_000, "trickle": 0.5, "good": 2, "back_at": 30_000}
 WHEN = [1_699_999_999_000_000, 5_000_000, "boot-1"]
@@ -133,13 +133,13 @@
 
 
 def claims(claim=()):
-    """Records of keys: answered, may have run, dropped, over, and still claimed."""
+    """Return records of keys: answered, unsure, dropped, expired and still claimed."""
     keys = [("tenant", b"key-1"), ("", b"key-2"), ("", b"key-3"), ("", b"key-4"), ("", b"key-5")]
     first = [["claim", *key, PRINT, program.JOURNAL_NOW + number, *claim] for number, key in enumerate(keys)]
     return [first[:2], [*first[2:], END, UNSURE], [["drop", "", b"key-3"], OLD_END]]
 
 
-# By journal, the records of each of its frames.
+# The records of each frame, by journal.
 JOURNAL_FRAMES = {
     "agreement": [
         [["identity", "fleet-1", "life-n0"], ["hard", 1, ""], ["snapshot", 1, 1, STATE]],
@@ -249,7 +249,7 @@
 
 
 def event_frame(clock_ms, records, tail=b""):
-    """A frame of the bench: records are (code, fields...)."""
+    """Return an input frame of the adapter; records are (code, fields...)."""
     raw = b"".join(
         (struct.pack(">H", code) + program.EVENT_LAYOUTS[code].pack(*fields)).ljust(
             program.EVENT_RECORD_BYTES, b"\0"
@@ -272,7 +272,7 @@
 
 
 def ending_session(how):
-    """Jobs of each queue type end like this, and more come after: what follows depends on how."""
+    """Return frames in which jobs of each queue type end with this code and further jobs arrive."""
     settings, pool = ADAPTER_SETTINGS.encode(), pool_of_workers()
     frames = [event_frame(1000.0, [(BEGIN, FIRST, 7, 0, len(settings))], settings)]
     frames.append(event_frame(1001.0, [(POOL, 1, 0, len(WORKER_IDS)), (LIST, FIRST, 1, 0, 1)], pool))
@@ -291,7 +291,7 @@
 
 
 def adapter_session():
-    """Frames that hold every kind of input and lead to every kind of answer."""
+    """Return frames with every kind of event, which lead to every kind of action."""
     settings, pool = ADAPTER_SETTINGS.encode(), pool_of_workers()
     told = program.balance_message(900_000, [(0, 1.5)], [(9, 40_000)])
     begin = [(BEGIN, one, 7 + one, 0, len(settings)) for one in (FIRST, SECOND)]
@@ -333,7 +333,7 @@
         if step in (3, 7, 11):
             records += [new_job(100 * step + n, n % 3, 900.0, hint_ms=400.0) for n in range(40)]
         frames.append(event_frame(clock, records))
-    # No finite load: the decisions fail on it, which is told as a fatal text.
+    # An infinite load makes the scheduler fail, which is answered as a fatal text.
     endless = [new_job(9000, 0, 3000.0, math.inf), *(new_job(9001 + n, 0, 3000.0) for n in range(5))]
     frames.append(event_frame(7200.0, endless))
     frames += [event_frame(7200.0 + 50 * n, [(DUE, FIRST, 7200 + 50 * n)]) for n in range(1, 9)]
--- a/tests/forms.py
+++ b/tests/forms.py
@@ -1,7 +1,7 @@
-"""Fixtures of every stored file and every frame on a wire: bytes, each under a label.
+"""Create and load the fixtures of the stored files and of the frames on the wire, as labelled bytes.
 
-`python tests/forms.py` writes those that are missing below `tests/fixtures/forms`; it never replaces one.
-`test_stored_and_wire_forms.py` compares the program with the files and makes none.
+`python tests/forms.py` writes missing fixtures to `tests/fixtures/forms` and never replaces one.
+`test_stored_and_wire_forms.py` compares the program with the fixtures and writes none.
 """
 
 import json
@@ -26,7 +26,7 @@
 
 
 def adapter_answers(session):
-    """What the program answers on standard output to these frames on standard input."""
+    """Return what the adapter writes to standard output for these frames on standard input."""
     done = subprocess.run(
         [sys.executable, "-m", program.ADAPTER_MODULE],
         input=session,
@@ -39,7 +39,7 @@
 
 
 def answers_of(raw):
-    """(records, tail) of each answer."""
+    """Return (records, tail) of each answer."""
     out, at = [], 0
     while at < len(raw):
         count, length = program.ANSWER_HEAD.unpack_from(raw, at)
@@ -54,49 +54,49 @@
     return msgspec.msgpack.encode(plain)
 
 
-def as_this_process():
-    """Times and the process id as they stand in the samples."""
+def patched_process():
+    """Return patches that set the process id and the monotonic clock to the values of the samples."""
     return (
         mock.patch.object(os, "getpid", return_value=samples.PROCESS),
         mock.patch.object(time, "monotonic_ns", return_value=samples.MONOTONIC_NS),
     )
 
 
-def at_this_time():
-    """Unix time as it stands in the samples."""
+def patched_time():
+    """Return a patch that sets the Unix time to the value of the samples."""
     return mock.patch.object(time, "time_ns", return_value=program.JOURNAL_NOW * 1_000)
 
 
 def frame_of_start():
-    """What a dispatcher keeps for its next start."""
-    _, clock = as_this_process()
-    with clock, at_this_time():
+    """Return the frame of records that a dispatcher stores for its next start."""
+    _, clock = patched_process()
+    with clock, patched_time():
         return program.frame_of_records(program.records_of_start())
 
 
 def frame_of_holder():
-    """What a holder of copies keeps of messages of keys."""
+    """Return the frame of records that a replica stores of the messages on keys."""
     prints = b"\x01" * 16
     heard = [["Claim", n, 3, "t", b"key-%d" % n, prints, f"{n}.run-1.n1", 9_000_000] for n in range(3)]
     heard.append(["End", 5, 3, "t", b"key-1", prints, "1.run-1.n1", True, 200, b"content", 9_000_000])
     heard.append(["Drop", 6, "t", b"key-2", "2.run-1.n1"])
     told = [("n1", "holder-1", pack(message)) for message in heard]
-    # Who becomes a holder asks for its copies, so nothing of earlier placements is let in any more.
+    # A new replica scans for its keys, after which messages of earlier placements are refused.
     told.append(("n2", "holder-2", pack(["Scan", 3, 0])))
     return program.frame_of_records(program.records_of_holder(samples.STATE["copies"], told))
 
 
 def by_file(directory, name, write, told):
-    """What `write` leaves in the file of this name."""
+    """Return what `write` leaves in the file of this name."""
     directory.mkdir(parents=True, exist_ok=True)
-    process, clock = as_this_process()
+    process, clock = patched_process()
     with process, clock:
         write(directory, told)
     return (directory / name).read_bytes()
 
 
 def messages_of(family):
-    """{label: {"bytes", "read"}}; `read` is a shorter form of an older version."""
+    """Return {label: {"bytes", "read"}}; `read` is the shorter form of an older version."""
     made, out = program.MESSAGES[family], {}
     for full, least in samples.SAMPLES[family]:
         label = f"{full[0]}, all set"
@@ -108,7 +108,7 @@
 
 
 def frames_of():
-    """Messages in what is wrapped round them."""
+    """Return frames, lists and hellos that hold messages."""
     copies = [full for full, _ in samples.SAMPLES["copies"]]
     frame = program.COPIES_FRAME.mark + pack(["holder-0", copies])
     empty = program.COPIES_FRAME.mark + pack(["", []])
@@ -130,7 +130,7 @@
 
 
 def link_stream():
-    """All that a link sends: its hello, then frames."""
+    """Return the bytes that a link sends: its hello, then frames."""
     hello = program.frame_on_link(program.HELLO.written(program.HELLO.read(pack(samples.OLD_HELLO))))
     return hello + b"".join(program.frame_on_link(content) for content in samples.LINK_CONTENTS)
 
@@ -141,7 +141,7 @@
 
 
 def rewritten_journal(directory, name, raw):
-    """The journal with these bytes, as it is after being read and written anew."""
+    """Return the journal with these bytes after it was loaded and compacted."""
     directory.mkdir(parents=True, exist_ok=True)
     path = directory / name
     path.write_bytes(raw)
@@ -155,7 +155,7 @@
 
 
 def heard_by_member():
-    """Messages that make a member write each kind of its records."""
+    """Return messages that make a raft member write each kind of its records."""
     longer = [*samples.SAMPLES["agreement"][5][0][:1], 8, 1, 1, [samples.NOOP, samples.ENTRY], 1, 5, 0, 1, 0]
     other = ["Append", 9, 2, 3, [[9, "c", {"kind": "noop"}]], 1, 6, 0, 1, 0]
     poll = ["Poll", 10, 9, 3, False]
@@ -164,7 +164,7 @@
 
 
 def produced():
-    """What the program itself hands to a journal: one frame of records for each source."""
+    """Return a frame of records as the program writes it to a journal, for each source."""
     return {
         "agreement: a member": {
             "bytes": program.frame_of_records(program.records_of_member(samples.STATE, heard_by_member()))
@@ -181,7 +181,7 @@
 
 
 def handed_over(directory):
-    """Files between two processes, and datagrams."""
+    """Return the files and datagrams that pass between two sibling processes."""
     out = {
         "state": by_file(directory, program.HANDOVER_STATE, program.write_handover_state, samples.HANDOVER),
         "learned": by_file(
@@ -223,7 +223,7 @@
 
 
 def everything(directory):
-    """{family: {label: {"bytes", "read"}}} by the program as it is."""
+    """Return {family: {label: {"bytes", "read"}}} as the present program produces them."""
     journals = {}
     for name in program.JOURNALS:
         raw = journal_file(name)
@@ -246,7 +246,7 @@
 
 
 def load(family):
-    """{label: {"bytes", "read"}} of a committed fixture; `read` is `bytes` where it is not told."""
+    """Return {label: {"bytes", "read"}} of a committed fixture; a missing `read` equals `bytes`."""
     told = json.loads((FIXTURES / f"{family}.json").read_text())
     out = {}
     for label, forms in told.items():
@@ -255,25 +255,25 @@
     return out
 
 
-HEX_A_LINE = 100
+HEX_DIGITS_PER_LINE = 100
 
 
 def lines_of(raw):
     text = raw.hex()
-    return [text[at : at + HEX_A_LINE] for at in range(0, len(text), HEX_A_LINE)]
+    return [text[at : at + HEX_DIGITS_PER_LINE] for at in range(0, len(text), HEX_DIGITS_PER_LINE)]
 
 
 def write_missing(directory):
-    """Writes the fixtures that are not there yet."""
+    """Write the missing fixtures."""
     FIXTURES.mkdir(parents=True, exist_ok=True)
     for family, told in everything(Path(directory)).items():
         path = FIXTURES / f"{family}.json"
         if path.exists():
-            print(f"{path.name} is there and stays")
+            print(f"{path.name} exists and stays")
             continue
         plain = {label: {name: lines_of(raw) for name, raw in forms.items()} for label, forms in told.items()}
         path.write_text(json.dumps(plain, indent=1) + "\n")
-        print(f"{path.name} is written")
+        print(f"{path.name} was written")
 
 
 if __name__ == "__main__":
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages and the code name the same things: modules, functions and log events."""
+"""The documentation names modules, functions and log events that exist in the code."""
 
 import ast
 import re
@@ -11,7 +11,7 @@
 PACKAGE = ROOT / "mastledge"
 # `package/module.py`, and `package/module.py:Class.method` or `package/module.py:function`.
 REFERENCE = re.compile(r"`((?:[a-z_]+/)*[a-z_]+\.py)(?::([A-Za-z_]+(?:\.[A-Za-z_]+)*))?`")
-# Calls that write a log line, by the name of what is called and what stands before the event.
+# Functions that write a log line, and the prefix that each puts before the event.
 LOG_CALLS = {
     "_log": "",
     "log": "",
@@ -22,7 +22,7 @@
     "LogEvent": "fleet_",
 }
 EVENT_ROW = re.compile(r"^\| `([a-zA-Z_]+)` \|(.*?)\| (info|warning|error)\b[^|]*\| [^|]+ \|$", re.MULTILINE)
-FIRST_LINES_OF_A_REFERENCE_PAGE = 10
+MIN_FUNCTION_REFERENCES = 10
 
 
 def page(name):
@@ -31,7 +31,7 @@
 
 @cache
 def names_in(module):
-    """All that a module defines: `function`, `Class`, `Class.method`, `Class.field`."""
+    """Return the names that a module defines: `function`, `Class` and `Class.method`."""
     names = set()
 
     def visit(node, prefix):
@@ -53,36 +53,36 @@
 @pytest.mark.parametrize(
     "name", ["architecture.md", "glossary.md", "design.md", "interface.md", "log-events.md"]
 )
-def test_every_module_and_function_that_a_page_names_exists(name):
+def test_every_module_and_function_named_in_a_page_exists(name):
     missing = []
     for path, member in references(name):
         if (ROOT / path).is_file():
             continue
         found = [(PACKAGE / path)] if "/" in path else list(PACKAGE.rglob(path))
-        modules = [one.relative_to(PACKAGE) for one in found if one.is_file()]
+        modules = [module_path.relative_to(PACKAGE) for module_path in found if module_path.is_file()]
         if not modules or (member and not any(member in names_in(module) for module in modules)):
             missing.append(f"{path}:{member}")
     assert not missing
 
 
-def test_the_architecture_page_names_a_function_for_each_step():
-    assert sum(bool(member) for _, member in references("architecture.md")) > FIRST_LINES_OF_A_REFERENCE_PAGE
+def test_architecture_page_names_enough_functions():
+    assert sum(bool(member) for _, member in references("architecture.md")) > MIN_FUNCTION_REFERENCES
 
 
-def served_modules():
-    """Modules that write the log: the laboratory has none."""
+def logging_modules():
+    """Return the modules that may write the log, which excludes `lab`."""
     return [path for path in sorted(PACKAGE.rglob("*.py")) if "lab" not in path.relative_to(PACKAGE).parts]
 
 
-def name_of(function):
-    """The name of what is called; `log` for `log.write`."""
+def called_name(function):
+    """Return the name of a called function; `log` for `log.write`."""
     if isinstance(function, ast.Attribute) and function.attr == "write":
-        return name_of(function.value)
+        return called_name(function.value)
     return function.attr if isinstance(function, ast.Attribute) else getattr(function, "id", "")
 
 
 def literal_texts(node):
-    """The texts that an expression may give; NAME for what stands in braces; None where it can't be told."""
+    """Return the possible texts of an expression, with NAME for each replacement field; None if unknown."""
     if isinstance(node, ast.Constant) and isinstance(node.value, str):
         return [node.value]
     if isinstance(node, ast.JoinedStr):
@@ -93,8 +93,8 @@
     return None
 
 
-def fields_of(call):
-    """Names of the fields of a log line, as far as they are written out in the call."""
+def fields_in_call(call):
+    """Return the names of the log fields that are written out in a call."""
     fields = {keyword.arg for keyword in call.keywords if keyword.arg}
     for argument in call.args[1:]:
         if isinstance(argument, ast.Dict):
@@ -102,34 +102,34 @@
     return fields
 
 
-def logged():
-    """Events that the code writes, each with its fields."""
+def logged_events():
+    """Return the events that the code writes, each with its fields."""
     events = {}
-    for path in served_modules():
+    for path in logging_modules():
         for node in ast.walk(ast.parse(path.read_text())):
-            if isinstance(node, ast.Call) and node.args and name_of(node.func) in LOG_CALLS:
-                prefix = LOG_CALLS[name_of(node.func)]
+            if isinstance(node, ast.Call) and node.args and called_name(node.func) in LOG_CALLS:
+                prefix = LOG_CALLS[called_name(node.func)]
                 for text in literal_texts(node.args[0]) or ():
-                    events.setdefault(prefix + text, set()).update(fields_of(node))
+                    events.setdefault(prefix + text, set()).update(fields_in_call(node))
     return events
 
 
-def documented():
+def documented_events():
     return {
         event: set(re.findall(r"`([a-z_]+)`", fields))
         for event, fields, _ in EVENT_ROW.findall(page("log-events.md"))
     }
 
 
-# Events whose name the code puts together, or that it writes without a call of the log.
+# Events with a computed name, or written without a log function.
 NOT_LITERAL = {"line_unwritable"}
 
 
-def test_every_event_has_a_row_and_every_row_an_event():
-    assert set(logged()) | NOT_LITERAL == set(documented())
+def test_logged_and_documented_events_are_the_same():
+    assert set(logged_events()) | NOT_LITERAL == set(documented_events())
 
 
-def test_every_field_of_an_event_is_named_in_its_row():
-    rows = documented()
-    missing = {event: fields - rows.get(event, set()) for event, fields in logged().items()}
+def test_every_field_of_an_event_is_documented():
+    rows = documented_events()
+    missing = {event: fields - rows.get(event, set()) for event, fields in logged_events().items()}
     assert not {event: fields for event, fields in missing.items() if fields}
--- a/tests/test_stored_and_wire_forms.py
+++ b/tests/test_stored_and_wire_forms.py
@@ -1,6 +1,6 @@
-"""Every stored file and every frame on a wire is read, and written back byte for byte as it was committed.
+"""Every stored file and every frame on the wire is decoded, and encoded to the committed bytes again.
 
-The fixtures are bytes under labels; `form_names.py` alone names the program.
+The fixtures are labelled bytes; only `form_names.py` uses names of the program.
 """
 
 import struct
@@ -14,19 +14,19 @@
 
 ALL_SET, BY_DEFAULT = ", all set", ", by default"
 FAMILIES = list(program.MESSAGES)
-TORN = [b"\xa5", b"\xa5frm\x00\x00\x01\x00half", b"\xa5frm\x00\x00\x00\x01\x00\x00\x00\x00\x90"]
+TORN_ENDS = [b"\xa5", b"\xa5frm\x00\x00\x01\x00half", b"\xa5frm\x00\x00\x00\x01\x00\x00\x00\x00\x90"]
 JOURNAL_KINDS = {
     "agreement": {"identity", "hard", "snapshot", "entry", "cut"},
     "repeats": {"claim", "end", "drop"},
     "copies": {"holder", "fence", "claim", "end", "drop"},
     "recovery": {"list", "out", "learned"},
 }
-DIFFERENT_SESSIONS = 7  # of 9: after these frames 502 leads to the same as 503, and 499 to the same as 504
+DISTINCT_SESSIONS = 7  # of 9: in these frames 502 has the same result as 503, and 499 as 504
 ADAPTER_ACTIONS = {1, 2, 3, 4, 5, 8, 10, 11}
 
 
 def cases(*families):
-    """(family, label) of each committed form."""
+    """Return (family, label) of each committed fixture."""
     return [
         pytest.param(family, label, id=f"{family}: {label}")
         for family in families
@@ -39,32 +39,32 @@
 
 
 @pytest.mark.parametrize(("family", "label"), cases(*(f"messages-{family}" for family in FAMILIES)))
-def test_a_message_is_read_and_written_back(family, label):
-    made, told = program.MESSAGES[family.removeprefix("messages-")], form(family, label)
-    assert made.written(made.read(told["read"])) == told["bytes"]
-    assert made.written(made.read(told["bytes"])) == told["bytes"]
+def test_message_round_trips(family, label):
+    made, fixture = program.MESSAGES[family.removeprefix("messages-")], form(family, label)
+    assert made.written(made.read(fixture["read"])) == fixture["bytes"]
+    assert made.written(made.read(fixture["bytes"])) == fixture["bytes"]
 
 
 def wire_form(family, label):
-    """A message as the plain list that is on the wire."""
+    """Return a message as the plain list that is on the wire."""
     raw = form(f"messages-{family}", label)["bytes"]
     return msgspec.msgpack.decode(raw[len(program.MESSAGES[family].mark) :])
 
 
 @pytest.mark.parametrize("family", FAMILIES)
-def test_each_message_that_a_decoder_knows_has_its_fixtures(family):
+def test_each_message_class_has_its_fixtures(family):
     known = program.MESSAGES[family].classes()
     wanted = {f"{tag}{ALL_SET}" for tag in known}
     wanted |= {f"{tag}{BY_DEFAULT}" for tag, made in known.items() if optional_fields(made)}
     labels = set(forms.load(f"messages-{family}"))
-    # One that is short by what it holds alone, as a batch of short records, comes on top.
+    # A message without optional fields may have a short fixture too, if it holds short records.
     assert wanted <= labels <= {tag + suffix for tag in known for suffix in (ALL_SET, BY_DEFAULT)}
     for label in labels:
         assert wire_form(family, label)[0] == label.rpartition(",")[0]
 
 
 def optional_fields(made):
-    """(place on the wire, what stands in) of each field that may be missing."""
+    """Return {position on the wire: default} of each field that may be missing."""
     out = {}
     for place, field in enumerate(msgspec.structs.fields(made), 1):
         if not field.required:
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("family", FAMILIES)
-def test_a_full_fixture_sets_each_optional_field_and_a_short_one_none(family):
+def test_full_fixture_sets_each_optional_field_and_short_one_none(family):
     for tag, made in program.MESSAGES[family].classes().items():
         full, optional = wire_form(family, f"{tag}{ALL_SET}"), optional_fields(made)
         assert len(full) == 1 + len(msgspec.structs.fields(made))
@@ -87,24 +87,28 @@
 
 
 @pytest.mark.parametrize("family", FAMILIES)
-def test_a_message_of_an_unknown_tag_is_refused(family):
+def test_message_with_an_unknown_tag_is_rejected(family):
     made = program.MESSAGES[family]
     with pytest.raises((msgspec.MsgspecError, ValueError)):
         made.read(made.mark + msgspec.msgpack.encode(["NoSuchMessage", 1]))
 
 
-WRAPPED = {"copies: frame": program.COPIES_FRAME, "copies: list": program.COPIES_LIST, "hello": program.HELLO}
+WRAPPERS = {
+    "copies: frame": program.COPIES_FRAME,
+    "copies: list": program.COPIES_LIST,
+    "hello": program.HELLO,
+}
 
 
 @pytest.mark.parametrize(("family", "label"), cases("frames"))
-def test_what_is_wrapped_round_messages_is_read_and_written_back(family, label):
-    (made,) = [made for name, made in WRAPPED.items() if label.startswith(name)]
-    told = form(family, label)
-    assert made.written(made.read(told["read"])) == told["bytes"]
-    assert made.written(made.read(told["bytes"])) == told["bytes"]
+def test_frame_around_messages_round_trips(family, label):
+    (made,) = [made for name, made in WRAPPERS.items() if label.startswith(name)]
+    fixture = form(family, label)
+    assert made.written(made.read(fixture["read"])) == fixture["bytes"]
+    assert made.written(made.read(fixture["bytes"])) == fixture["bytes"]
 
 
-def test_frames_of_copies_hold_each_message_that_their_decoder_knows():
+def test_frames_of_copies_hold_each_message_class():
     frame = form("frames", "copies: frame, all messages")["bytes"]
     listed = form("frames", "copies: list, all messages")["bytes"]
     _, messages = msgspec.msgpack.decode(frame[len(program.COPIES_FRAME.mark) :])
@@ -112,13 +116,13 @@
     assert {one[0] for one in messages} == {one[0] for one in msgspec.msgpack.decode(listed)} == known
 
 
-def test_the_first_bytes_tell_frames_apart():
-    # Agreement begins with a list of MessagePack; C1 is no MessagePack, and C1 R is of a start.
+def test_first_bytes_distinguish_frames():
+    # Raft messages begin with a MessagePack list, never with C1; C1 R marks recovery messages.
     assert (program.COPIES_FRAME.mark, program.MESSAGES["recovery"].mark) == (b"\xc1", b"\xc1R")
     for forms_of in (forms.load("messages-agreement"), forms.load("frames")):
-        for label, told in forms_of.items():
-            assert (told["bytes"][:1] == b"\xc1") == label.startswith("copies: frame")
-    assert all(told["bytes"][1:2] != b"R" for told in forms.load("frames").values())
+        for label, fixture in forms_of.items():
+            assert (fixture["bytes"][:1] == b"\xc1") == label.startswith("copies: frame")
+    assert all(fixture["bytes"][1:2] != b"R" for fixture in forms.load("frames").values())
 
 
 @pytest.fixture
@@ -128,12 +132,12 @@
     made.close()
 
 
-def test_a_link_sends_these_bytes(link_ends):
+def test_link_sends_the_committed_bytes(link_ends):
     stream = form("link", "stream")["bytes"]
     assert link_ends.sends(samples.LINK_CONTENTS, len(stream)) == stream
 
 
-def test_a_link_takes_these_bytes_and_answers_each_frame_with_one():
+def test_link_receives_the_committed_bytes_and_acknowledges_each_frame():
     stream, receiver = form("link", "stream")["bytes"], LinkEnds("fleet-1", "n1", "life-n1")
     try:
         heard, back = receiver.receives(stream, len(samples.LINK_CONTENTS))
@@ -146,8 +150,8 @@
 # Journals
 
 
-def opened(directory, name, raw):
-    """What is on the disk after a journal of these bytes was opened, and its fewest records."""
+def open_and_close(directory, name, raw):
+    """Open a journal of these bytes; return its bytes afterwards and its compacted records."""
     directory.mkdir(exist_ok=True)
     (directory / name).write_bytes(raw)
     kept = program.JOURNALS[name]()
@@ -157,7 +161,7 @@
 
 
 def frame_contents(raw):
-    """Content of each frame of a journal, beginning with its head."""
+    """Return (frame, content) of each frame of a journal, beginning with its head."""
     at, out = len(program.JOURNAL_MAGIC), []
     assert raw.startswith(b"mastledge journal\n")
     assert program.JOURNAL_MAGIC == b"mastledge journal\n"
@@ -171,7 +175,7 @@
 
 @pytest.mark.parametrize("name", program.JOURNALS)
 @pytest.mark.parametrize("suffix", ["", ", written anew"])
-def test_each_frame_of_a_journal_is_read_and_written_back(name, suffix):
+def test_each_frame_of_a_journal_round_trips(name, suffix):
     raw = form("journals", name + suffix)["bytes"]
     (head, _), *frames = frame_contents(raw)
     assert program.journal_head(samples.JOURNAL_OWNERS[name]) == program.JOURNAL_MAGIC + head
@@ -180,7 +184,7 @@
 
 
 @pytest.mark.parametrize("name", program.JOURNALS)
-def test_a_journal_has_each_kind_of_record(name):
+def test_journal_fixture_has_each_kind_of_record(name):
     _, *frames = frame_contents(form("journals", name)["bytes"])
     assert {
         record[0] for _, content in frames for record in msgspec.msgpack.decode(content)
@@ -188,86 +192,86 @@
 
 
 @pytest.mark.parametrize("name", program.JOURNALS)
-def test_a_journal_that_is_opened_stays_as_it_is(name, tmp_path):
+def test_opening_a_journal_leaves_it_unchanged(name, tmp_path):
     raw = form("journals", name)["bytes"]
-    assert opened(tmp_path, name, raw)[0] == raw
+    assert open_and_close(tmp_path, name, raw)[0] == raw
 
 
 @pytest.mark.parametrize("name", program.JOURNALS)
-def test_a_journal_is_written_anew_with_these_bytes(name, tmp_path):
-    anew = form("journals", f"{name}, written anew")["bytes"]
-    assert forms.rewritten_journal(tmp_path, name, form("journals", name)["bytes"]) == anew
-    assert forms.rewritten_journal(tmp_path, name, anew) == anew
+def test_compacted_journal_has_the_committed_bytes(name, tmp_path):
+    compacted = form("journals", f"{name}, written anew")["bytes"]
+    assert forms.rewritten_journal(tmp_path, name, form("journals", name)["bytes"]) == compacted
+    assert forms.rewritten_journal(tmp_path, name, compacted) == compacted
 
 
 @pytest.mark.parametrize("name", program.JOURNALS)
-@pytest.mark.parametrize("torn", TORN, ids=["a byte", "half a frame", "a spoilt frame"])
-def test_a_torn_end_of_a_journal_is_cut_off(name, torn, tmp_path):
+@pytest.mark.parametrize("torn", TORN_ENDS, ids=["a byte", "half a frame", "a spoilt frame"])
+def test_torn_end_of_a_journal_is_truncated(name, torn, tmp_path):
     raw = form("journals", name)["bytes"]
-    after, records = opened(tmp_path / "torn", name, raw + torn)
-    whole, expected = opened(tmp_path / "whole", name, raw)
+    after, records = open_and_close(tmp_path / "torn", name, raw + torn)
+    whole, expected = open_and_close(tmp_path / "whole", name, raw)
     assert after == whole == raw
     assert program.frame_of_records(records) == program.frame_of_records(expected)
 
 
 @pytest.mark.parametrize("name", program.JOURNALS)
-def test_a_journal_that_is_cut_in_its_last_frame_keeps_those_before(name, tmp_path):
+def test_journal_cut_in_its_last_frame_keeps_earlier_frames(name, tmp_path):
     raw = form("journals", name)["bytes"]
     last, _ = frame_contents(raw)[-1]
-    after, _ = opened(tmp_path, name, raw[:-1])
+    after, _ = open_and_close(tmp_path, name, raw[:-1])
     assert after == raw[: -len(last)]
 
 
-def test_a_member_hands_these_records_to_its_journal():
+def test_member_writes_the_committed_records():
     made = program.frame_of_records(program.records_of_member(samples.STATE, forms.heard_by_member()))
-    told = form("journal-records", "agreement: a member")["bytes"]
-    assert made == told
-    assert {record[0] for record in msgspec.msgpack.decode(told[12:])} == JOURNAL_KINDS["agreement"]
+    fixture = form("journal-records", "agreement: a member")["bytes"]
+    assert made == fixture
+    assert {record[0] for record in msgspec.msgpack.decode(fixture[12:])} == JOURNAL_KINDS["agreement"]
 
 
 @pytest.mark.parametrize(("label", "claim"), [("repeats: a book", ""), ("copies: a book", "1.run-1.n0")])
-def test_a_book_of_keys_hands_these_records_to_its_journal(label, claim):
+def test_key_table_writes_the_committed_records(label, claim):
     made = program.frame_of_records(program.records_of_book(program.book_of_keys(), claim))
-    told = form("journal-records", label)["bytes"]
-    assert made == told
-    assert {record[0] for record in msgspec.msgpack.decode(told[12:])} == JOURNAL_KINDS["repeats"]
+    fixture = form("journal-records", label)["bytes"]
+    assert made == fixture
+    assert {record[0] for record in msgspec.msgpack.decode(fixture[12:])} == JOURNAL_KINDS["repeats"]
 
 
-def test_a_holder_of_copies_hands_these_records_to_its_journal():
-    told = form("journal-records", "copies: a holder")["bytes"]
-    assert forms.frame_of_holder() == told
-    assert {record[0] for record in msgspec.msgpack.decode(told[12:])} == JOURNAL_KINDS["copies"]
+def test_replica_writes_the_committed_records():
+    fixture = form("journal-records", "copies: a holder")["bytes"]
+    assert forms.frame_of_holder() == fixture
+    assert {record[0] for record in msgspec.msgpack.decode(fixture[12:])} == JOURNAL_KINDS["copies"]
 
 
-def test_a_dispatcher_hands_these_records_of_a_start_to_its_journal():
-    told = form("journal-records", "recovery: a dispatcher")["bytes"]
-    assert forms.frame_of_start() == told
-    assert {record[0] for record in msgspec.msgpack.decode(told[12:])} == JOURNAL_KINDS["recovery"]
+def test_recovery_writes_the_committed_records():
+    fixture = form("journal-records", "recovery: a dispatcher")["bytes"]
+    assert forms.frame_of_start() == fixture
+    assert {record[0] for record in msgspec.msgpack.decode(fixture[12:])} == JOURNAL_KINDS["recovery"]
 
 
 @pytest.mark.parametrize(
     "label", ["agreement: a member", "repeats: a book", "copies: a holder", "recovery: a dispatcher"]
 )
-def test_what_was_handed_to_a_journal_is_read_at_the_next_start(label, tmp_path):
+def test_written_records_are_loaded_at_the_next_start(label, tmp_path):
     name, frame = label.partition(":")[0], form("journal-records", label)["bytes"]
     raw = program.journal_head(samples.JOURNAL_OWNERS[name]) + frame
-    after, records = opened(tmp_path, name, raw)
+    after, records = open_and_close(tmp_path, name, raw)
     assert after == raw
     assert records
 
 
-# Documents and files between two processes
+# Documents, and files between sibling processes
 
 
 @pytest.mark.parametrize(("family", "label"), cases("snapshots"))
-def test_a_snapshot_of_a_fleet_is_read_and_written_back(family, label):
+def test_fleet_snapshot_round_trips(family, label):
     raw = form(family, label)["bytes"]
     assert program.fleet_snapshot_again(raw) == raw
 
 
-def test_a_snapshot_of_these_values_has_these_bytes():
+def test_fleet_snapshot_has_the_committed_bytes():
     assert forms.snapshots_of() == {
-        label: {"bytes": told["bytes"]} for label, told in forms.load("snapshots").items()
+        label: {"bytes": fixture["bytes"]} for label, fixture in forms.load("snapshots").items()
     }
 
 
@@ -280,49 +284,49 @@
 
 
 @pytest.mark.parametrize("label", FILES)
-def test_a_file_between_two_processes_is_read_and_written_back(label, tmp_path):
+def test_file_between_sibling_processes_round_trips(label, tmp_path):
     raw, (name, read, write) = form("handover", label)["bytes"], FILES[label]
     there, back = tmp_path / "there", tmp_path / "back"
     there.mkdir()
     (there / name).write_bytes(raw)
-    # Who says that it has taken something up is heard by the other process alone.
-    process, clock = forms.as_this_process()
+    # `taken` is read by the other process only, so its reader must have another process id.
+    process, clock = forms.patched_process()
     with clock:
         if label == "taken":
-            told = read(there)
-            assert told == {"from": samples.PROCESS, "index": samples.TAKEN["index"]}
+            fixture = read(there)
+            assert fixture == {"from": samples.PROCESS, "index": samples.TAKEN["index"]}
         else:
             with process:
-                told = read(there)
-    assert told
-    assert forms.by_file(back, name, write, told) == raw
+                fixture = read(there)
+    assert fixture
+    assert forms.by_file(back, name, write, fixture) == raw
 
 
-def test_a_fleet_tells_the_process_beside_this_one_these_parts_of_its_state(tmp_path):
-    told = {**samples.SAID, "state": program.brief_of_fleet(samples.STATE)}
+def test_state_shared_with_the_sibling_process_has_the_committed_bytes(tmp_path):
+    fixture = {**samples.SAID, "state": program.brief_of_fleet(samples.STATE)}
     raw = form("handover", "said by a fleet")["bytes"]
-    assert forms.by_file(tmp_path, "said", program.write_said, told) == raw
+    assert forms.by_file(tmp_path, "said", program.write_said, fixture) == raw
 
 
-def test_what_decisions_have_learned_is_read_and_written_back(tmp_path):
+def test_learned_values_round_trip(tmp_path):
     raw = form("handover", "learned by decisions")["bytes"]
     name, write = program.HANDOVER_LEARNED, program.write_handover_learned
     assert forms.by_file(tmp_path / "there", name, write, program.learned_of_decisions()) == raw
-    _, clock = forms.as_this_process()
+    _, clock = forms.patched_process()
     with clock:
-        told = program.read_handover_learned(tmp_path / "there")
-    assert forms.by_file(tmp_path / "back", name, write, program.learned_again(told)) == raw
+        fixture = program.read_handover_learned(tmp_path / "there")
+    assert forms.by_file(tmp_path / "back", name, write, program.learned_again(fixture)) == raw
 
 
 @pytest.mark.parametrize("job", samples.JOBS)
-def test_a_job_that_is_handed_on_is_taken_up_and_handed_on_again(job, tmp_path):
+def test_handed_off_job_round_trips(job, tmp_path):
     raw = form("handover", f"datagram: {job}")["bytes"]
-    told = program.taken_up(raw)
-    assert told == samples.JOBS[job]
-    assert program.handed_on(tmp_path, told) == raw
+    fixture = program.taken_up(raw)
+    assert fixture == samples.JOBS[job]
+    assert program.handed_on(tmp_path, fixture) == raw
 
 
-def test_each_file_and_datagram_between_two_processes_has_its_test():
+def test_each_file_and_datagram_between_sibling_processes_has_its_test():
     assert set(forms.load("handover")) == {
         *FILES,
         "learned by decisions",
@@ -331,53 +335,55 @@
     }
 
 
-# Messages of the decisions, and the bench
+# Load messages and the adapter
 
 
 @pytest.mark.parametrize("label", samples.BALANCE_MESSAGES)
-def test_what_the_decisions_tell_one_another_is_read_and_written_back(label):
+def test_load_message_round_trips(label):
     raw = form("balance-messages", label)["bytes"]
     assert program.balance_message(*samples.BALANCE_MESSAGES[label]) == raw
     assert program.balance_message_again(raw) == raw
 
 
 @pytest.mark.parametrize(("family", "label"), cases("adapter"))
-def test_the_adapter_answers_a_session_with_these_bytes(family, label):
-    told = form(family, label)
-    assert forms.adapter_answers(told["read"]) == told["bytes"]
+def test_adapter_answers_a_session_with_the_committed_bytes(family, label):
+    fixture = form(family, label)
+    assert forms.adapter_answers(fixture["read"]) == fixture["bytes"]
 
 
-def test_each_ending_has_a_session_and_they_differ_in_what_follows():
+def test_each_outcome_has_a_session_and_seven_results_differ():
     assert set(program.ENDINGS) == set(samples.ENDING_CODES)
-    sessions = {label: told["bytes"] for label, told in forms.load("adapter").items()}
+    sessions = {label: fixture["bytes"] for label, fixture in forms.load("adapter").items()}
     assert set(sessions) == {"session", *(f"ending {how}" for how in samples.ENDING_CODES)}
-    assert len(set(sessions.values())) == DIFFERENT_SESSIONS
+    assert len(set(sessions.values())) == DISTINCT_SESSIONS
 
 
-def test_the_session_has_each_kind_of_event_and_leads_to_each_kind_of_answer():
-    told = form("adapter", "session")
-    events = {code for _, records, _ in program.event_frames(told["read"]) for code, *_ in records}
+def test_session_covers_each_kind_of_event_and_answer():
+    fixture = form("adapter", "session")
+    events = {code for _, records, _ in program.event_frames(fixture["read"]) for code, *_ in records}
     assert events == set(program.EVENT_LAYOUTS)
     assert len(events) == 12
     answers = {
-        struct.unpack(">H", one[:2])[0] for records, _ in forms.answers_of(told["bytes"]) for one in records
+        struct.unpack(">H", one[:2])[0]
+        for records, _ in forms.answers_of(fixture["bytes"])
+        for one in records
     }
     assert answers == set(program.ACTION_LAYOUTS) == ADAPTER_ACTIONS
 
 
-def test_each_frame_of_the_session_is_read_and_written_back():
+def test_each_frame_of_the_session_round_trips():
     raw = form("adapter", "session")["read"]
     again = [samples.event_frame(clock, records, tail) for clock, records, tail in program.event_frames(raw)]
     assert b"".join(again) == raw
 
 
-def test_each_answer_of_the_session_is_read_and_written_back():
+def test_each_answer_of_the_session_round_trips():
     raw = form("adapter", "session")["bytes"]
     assert b"".join(program.answer_of(records, tail) for records, tail in forms.answers_of(raw)) == raw
 
 
 @pytest.mark.parametrize("code", ADAPTER_ACTIONS)
-def test_each_record_of_an_answer_is_read_and_written_back(code):
+def test_each_record_of_an_answer_round_trips(code):
     pack = program.ACTION_LAYOUTS[code]
     layout = pack.__self__
     for records, _ in forms.answers_of(form("adapter", "session")["bytes"]):
@@ -387,10 +393,10 @@
                 assert pack(*layout.unpack(record)) == record
 
 
-# The guard itself
+# The fixtures themselves
 
 
-def test_every_fixture_file_is_used_by_a_test_here():
+def test_every_fixture_file_is_used():
     used = {f"messages-{family}" for family in FAMILIES} | {
         "frames",
         "link",
@@ -404,7 +410,7 @@
     assert {path.stem for path in forms.FIXTURES.iterdir()} == used
 
 
-def test_a_fixture_is_never_replaced(tmp_path, monkeypatch, capsys):
+def test_existing_fixture_is_not_replaced(tmp_path, monkeypatch, capsys):
     monkeypatch.setattr(forms, "FIXTURES", tmp_path)
     monkeypatch.setattr(forms, "everything", lambda directory: {"one": {"label": {"bytes": b"new"}}})
     (tmp_path / "one.json").write_text("{}")
--- a/tests/test_stored_folders.py
+++ b/tests/test_stored_folders.py
@@ -1,14 +1,12 @@
-"""Data folders written by an older version are read: the committed ones hold at a process of now.
+"""Data directories that an older version wrote are loaded by the present program.
 
-tests/write_stored_folders.py tells what wrote tests/fixtures/folders and what is in them. A test copies
-a folder, starts a real dispatcher on it beside stand-ins, and sees by what the dispatcher does that the
-folder is in force.
+tests/write_stored_folders.py describes tests/fixtures/folders and writes it. Each test copies a folder,
+starts a real dispatcher on it with stub servers, and checks by its behaviour that the data is in force.
 
-Why it holds at any later date: keys were written with a `keep_ms` of a hundred years. The agreement has
-no time that ends it, and a fleet of one never dials the address stored for its member. A list of the
-`recovery` folder is worth `list_ms` at most, so there the test moves the time stamps to now, as of
-another boot, and puts the stand-ins' addresses of this run in the place of those of the run that wrote
-it. `Frames` does that by docs/formats.md alone.
+The fixtures don't expire: keys were stored with a retention of a hundred years, the raft state has no
+expiry, and a fleet of one never connects to the stored address of its member. A list in the `recovery`
+folder expires after `list_ms`, so the test moves its time stamps to now, as of another boot, and replaces
+the addresses of the stub servers. `Frames` follows docs/formats.md and uses nothing of the package.
 """
 
 import json
@@ -36,18 +34,18 @@
 )
 
 FOLDERS = Path(__file__).resolve().parent / "fixtures" / "folders"
-JOBS = 20
-FREE = next(name for name in WORKERS if name != RESTRICTED)
+JOB_COUNT = 20
+UNRESTRICTED = next(name for name in WORKERS if name != RESTRICTED)
 
 
 class Frames:
-    """A journal as docs/formats.md tells it: a line, then frames of mark, length, CRC-32 and content."""
+    """The journal format of docs/formats.md: a line, then frames of mark, length, CRC-32 and content."""
 
     LINE, MARK, HEAD = b"mastledge journal\n", b"\xa5frm", struct.Struct(">4sII")
 
     @classmethod
     def read(cls, path):
-        """The head's content, and each list of records behind it."""
+        """Return the content of the head, and the list of records of each further frame."""
         raw = path.read_bytes()
         assert raw.startswith(cls.LINE)
         at, contents = len(cls.LINE), []
@@ -72,14 +70,14 @@
         return zlib.crc32(struct.pack(">I", len(content)) + content)
 
 
-def brought_to_now(path, site):
-    """Moves what a recovery folder holds to this moment and to the stand-ins of this run."""
+def move_to_present(path, site):
+    """Move the records of a recovery folder to the present time and to the stub servers of this run."""
     head, frames = Frames.read(path)
     now = time.time_ns() // 1000
     shift = now - max(record[1] for records in frames for record in records)
     for record in (record for records in frames for record in records):
         what, at = record[:2]
-        # Monotonic times end with their boot, and the one that wrote this is over.
+        # Monotonic times are valid within one boot only.
         record[1], record[3] = at + shift, "the boot that wrote it"
         if what == "list":
             record[4] = site.registry()
@@ -93,16 +91,16 @@
 
 @pytest.fixture
 def stored(tmp_path):
-    """Makes a site on a copy of the folders of one kind; the process is still to be started."""
+    """Return a function that makes a site on a copy of the folders of a kind, without starting it."""
     sites = []
 
-    def made(kind, **options):
+    def make_site(kind, **options):
         place = tmp_path / kind
         shutil.copytree(FOLDERS / kind, place)
         sites.append(Site(place, kind, **options))
         return sites[-1]
 
-    yield made
+    yield make_site
     for site in sites:
         site.end()
 
@@ -115,8 +113,8 @@
     return {record[0] for records in Frames.read(path)[1] for record in records}
 
 
-def served_by_the_free_one(site):
-    return site.served(JOBS) == {FREE: JOBS, RESTRICTED: 0}
+def only_unrestricted_worker_serves(site):
+    return site.served(JOB_COUNT) == {UNRESTRICTED: JOB_COUNT, RESTRICTED: 0}
 
 
 @pytest.mark.parametrize(
@@ -128,18 +126,18 @@
         ("recovery/recovery/recovery", {"list", "out", "learned"}),
     ],
 )
-def test_the_committed_folders_hold_the_records_that_this_guard_is_of(journal, kinds):
+def test_committed_folders_hold_each_kind_of_record(journal, kinds):
     assert kinds_of_records(FOLDERS / journal) >= kinds
 
 
-def test_the_committed_agreement_holds_changes_of_these_kinds_behind_its_snapshot():
+def test_committed_raft_log_holds_each_kind_of_change_after_its_snapshot():
     _, frames = Frames.read(FOLDERS / "agreement" / "peers" / "agreement")
     entries = [record[2] for records in frames for record in records if record[0] == "entry"]
     kinds = {change["kind"] for _, _, change in entries}
     assert kinds >= {"out", "back", "settings", "patch", "relays", "add", "remove"}
 
 
-def test_agreed_settings_and_the_worker_excluded_by_hand_are_in_force_again(stored):
+def test_stored_settings_and_excluded_worker_are_in_force(stored):
     site = stored("agreement")
     site.start()
     agreed = site.told("/api/agreed")
@@ -152,37 +150,39 @@
     assert status == 200
     assert headers["ETag"] == f'"{version}"'
     assert json.loads(content)["excessUtility"] == PATCHED_UTILITY
-    # The file names no such type: only the agreed settings do.
+    # Only the committed settings have this queue type, the configuration file has not.
     status, content = site.job(kind=AGREED_TYPE)
     assert status == 200, content
-    assert served_by_the_free_one(site)
-    # Nothing but that word kept it off.
+    assert only_unrestricted_worker_serves(site)
+    # The worker was kept off by the exclusion alone.
     assert site.call("POST", f"/api/include/{RESTRICTED}")[0] == 200
     wait_until(lambda: site.served(1)[RESTRICTED], "the included worker is used")
 
 
 @pytest.mark.parametrize("kind", ["repeats", "copies"])
-def test_a_stored_key_is_answered_as_before_and_nothing_runs_again(kind, stored):
+def test_stored_key_is_answered_as_before_without_a_launch(kind, stored):
     site = stored(kind)
     site.start()
     wait_until(lambda: site.call("GET", "/api/copies")[0] == 200, "the keys are read")
     if kind == "copies":
-        wait_until(lambda: site.told("/api/copies")["takes_part"], "the folder's start is agreed")
+        wait_until(
+            lambda: site.told("/api/copies")["takes_part"], "the start of the data directory is committed"
+        )
     status, content = site.job(ANSWERED_KEY)
     assert (status, content.decode()) == (200, written(kind)["answer"])
-    # The body's fingerprint is stored as well.
+    # The fingerprint of the body is stored as well.
     assert site.job(ANSWERED_KEY, body=BODY + b"!")[0] == 422
-    # It ran when its dispatcher was killed: nobody launches it again.
+    # This job ran when its dispatcher was killed, and is not launched again.
     assert site.job(OPEN_KEY)[0] == 409
     assert not any(worker.ran for worker in site.workers)
-    # A key that is not stored is launched, so what kept the others back is the folder.
+    # A new key is launched, so it was the stored data that prevented the other launches.
     assert site.job("key-new")[0] == 200
     assert [key for worker in site.workers for key, _ in worker.ran] == ["key-new"]
 
 
-def test_a_worker_that_the_stored_list_restricts_stays_off_by_an_older_list(stored):
+def test_worker_restricted_by_the_stored_list_stays_restricted_with_an_older_list(stored):
     site = stored("recovery", generation=STORED_GENERATION - 1)
-    brought_to_now(site.place / "recovery" / "recovery", site)
+    move_to_present(site.place / "recovery" / "recovery", site)
     site.start()
     told = site.told("/api/recovery")
     assert told["believed"]["not"] == {}
@@ -190,8 +190,8 @@
     assert told["believed"]["learned"]
     assert told["believed"]["out"] == 1
     assert wait_until(lambda: site.told("/api/recovery")["kept_off"], "kept off") == [RESTRICTED]
-    assert served_by_the_free_one(site)
-    # The list of now calls it ready; once that is a newer one than the stored, it counts.
+    assert only_unrestricted_worker_serves(site)
+    # The present list has the worker as ready, and applies once it is newer than the stored one.
     site.discovery.generation = STORED_GENERATION + 1
-    wait_until(lambda: not site.told("/api/recovery")["kept_off"], "the newer list is believed")
+    wait_until(lambda: not site.told("/api/recovery")["kept_off"], "the newer list is in force")
     wait_until(lambda: site.served(1)[RESTRICTED], "the freed worker is used")
--- a/tests/write_stored_folders.py
+++ b/tests/write_stored_folders.py
@@ -1,19 +1,20 @@
-"""Writes tests/fixtures/folders: data folders of real dispatcher processes, for test_stored_folders.py.
+"""Write tests/fixtures/folders, the data directories of real processes for test_stored_folders.py.
 
-Run by hand from the root, and only to add a kind or to take up folders of a newer format beside the old
-ones:
+Run it by hand from the root, only to add a kind or to add folders of a newer format beside the old ones:
 
     python tests/write_stored_folders.py [KIND ...]
 
-A folder that is committed stays as it was written: it stands for what operators have on their disks.
-Each process is killed (SIGKILL) at its end, so the files are as a crash leaves them. `written.json`
-beside the folders names the version that wrote them and the answer that was given to the key.
-
-Agreement: settings of version 2 name a further queue type. So many changes of w1 follow that the journal
-begins with a snapshot; behind it stand entries of each kind that a fleet of one can make without copies,
-and the last one excludes w1. Repeats and copies: one key is answered, the job of another one runs when
-the process is killed; `copies` is a fleet of one, as it has the same records as one of three. Recovery:
-a list of generation 7 in which w1 is draining, what was learned of the workers, and a job out at w0.
+A committed folder is never written again, as it stands for data that operators have on their disks. Each
+process is killed (SIGKILL) at its end, so the files are as a crash leaves them. `written.json` beside the
+folders names the commit that wrote them and the answer that was given to the key.
+
+- agreement: the settings of version 2 add a queue type. Then w1 is excluded and included until the log is
+  compacted to a snapshot. Entries of each kind that a fleet of one can make without replicas follow; the
+  last one excludes w1.
+- repeats, copies: one key is answered, the job of another runs when the process is killed. `copies` is a
+  fleet of one, which has the same records as a fleet of three.
+- recovery: a list of generation 7 in which w1 is draining, learned values of the workers, and a launch in
+  flight at w0.
 """
 
 import contextlib
@@ -42,24 +43,24 @@
 
 FOLDERS = Path(__file__).resolve().parent / "fixtures" / "folders"
 SNAPSHOT_AFTER = 300
-"""Pairs of changes: more entries than those after which a member makes a snapshot."""
+"""Pairs of changes: enough entries for a member to make a snapshot."""
 
 
 def open_job(site):
-    """Hands a job in that is still at its worker when the process is killed."""
+    """Send a job that is still running when the process is killed."""
 
-    def handed_in():
-        with contextlib.suppress(OSError):  # its dispatcher is killed
+    def send_open_job():
+        with contextlib.suppress(OSError):  # the dispatcher is killed before it answers
             site.job(OPEN_KEY)
 
-    threading.Thread(target=handed_in, daemon=True).start()
+    threading.Thread(target=send_open_job, daemon=True).start()
     wait_until(
         lambda: any(key == OPEN_KEY for one in site.workers for key, _ in one.ran), "the open job runs"
     )
 
 
 def change(site, path, told=None, headers=None):
-    """One change of what is agreed, by an operator's call."""
+    """Commit a change of the replicated state by an operator call."""
     body = b"" if told is None else json.dumps(told).encode()
     status, _, content = site.call("POST", path, body, headers)
     assert status == 200, (path, content)
@@ -67,17 +68,17 @@
 
 def write_agreement(site):
     site.start(form=True)
-    agreed = {**settings(), "queueTypes": [*settings()["queueTypes"], queue_type(AGREED_TYPE)]}
-    change(site, "/api/settings", agreed, {"If-Match": '"1"'})
+    new_settings = {**settings(), "queueTypes": [*settings()["queueTypes"], queue_type(AGREED_TYPE)]}
+    change(site, "/api/settings", new_settings, {"If-Match": '"1"'})
     for _ in range(SNAPSHOT_AFTER):
         change(site, f"/api/exclude/{RESTRICTED}")
         change(site, f"/api/include/{RESTRICTED}")
     version = site.told("/api/agreed")["settings_version"]
-    change(site, "/api/settings", {**agreed, "excessUtility": 0.5}, {"If-Match": f'"{version}"'})
-    # With relays, settings are agreed as what differs.
+    change(site, "/api/settings", {**new_settings, "excessUtility": 0.5}, {"If-Match": f'"{version}"'})
+    # With relays, a change of the settings is committed as a patch.
     change(site, "/api/relays", {"fan_out": 4})
     version = site.told("/api/agreed")["settings_version"]
-    patched = {**agreed, "excessUtility": PATCHED_UTILITY}
+    patched = {**new_settings, "excessUtility": PATCHED_UTILITY}
     change(site, "/api/settings", patched, {"If-Match": f'"{version}"'})
     change(site, "/api/members", {"kind": "add", "name": "n1", "address": site.free()})
     change(site, "/api/members", {"kind": "remove", "name": "n1"})
@@ -101,7 +102,7 @@
         assert site.job()[0] == 200
     open_job(site)
     path = site.place / "recovery" / "recovery"
-    # What was learned is written once in two seconds, and stands behind the job that is out.
+    # Learned values are written every two seconds, here after the launch in flight.
     wait_until(
         lambda: path.read_bytes().rfind(b"learned") > path.read_bytes().rfind(b"\xa3out") > 0, "all kept"
     )
