--- a/tests/folder_processes.py
+++ b/tests/folder_processes.py
@@ -172,11 +172,11 @@
         self.send_response(200)
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
-        told = int(self.path.rpartition("since=")[2])
+        sent_generation = int(self.path.rpartition("since=")[2])
         while not self.server.ending.wait(POLL_INTERVAL_S):
             # An empty line is the heartbeat of the watch.
-            changed = self.server.generation != told
-            told = self.server.generation
+            changed = self.server.generation != sent_generation
+            sent_generation = self.server.generation
             line = (self.server.list() if changed else b"") + b"\n"
             self.wfile.write(b"%x\r\n%s\r\n" % (len(line), line))
 
@@ -187,8 +187,8 @@
         self.workers, self.generation = workers, generation
 
     def list(self):
-        told = {"generation": self.generation, "reset": True}
-        return json.dumps({**told, "instances": [worker.entry() for worker in self.workers]}).encode()
+        head = {"generation": self.generation, "reset": True}
+        return json.dumps({**head, "instances": [worker.entry() for worker in self.workers]}).encode()
 
 
 class Site:
@@ -218,7 +218,7 @@
 
     def configuration(self, form):
         """Return the configuration; `form` allows the dispatcher to form a new fleet if none is stored."""
-        told = {
+        document = {
             "name": DISPATCHER,
             "listen": self.listen,
             "control": self.control,
@@ -228,7 +228,7 @@
             "limits": {"sockets": 128, "memory_mb": 64},
         }
         if self.kind in ("agreement", "copies"):
-            told["peers"] = {
+            document["peers"] = {
                 "listen": self.peers,
                 "members": {DISPATCHER: self.peers},
                 "folder": str(self.place / "peers"),
@@ -236,14 +236,18 @@
                 "lease_ms": 500,
             }
         if self.kind in ("repeats", "copies"):
-            told["repeats"] = {
+            document["repeats"] = {
                 "folder": str(self.place / "repeats"),
                 "keep_ms": KEEP_MS,
                 "copies": 3 if self.kind == "copies" else 1,
             }
         if self.kind == "recovery":
-            told["recovery"] = {"folder": str(self.place / "recovery"), "open_ms": 100, "list_ms": 600_000}
-        return told
+            document["recovery"] = {
+                "folder": str(self.place / "recovery"),
+                "open_ms": 100,
+                "list_ms": 600_000,
+            }
+        return document
 
     def start(self, form=False):
         """Start the process and wait until it is ready."""
--- a/tests/form_links.py
+++ b/tests/form_links.py
@@ -12,7 +12,10 @@
     def __init__(self, fleet, name, life):
         self.rig, self.heard, self.sock = program.Rig(), [], socket.create_server((program.HERE, 0))
         self.links = program.links_of(
-            self.rig, (fleet, name, life), self.sock.getsockname, lambda *told: self.heard.append(told)
+            self.rig,
+            (fleet, name, life),
+            self.sock.getsockname,
+            lambda *arguments: self.heard.append(arguments),
         )
 
     def close(self):
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -62,7 +62,7 @@
 
     def classes(self):
         """Return the message classes by tag."""
-        return {one.__struct_config__.tag: one for one in get_args(self.union)}
+        return {message_class.__struct_config__.tag: message_class for message_class in get_args(self.union)}
 
     def read(self, raw):
         if not raw.startswith(self.mark):
@@ -151,10 +151,10 @@
 
 def records_of_member(state, contents):
     """Return the records of a member that restores `state` and gets these messages from the member n1."""
-    listed = {name: one["address"] for name, one in state["members"].items()}
+    addresses = {name: member_state["address"] for name, member_state in state["members"].items()}
     configuration = MemberConfiguration(
         name="n0",
-        members=listed,
+        members=addresses,
         may_bootstrap=False,
         settings={},
         lease_us=1_000_000,
@@ -175,13 +175,13 @@
     return records
 
 
-def records_of_holder(copies, heard):
+def records_of_holder(copies, messages):
     """Return the records of a replica that gets its placement, then each (name, id, message)."""
     node = Node(NodeOptions("n0", "holder-0", "run-1", 0, 1, 1_000_000), book_of_keys(), 0)
     steps = [replication_inputs.PlacementChanged(copies)]
     steps += [
         replication_inputs.MessageReceived(name, id_, replication_messages.decode(content))
-        for name, id_, content in heard
+        for name, id_, content in messages
     ]
     records = replica_persisted.head_records("holder-0", 2, 1)
     for now, step in enumerate(steps, 10_000):
@@ -200,15 +200,15 @@
 
 def decisions_that_learned():
     """Return a scheduler that ejected three workers for different reasons and has a launch in flight."""
-    made = scheduler(workers=0)
-    made.update_endpoints(0, "whole", three_workers())
-    for job, how in enumerate(("unreachable", "lost", "error"), 1):
-        arrive(made, 1_000 * job, job)
-        (sent,) = [decision for decision in pull(made, 1_000 * job) if isinstance(decision, LaunchJob)]
-        made.launch_ended(1_000 * job + 500, job, 0, how, 500, True, [])
-    arrive(made, 900_000, 9)
-    pull(made, 900_000)
-    return made
+    sched = scheduler(workers=0)
+    sched.update_endpoints(0, "whole", three_workers())
+    for job, outcome in enumerate(("unreachable", "lost", "error"), 1):
+        arrive(sched, 1_000 * job, job)
+        (sent,) = [decision for decision in pull(sched, 1_000 * job) if isinstance(decision, LaunchJob)]
+        sched.launch_ended(1_000 * job + 500, job, 0, outcome, 500, True, [])
+    arrive(sched, 900_000, 9)
+    pull(sched, 900_000)
+    return sched
 
 
 def learned_of_decisions():
@@ -216,12 +216,12 @@
     return decisions_that_learned().learned_state()
 
 
-def learned_again(told):
+def learned_again(learned):
     """Return the learned state of a scheduler that restored the given one."""
-    made = scheduler(workers=0)
-    made.update_endpoints(0, "whole", three_workers())
-    made.restore_learned(0, told)
-    return made.learned_state()
+    sched = scheduler(workers=0)
+    sched.update_endpoints(0, "whole", three_workers())
+    sched.restore_learned(0, learned)
+    return sched.learned_state()
 
 
 def records_of_start():
@@ -237,9 +237,9 @@
     )
     newest_list = SimpleNamespace(generation=0, restricted={"s-9": 5})
     builder, clock = RecordBuilder(program, newest_list), RecoveryClock(loop, "boot-1")
-    made = RecoveryPersistence(builder, clock, loop, None)
-    made.writer = SimpleNamespace(append=lambda token, records: saved.extend(records))
-    made.store(True)
+    persistence = RecoveryPersistence(builder, clock, loop, None)
+    persistence.writer = SimpleNamespace(append=lambda token, records: saved.extend(records))
+    persistence.store(True)
     return saved
 
 
@@ -253,58 +253,58 @@
 
 
 def fleet_snapshot_again(raw):
-    told = snapshot_format.unpack_snapshot(raw)
-    return fleet_snapshot(told["state"], told["fleet"], told["by"], told["at"])
+    snapshot = snapshot_format.unpack_snapshot(raw)
+    return fleet_snapshot(snapshot["state"], snapshot["fleet"], snapshot["by"], snapshot["at"])
 
 
 def handover(directory):
-    made = UpgradeState(str(directory), ("127.0.0.1", 8080), lambda event, **fields: None)
-    made.take_seat()
-    return made
+    upgrade_state = UpgradeState(str(directory), ("127.0.0.1", 8080), lambda event, **fields: None)
+    upgrade_state.take_seat()
+    return upgrade_state
 
 
 HANDOVER_STATE, HANDOVER_LEARNED = "mastledge-127.0.0.1-8080.state", "mastledge-127.0.0.1-8080.learned"
 
 
 def write_handover_state(directory, shared):
-    made = handover(directory)
+    upgrade_state = handover(directory)
     try:
-        assert made.change(lambda told: (told.clear(), told.update(shared)), news=False)
+        assert upgrade_state.change(lambda content: (content.clear(), content.update(shared)), news=False)
     finally:
-        made.leave()
+        upgrade_state.leave()
 
 
 def read_handover_state(directory):
-    made = handover(directory)
+    upgrade_state = handover(directory)
     try:
-        assert made.refresh()
-        return made.shared
+        assert upgrade_state.refresh()
+        return upgrade_state.shared
     finally:
-        made.leave()
+        upgrade_state.leave()
 
 
 def write_handover_learned(directory, learned):
-    made = handover(directory)
+    upgrade_state = handover(directory)
     try:
-        made.write_learned(learned)
+        upgrade_state.write_learned(learned)
     finally:
-        made.leave()
+        upgrade_state.leave()
 
 
 def read_handover_learned(directory):
-    made = handover(directory)
+    upgrade_state = handover(directory)
     try:
-        return made.read_learned()
+        return upgrade_state.read_learned()
     finally:
-        made.leave()
+        upgrade_state.leave()
 
 
 def notes(directory):
     return SharedLease(str(directory), lambda event, **fields: None)
 
 
-def write_said(directory, told):
-    notice = LeaseNotice(told["to"], told["index"], told["lease_until"], told["state"])
+def write_said(directory, content):
+    notice = LeaseNotice(content["to"], content["index"], content["lease_until"], content["state"])
     assert notes(directory).publish(notice)
 
 
@@ -317,8 +317,8 @@
     return lent_state(state)
 
 
-def write_taken(directory, told):
-    notes(directory).report(told["index"])
+def write_taken(directory, content):
+    notes(directory).report(content["index"])
 
 
 def read_taken(directory):
@@ -348,14 +348,14 @@
         name=job["name"], kind=job["kind"], until=job["until"], open=True, conn=ends[0]
     )
     launch = SimpleNamespace(ended=False, sent=True, conn=ends[1], headed=job["headed"])
-    one = SimpleNamespace(exchange=exchange, launches=[launch])
-    router = SimpleNamespace(jobs={1: one}, job_handed_off=lambda now, job, launch: None)
+    launched_job = SimpleNamespace(exchange=exchange, launches=[launch])
+    router = SimpleNamespace(jobs={1: launched_job}, job_handed_off=lambda now, job, launch: None)
     loop = SimpleNamespace(unregister=lambda fd: None, now=lambda: 0, cancel=lambda task: None)
-    made = connection_handoff.ConnectionHandoff(
+    handoff = connection_handoff.ConnectionHandoff(
         loop, None, None, scheduler().settings, lambda event, **fields: None
     )
     try:
-        assert made.hand_off(router, path) == 1
+        assert handoff.hand_off(router, path) == 1
         raw, socks = descriptor_passing.receive_sockets(inlet, 2)
         for sock in socks:
             sock.close()
@@ -368,13 +368,15 @@
 def taken_up(raw):
     """Return the job that the receiving process gets, in the form that `handed_on` takes."""
     rig, jobs = Rig(), []
-    door = SimpleNamespace(serve_resumed=lambda conn, exchange: iter(()))
-    made = connection_handoff.ConnectionHandoff(rig.loop, rig.budget, door, scheduler().settings, rig.log)
-    made.finish = lambda launch, exchange: jobs.append((launch, exchange)) or iter(())
-    here = socket.create_server((HERE, 0))
-    ends = [socket.create_connection(here.getsockname()) for _ in range(2)]
+    listener = SimpleNamespace(serve_resumed=lambda conn, exchange: iter(()))
+    handoff = connection_handoff.ConnectionHandoff(
+        rig.loop, rig.budget, listener, scheduler().settings, rig.log
+    )
+    handoff.finish = lambda launch, exchange: jobs.append((launch, exchange)) or iter(())
+    listening = socket.create_server((HERE, 0))
+    ends = [socket.create_connection(listening.getsockname()) for _ in range(2)]
     try:
-        made.take_over(raw, ends)
+        handoff.take_over(raw, ends)
         (launch, exchange) = jobs[0]
         assert launch.name == exchange.name
         return {
@@ -385,36 +387,36 @@
             "rest": launch.conn.buffer.peek(),
         }
     finally:
-        for sock in (here, *ends):
+        for sock in (listening, *ends):
             sock.close()
 
 
-def links_of(rig, who, address, heard):
-    """Return the links of the dispatcher `who`, for which all others have the address `address()`."""
+def links_of(rig, identity, address, on_frame):
+    """Return the links of the dispatcher `identity`, for which all others have the address `address()`."""
     host = SimpleNamespace(
-        link_identity=lambda: LinkIdentity(*who),
+        link_identity=lambda: LinkIdentity(*identity),
         member_address=lambda other: address(),
-        frame_received=heard,
+        frame_received=on_frame,
     )
     return links.Links(rig.loop, host, 3, 7, rig.log)
 
 
-def send_on_link(made, content):
-    made.send("other", content)
+def send_on_link(link_set, content):
+    link_set.send("other", content)
 
 
-def listen_on_links(made):
+def listen_on_links(link_set):
     """Start to listen, and return the address for other dispatchers."""
-    made.start((HERE, 0))
-    return made.listener.sock.getsockname()
+    link_set.start((HERE, 0))
+    return link_set.listener.sock.getsockname()
 
 
-def close_links(made):
-    made.close()
+def close_links(link_set):
+    link_set.close()
 
 
-def balance_message(told_at, loads, wants):
-    return load_messages.encoded(told_at, loads, wants)
+def balance_message(sent_at, loads, wants):
+    return load_messages.encoded(sent_at, loads, wants)
 
 
 def balance_message_again(raw):
--- a/tests/form_samples.py
+++ b/tests/form_samples.py
@@ -264,20 +264,20 @@
     return (NEW, instance, job, hint_ms, 9, queue_type, 1, width, 0, patience_ms, 0.0)
 
 
-def end_of(job, worker, launch, how, final, lag_ms=20.0):
-    return (END_OF, FIRST, job, WORKER_IDS[worker], lag_ms, launch, 0, final, how, 2, 3.0, 2.0, 0.0, 0.0)
+def end_of(job, worker, launch, code, final, lag_ms=20.0):
+    return (END_OF, FIRST, job, WORKER_IDS[worker], lag_ms, launch, 0, final, code, 2, 3.0, 2.0, 0.0, 0.0)
 
 
 ENDING_CODES = (200, 500, 503, 504, 502, 598, 499, 410)
 
 
-def ending_session(how):
+def ending_session(code):
     """Return frames in which jobs of each queue type end with this code and further jobs arrive."""
     settings, pool = ADAPTER_SETTINGS.encode(), pool_of_workers()
     frames = [event_frame(1000.0, [(BEGIN, FIRST, 7, 0, len(settings))], settings)]
     frames.append(event_frame(1001.0, [(POOL, 1, 0, len(WORKER_IDS)), (LIST, FIRST, 1, 0, 1)], pool))
     frames.append(event_frame(1004.0, [new_job(job, job % 3, 900.0) for job in range(6)]))
-    frames.append(event_frame(1300.0, [end_of(job, job % 3, 0, how, 0) for job in range(6)]))
+    frames.append(event_frame(1300.0, [end_of(job, job % 3, 0, code, 0) for job in range(6)]))
     for step in range(1, 12):
         records = [(DUE, FIRST, 1300 + 100 * step), new_job(10 + step, step % 3, 900.0)]
         frames.append(event_frame(1300.0 + 100 * step, records))
@@ -293,8 +293,8 @@
 def adapter_session():
     """Return frames with every kind of event, which lead to every kind of action."""
     settings, pool = ADAPTER_SETTINGS.encode(), pool_of_workers()
-    told = program.balance_message(900_000, [(0, 1.5)], [(9, 40_000)])
-    begin = [(BEGIN, one, 7 + one, 0, len(settings)) for one in (FIRST, SECOND)]
+    message = program.balance_message(900_000, [(0, 1.5)], [(9, 40_000)])
+    begin = [(BEGIN, instance, 7 + instance, 0, len(settings)) for instance in (FIRST, SECOND)]
     frames = [event_frame(1000.0, begin, settings)]
     lists = [(POOL, 1, 0, len(WORKER_IDS))]
     lists += [
@@ -304,7 +304,7 @@
         (LIST, SECOND, 2, 0, 1),
     ]
     frames.append(event_frame(1001.0, lists, pool))
-    frames.append(event_frame(1002.0, [(LIST, SECOND, 3, 0, 0), (INBOX, FIRST, 1, 0, len(told))], told))
+    frames.append(event_frame(1002.0, [(LIST, SECOND, 3, 0, 0), (INBOX, FIRST, 1, 0, len(message))], message))
     jobs = [new_job(number, number % 3, 4000.0) for number in range(1, 13)]
     frames.append(event_frame(1004.0, jobs))
     frames.append(event_frame(1006.0, [(STARTED, FIRST, 1, 0, WORKER_IDS[0], 0.0)]))
--- a/tests/forms.py
+++ b/tests/forms.py
@@ -77,33 +77,36 @@
 def frame_of_holder():
     """Return the frame of records that a replica stores of the messages on keys."""
     prints = b"\x01" * 16
-    heard = [["Claim", n, 3, "t", b"key-%d" % n, prints, f"{n}.run-1.n1", 9_000_000] for n in range(3)]
-    heard.append(["End", 5, 3, "t", b"key-1", prints, "1.run-1.n1", True, 200, b"content", 9_000_000])
-    heard.append(["Drop", 6, "t", b"key-2", "2.run-1.n1"])
-    told = [("n1", "holder-1", pack(message)) for message in heard]
+    messages = [["Claim", n, 3, "t", b"key-%d" % n, prints, f"{n}.run-1.n1", 9_000_000] for n in range(3)]
+    messages.append(["End", 5, 3, "t", b"key-1", prints, "1.run-1.n1", True, 200, b"content", 9_000_000])
+    messages.append(["Drop", 6, "t", b"key-2", "2.run-1.n1"])
+    received = [("n1", "holder-1", pack(message)) for message in messages]
     # A new replica scans for its keys, after which messages of earlier placements are refused.
-    told.append(("n2", "holder-2", pack(["Scan", 3, 0])))
-    return program.frame_of_records(program.records_of_holder(samples.STATE["copies"], told))
+    received.append(("n2", "holder-2", pack(["Scan", 3, 0])))
+    return program.frame_of_records(program.records_of_holder(samples.STATE["copies"], received))
 
 
-def by_file(directory, name, write, told):
+def by_file(directory, name, write, content):
     """Return what `write` leaves in the file of this name."""
     directory.mkdir(parents=True, exist_ok=True)
     process, clock = patched_process()
     with process, clock:
-        write(directory, told)
+        write(directory, content)
     return (directory / name).read_bytes()
 
 
 def messages_of(family):
     """Return {label: {"bytes", "read"}}; `read` is the shorter form of an older version."""
-    made, out = program.MESSAGES[family], {}
+    message_family, out = program.MESSAGES[family], {}
     for full, least in samples.SAMPLES[family]:
         label = f"{full[0]}, all set"
-        out[label] = {"bytes": made.written(made.read(made.mark + pack(full)))}
+        out[label] = {"bytes": message_family.written(message_family.read(message_family.mark + pack(full)))}
         if least is not None:
-            short = made.mark + pack(least)
-            out[f"{full[0]}, by default"] = {"bytes": made.written(made.read(short)), "read": short}
+            short = message_family.mark + pack(least)
+            out[f"{full[0]}, by default"] = {
+                "bytes": message_family.written(message_family.read(short)),
+                "read": short,
+            }
     return out
 
 
@@ -218,7 +221,7 @@
 
 def adapter_sessions():
     sessions = {"session": samples.adapter_session()}
-    sessions.update({f"ending {how}": samples.ending_session(how) for how in samples.ENDING_CODES})
+    sessions.update({f"ending {code}": samples.ending_session(code) for code in samples.ENDING_CODES})
     return {label: {"read": raw, "bytes": adapter_answers(raw)} for label, raw in sessions.items()}
 
 
@@ -238,8 +241,8 @@
         "snapshots": snapshots_of(),
         "handover": handed_over(directory / "handover"),
         "balance-messages": {
-            label: {"bytes": program.balance_message(*told)}
-            for label, told in samples.BALANCE_MESSAGES.items()
+            label: {"bytes": program.balance_message(*message)}
+            for label, message in samples.BALANCE_MESSAGES.items()
         },
         "adapter": adapter_sessions(),
     }
@@ -247,9 +250,9 @@
 
 def load(family):
     """Return {label: {"bytes", "read"}} of a committed fixture; a missing `read` equals `bytes`."""
-    told = json.loads((FIXTURES / f"{family}.json").read_text())
+    document = json.loads((FIXTURES / f"{family}.json").read_text())
     out = {}
-    for label, forms in told.items():
+    for label, forms in document.items():
         forms = {name: bytes.fromhex("".join(lines)) for name, lines in forms.items()}
         out[label] = {"read": forms["bytes"], **forms}
     return out
@@ -266,16 +269,19 @@
 def write_missing(directory):
     """Write the missing fixtures."""
     FIXTURES.mkdir(parents=True, exist_ok=True)
-    for family, told in everything(Path(directory)).items():
+    for family, labelled_forms in everything(Path(directory)).items():
         path = FIXTURES / f"{family}.json"
         if path.exists():
             print(f"{path.name} exists and stays")
             continue
-        plain = {label: {name: lines_of(raw) for name, raw in forms.items()} for label, forms in told.items()}
+        plain = {
+            label: {name: lines_of(raw) for name, raw in forms.items()}
+            for label, forms in labelled_forms.items()
+        }
         path.write_text(json.dumps(plain, indent=1) + "\n")
         print(f"{path.name} was written")
 
 
 if __name__ == "__main__":
-    with tempfile.TemporaryDirectory() as place:
-        write_missing(place)
+    with tempfile.TemporaryDirectory() as directory:
+        write_missing(directory)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -165,10 +165,10 @@
 
 
 @pytest.mark.parametrize("disconnect", [*DISCONNECTS, flood_and_close])
-@pytest.mark.parametrize("waits", ["worker", "cold"])
-def test_waiting_job_of_a_disconnected_client_is_not_launched(disconnect, waits, serving):
+@pytest.mark.parametrize("waits_for", ["worker", "cold"])
+def test_waiting_job_of_a_disconnected_client_is_not_launched(disconnect, waits_for, serving):
     dispatcher = serving(ready=False)
-    if waits == "cold":
+    if waits_for == "cold":
         dispatcher.update_list(
             started=dispatcher.made.discovery.since // 1000 + dispatcher.rig.loop.now() // 1000
         )
@@ -223,13 +223,13 @@
     return DelayedConnects(monkeypatch)
 
 
-@pytest.mark.parametrize("revokes", [True, False])
+@pytest.mark.parametrize("can_revoke", [True, False])
 @pytest.mark.parametrize("effect", ["restartable", "run-once"])
 @for_each_disconnect
 def test_connection_established_as_the_client_disconnects_carries_nothing(
-    disconnect, effect, revokes, delayed_connects, serving
+    disconnect, effect, can_revoke, delayed_connects, serving
 ):
-    dispatcher = serving(effect, {"cancel": revokes}).serving()
+    dispatcher = serving(effect, {"cancel": can_revoke}).serving()
     client = dispatcher.send_accepted_job()
     assert dispatcher.turn(lambda: delayed_connects.connections)
     conn = dispatcher.job("a1").exchange.conn
@@ -242,13 +242,13 @@
     assert dispatcher.turn(lambda: delayed_connects.connections[0].fd < 0) and remote.recv(1) == b""
 
 
-@pytest.mark.parametrize("how", ["left", "answered"])
-def test_hanging_connect_is_cancelled_with_its_job(how, delayed_connects, serving):
+@pytest.mark.parametrize("job_end", ["left", "answered"])
+def test_hanging_connect_is_cancelled_with_its_job(job_end, delayed_connects, serving):
     # Guards against a launch that is still sent once its connection is established.
     dispatcher = serving("restartable", {"cancel": False}).serving()
     client = dispatcher.send_accepted_job()
     assert dispatcher.turn(lambda: delayed_connects.connections)
-    if how == "left":
+    if job_end == "left":
         client.close()
     else:
         dispatcher.made.inbox.put(ShutdownDue())
@@ -258,10 +258,10 @@
 
 @for_each_disconnect
 def test_last_byte_of_a_run_once_job_is_not_sent_after_a_disconnect(disconnect, serving, monkeypatch):
-    looking = [True]
+    waiting = [True]
 
     def stays_quiet(self, margin_us):
-        while looking:
+        while waiting:
             yield (-1, 0, self.loop.now() + 1_000)
         return True
 
@@ -272,7 +272,7 @@
     assert not request.endswith(b"x") and not dispatcher.job("a1").launches[0].sent
     disconnect(dispatcher, client)
     wait_for_end(dispatcher.job("a1").exchange.conn)
-    looking.clear()
+    waiting.clear()
     dispatcher.advance_clock(0.01)  # the last byte is due in the turn in which the disconnect is seen
     assert dispatcher.turn(lambda: not dispatcher.made.router.jobs) and remote.recv(1) == b""
 
@@ -313,14 +313,14 @@
 class StalledDisk:
     """A write-ahead log whose writes wait until the test lets them go on."""
 
-    def __init__(self, repeats, monkeypatch):
-        self.resumed, append = threading.Event(), repeats.writer.wal.append
+    def __init__(self, idempotency, monkeypatch):
+        self.resumed, append = threading.Event(), idempotency.writer.wal.append
 
-        def waits(records):
+        def append_when_resumed(records):
             self.resumed.wait(10)
             append(records)
 
-        monkeypatch.setattr(repeats.writer.wal, "append", waits)
+        monkeypatch.setattr(idempotency.writer.wal, "append", append_when_resumed)
 
 
 @for_each_disconnect
@@ -365,7 +365,7 @@
 
 
 @pytest.mark.parametrize(
-    ("effect", "how", "again"),
+    ("effect", "outcome", "expected_status"),
     [
         ("restartable", "full", b" 200 "),
         ("run-once", "full", b" 200 "),
@@ -373,7 +373,9 @@
         ("deduplicated", "lost", b" 409 "),
     ],
 )
-def test_keyed_job_that_fails_without_a_waiting_client_is_not_retried(effect, how, again, serving, tmp_path):
+def test_keyed_job_that_fails_without_a_waiting_client_is_not_retried(
+    effect, outcome, expected_status, serving, tmp_path
+):
     dispatcher = serving(effect, repeats=key_settings(tmp_path)).serving()
     client = dispatcher.send_accepted_job("a1", Idempotency_Key="k1")
     remote, _ = dispatcher.rig.called(dispatcher.sock)
@@ -381,7 +383,7 @@
     assert effect != "run-once" or remote.recv(1) == b"x"  # its last byte comes by itself
     client.close()
     assert dispatcher.turn(lambda: not dispatcher.made.listener.clients) and dispatcher.job("a1")
-    if how == "full":
+    if outcome == "full":
         remote.sendall(b"HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
     else:
         remote.close()
@@ -392,10 +394,10 @@
     dispatcher.update_list(name="s-2")
     assert dispatcher.turn(lambda: "s-1" not in dispatcher.made.router.endpoints)
     second = dispatcher.send_job("a2", Idempotency_Key="k1")
-    if again == b" 200 ":
+    if expected_status == b" 200 ":
         assert remote.recv(4096) == b""
         dispatcher.answer_only_launch("a2")
-    assert again in dispatcher.rig.reply(second)
+    assert expected_status in dispatcher.rig.reply(second)
 
 
 @for_each_disconnect
@@ -452,19 +454,19 @@
 
 
 @pytest.mark.parametrize("effect", ["restartable", "run-once"])
-@pytest.mark.parametrize("news", ["draining", "gone", "born", "moved"])
-def test_change_of_a_worker_applies_to_a_connect_in_progress(news, effect, delayed_connects, serving):
+@pytest.mark.parametrize("change", ["draining", "gone", "born", "moved"])
+def test_change_of_a_worker_applies_to_a_connect_in_progress(change, effect, delayed_connects, serving):
     # Guards against a launch on a connection that is established after its worker began to drain.
     dispatcher = serving(effect).serving()
     client = dispatcher.send_accepted_job()
     assert dispatcher.turn(lambda: delayed_connects.connections)
     other, sock = peer_at("s-2")
-    if news == "moved":
+    if change == "moved":
         dispatcher.update_list(sock=sock)
     else:
-        state = {"draining": "draining", "gone": "gone"}.get(news, "ready")
+        state = {"draining": "draining", "gone": "gone"}.get(change, "ready")
         at = dispatcher.made.discovery.since // 1000 + dispatcher.rig.loop.now() // 1000
-        dispatcher.update_list(state, started=at if news == "born" else 0, reset=False)
+        dispatcher.update_list(state, started=at if change == "born" else 0, reset=False)
         dispatcher.update_list(sock=sock, name="s-2", reset=False)
     assert dispatcher.turn(lambda: dispatcher.made.router.endpoints and not dispatcher.made.inbox.items)
     delayed_connects.held = False
@@ -477,14 +479,14 @@
     sock.close()
 
 
-@pytest.mark.parametrize("news", ["born", "moved"])
-def test_connection_to_a_former_incarnation_is_not_reused(news, serving):
+@pytest.mark.parametrize("change", ["born", "moved"])
+def test_connection_to_a_former_incarnation_is_not_reused(change, serving):
     dispatcher = serving().serving()
     client = dispatcher.send_accepted_job()
     remote, _ = dispatcher.rig.called(dispatcher.sock)
     other, sock = peer_at("s-2")
     at = dispatcher.made.discovery.since // 1000 + dispatcher.rig.loop.now() // 1000
-    dispatcher.update_list(started=at if news == "born" else 0, sock=sock if news == "moved" else None)
+    dispatcher.update_list(started=at if change == "born" else 0, sock=sock if change == "moved" else None)
     peers = dispatcher.made.router.endpoints
     assert dispatcher.turn(lambda: peers["s-1"].started_at or peers["s-1"].address == sock.getsockname())
     answers(remote, b"a1")
@@ -622,20 +624,20 @@
     (first, its_peer), (second, second_peer) = pairs
     got = []
 
-    def frees():
+    def free_descriptor():
         yield (first.fd, READ, None)
         number = second.fd
         rig.loop.cancel(other)
         second.close()
         second_peer.close()
-        again, _ = rig.pair()
-        assert again.fd == number  # the kernel assigns the lowest free descriptor
-        got.append((yield (again.fd, READ, rig.loop.now() + 1_000)))
+        reused, _ = rig.pair()
+        assert reused.fd == number  # the kernel assigns the lowest free descriptor
+        got.append((yield (reused.fd, READ, rig.loop.now() + 1_000)))
 
-    def waits():
+    def wait_readable():
         yield (second.fd, READ, None)
 
-    task, other = rig.loop.spawn(frees()), rig.loop.spawn(waits())
+    task, other = rig.loop.spawn(free_descriptor()), rig.loop.spawn(wait_readable())
     rig.loop.run_once(0)
     its_peer.send(b"x")
     second_peer.send(b"x")
@@ -647,10 +649,10 @@
     conn, remote = rig.pair()
     copy = conn.sock.dup()  # stands for the copy that another process received
 
-    def waits():
+    def wait_readable():
         yield (conn.fd, READ, None)
 
-    task = rig.loop.spawn(waits())
+    task = rig.loop.spawn(wait_readable())
     rig.loop.run_once(0)
     rig.loop.unregister(conn.fd)
     rig.loop.cancel(task)
@@ -809,15 +811,17 @@
     assert dispatcher.turn(lambda: not dispatcher.made.loop.running) and dispatcher.made.phase == "ended"
 
 
-@pytest.mark.parametrize("waits", ["connect", "worker", "answer"])
+@pytest.mark.parametrize("waits_for", ["connect", "worker", "answer"])
 @pytest.mark.parametrize("signals", [1, 2])
-def test_waiting_job_is_served_after_one_or_two_shutdown_signals(waits, signals, serving, delayed_connects):
-    dispatcher = serving(ready=waits != "worker")
-    delayed_connects.held = waits == "connect"
+def test_waiting_job_is_served_after_one_or_two_shutdown_signals(
+    waits_for, signals, serving, delayed_connects
+):
+    dispatcher = serving(ready=waits_for != "worker")
+    delayed_connects.held = waits_for == "connect"
     client = dispatcher.send_accepted_job()
-    if waits == "connect":
+    if waits_for == "connect":
         assert dispatcher.turn(lambda: delayed_connects.connections)
-    elif waits == "answer":
+    elif waits_for == "answer":
         remote, _ = dispatcher.rig.called(dispatcher.sock)
     dispatcher.request_shutdown()
     assert dispatcher.turn(lambda: dispatcher.made.phase == "leaving")
@@ -827,9 +831,9 @@
         dispatcher.rig.loop.run_once(0)
     assert dispatcher.made.phase == "leaving" and dispatcher.job("a1").exchange.until == last
     delayed_connects.held = False
-    if waits == "worker":
+    if waits_for == "worker":
         dispatcher.update_list()
-    if waits == "answer":
+    if waits_for == "answer":
         assert dispatcher.turn(lambda: dispatcher.job("a1").launches[-1].sent)
         answers(remote, b"a1")
     else:
@@ -922,9 +926,9 @@
     dispatcher = serving().serving()
     client = dispatcher.send_accepted_job()
     remote, _ = dispatcher.rig.called(dispatcher.sock)
-    again = b'{"id":"a1","from":"s-1","state":"done","result":"again"}\n'
-    first = CHUNKED + chunk(again.replace(b"again", b"r")) + b"0\r\n\r\n"
-    second = CHUNKED + chunk(again) + b"0\r\n\r\n"
+    answer_line = b'{"id":"a1","from":"s-1","state":"done","result":"again"}\n'
+    first = CHUNKED + chunk(answer_line.replace(b"again", b"r")) + b"0\r\n\r\n"
+    second = CHUNKED + chunk(answer_line) + b"0\r\n\r\n"
     remote.sendall(first + (second if when == "with the last chunk" else b""))
     assert dispatcher.rig.reply(client).endswith(b"\r\n\r\nr")
     peer = dispatcher.made.router.endpoints["s-1"]
@@ -946,8 +950,8 @@
 
 
 @pytest.mark.parametrize("effect", ["restartable", "run-once"])
-@pytest.mark.parametrize("resets_", [False, True])
-def test_close_of_an_idle_connection_before_the_first_byte_loses_no_job(resets_, effect, serving):
+@pytest.mark.parametrize("with_reset", [False, True])
+def test_close_of_an_idle_connection_before_the_first_byte_loses_no_job(with_reset, effect, serving):
     dispatcher = serving(effect).serving()
     client = dispatcher.send_accepted_job()
     remote = dispatcher.answer_only_launch("a1")
@@ -955,7 +959,7 @@
     peer = dispatcher.made.router.endpoints["s-1"]
     assert dispatcher.turn(lambda: peer.idle)
     conn = peer.idle[0][0]
-    (reset_connection if resets_ else close_connection)(dispatcher, remote)
+    (reset_connection if with_reset else close_connection)(dispatcher, remote)
     wait_for_end(conn)
     dispatcher.send_accepted_job("a2")  # the loop has not seen the end yet
     dispatcher.answer_only_launch("a2")
@@ -1064,8 +1068,8 @@
     assert dispatcher.turn(lambda: not dispatcher.rig.budget.used["workers"])
 
 
-@pytest.mark.parametrize("over", [False, True])
-def test_relaunch_is_not_sent_after_the_deduplication_window(over, serving, delayed_connects):
+@pytest.mark.parametrize("window_is_over", [False, True])
+def test_relaunch_is_not_sent_after_the_deduplication_window(window_is_over, serving, delayed_connects):
     # Guards against a launch that is decided inside the deduplication window and sent after its end.
     delayed_connects.held = False
     dispatcher = serving("deduplicated", window=600.0).serving()
@@ -1077,7 +1081,7 @@
     remote.close()
     assert dispatcher.turn(lambda: len(delayed_connects.connections) == 2)
     delayed_connects.held = False
-    if not over:
+    if not window_is_over:
         expect_launch_on(dispatcher, other, client)
         return
     dispatcher.advance_clock(0.7)
@@ -1088,38 +1092,38 @@
 @pytest.mark.parametrize("place", ["read", "in hand"])
 def test_internal_error_on_a_request_is_answered_with_500(place, serving, monkeypatch):
     # Guards against a close without an answer, after which the client would send the job again.
-    def breaks(*_):
+    def fail(*_):
         raise KeyError("x")
 
     dispatcher = serving("run-once").serving()
     if place == "read":
-        monkeypatch.setattr(dispatcher.made.listener.requests, "job", breaks)
+        monkeypatch.setattr(dispatcher.made.listener.requests, "job", fail)
         client = dispatcher.send_job()
     else:
         client = dispatcher.send_accepted_job()
         remote, _ = dispatcher.rig.called(dispatcher.sock)
         assert dispatcher.turn(lambda: dispatcher.job("a1").launches[0].sent)
-        monkeypatch.setattr(client_connection.http, "has_left", breaks)
+        monkeypatch.setattr(client_connection.http, "has_left", fail)
         client.sendall(b"x")
     assert b" 500 " in dispatcher.rig.reply(client)
     assert dispatcher.turn(lambda: not dispatcher.made.router.jobs)
     assert [event for event, _ in dispatcher.rig.logged].count("internal_error") == 1
 
 
-@pytest.mark.parametrize("short", ["descriptors", "memory", "idle", "the end"])
-def test_connection_of_a_client_with_a_job_in_flight_is_not_closed(short, serving):
+@pytest.mark.parametrize("cause", ["descriptors", "memory", "idle", "the end"])
+def test_connection_of_a_client_with_a_job_in_flight_is_not_closed(cause, serving):
     # Otherwise the client would send the job again while its launch may run.
     dispatcher = serving("run-once").serving()
     client = dispatcher.send_accepted_job("a1")
     remote, _ = dispatcher.rig.called(dispatcher.sock)
     assert dispatcher.turn(lambda: dispatcher.job("a1").launches[0].sent)
     budget = dispatcher.made.budget
-    if short == "descriptors":
+    if cause == "descriptors":
         while budget.evict(*budget.idle):
             pass
-    elif short == "memory":
+    elif cause == "memory":
         assert not budget.reserve_memory(budget.max_request_bytes + 1)
-    elif short == "idle":
+    elif cause == "idle":
         dispatcher.made.listener.close_all_idle()
     else:
         dispatcher.request_shutdown()
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -41,16 +41,16 @@
 
 
 def test_scheduler_handles_many_workers_and_dispatchers():
-    made = scheduler(workers=WORKERS, dispatchers=DISPATCHERS)
-    arrive(made)
-    (decision,) = pull(made, 0)
-    assert isinstance(decision, LaunchJob) and len(made.ready) == WORKERS
-    made.update_endpoints(10, "changes", [entry(i, "draining") for i in range(WORKERS - 1)])
-    arrive(made, 20, 2)
-    (decision,) = pull(made, 20)
+    sched = scheduler(workers=WORKERS, dispatchers=DISPATCHERS)
+    arrive(sched)
+    (decision,) = pull(sched, 0)
+    assert isinstance(decision, LaunchJob) and len(sched.ready) == WORKERS
+    sched.update_endpoints(10, "changes", [entry(i, "draining") for i in range(WORKERS - 1)])
+    arrive(sched, 20, 2)
+    (decision,) = pull(sched, 20)
     assert decision.worker == WORKERS - 1
-    made.update_endpoints(30, "whole", [entry(i, born=25) for i in range(WORKERS)])
-    with_budget = sum(made.slow_start.within_budget(one, made.jobs[2], 2_000_000) for one in made.ready)
+    sched.update_endpoints(30, "whole", [entry(i, born=25) for i in range(WORKERS)])
+    with_budget = sum(sched.slow_start.within_budget(one, sched.jobs[2], 2_000_000) for one in sched.ready)
     assert 0 < with_budget < WORKERS // 10  # a credit smaller than one job is granted at random
     settings = parse_settings(flatten_settings({**GOOD["settings"], "balancers": DISPATCHERS}))
     assert settings["dispatchers"] == DISPATCHERS
@@ -69,19 +69,19 @@
 
 
 def state():
-    made = initial_state(
+    initial = initial_state(
         GOOD["settings"], 2_000_000, {name: (at, "0" * 16) for name, at in members().items()}
     )
     workers = [f"worker-of-a-long-name-{n}" for n in range(WORKERS)]
-    return {**made, "out": workers, "back": {one: 1 << 50 for one in workers}}
+    return {**initial, "out": workers, "back": {worker: 1 << 50 for worker in workers}}
 
 
 def test_state_of_a_large_fleet_fits_a_frame_and_a_snapshot():
-    made = state()
-    raw = m.encode(m.BootstrapCluster("f", made))
+    fleet_state = state()
+    raw = m.encode(m.BootstrapCluster("f", fleet_state))
     assert len(raw) < MAX_FRAME_BYTES // 4
     unpacked = fleet_snapshot.unpack_snapshot(
-        msgspec.json.encode(fleet_snapshot.pack_snapshot(made, "f", "x", 1))
+        msgspec.json.encode(fleet_snapshot.pack_snapshot(fleet_state, "f", "x", 1))
     )
     assert len(unpacked["state"]["members"]) == DISPATCHERS and len(unpacked["state"]["out"]) == WORKERS
 
--- a/tests/test_stored_and_wire_forms.py
+++ b/tests/test_stored_and_wire_forms.py
@@ -40,9 +40,9 @@
 
 @pytest.mark.parametrize(("family", "label"), cases(*(f"messages-{family}" for family in FAMILIES)))
 def test_message_round_trips(family, label):
-    made, fixture = program.MESSAGES[family.removeprefix("messages-")], form(family, label)
-    assert made.written(made.read(fixture["read"])) == fixture["bytes"]
-    assert made.written(made.read(fixture["bytes"])) == fixture["bytes"]
+    message_family, fixture = program.MESSAGES[family.removeprefix("messages-")], form(family, label)
+    assert message_family.written(message_family.read(fixture["read"])) == fixture["bytes"]
+    assert message_family.written(message_family.read(fixture["bytes"])) == fixture["bytes"]
 
 
 def wire_form(family, label):
@@ -55,7 +55,7 @@
 def test_each_message_class_has_its_fixtures(family):
     known = program.MESSAGES[family].classes()
     wanted = {f"{tag}{ALL_SET}" for tag in known}
-    wanted |= {f"{tag}{BY_DEFAULT}" for tag, made in known.items() if optional_fields(made)}
+    wanted |= {f"{tag}{BY_DEFAULT}" for tag, message_class in known.items() if optional_fields(message_class)}
     labels = set(forms.load(f"messages-{family}"))
     # A message without optional fields may have a short fixture too, if it holds short records.
     assert wanted <= labels <= {tag + suffix for tag in known for suffix in (ALL_SET, BY_DEFAULT)}
@@ -63,10 +63,10 @@
         assert wire_form(family, label)[0] == label.rpartition(",")[0]
 
 
-def optional_fields(made):
+def optional_fields(message_class):
     """Return {position on the wire: default} of each field that may be missing."""
     out = {}
-    for place, field in enumerate(msgspec.structs.fields(made), 1):
+    for place, field in enumerate(msgspec.structs.fields(message_class), 1):
         if not field.required:
             has_factory = field.default_factory is not msgspec.NODEFAULT
             out[place] = field.default_factory() if has_factory else field.default
@@ -75,9 +75,9 @@
 
 @pytest.mark.parametrize("family", FAMILIES)
 def test_full_fixture_sets_each_optional_field_and_short_one_none(family):
-    for tag, made in program.MESSAGES[family].classes().items():
-        full, optional = wire_form(family, f"{tag}{ALL_SET}"), optional_fields(made)
-        assert len(full) == 1 + len(msgspec.structs.fields(made))
+    for tag, message_class in program.MESSAGES[family].classes().items():
+        full, optional = wire_form(family, f"{tag}{ALL_SET}"), optional_fields(message_class)
+        assert len(full) == 1 + len(msgspec.structs.fields(message_class))
         for place, default in optional.items():
             assert full[place] != msgspec.to_builtins(default), (tag, place)
         if optional:
@@ -88,9 +88,9 @@
 
 @pytest.mark.parametrize("family", FAMILIES)
 def test_message_with_an_unknown_tag_is_rejected(family):
-    made = program.MESSAGES[family]
+    message_family = program.MESSAGES[family]
     with pytest.raises((msgspec.MsgspecError, ValueError)):
-        made.read(made.mark + msgspec.msgpack.encode(["NoSuchMessage", 1]))
+        message_family.read(message_family.mark + msgspec.msgpack.encode(["NoSuchMessage", 1]))
 
 
 WRAPPERS = {
@@ -102,10 +102,10 @@
 
 @pytest.mark.parametrize(("family", "label"), cases("frames"))
 def test_frame_around_messages_round_trips(family, label):
-    (made,) = [made for name, made in WRAPPERS.items() if label.startswith(name)]
+    (wrapper,) = [wrapper for name, wrapper in WRAPPERS.items() if label.startswith(name)]
     fixture = form(family, label)
-    assert made.written(made.read(fixture["read"])) == fixture["bytes"]
-    assert made.written(made.read(fixture["bytes"])) == fixture["bytes"]
+    assert wrapper.written(wrapper.read(fixture["read"])) == fixture["bytes"]
+    assert wrapper.written(wrapper.read(fixture["bytes"])) == fixture["bytes"]
 
 
 def test_frames_of_copies_hold_each_message_class():
@@ -113,7 +113,11 @@
     listed = form("frames", "copies: list, all messages")["bytes"]
     _, messages = msgspec.msgpack.decode(frame[len(program.COPIES_FRAME.mark) :])
     known = set(program.MESSAGES["copies"].classes())
-    assert {one[0] for one in messages} == {one[0] for one in msgspec.msgpack.decode(listed)} == known
+    assert (
+        {message[0] for message in messages}
+        == {message[0] for message in msgspec.msgpack.decode(listed)}
+        == known
+    )
 
 
 def test_first_bytes_distinguish_frames():
@@ -127,9 +131,9 @@
 
 @pytest.fixture
 def link_ends():
-    made = LinkEnds(*samples.LINK_WHO)
-    yield made
-    made.close()
+    ends = LinkEnds(*samples.LINK_WHO)
+    yield ends
+    ends.close()
 
 
 def test_link_sends_the_committed_bytes(link_ends):
@@ -140,10 +144,10 @@
 def test_link_receives_the_committed_bytes_and_acknowledges_each_frame():
     stream, receiver = form("link", "stream")["bytes"], LinkEnds("fleet-1", "n1", "life-n1")
     try:
-        heard, back = receiver.receives(stream, len(samples.LINK_CONTENTS))
+        received, back = receiver.receives(stream, len(samples.LINK_CONTENTS))
     finally:
         receiver.close()
-    assert heard == [("n0", "life-n0", content) for content in samples.LINK_CONTENTS]
+    assert received == [("n0", "life-n0", content) for content in samples.LINK_CONTENTS]
     assert back == b"." * len(samples.LINK_CONTENTS)
 
 
@@ -155,8 +159,8 @@
     directory.mkdir(exist_ok=True)
     (directory / name).write_bytes(raw)
     kept = program.JOURNALS[name]()
-    made = program.open_journal(directory, name, samples.JOURNAL_OWNERS[name], kept)
-    program.close_journal(made)
+    journal = program.open_journal(directory, name, samples.JOURNAL_OWNERS[name], kept)
+    program.close_journal(journal)
     return (directory / name).read_bytes(), program.compacted_records(kept)
 
 
@@ -223,17 +227,17 @@
 
 
 def test_member_writes_the_committed_records():
-    made = program.frame_of_records(program.records_of_member(samples.STATE, forms.heard_by_member()))
+    written = program.frame_of_records(program.records_of_member(samples.STATE, forms.heard_by_member()))
     fixture = form("journal-records", "agreement: a member")["bytes"]
-    assert made == fixture
+    assert written == fixture
     assert {record[0] for record in msgspec.msgpack.decode(fixture[12:])} == JOURNAL_KINDS["agreement"]
 
 
 @pytest.mark.parametrize(("label", "claim"), [("repeats: a book", ""), ("copies: a book", "1.run-1.n0")])
 def test_key_table_writes_the_committed_records(label, claim):
-    made = program.frame_of_records(program.records_of_book(program.book_of_keys(), claim))
+    written = program.frame_of_records(program.records_of_book(program.book_of_keys(), claim))
     fixture = form("journal-records", label)["bytes"]
-    assert made == fixture
+    assert written == fixture
     assert {record[0] for record in msgspec.msgpack.decode(fixture[12:])} == JOURNAL_KINDS["repeats"]
 
 
@@ -354,7 +358,7 @@
 def test_each_outcome_has_a_session_and_seven_results_differ():
     assert set(program.ENDINGS) == set(samples.ENDING_CODES)
     sessions = {label: fixture["bytes"] for label, fixture in forms.load("adapter").items()}
-    assert set(sessions) == {"session", *(f"ending {how}" for how in samples.ENDING_CODES)}
+    assert set(sessions) == {"session", *(f"ending {code}" for code in samples.ENDING_CODES)}
     assert len(set(sessions.values())) == DISTINCT_SESSIONS
 
 
@@ -364,17 +368,19 @@
     assert events == set(program.EVENT_LAYOUTS)
     assert len(events) == 12
     answers = {
-        struct.unpack(">H", one[:2])[0]
+        struct.unpack(">H", record[:2])[0]
         for records, _ in forms.answers_of(fixture["bytes"])
-        for one in records
+        for record in records
     }
     assert answers == set(program.ACTION_LAYOUTS) == ADAPTER_ACTIONS
 
 
 def test_each_frame_of_the_session_round_trips():
     raw = form("adapter", "session")["read"]
-    again = [samples.event_frame(clock, records, tail) for clock, records, tail in program.event_frames(raw)]
-    assert b"".join(again) == raw
+    encoded = [
+        samples.event_frame(clock, records, tail) for clock, records, tail in program.event_frames(raw)
+    ]
+    assert b"".join(encoded) == raw
 
 
 def test_each_answer_of_the_session_round_trips():
--- a/tests/test_stored_folders.py
+++ b/tests/test_stored_folders.py
@@ -62,7 +62,9 @@
     @classmethod
     def write(cls, path, head, frames):
         contents = [head, *map(msgspec.msgpack.encode, frames)]
-        framed = [cls.HEAD.pack(cls.MARK, len(one), cls.checksum(one)) + one for one in contents]
+        framed = [
+            cls.HEAD.pack(cls.MARK, len(content), cls.checksum(content)) + content for content in contents
+        ]
         path.write_bytes(cls.LINE + b"".join(framed))
 
     @staticmethod
@@ -76,16 +78,16 @@
     now = time.time_ns() // 1000
     shift = now - max(record[1] for records in frames for record in records)
     for record in (record for records in frames for record in records):
-        what, at = record[:2]
+        kind, at = record[:2]
         # Monotonic times are valid within one boot only.
         record[1], record[3] = at + shift, "the boot that wrote it"
-        if what == "list":
+        if kind == "list":
             record[4] = site.registry()
             for name, worker in record[6].items():
                 worker[2] = [HOST, site.worker(name).server_port]
-        if what == "out":
-            for name, out in record[4].items():
-                out[1], out[3] = [HOST, site.worker(name).server_port], out[3] + shift
+        if kind == "out":
+            for name, launches in record[4].items():
+                launches[1], launches[3] = [HOST, site.worker(name).server_port], launches[3] + shift
     Frames.write(path, head, frames)
 
 
@@ -184,11 +186,11 @@
     site = stored("recovery", generation=STORED_GENERATION - 1)
     move_to_present(site.place / "recovery" / "recovery", site)
     site.start()
-    told = site.told("/api/recovery")
-    assert told["believed"]["not"] == {}
-    assert told["believed"]["workers"] == len(WORKERS)
-    assert told["believed"]["learned"]
-    assert told["believed"]["out"] == 1
+    recovery = site.told("/api/recovery")
+    assert recovery["believed"]["not"] == {}
+    assert recovery["believed"]["workers"] == len(WORKERS)
+    assert recovery["believed"]["learned"]
+    assert recovery["believed"]["out"] == 1
     assert wait_until(lambda: site.told("/api/recovery")["kept_off"], "kept off") == [RESTRICTED]
     assert only_unrestricted_worker_serves(site)
     # The present list has the worker as ready, and applies once it is newer than the stored one.
--- a/tests/write_stored_folders.py
+++ b/tests/write_stored_folders.py
@@ -55,13 +55,13 @@
 
     threading.Thread(target=send_open_job, daemon=True).start()
     wait_until(
-        lambda: any(key == OPEN_KEY for one in site.workers for key, _ in one.ran), "the open job runs"
+        lambda: any(key == OPEN_KEY for worker in site.workers for key, _ in worker.ran), "the open job runs"
     )
 
 
-def change(site, path, told=None, headers=None):
+def change(site, path, document=None, headers=None):
     """Commit a change of the replicated state by an operator call."""
-    body = b"" if told is None else json.dumps(told).encode()
+    body = b"" if document is None else json.dumps(document).encode()
     status, _, content = site.call("POST", path, body, headers)
     assert status == 200, (path, content)
 
@@ -124,14 +124,14 @@
     with tempfile.TemporaryDirectory() as place:
         site = Site(place, kind)
         try:
-            told = WRITE[kind](site)
+            details = WRITE[kind](site)
             site.kill()
             shutil.rmtree(FOLDERS / kind, ignore_errors=True)
             for name in ("peers", "repeats", "recovery"):
                 if (site.place / name).exists():
                     skipped = shutil.ignore_patterns("lock", "said", "taken")
                     shutil.copytree(site.place / name, FOLDERS / kind / name, ignore=skipped)
-            written = {"commit": version.stdout.strip(), **told}
+            written = {"commit": version.stdout.strip(), **details}
             (FOLDERS / kind / "written.json").write_text(json.dumps(written, indent=1) + "\n")
         finally:
             site.end()
