--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -284,7 +284,7 @@
     client = dispatcher.send_accepted_job(Idempotency_Key="k")
     remote, _ = dispatcher.rig.called(dispatcher.sock)
     assert dispatcher.turn(lambda: dispatcher.job("a1").launches[0].sent)
-    assert effect != "run-once" or remote.recv(1) == b"x"  # its last byte comes by itself
+    assert effect != "run-once" or remote.recv(1) == b"x"  # the last byte is sent separately
     router, conn = dispatcher.made.router, dispatcher.job("a1").exchange.conn
     ended, router_ended = router.on_launch_ended, []
 
@@ -380,7 +380,7 @@
     client = dispatcher.send_accepted_job("a1", Idempotency_Key="k1")
     remote, _ = dispatcher.rig.called(dispatcher.sock)
     assert dispatcher.turn(lambda: dispatcher.job("a1").launches[0].sent)
-    assert effect != "run-once" or remote.recv(1) == b"x"  # its last byte comes by itself
+    assert effect != "run-once" or remote.recv(1) == b"x"  # the last byte is sent separately
     client.close()
     assert dispatcher.turn(lambda: not dispatcher.made.listener.clients) and dispatcher.job("a1")
     if outcome == "full":
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -52,27 +52,27 @@
 class DiscoveryServer:
     """A discovery server that fails in a way that can be changed."""
 
-    def __init__(self, rig, asked=False):
+    def __init__(self, rig, by_polling=False):
         self.rig, self.clock = rig, ControlledClock(rig.loop)
-        self.sock, self.calls, self.filled = socket.create_server((HERE, 0), backlog=0), {}, []
+        self.sock, self.calls, self.pending = socket.create_server((HERE, 0), backlog=0), {}, []
         self.address = self.sock.getsockname()
         self.sock.setblocking(False)
-        self.made = discovery(rig, self.address, asked)
+        self.client = discovery(rig, self.address, by_polling)
         self.mode, self.state, self.drip_at, self.json_options, self.count = "up", "ready", 0, {}, 1
-        self.made.follow()
+        self.client.follow()
 
     def change_to(self, mode):
         self.mode = mode
         if mode == "hangs":
             # The backlog is filled, so that no further connection is established.
-            while len(self.filled) < 2:
-                self.filled.append(socket.socket())
-                self.filled[-1].setblocking(False)
-                self.filled[-1].connect_ex(self.address)
+            while len(self.pending) < 2:
+                self.pending.append(socket.socket())
+                self.pending[-1].setblocking(False)
+                self.pending[-1].connect_ex(self.address)
         else:
-            for sock in self.filled:
+            for sock in self.pending:
                 sock.close()
-            self.filled.clear()
+            self.pending.clear()
         for call in list(self.calls):
             if mode in ("ends", "spoils") and self.calls[call] == "watch":
                 call.sendall(chunk(b'{"generation":"x"}\n') if mode == "spoils" else b"0\r\n\r\n")
@@ -138,8 +138,8 @@
         self.clock.run(lambda: False, duration_us, self.serve)
 
     def close_all(self):
-        self.rig.loop.cancel(self.made.task)
-        for sock in (self.sock, *self.calls, *self.filled):
+        self.rig.loop.cancel(self.client.task)
+        for sock in (self.sock, *self.calls, *self.pending):
             sock.close()
         assert not self.rig.errors
 
@@ -149,7 +149,7 @@
     started = DiscoveryServer(Rig(), request.param == "asked")
     started.latest = POLL_BOUND_US if request.param == "asked" else WATCH_BOUND_US
     started.run_for(100_000)
-    assert started.made.answered
+    assert started.client.answered
     started.rig.inbox.items.clear()
     yield started
     started.close_all()
@@ -192,9 +192,9 @@
     server.change_to(failure)
     server.run_for(2_000_000)
     other = DiscoveryServer(server.rig)
-    server.rig.loop.cancel(other.made.task)
+    server.rig.loop.cancel(other.client.task)
     other.clock, other.state, since = server.clock, "draining", server.clock.at
-    server.made.move(other.address)
+    server.client.move(other.address)
     assert server.clock.run(server.has_arrived, ARRIVAL_LIMIT_US, lambda: server.serve() + other.serve())
     assert server.clock.at - since <= 100_000
     other.close_all()
@@ -204,7 +204,7 @@
 def test_indented_list_is_read(watch, server):
     server.json_options = {"option": orjson.OPT_INDENT_2}
     if not watch:
-        server.made.generation = None
+        server.client.generation = None
     server.change_to("ends")
     server.run_for(1_000_000)
     server.start_draining()
@@ -237,13 +237,13 @@
         self.answer_us = answer_us
         self.sock, self.clock = socket.create_server((HERE, 0), backlog=count), ControlledClock(rig.loop)
         self.sock.setblocking(False)
-        self.made = [discovery(rig, self.sock.getsockname(), True) for _ in range(count)]
+        self.clients = [discovery(rig, self.sock.getsockname(), True) for _ in range(count)]
         self.calls, self.queue, self.free_at = [], [], 0
         self.watches = {}  # open watches, and when each gets its next empty line
         self.clock.peers_due = lambda: min(
             [at for at, _ in self.queue[:1]] + list(self.watches.values()), default=None
         )
-        for client in self.made:
+        for client in self.clients:
             client.generation = 1
             client.follow()
 
@@ -295,9 +295,9 @@
     server = SequentialDiscoveryServer(rig, count, answer_us)
     limit_us = min(ARRIVAL_LIMIT_US, count * answer_us + MAX_RETRY_US)
     assert server.clock.run(
-        lambda: all(client.answered for client in server.made), limit_us, server.serve
-    ), sum(client.answered for client in server.made)
-    for client in server.made:
+        lambda: all(client.answered for client in server.clients), limit_us, server.serve
+    ), sum(client.answered for client in server.clients)
+    for client in server.clients:
         rig.loop.cancel(client.task)
     for sock in (server.sock, *server.calls):
         sock.close()
@@ -306,7 +306,7 @@
 # Processes
 
 
-def at(sock):
+def address_of(sock):
     host, port = sock.getsockname()
     return f"{host}:{port}"
 
@@ -315,19 +315,19 @@
     """A dispatcher process; the test plays its discovery server and workers."""
 
     def __init__(self, path, index=0, sockets=128, core=None, workers=2, **changed):
-        self.disc = socket.create_server((HERE, 0))
-        self.disc_at = self.disc.getsockname()
+        self.discovery = socket.create_server((HERE, 0))
+        self.discovery_address = self.discovery.getsockname()
         self.workers = [peer_at()[1] for _ in range(workers)]
         # A separate address: a port that is free now may be taken before the process listens on it.
         host = f"127.{128 + index}.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"
         self.listen, self.control = f"{host}:7070", f"{host}:7071"
         path.mkdir(exist_ok=True)
-        self.place = file(
+        self.config_path = file(
             path,
             listen=self.listen,
             control=self.control,
             **{
-                "discovery": at(self.disc),
+                "discovery": address_of(self.discovery),
                 "known": self.listing(),
                 "limits": {"sockets": sockets},
                 **changed,
@@ -335,7 +335,7 @@
         )
         self.began = time.monotonic()
         self.run = subprocess.Popen(
-            [sys.executable, "-B", "-m", "mastledge", "serve", "--config", self.place],
+            [sys.executable, "-B", "-m", "mastledge", "serve", "--config", self.config_path],
             cwd=ROOT,
             env={**os.environ, "TMPDIR": str(path)},
             stderr=subprocess.DEVNULL,
@@ -354,7 +354,7 @@
             "instances": [
                 {
                     "instanceId": f"s-{index}",
-                    "hostPort": at(sock),
+                    "hostPort": address_of(sock),
                     "zone": "z",
                     "cell": 0,
                     "machineType": "k",
@@ -366,16 +366,16 @@
             ],
         }
 
-    def connect(self, where="listen"):
-        host, _, port = getattr(self, where).rpartition(":")
+    def connect(self, address="listen"):
+        host, _, port = getattr(self, address).rpartition(":")
         return socket.create_connection((host, int(port)), 5)
 
-    def call(self, path, where="control"):
+    def call(self, path, address="control"):
         """Return the status and the body of the response."""
-        with self.connect(where) as theirs:
-            theirs.sendall(f"GET {path} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n".encode())
-            got = b"".join(iter(lambda: theirs.recv(65536), b""))
-        return int(got.split()[1]), got.partition(b"\r\n\r\n")[2].decode()
+        with self.connect(address) as conn:
+            conn.sendall(f"GET {path} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n".encode())
+            reply = b"".join(iter(lambda: conn.recv(65536), b""))
+        return int(reply.split()[1]), reply.partition(b"\r\n\r\n")[2].decode()
 
     def ready(self, within=20.0):
         """Return after how many seconds from its start the process was ready, None if it never was."""
@@ -389,8 +389,8 @@
 
     def accept_watch(self):
         """Accept and answer the watch of the dispatcher, and return its connection."""
-        self.disc.settimeout(5)
-        watch = self.disc.accept()[0]
+        self.discovery.settimeout(5)
+        watch = self.discovery.accept()[0]
         assert b"follow=1" in watch.recv(65536)
         watch.sendall(CHUNKED + chunk(b"\n"))
         return watch
@@ -398,7 +398,7 @@
     def close_all(self):
         self.run.kill()
         self.run.communicate()
-        for sock in (self.disc, *self.workers):
+        for sock in (self.discovery, *self.workers):
             sock.close()
 
 
@@ -417,13 +417,13 @@
 
 def accept_launch(process):
     """Return the listening socket and the connection of the worker that gets the next launch."""
-    came, _, _ = select.select(process.workers, [], [], 5)
-    theirs = came[0].accept()[0]
-    theirs.settimeout(5)
+    readable, _, _ = select.select(process.workers, [], [], 5)
+    remote = readable[0].accept()[0]
+    remote.settimeout(5)
     request = b""
     while not request.endswith(b"\r\n\r\nx"):
-        request += theirs.recv(65536)
-    return came[0], theirs
+        request += remote.recv(65536)
+    return readable[0], remote
 
 
 def test_idle_clients_that_fill_the_descriptors_do_not_block_jobs_in_flight(process):
@@ -434,27 +434,27 @@
     client = dispatcher.connect()
     client.settimeout(5)
     client.sendall(helpers.job(X_Txn="a1", X_Remaining_Ms=4000))
-    worker, theirs = accept_launch(dispatcher)
+    worker, remote = accept_launch(dispatcher)
     watch.close()
-    dispatcher.disc.close()
+    dispatcher.discovery.close()
     crowd = [dispatcher.connect() for _ in range(400)]
     assert dispatcher.call("/api/ready") == (200, "ready\n")
-    theirs.sendall(CHUNKED + chunk(b'{"id":"a1","state":"returned"}\n') + b"0\r\n\r\n")
+    remote.sendall(CHUNKED + chunk(b'{"id":"a1","state":"returned"}\n') + b"0\r\n\r\n")
     other, again = accept_launch(dispatcher)
     assert other is not worker
     answers(again, b"a1")
     assert client.recv(65536).startswith(b"HTTP/1.1 200")
     back = time.monotonic()
-    dispatcher.disc = socket.create_server(dispatcher.disc_at)
+    dispatcher.discovery = socket.create_server(dispatcher.discovery_address)
     dispatcher.accept_watch().sendall(chunk(orjson.dumps(dispatcher.listing(2, "draining")) + b"\n"))
     while "skipped_workers=1\n" not in dispatcher.call("/api/telemetry")[1]:
         assert time.monotonic() < back + WATCH_BOUND_US / 1e6
     newcomer = dispatcher.connect()
     newcomer.settimeout(5)
     newcomer.sendall(helpers.job(X_Txn="a2", X_Remaining_Ms=4000))
-    came, _, _ = select.select([newcomer, *dispatcher.workers], [], [], 5)
-    assert came  # answered, rejected or closed unread, but not ignored
-    for conn in (*crowd, client, newcomer, theirs, again):
+    readable, _, _ = select.select([newcomer, *dispatcher.workers], [], [], 5)
+    assert readable  # answered, rejected or closed unread, but not ignored
+    for conn in (*crowd, client, newcomer, remote, again):
         conn.close()
 
 
@@ -462,7 +462,7 @@
     core = min(os.sched_getaffinity(0))
     began = [process(core=core) for _ in range(10)]
     watches = [dispatcher.accept_watch() for dispatcher in began]
-    took = sorted(dispatcher.ready() or 99.0 for dispatcher in began)
-    assert took[8] < 6.0, took
+    durations = sorted(dispatcher.ready() or 99.0 for dispatcher in began)
+    assert durations[8] < 6.0, durations
     for watch in watches:
         watch.close()
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -60,7 +60,7 @@
 
 
 def late():
-    """Never end every tenth job, so that its client is answered too late."""
+    """Ignore every tenth job and extend the time limits of clients, so that answers come too late."""
     from mastledge.scheduling.scheduler import Scheduler
 
     arrived = Scheduler.job_arrived
@@ -226,7 +226,7 @@
 
 
 def reckless():
-    """Form a new fleet without checking that none exists."""
+    """Start a fleet anew without checking that the former fleet is lost and the state fits."""
     from mastledge.recovery import fleet_snapshot
 
     fleet_snapshot.check_fleet_start = lambda start: None
