--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,8 +5,9 @@
     test | always or at times | command with its seed | what was seen | issue
 
 A test of the kind `always` has to fail: the run breaks once it passes, so that no line outlives its fault. A
-test of the kind `at times` runs as usual, and its outcome does not break the run. Each line is printed at the
-end of the run, with the outcome of an `at times` test. With pytest-xdist, only the controller prints them.
+test of the kind `at times` may pass or fail without breaking the run. For both kinds, an error in the
+teardown still breaks the run. Each line is printed at the end of the run, for an `at times` test with its
+outcome. With pytest-xdist, only the controller prints the lines.
 
 SERIAL names the tests that must not run beside others; `.ci/run` runs them one at a time, after all others.
 """
@@ -44,6 +45,17 @@
     return hasattr(config, "workerinput")
 
 
+# Outcome of a test by the category of its reports, the worst first: an error in the teardown is a failure.
+OUTCOMES = {
+    "error": "failed",
+    "failed": "failed",
+    "xfailed": "failed",
+    "skipped": "skipped",
+    "xpassed": "passed",
+    "passed": "passed",
+}
+
+
 @dataclasses.dataclass(frozen=True)
 class KnownFailure:
     """A line of KNOWN-RED.txt."""
@@ -66,28 +78,17 @@
         return cls(line, *parts)
 
     def mark(self) -> pytest.MarkDecorator:
-        """Return the mark that lets the test fail; a test that always fails may not pass."""
+        """Return the xfail mark of the test; with `always`, a pass breaks the run."""
         return pytest.mark.xfail(strict=self.kind == "always", reason=f"{self.seen}: {self.issue}")
 
     def outcome(self, reports: dict[str, list]) -> str:
-        """Return whether the test passed or failed, from the terminal's reports by category."""
+        """Return the outcome of the test, or "not run", from the terminal's reports by category."""
         for category, outcome in OUTCOMES.items():
             if any(getattr(report, "nodeid", None) == self.test for report in reports.get(category, [])):
                 return outcome
         return "not run"
 
 
-# By category of report. A test that passes and then fails in its teardown has failed.
-OUTCOMES = {
-    "error": "failed",
-    "failed": "failed",
-    "xfailed": "failed",
-    "skipped": "skipped",
-    "xpassed": "passed",
-    "passed": "passed",
-}
-
-
 def known_failures() -> list[KnownFailure]:
     """Return the known failures that KNOWN-RED.txt names."""
     lines = (
@@ -114,7 +115,7 @@
     node.workerinput["whole_run"] = node.config.whole_run
 
 
-# First, as tests that a marker deselects later do exist.
+# First, so that a test that is deselected later (`-m`, `-k`) is not taken for a missing one.
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config, items):
     for item in items:
--- a/tests/folder_processes.py
+++ b/tests/folder_processes.py
@@ -25,10 +25,10 @@
 DISPATCHER = "n0"
 WORKERS = ("w0", "w1")
 RESTRICTED = "w1"
-"""The worker that an operator excluded (agreement) or that the newest list drains (recovery)."""
+"""The worker that an operator excluded (agreement) or that is draining in the newest list (recovery)."""
 
 FILE_TYPE, AGREED_TYPE = "render", "report"
-"""Queue types of the configuration file, and of the committed settings only."""
+"""The queue type of the configuration file, and one that only the committed settings have."""
 
 PATCHED_UTILITY = 0.25
 """The `excessUtility` of the newest committed settings; the configuration file has none."""
@@ -82,11 +82,11 @@
     }
 
 
-def wait_until(holds, what):
-    """Return the first true value of `holds()`; raise AssertionError with `what` after WAIT_S seconds."""
+def wait_until(condition, description):
+    """Return the first true value of `condition()`; raise AssertionError after WAIT_S seconds."""
     last = time.monotonic() + WAIT_S
-    while not (value := holds()):
-        assert time.monotonic() < last, f"not true within {WAIT_S:.0f} s: {what}"
+    while not (value := condition()):
+        assert time.monotonic() < last, f"not true within {WAIT_S:.0f} s: {description}"
         time.sleep(POLL_INTERVAL_S)
     return value
 
--- a/tests/forms.py
+++ b/tests/forms.py
@@ -27,15 +27,15 @@
 
 def adapter_answers(session):
     """Return what the adapter writes to standard output for these frames on standard input."""
-    done = subprocess.run(
+    adapter = subprocess.run(
         [sys.executable, "-m", program.ADAPTER_MODULE],
         input=session,
         capture_output=True,
         timeout=60,
         cwd=ROOT,
     )
-    assert done.returncode == 0, done.stderr.decode()
-    return done.stdout
+    assert adapter.returncode == 0, adapter.stderr.decode()
+    return adapter.stdout
 
 
 def answers_of(raw):
@@ -76,9 +76,11 @@
 
 def frame_of_holder():
     """Return the frame of records that a replica stores of the messages on keys."""
-    prints = b"\x01" * 16
-    messages = [["Claim", n, 3, "t", b"key-%d" % n, prints, f"{n}.run-1.n1", 9_000_000] for n in range(3)]
-    messages.append(["End", 5, 3, "t", b"key-1", prints, "1.run-1.n1", True, 200, b"content", 9_000_000])
+    fingerprint = b"\x01" * 16
+    messages = [
+        ["Claim", n, 3, "t", b"key-%d" % n, fingerprint, f"{n}.run-1.n1", 9_000_000] for n in range(3)
+    ]
+    messages.append(["End", 5, 3, "t", b"key-1", fingerprint, "1.run-1.n1", True, 200, b"content", 9_000_000])
     messages.append(["Drop", 6, "t", b"key-2", "2.run-1.n1"])
     received = [("n1", "holder-1", pack(message)) for message in messages]
     # A new replica scans for its keys, after which messages of earlier placements are refused.
@@ -98,11 +100,11 @@
 def messages_of(family):
     """Return {label: {"bytes", "read"}}; `read` is the shorter form of an older version."""
     message_family, out = program.MESSAGES[family], {}
-    for full, least in samples.SAMPLES[family]:
+    for full, required in samples.SAMPLES[family]:
         label = f"{full[0]}, all set"
         out[label] = {"bytes": message_family.written(message_family.read(message_family.mark + pack(full)))}
-        if least is not None:
-            short = message_family.mark + pack(least)
+        if required is not None:
+            short = message_family.mark + pack(required)
             out[f"{full[0]}, by default"] = {
                 "bytes": message_family.written(message_family.read(short)),
                 "read": short,
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -34,8 +34,9 @@
         "idempotency": EFFECTS[effect],
         "windowMs": window,
         "dedupScope": "zone",
+        # How long a job waits for a worker.
         "targetTurnaroundMs": 3000.0,
-    }  # how long a job waits for a worker
+    }
     limits = {**GOOD["settings"]["limits"], **limits}
     return {**GOOD["settings"], "balancers": 4, "limits": limits, "queueTypes": [queue_type]}
 
@@ -289,7 +290,8 @@
     ended, router_ended = router.on_launch_ended, []
 
     def on_ended(*arguments):
-        # Between the worker's answer and the decision on it, the loop has not seen the disconnect.
+        # The client disconnects between the worker's answer and the decision on the answer; the loop has not
+        # seen the disconnect yet.
         if not router_ended:
             router_ended.append(arguments)
             disconnect(dispatcher, client)
@@ -402,13 +404,13 @@
 
 @for_each_disconnect
 def test_disconnect_during_a_hand_off_of_the_keys_prevents_the_launch(disconnect, serving, tmp_path):
-    # The former process still holds the data directory, for which a job with a key waits.
+    # A job with a key waits while the former process holds the data directory.
     (tmp_path / "beside").mkdir()
     listen = free()
-    before = UpgradeState(str(tmp_path / "beside"), (HERE, int(listen.rpartition(":")[2])), print)
-    before.take_seat()
-    kept = DataDirectory(str(tmp_path / "kept"))
-    kept.acquire()
+    former_process = UpgradeState(str(tmp_path / "beside"), (HERE, int(listen.rpartition(":")[2])), print)
+    former_process.take_seat()
+    data_directory = DataDirectory(str(tmp_path / "kept"))
+    data_directory.acquire()
     dispatcher = serving(
         listen=listen, folder=str(tmp_path / "beside"), repeats=key_settings(tmp_path)
     ).serving()
@@ -417,8 +419,8 @@
     assert dispatcher.turn(lambda: dispatcher.made.listener.jobs.in_hand)
     disconnect(dispatcher, client)
     assert dispatcher.turn(lambda: not dispatcher.made.listener.jobs.in_hand)
-    kept.release()
-    before.leave()
+    data_directory.release()
+    former_process.leave()
     assert dispatcher.turn(lambda: dispatcher.made.idempotency.key_table is not None)
     dispatcher.send_job("a2", Idempotency_Key="k1")
     dispatcher.answer_only_launch("a2")
@@ -501,14 +503,14 @@
     """Send `part` again and again, faster than the program reads, until `until()` holds."""
     remote.setblocking(False)
 
-    def more():
+    def send_part():
         try:
             remote.send(part)
         except OSError:
             pass
         return until()
 
-    return dispatcher.turn(more, 6_000_000)
+    return dispatcher.turn(send_part, 6_000_000)
 
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -621,17 +623,17 @@
 def test_event_of_a_closed_descriptor_does_not_reach_its_next_owner():
     rig = Rig()
     pairs = [rig.pair() for _ in range(2)]
-    (first, its_peer), (second, second_peer) = pairs
+    (first, first_peer), (second, second_peer) = pairs
     got = []
 
     def free_descriptor():
         yield (first.fd, READ, None)
-        number = second.fd
+        descriptor = second.fd
         rig.loop.cancel(other)
         second.close()
         second_peer.close()
         reused, _ = rig.pair()
-        assert reused.fd == number  # the kernel assigns the lowest free descriptor
+        assert reused.fd == descriptor  # the kernel assigns the lowest free descriptor
         got.append((yield (reused.fd, READ, rig.loop.now() + 1_000)))
 
     def wait_readable():
@@ -639,7 +641,7 @@
 
     task, other = rig.loop.spawn(free_descriptor()), rig.loop.spawn(wait_readable())
     rig.loop.run_once(0)
-    its_peer.send(b"x")
+    first_peer.send(b"x")
     second_peer.send(b"x")
     assert rig.turn(lambda: task.ended) and got == [0]
 
@@ -739,7 +741,8 @@
 
 @pytest.mark.parametrize("when", ["drained", "finishing"])
 def test_new_connection_is_not_closed_before_its_request(when, serving, monkeypatch):
-    # Guards against closing a new connection as idle just before its first request.
+    # Guards against closing a new connection as idle at the next check, up to 20 ms after its start, just
+    # before its first request arrives.
     monkeypatch.setattr(graceful_shutdown, "EXIT_MARGIN_US", 60_000_000)
     monkeypatch.setattr(client_listener, "MIN_AGE_US", 10_000_000)
     dispatcher = serving(control=free()).serving()
@@ -749,16 +752,16 @@
         assert dispatcher.call("/api/evacuate", "POST")[0] == 200
         assert dispatcher.turn(lambda: dispatcher.made.phase == "draining")
         client = dispatcher.connect()
-        close_idle, name = listener.close_while_draining, "close_while_draining"
+        close_idle, method_name = listener.close_while_draining, "close_while_draining"
     else:
-        last_call, close_idle, name = listener.accept_waiting, listener.close_all_idle, "close_all_idle"
+        accept, close_idle, method_name = listener.accept_waiting, listener.close_all_idle, "close_all_idle"
         clients = []
 
-        def last(*arguments):
+        def connect_and_accept(*arguments):
             clients.append(dispatcher.connect())  # the last connection that the kernel accepts
-            last_call(*arguments)
+            accept(*arguments)
 
-        listener.accept_waiting = last
+        listener.accept_waiting = connect_and_accept
         dispatcher.request_shutdown()
         assert dispatcher.turn(lambda: dispatcher.made.phase == "leaving")
         dispatcher.advance_clock(40)
@@ -770,8 +773,8 @@
             checks.append(True)
         close_idle()
 
-    setattr(listener, name, check_idle)
-    assert dispatcher.turn(lambda: len(checks) > 2)  # the connection was there in three checks
+    setattr(listener, method_name, check_idle)
+    assert dispatcher.turn(lambda: len(checks) > 2)  # three checks have found the connection idle
     client.sendall(helpers.job(X_Txn="a1", X_Remaining_Ms=4000))
     dispatcher.answer_only_launch("a1")
     assert b" 200 " in dispatcher.rig.reply(client)
@@ -941,7 +944,7 @@
             lambda: dispatcher.job("a2").launches and dispatcher.job("a2").launches[0].sent
         )
         remote.sendall(second)
-        # The job is launched again, as its answer would come on the same connection.
+        # The job is launched again: its answer on this connection could be mixed up with the second one.
     else:
         assert dispatcher.turn(lambda: not peer.idle)
         other = dispatcher.send_accepted_job("a2")
@@ -992,9 +995,9 @@
 
 
 def expect_launch_on(dispatcher, other, client):
-    there, request = dispatcher.rig.called(other)
+    remote, request = dispatcher.rig.called(other)
     assert b"a1" in request and dispatcher.turn(lambda: dispatcher.job("a1").launches[-1].sent)
-    answers(there, b"a1")
+    answers(remote, b"a1")
     assert dispatcher.rig.reply(client).endswith(b"r")
 
 
@@ -1019,7 +1022,8 @@
 def test_second_refusal_does_not_prove_that_the_next_launch_never_ran(
     effect, is_idle_connection, check, serving
 ):
-    # Guards against taking it for the answer to the next launch on that connection, which ran.
+    # Guards against taking the second refusal for the answer to the next launch on that connection: that
+    # launch ran.
     dispatcher = serving(effect).serving()
     remote = serve_first_job(dispatcher) if is_idle_connection else None
     client = dispatcher.send_accepted_job("a1", Idempotency_Key="k1")
@@ -1085,8 +1089,8 @@
         expect_launch_on(dispatcher, other, client)
         return
     dispatcher.advance_clock(0.7)
-    there, _ = other.accept()
-    assert b" 500 " in dispatcher.rig.reply(client) and there.recv(1) == b""
+    second_remote, _ = other.accept()
+    assert b" 500 " in dispatcher.rig.reply(client) and second_remote.recv(1) == b""
 
 
 @pytest.mark.parametrize("place", ["read", "in hand"])
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -36,7 +36,7 @@
             server.change_to("up")
             server.run_for(1_000_000)
             lists = [item.entries for item in server.rig.inbox.items if len(item.entries) == WORKERS]
-            assert lists and {one[3] for one in lists[-1]} == {state}
+            assert lists and {worker[3] for worker in lists[-1]} == {state}
     server.close_all()
 
 
@@ -50,7 +50,9 @@
     (decision,) = pull(sched, 20)
     assert decision.worker == WORKERS - 1
     sched.update_endpoints(30, "whole", [entry(i, born=25) for i in range(WORKERS)])
-    with_budget = sum(sched.slow_start.within_budget(one, sched.jobs[2], 2_000_000) for one in sched.ready)
+    with_budget = sum(
+        sched.slow_start.within_budget(worker, sched.jobs[2], 2_000_000) for worker in sched.ready
+    )
     assert 0 < with_budget < WORKERS // 10  # a credit smaller than one job is granted at random
     settings = parse_settings(flatten_settings({**GOOD["settings"], "balancers": DISPATCHERS}))
     assert settings["dispatchers"] == DISPATCHERS
@@ -89,15 +91,20 @@
 def test_replicas_of_keys_are_spread_over_many_dispatchers():
     ids = {name: f"id of {name}" for name in NAMES}
     placement = Placement({"epoch": 1, "count": 3, "now": ids, "next": None, "caught": []})
-    held = [placement.replicas_of("t", b"k%d" % n).names for n in range(300)]
-    assert all(len(set(names)) == 3 for names in held) and len({n for names in held for n in names}) > 400
+    replica_names = [placement.replicas_of("t", b"k%d" % n).names for n in range(300)]
+    assert (
+        all(len(set(names)) == 3 for names in replica_names)
+        and len({n for names in replica_names for n in names}) > 400
+    )
 
 
 def test_recovery_record_of_many_workers_is_restored():
     workers = {f"w{n}": StoredWorker("draining", 5_000, [HERE, 1]) for n in range(WORKERS)}
-    stored = record(workers=workers)
-    assert len(msgspec.json.decode(msgspec.json.encode(stored), type=RecoveryRecord).workers) == WORKERS
-    assert len(restored(stored).restricted()) == WORKERS
+    stored_record = record(workers=workers)
+    assert (
+        len(msgspec.json.decode(msgspec.json.encode(stored_record), type=RecoveryRecord).workers) == WORKERS
+    )
+    assert len(restored(stored_record).restricted()) == WORKERS
 
 
 def test_restrictions_of_many_workers_are_sent_to_peers():
--- a/tests/test_stored_and_wire_forms.py
+++ b/tests/test_stored_and_wire_forms.py
@@ -21,7 +21,8 @@
     "copies": {"holder", "fence", "claim", "end", "drop"},
     "recovery": {"list", "out", "learned"},
 }
-DISTINCT_SESSIONS = 7  # of 9: in these frames 502 has the same result as 503, and 499 as 504
+# Of 9 sessions: the codes 502 and 503 lead to the same answers, and so do 499 and 504.
+DISTINCT_SESSIONS = 7
 ADAPTER_ACTIONS = {1, 2, 3, 4, 5, 8, 10, 11}
 
 
@@ -66,10 +67,10 @@
 def optional_fields(message_class):
     """Return {position on the wire: default} of each field that may be missing."""
     out = {}
-    for place, field in enumerate(msgspec.structs.fields(message_class), 1):
+    for position, field in enumerate(msgspec.structs.fields(message_class), 1):
         if not field.required:
             has_factory = field.default_factory is not msgspec.NODEFAULT
-            out[place] = field.default_factory() if has_factory else field.default
+            out[position] = field.default_factory() if has_factory else field.default
     return out
 
 
@@ -78,8 +79,8 @@
     for tag, message_class in program.MESSAGES[family].classes().items():
         full, optional = wire_form(family, f"{tag}{ALL_SET}"), optional_fields(message_class)
         assert len(full) == 1 + len(msgspec.structs.fields(message_class))
-        for place, default in optional.items():
-            assert full[place] != msgspec.to_builtins(default), (tag, place)
+        for position, default in optional.items():
+            assert full[position] != msgspec.to_builtins(default), (tag, position)
         if optional:
             short = form(f"messages-{family}", f"{tag}{BY_DEFAULT}")["read"]
             plain = msgspec.msgpack.decode(short[len(program.MESSAGES[family].mark) :])
@@ -121,7 +122,8 @@
 
 
 def test_first_bytes_distinguish_frames():
-    # Raft messages begin with a MessagePack list, never with C1; C1 R marks recovery messages.
+    # Raft messages begin with a MessagePack list, and C1 is never used by MessagePack: alone it marks the
+    # frames of replicas, followed by R recovery messages.
     assert (program.COPIES_FRAME.mark, program.MESSAGES["recovery"].mark) == (b"\xc1", b"\xc1R")
     for forms_of in (forms.load("messages-agreement"), forms.load("frames")):
         for label, fixture in forms_of.items():
@@ -144,11 +146,11 @@
 def test_link_receives_the_committed_bytes_and_acknowledges_each_frame():
     stream, receiver = form("link", "stream")["bytes"], LinkEnds("fleet-1", "n1", "life-n1")
     try:
-        received, back = receiver.receives(stream, len(samples.LINK_CONTENTS))
+        received, acknowledgements = receiver.receives(stream, len(samples.LINK_CONTENTS))
     finally:
         receiver.close()
     assert received == [("n0", "life-n0", content) for content in samples.LINK_CONTENTS]
-    assert back == b"." * len(samples.LINK_CONTENTS)
+    assert acknowledgements == b"." * len(samples.LINK_CONTENTS)
 
 
 # Journals
@@ -290,26 +292,26 @@
 @pytest.mark.parametrize("label", FILES)
 def test_file_between_sibling_processes_round_trips(label, tmp_path):
     raw, (name, read, write) = form("handover", label)["bytes"], FILES[label]
-    there, back = tmp_path / "there", tmp_path / "back"
-    there.mkdir()
-    (there / name).write_bytes(raw)
+    read_directory, written_directory = tmp_path / "there", tmp_path / "back"
+    read_directory.mkdir()
+    (read_directory / name).write_bytes(raw)
     # `taken` is read by the other process only, so its reader must have another process id.
     process, clock = forms.patched_process()
     with clock:
         if label == "taken":
-            fixture = read(there)
-            assert fixture == {"from": samples.PROCESS, "index": samples.TAKEN["index"]}
+            content = read(read_directory)
+            assert content == {"from": samples.PROCESS, "index": samples.TAKEN["index"]}
         else:
             with process:
-                fixture = read(there)
-    assert fixture
-    assert forms.by_file(back, name, write, fixture) == raw
+                content = read(read_directory)
+    assert content
+    assert forms.by_file(written_directory, name, write, content) == raw
 
 
 def test_state_shared_with_the_sibling_process_has_the_committed_bytes(tmp_path):
-    fixture = {**samples.SAID, "state": program.brief_of_fleet(samples.STATE)}
+    content = {**samples.SAID, "state": program.brief_of_fleet(samples.STATE)}
     raw = form("handover", "said by a fleet")["bytes"]
-    assert forms.by_file(tmp_path, "said", program.write_said, fixture) == raw
+    assert forms.by_file(tmp_path, "said", program.write_said, content) == raw
 
 
 def test_learned_values_round_trip(tmp_path):
@@ -318,16 +320,16 @@
     assert forms.by_file(tmp_path / "there", name, write, program.learned_of_decisions()) == raw
     _, clock = forms.patched_process()
     with clock:
-        fixture = program.read_handover_learned(tmp_path / "there")
-    assert forms.by_file(tmp_path / "back", name, write, program.learned_again(fixture)) == raw
+        learned = program.read_handover_learned(tmp_path / "there")
+    assert forms.by_file(tmp_path / "back", name, write, program.learned_again(learned)) == raw
 
 
 @pytest.mark.parametrize("job", samples.JOBS)
 def test_handed_off_job_round_trips(job, tmp_path):
     raw = form("handover", f"datagram: {job}")["bytes"]
-    fixture = program.taken_up(raw)
-    assert fixture == samples.JOBS[job]
-    assert program.handed_on(tmp_path, fixture) == raw
+    taken_job = program.taken_up(raw)
+    assert taken_job == samples.JOBS[job]
+    assert program.handed_on(tmp_path, taken_job) == raw
 
 
 def test_each_file_and_datagram_between_sibling_processes_has_its_test():
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -50,7 +50,10 @@
 
 
 class DiscoveryServer:
-    """A discovery server that fails in a way that can be changed."""
+    """A discovery server whose way of failing, `mode`, the test changes.
+
+    `calls` holds the mode in which each connection was answered, "" before its request.
+    """
 
     def __init__(self, rig, by_polling=False):
         self.rig, self.clock = rig, ControlledClock(rig.loop)
@@ -95,25 +98,25 @@
                 break
             call.setblocking(False)
             self.calls[call], busy = "", True
-        for call, what in list(self.calls.items()):
+        for call, answered_mode in list(self.calls.items()):
             try:
-                asked = call.recv(65536)
-                gone = not asked
+                request = call.recv(65536)
+                closed = not request
             except BlockingIOError:
-                asked, gone = b"", False
+                request, closed = b"", False
             except OSError:
-                gone = True
-            if gone:
+                closed = True
+            if closed:
                 call.close()
                 del self.calls[call]
                 continue
-            if not what and asked:
-                self.answer(call, b"follow=1" in asked)
+            if not answered_mode and request:
+                self.answer(call, b"follow=1" in request)
                 busy = True
         if self.mode == "drips" and self.clock.at >= self.drip_at:
             self.drip_at = self.clock.at + 200_000
-            for call, what in list(self.calls.items()):
-                if what == "drips":
+            for call, answered_mode in list(self.calls.items()):
+                if answered_mode == "drips":
                     call.send(chunk(b" "))
                     busy = True
         return busy
@@ -239,7 +242,7 @@
         self.sock.setblocking(False)
         self.clients = [discovery(rig, self.sock.getsockname(), True) for _ in range(count)]
         self.calls, self.queue, self.free_at = [], [], 0
-        self.watches = {}  # open watches, and when each gets its next empty line
+        self.watches = {}  # time of the next empty line of each open watch
         self.clock.peers_due = lambda: min(
             [at for at, _ in self.queue[:1]] + list(self.watches.values()), default=None
         )
@@ -257,14 +260,14 @@
             pass
         for call in list(self.calls):
             try:
-                asked = call.recv(65536)
+                request = call.recv(65536)
             except BlockingIOError:
                 continue
             busy = True
-            if asked and len(self.queue) * self.answer_us < self.MAX_QUEUE_US:
+            if request and len(self.queue) * self.answer_us < self.MAX_QUEUE_US:
                 self.free_at = max(self.free_at, now) + self.answer_us
                 self.queue.append((self.free_at, call))
-            elif asked:
+            elif request:
                 call.sendall(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
             else:
                 self.calls.remove(call)  # a cancelled request still takes the time of its answer
@@ -288,7 +291,7 @@
 @pytest.mark.parametrize("answer_us", [130_000, 150_000, 180_000])
 def test_all_dispatchers_get_the_list_in_time_from_a_sequential_discovery(answer_us):
     # Guards against dispatchers that give up too early, so that most answers go to closed connections.
-    # The last dispatcher gets the list once all were answered, plus the pause after a refused call.
+    # The last dispatcher gets the list after the time for all answers and one pause after a refused call.
     count = 32
     rig = Rig(sockets=512)
     rig.budget.limits["discovery"] = 64
@@ -378,7 +381,7 @@
         return int(reply.split()[1]), reply.partition(b"\r\n\r\n")[2].decode()
 
     def ready(self, within=20.0):
-        """Return after how many seconds from its start the process was ready, None if it never was."""
+        """Return the seconds from the start of the process until it is ready, None if over `within`."""
         while time.monotonic() < self.began + within:
             try:
                 if self.call("/health/ready", "listen")[0] == 200:
@@ -416,7 +419,7 @@
 
 
 def accept_launch(process):
-    """Return the listening socket and the connection of the worker that gets the next launch."""
+    """Accept the next launch; return the listening socket of its worker and the connection."""
     readable, _, _ = select.select(process.workers, [], [], 5)
     remote = readable[0].accept()[0]
     remote.settimeout(5)
@@ -427,7 +430,7 @@
 
 
 def test_idle_clients_that_fill_the_descriptors_do_not_block_jobs_in_flight(process):
-    # Discovery is down meanwhile: a change that it has at its return still arrives in time.
+    # Discovery is down meanwhile: a change that it has once it is up again still arrives in time.
     dispatcher = process(sockets=96)
     watch = dispatcher.accept_watch()
     assert dispatcher.ready()
@@ -437,32 +440,32 @@
     worker, remote = accept_launch(dispatcher)
     watch.close()
     dispatcher.discovery.close()
-    crowd = [dispatcher.connect() for _ in range(400)]
+    idle_clients = [dispatcher.connect() for _ in range(400)]
     assert dispatcher.call("/api/ready") == (200, "ready\n")
     remote.sendall(CHUNKED + chunk(b'{"id":"a1","state":"returned"}\n') + b"0\r\n\r\n")
-    other, again = accept_launch(dispatcher)
-    assert other is not worker
-    answers(again, b"a1")
+    second_worker, second_remote = accept_launch(dispatcher)
+    assert second_worker is not worker
+    answers(second_remote, b"a1")
     assert client.recv(65536).startswith(b"HTTP/1.1 200")
-    back = time.monotonic()
+    restarted_at = time.monotonic()
     dispatcher.discovery = socket.create_server(dispatcher.discovery_address)
     dispatcher.accept_watch().sendall(chunk(orjson.dumps(dispatcher.listing(2, "draining")) + b"\n"))
     while "skipped_workers=1\n" not in dispatcher.call("/api/telemetry")[1]:
-        assert time.monotonic() < back + WATCH_BOUND_US / 1e6
-    newcomer = dispatcher.connect()
-    newcomer.settimeout(5)
-    newcomer.sendall(helpers.job(X_Txn="a2", X_Remaining_Ms=4000))
-    readable, _, _ = select.select([newcomer, *dispatcher.workers], [], [], 5)
+        assert time.monotonic() < restarted_at + WATCH_BOUND_US / 1e6
+    new_client = dispatcher.connect()
+    new_client.settimeout(5)
+    new_client.sendall(helpers.job(X_Txn="a2", X_Remaining_Ms=4000))
+    readable, _, _ = select.select([new_client, *dispatcher.workers], [], [], 5)
     assert readable  # answered, rejected or closed unread, but not ignored
-    for conn in (*crowd, client, newcomer, remote, again):
+    for conn in (*idle_clients, client, new_client, remote, second_remote):
         conn.close()
 
 
 def test_nine_in_ten_processes_that_start_at_once_on_one_core_are_ready_in_time(process):
     core = min(os.sched_getaffinity(0))
-    began = [process(core=core) for _ in range(10)]
-    watches = [dispatcher.accept_watch() for dispatcher in began]
-    durations = sorted(dispatcher.ready() or 99.0 for dispatcher in began)
+    processes = [process(core=core) for _ in range(10)]
+    watches = [dispatcher.accept_watch() for dispatcher in processes]
+    durations = sorted(dispatcher.ready() or 99.0 for dispatcher in processes)
     assert durations[8] < 6.0, durations
     for watch in watches:
         watch.close()
--- a/tests/write_stored_folders.py
+++ b/tests/write_stored_folders.py
@@ -11,8 +11,8 @@
 - agreement: the settings of version 2 add a queue type. Then w1 is excluded and included until the log is
   compacted to a snapshot. Entries of each kind that a fleet of one can make without replicas follow; the
   last one excludes w1.
-- repeats, copies: one key is answered, the job of another runs when the process is killed. `copies` is a
-  fleet of one, which has the same records as a fleet of three.
+- repeats, copies: one key is answered; the job of another is running when the process is killed. `copies`
+  is a fleet of one, which has the same records as a fleet of three.
 - recovery: a list of generation 7 in which w1 is draining, learned values of the workers, and a launch in
   flight at w0.
 """
@@ -42,8 +42,8 @@
 )
 
 FOLDERS = Path(__file__).resolve().parent / "fixtures" / "folders"
-SNAPSHOT_AFTER = 300
-"""Pairs of changes: enough entries for a member to make a snapshot."""
+CHANGE_PAIRS = 300
+"""Pairs of changes, with more entries than those after which a member makes a snapshot."""
 
 
 def open_job(site):
@@ -70,7 +70,7 @@
     site.start(form=True)
     new_settings = {**settings(), "queueTypes": [*settings()["queueTypes"], queue_type(AGREED_TYPE)]}
     change(site, "/api/settings", new_settings, {"If-Match": '"1"'})
-    for _ in range(SNAPSHOT_AFTER):
+    for _ in range(CHANGE_PAIRS):
         change(site, f"/api/exclude/{RESTRICTED}")
         change(site, f"/api/include/{RESTRICTED}")
     version = site.told("/api/agreed")["settings_version"]
--- a/tests/wrong_builds.py
+++ b/tests/wrong_builds.py
@@ -27,9 +27,9 @@
 
     original_write = WorkerConnections.write_while_lawful
 
-    def write_while_lawful(self, conn, peer, *how):
+    def write_while_lawful(self, conn, peer, *arguments):
         peer.excluded = False
-        return original_write(self, conn, peer, *how)
+        return original_write(self, conn, peer, *arguments)
 
     WorkerConnections.write_while_lawful = write_while_lawful
 
@@ -39,7 +39,7 @@
     from mastledge.scheduling.decisions import LaunchJob
     from mastledge.scheduling.scheduler import Scheduler
 
-    settle = Scheduler.decide_job
+    decide_job = Scheduler.decide_job
 
     def relaunch(self, job, now):
         if job.launches and not job.in_flight and not job.ended:
@@ -48,10 +48,10 @@
         elif len(job.launches) == 1 and job.queue_type.effect == "run-once" and not job.launches[0].ended:
             job.launches[0].ended, job.in_flight = True, 0
             job.launches[0].may_have_run = False
-            decision = settle(self, job, now)
+            decision = decide_job(self, job, now)
             job.launches[0].ended, job.in_flight = False, 1 + (len(job.launches) > 1)
             return decision
-        decision = settle(self, job, now)
+        decision = decide_job(self, job, now)
         if isinstance(decision, LaunchJob) and job.queue_type.effect == "run-once":
             self.timers.set(now + 1000, job)
         return decision
@@ -60,13 +60,13 @@
 
 
 def late():
-    """Ignore every tenth job and extend the time limits of clients, so that answers come too late."""
+    """Never decide every tenth job and give each exchange 400 ms more, so that answers come too late."""
     from mastledge.scheduling.scheduler import Scheduler
 
-    arrived = Scheduler.job_arrived
+    original_job_arrived = Scheduler.job_arrived
 
     def job_arrived_unended(self, now, job_id, *fields):
-        arrived(self, now, job_id, *fields)
+        original_job_arrived(self, now, job_id, *fields)
         if job_id % 10 == 0:
             self.jobs[job_id].ended = True
 
@@ -123,8 +123,8 @@
 
     launch = Scheduler.launch
 
-    def launch_with_short_deadline(self, job, wkr, now, until=None):
-        decision = launch(self, job, wkr, now, until)
+    def launch_with_short_deadline(self, job, worker, now, until=None):
+        decision = launch(self, job, worker, now, until)
         if job.id % 7 == 0 and job.queue_type.effect == "run-once":
             job.deadline = now + 5_000
             self.timers.set(job.deadline, job)
@@ -136,12 +136,12 @@
 
     Scheduler.launch = launch_with_short_deadline
     Scheduler.reject_or_kill = reject_launched
-    settle = Scheduler.decide_job
+    decide_job = Scheduler.decide_job
 
     def reject_at_deadline(self, job, now):
         if job.launches and now >= job.deadline:
             return self.reject_or_kill(job, 0)
-        return settle(self, job, now)
+        return decide_job(self, job, now)
 
     Scheduler.decide_job = reject_at_deadline
 
@@ -152,7 +152,7 @@
 
     persist = IdempotencyService.persist
 
-    def later(self, job):
+    def persist_with_outcome(self, job):
         record = job.record
         if record.state == "claimed":
             self.later = [
@@ -166,7 +166,7 @@
         ] + self.key_table.changes
         return (yield from persist(self, job))
 
-    IdempotencyService.persist = later
+    IdempotencyService.persist = persist_with_outcome
 
 
 def boastful():
