--- a/tests/folder_processes.py
+++ b/tests/folder_processes.py
@@ -301,7 +301,7 @@
         """Send an operator call to the control address."""
         return self.request(self.control, method, path, body, headers)
 
-    def told(self, path):
+    def get_json(self, path):
         """Return the decoded JSON of an operator call."""
         status, _, content = self.call("GET", path)
         assert status == 200, content
--- a/tests/test_stored_folders.py
+++ b/tests/test_stored_folders.py
@@ -142,7 +142,7 @@
 def test_stored_settings_and_excluded_worker_are_in_force(stored):
     site = stored("agreement")
     site.start()
-    agreed = site.told("/api/agreed")
+    agreed = site.get_json("/api/agreed")
     version = written("agreement")["settings_version"]
     assert agreed["settings_version"] == version
     assert agreed["out"] == [RESTRICTED]
@@ -168,7 +168,7 @@
     wait_until(lambda: site.call("GET", "/api/copies")[0] == 200, "the keys are read")
     if kind == "copies":
         wait_until(
-            lambda: site.told("/api/copies")["takes_part"], "the start of the data directory is committed"
+            lambda: site.get_json("/api/copies")["takes_part"], "the start of the data directory is committed"
         )
     status, content = site.job(ANSWERED_KEY)
     assert (status, content.decode()) == (200, written(kind)["answer"])
@@ -186,14 +186,14 @@
     site = stored("recovery", generation=STORED_GENERATION - 1)
     move_to_present(site.place / "recovery" / "recovery", site)
     site.start()
-    recovery = site.told("/api/recovery")
+    recovery = site.get_json("/api/recovery")
     assert recovery["believed"]["not"] == {}
     assert recovery["believed"]["workers"] == len(WORKERS)
     assert recovery["believed"]["learned"]
     assert recovery["believed"]["out"] == 1
-    assert wait_until(lambda: site.told("/api/recovery")["kept_off"], "kept off") == [RESTRICTED]
+    assert wait_until(lambda: site.get_json("/api/recovery")["kept_off"], "kept off") == [RESTRICTED]
     assert only_unrestricted_worker_serves(site)
     # The present list has the worker as ready, and applies once it is newer than the stored one.
     site.discovery.generation = STORED_GENERATION + 1
-    wait_until(lambda: not site.told("/api/recovery")["kept_off"], "the newer list is in force")
+    wait_until(lambda: not site.get_json("/api/recovery")["kept_off"], "the newer list is in force")
     wait_until(lambda: site.served(1)[RESTRICTED], "the freed worker is used")
--- a/tests/write_stored_folders.py
+++ b/tests/write_stored_folders.py
@@ -73,17 +73,17 @@
     for _ in range(CHANGE_PAIRS):
         change(site, f"/api/exclude/{RESTRICTED}")
         change(site, f"/api/include/{RESTRICTED}")
-    version = site.told("/api/agreed")["settings_version"]
+    version = site.get_json("/api/agreed")["settings_version"]
     change(site, "/api/settings", {**new_settings, "excessUtility": 0.5}, {"If-Match": f'"{version}"'})
     # With relays, a change of the settings is committed as a patch.
     change(site, "/api/relays", {"fan_out": 4})
-    version = site.told("/api/agreed")["settings_version"]
+    version = site.get_json("/api/agreed")["settings_version"]
     patched = {**new_settings, "excessUtility": PATCHED_UTILITY}
     change(site, "/api/settings", patched, {"If-Match": f'"{version}"'})
     change(site, "/api/members", {"kind": "add", "name": "n1", "address": site.free()})
     change(site, "/api/members", {"kind": "remove", "name": "n1"})
     change(site, f"/api/exclude/{RESTRICTED}")
-    return {"settings_version": site.told("/api/agreed")["settings_version"]}
+    return {"settings_version": site.get_json("/api/agreed")["settings_version"]}
 
 
 def write_keys(site):
