--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -129,11 +129,11 @@
     return frames.encode_file_header(owner)
 
 
-def book_of_keys():
+def new_key_table():
     return KeyTable(60_000_000, 100, 1 << 20, 1_000)
 
 
-def records_of_book(keys, claim):
+def records_of_key_table(keys, claim):
     """Return the records of claims that are answered, unsure, released and still open."""
     records = []
     for number, fate in enumerate(("answered", "unsure", "dropped", "claimed")):
@@ -175,9 +175,9 @@
     return records
 
 
-def records_of_holder(copies, messages):
+def records_of_replica(copies, messages):
     """Return the records of a replica that gets its placement, then each (name, id, message)."""
-    node = Node(NodeOptions("n0", "holder-0", "run-1", 0, 1, 1_000_000), book_of_keys(), 0)
+    node = Node(NodeOptions("n0", "holder-0", "run-1", 0, 1, 1_000_000), new_key_table(), 0)
     steps = [replication_inputs.PlacementChanged(copies)]
     steps += [
         replication_inputs.MessageReceived(name, id_, replication_messages.decode(content))
@@ -198,7 +198,7 @@
     return [(0, peer, *entry(0)[2:]) for peer in peers]
 
 
-def decisions_that_learned():
+def scheduler_with_learned_state():
     """Return a scheduler that ejected three workers for different reasons and has a launch in flight."""
     sched = scheduler(workers=0)
     sched.update_endpoints(0, "whole", three_workers())
@@ -213,7 +213,7 @@
 
 def learned_of_decisions():
     """Return the learned state that a scheduler leaves to its successor process."""
-    return decisions_that_learned().learned_state()
+    return scheduler_with_learned_state().learned_state()
 
 
 def learned_again(learned):
@@ -229,7 +229,7 @@
     discovery = SimpleNamespace(
         answered=True, generation=42, zones={"a": 0}, kinds={"m": 0}, since=1_699_999_000_000_000
     )
-    router = SimpleNamespace(scheduler=decisions_that_learned())
+    router = SimpleNamespace(scheduler=scheduler_with_learned_state())
     saved = []
     loop = Rig().loop
     program = SimpleNamespace(
@@ -243,7 +243,7 @@
     return saved
 
 
-def genesis_state(settings, lease, members):
+def state_of_new_fleet(settings, lease, members):
     return state_machine.initial_state(settings, lease, members)
 
 
@@ -312,7 +312,7 @@
     return asdict(notes(directory).notice())
 
 
-def brief_of_fleet(state):
+def shared_fleet_state(state):
     """Return the part of the replicated state that is shared with the sibling process."""
     return lent_state(state)
 
@@ -326,7 +326,7 @@
     return {"from": report.process, "index": report.index}
 
 
-def handed_on(directory, job):
+def hand_off_job(directory, job):
     """Return the datagram that hands off a job {name, kind, until, headed, rest} to another process."""
     path = str(Path(directory) / "inlet")
     inlet, client, worker = descriptor_passing.open_receiver(path), *socket.socketpair()
@@ -365,8 +365,8 @@
             sock.close()
 
 
-def taken_up(raw):
-    """Return the job that the receiving process gets, in the form that `handed_on` takes."""
+def take_over_job(raw):
+    """Return the job that the receiving process gets, in the form that `hand_off_job` takes."""
     rig, jobs = Rig(), []
     listener = SimpleNamespace(serve_resumed=lambda conn, exchange: iter(()))
     handoff = connection_handoff.ConnectionHandoff(
@@ -415,11 +415,11 @@
     link_set.close()
 
 
-def balance_message(sent_at, loads, wants):
+def load_message(sent_at, loads, wants):
     return load_messages.encoded(sent_at, loads, wants)
 
 
-def balance_message_again(raw):
+def reencoded_load_message(raw):
     return load_messages.encoded(*load_messages.decoded(raw))
 
 
--- a/tests/form_samples.py
+++ b/tests/form_samples.py
@@ -293,7 +293,7 @@
 def adapter_session():
     """Return frames with every kind of event, which lead to every kind of action."""
     settings, pool = ADAPTER_SETTINGS.encode(), pool_of_workers()
-    message = program.balance_message(900_000, [(0, 1.5)], [(9, 40_000)])
+    message = program.load_message(900_000, [(0, 1.5)], [(9, 40_000)])
     begin = [(BEGIN, instance, 7 + instance, 0, len(settings)) for instance in (FIRST, SECOND)]
     frames = [event_frame(1000.0, begin, settings)]
     lists = [(POOL, 1, 0, len(WORKER_IDS))]
--- a/tests/forms.py
+++ b/tests/forms.py
@@ -74,7 +74,7 @@
         return program.frame_of_records(program.records_of_start())
 
 
-def frame_of_holder():
+def frame_of_replica():
     """Return the frame of records that a replica stores of the messages on keys."""
     fingerprint = b"\x01" * 16
     messages = [
@@ -85,7 +85,7 @@
     received = [("n1", "holder-1", pack(message)) for message in messages]
     # A new replica scans for its keys, after which messages of earlier placements are refused.
     received.append(("n2", "holder-2", pack(["Scan", 3, 0])))
-    return program.frame_of_records(program.records_of_holder(samples.STATE["copies"], received))
+    return program.frame_of_records(program.records_of_replica(samples.STATE["copies"], received))
 
 
 def by_file(directory, name, write, content):
@@ -174,13 +174,15 @@
         "agreement: a member": {
             "bytes": program.frame_of_records(program.records_of_member(samples.STATE, heard_by_member()))
         },
-        "copies: a holder": {"bytes": frame_of_holder()},
+        "copies: a holder": {"bytes": frame_of_replica()},
         "recovery: a dispatcher": {"bytes": frame_of_start()},
         "repeats: a book": {
-            "bytes": program.frame_of_records(program.records_of_book(program.book_of_keys(), ""))
+            "bytes": program.frame_of_records(program.records_of_key_table(program.new_key_table(), ""))
         },
         "copies: a book": {
-            "bytes": program.frame_of_records(program.records_of_book(program.book_of_keys(), "1.run-1.n0"))
+            "bytes": program.frame_of_records(
+                program.records_of_key_table(program.new_key_table(), "1.run-1.n0")
+            )
         },
     }
 
@@ -202,19 +204,19 @@
             directory,
             "said",
             program.write_said,
-            {**samples.SAID, "state": program.brief_of_fleet(samples.STATE)},
+            {**samples.SAID, "state": program.shared_fleet_state(samples.STATE)},
         ),
         "said": by_file(directory, "said", program.write_said, samples.SAID),
         "taken": by_file(directory, "taken", program.write_taken, samples.TAKEN),
     }
     out.update(
-        {f"datagram: {label}": program.handed_on(directory, job) for label, job in samples.JOBS.items()}
+        {f"datagram: {label}": program.hand_off_job(directory, job) for label, job in samples.JOBS.items()}
     )
     return {label: {"bytes": raw} for label, raw in out.items()}
 
 
 def snapshots_of():
-    state = program.genesis_state({"balancers": 1}, 1_000_000, {"n0": ("127.0.0.1:7000", "life-n0")})
+    state = program.state_of_new_fleet({"balancers": 1}, 1_000_000, {"n0": ("127.0.0.1:7000", "life-n0")})
     return {
         "all set": {"bytes": program.fleet_snapshot(samples.STATE, "fleet-1", "n0", program.JOURNAL_NOW)},
         "as formed": {"bytes": program.fleet_snapshot(state, "fleet-1", "n0", 0)},
@@ -243,7 +245,7 @@
         "snapshots": snapshots_of(),
         "handover": handed_over(directory / "handover"),
         "balance-messages": {
-            label: {"bytes": program.balance_message(*message)}
+            label: {"bytes": program.load_message(*message)}
             for label, message in samples.BALANCE_MESSAGES.items()
         },
         "adapter": adapter_sessions(),
--- a/tests/test_stored_and_wire_forms.py
+++ b/tests/test_stored_and_wire_forms.py
@@ -237,7 +237,7 @@
 
 @pytest.mark.parametrize(("label", "claim"), [("repeats: a book", ""), ("copies: a book", "1.run-1.n0")])
 def test_key_table_writes_the_committed_records(label, claim):
-    written = program.frame_of_records(program.records_of_book(program.book_of_keys(), claim))
+    written = program.frame_of_records(program.records_of_key_table(program.new_key_table(), claim))
     fixture = form("journal-records", label)["bytes"]
     assert written == fixture
     assert {record[0] for record in msgspec.msgpack.decode(fixture[12:])} == JOURNAL_KINDS["repeats"]
@@ -245,7 +245,7 @@
 
 def test_replica_writes_the_committed_records():
     fixture = form("journal-records", "copies: a holder")["bytes"]
-    assert forms.frame_of_holder() == fixture
+    assert forms.frame_of_replica() == fixture
     assert {record[0] for record in msgspec.msgpack.decode(fixture[12:])} == JOURNAL_KINDS["copies"]
 
 
@@ -309,7 +309,7 @@
 
 
 def test_state_shared_with_the_sibling_process_has_the_committed_bytes(tmp_path):
-    content = {**samples.SAID, "state": program.brief_of_fleet(samples.STATE)}
+    content = {**samples.SAID, "state": program.shared_fleet_state(samples.STATE)}
     raw = form("handover", "said by a fleet")["bytes"]
     assert forms.by_file(tmp_path, "said", program.write_said, content) == raw
 
@@ -327,9 +327,9 @@
 @pytest.mark.parametrize("job", samples.JOBS)
 def test_handed_off_job_round_trips(job, tmp_path):
     raw = form("handover", f"datagram: {job}")["bytes"]
-    taken_job = program.taken_up(raw)
+    taken_job = program.take_over_job(raw)
     assert taken_job == samples.JOBS[job]
-    assert program.handed_on(tmp_path, taken_job) == raw
+    assert program.hand_off_job(tmp_path, taken_job) == raw
 
 
 def test_each_file_and_datagram_between_sibling_processes_has_its_test():
@@ -347,8 +347,8 @@
 @pytest.mark.parametrize("label", samples.BALANCE_MESSAGES)
 def test_load_message_round_trips(label):
     raw = form("balance-messages", label)["bytes"]
-    assert program.balance_message(*samples.BALANCE_MESSAGES[label]) == raw
-    assert program.balance_message_again(raw) == raw
+    assert program.load_message(*samples.BALANCE_MESSAGES[label]) == raw
+    assert program.reencoded_load_message(raw) == raw
 
 
 @pytest.mark.parametrize(("family", "label"), cases("adapter"))
