--- a/mastledge/program/fleet_command.py
+++ b/mastledge/program/fleet_command.py
@@ -198,7 +198,7 @@
     Command(form, "start a new fleet from the state of this dispatcher, after the loss of a majority"),
     Command(desert, "abandon a lost fleet, to join the next one as a new member"),
 )
-WITH_JSON = (show, copies, recovery)
+COMMANDS_WITH_JSON = (show, copies, recovery)
 
 
 def run(arguments: Namespace) -> int:
@@ -248,5 +248,5 @@
             action="store_true",
             help="accept the loss of all state that only the lost dispatchers had",
         )
-    if command.call in WITH_JSON:
+    if command.call in COMMANDS_WITH_JSON:
         parser.add_argument("--json", action="store_true", help="print the whole document as JSON")
--- a/mastledge/program/fleet_restore.py
+++ b/mastledge/program/fleet_restore.py
@@ -64,7 +64,7 @@
 
 
 def abandon(fleet: "Fleet", member: Member) -> str:
-    """Have the member abandon a lost fleet; raise `CallRefusedError` if it runs or no state is kept."""
+    """Have the member abandon its fleet; raise `CallRefusedError` if the fleet runs or no state is kept."""
     if has_lease(fleet, member):
         raise CallRefusedError(CONFLICT, "this fleet runs: its majority answers")
     if member.state_machine is None:
--- a/mastledge/program/keyed_service.py
+++ b/mastledge/program/keyed_service.py
@@ -24,8 +24,8 @@
     from mastledge.program.dispatcher import Dispatcher
 
 DIRECTORY_POLL_US = 20_000  # between attempts to lock a directory that the previous process still holds
-DIRECTORY_PATIENCE_US = 1_000_000  # longest wait of a job that arrives meanwhile
-ANSWER_MARGIN_US = 50_000  # wait for an answer beyond the deadline by which the scheduler ends a job
+MAX_DIRECTORY_WAIT_US = 1_000_000  # longest wait of a job that arrives meanwhile
+ANSWER_MARGIN_US = 50_000  # time that the scheduler gets to answer after a job's deadline
 DISK_RETRY_US = 1_000_000  # between attempts to write to a disk that has failed
 
 
@@ -114,7 +114,7 @@
 
         `until`: the end of the job's walltime.
         """
-        last = min(until - ANSWER_MARGIN_US, self.loop.now() + DIRECTORY_PATIENCE_US)
+        last = min(until - ANSWER_MARGIN_US, self.loop.now() + MAX_DIRECTORY_WAIT_US)
         while self._may_open() and self.loop.now() < last and not http.has_left(conn):
             yield (-1, 0, self.loop.now() + DIRECTORY_POLL_US)
 
--- a/mastledge/program/lease_guard.py
+++ b/mastledge/program/lease_guard.py
@@ -6,7 +6,7 @@
 class LeaseGuard:
     """Decides whether this dispatcher may act, and measures how long it has served without a lease.
 
-    The check is made before each launch is scheduled and again before its last byte is sent, so it is kept
+    The check is made before each launch is scheduled and again before its last byte is sent, so it must be
     cheap. Times are those of the event loop, in microseconds.
     """
 
--- a/mastledge/program/recovery_directory.py
+++ b/mastledge/program/recovery_directory.py
@@ -20,8 +20,8 @@
 
     def __init__(self, path: str, dispatcher: str, log: Callable[..., None]):
         """Take the name of the dispatcher that owns the log; `log` takes an event and its fields."""
-        self.failure_reason: str | None = None  # why the log could not be read or locked
-        self.is_read = False  # whether reading has ended, also without a record
+        self.failure_reason: str | None = None  # why the log could not be locked or read; None if it could
+        self.is_read = False  # True once the log is read, or cannot be read now
         self.write_ahead_log: WriteAheadLog | None = None
         self._dispatcher, self._log = dispatcher, log
         self._directory = DataDirectory(path)
--- a/mastledge/program/recovery_peer_poll.py
+++ b/mastledge/program/recovery_peer_poll.py
@@ -59,7 +59,7 @@
             self._numbers.setdefault(name, self._last_number)
 
     def receive(self, name: str, content: bytes) -> None:
-        """Handle a message of the dispatcher `name`, without its mark; raise MessageError if malformed."""
+        """Handle a message of the dispatcher `name`, without its prefix; raise MessageError if malformed."""
         message = decode(content)
         if isinstance(message, LoadQuery):
             self._respond(name, message)
--- a/mastledge/program/recovery_records.py
+++ b/mastledge/program/recovery_records.py
@@ -28,7 +28,7 @@
 
 
 def registry_name(configuration: dict) -> str:
-    """Return the registry's name in the fleet's configuration, or its address if it has no name there."""
+    """Return the registry's name in the fleet's configuration, or else the address of discovery."""
     peers = configuration["peers"]
     if peers and peers["registry"]:
         return peers["registry"]
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -81,7 +81,7 @@
     def begin(self) -> None:
         """Open the directory and start the tasks.
 
-        Raise DataDirectoryError if it cannot be locked, unless a sibling process holds it.
+        Raise DataDirectoryError if the directory cannot be locked, unless a sibling process holds it.
         """
         self.directory.open(other_process_runs=self._dispatcher.has_sibling_process)
         supervised, spawn = self._dispatcher.supervised, self._loop.spawn
@@ -224,7 +224,7 @@
         self.exclusion.list_changed(kind, entries)
 
     def receive(self, name: str, content: bytes) -> None:
-        """Handle a frame of the dispatcher `name`, without its mark; raise MessageError if malformed."""
+        """Handle a frame of the dispatcher `name`, without its prefix; raise MessageError if malformed."""
         self.poll.receive(name, content)
 
     def inherited(self) -> dict[str, list]:
--- a/mastledge/program/replication_api.py
+++ b/mastledge/program/replication_api.py
@@ -12,7 +12,7 @@
 from mastledge.replication.placement import Placement
 
 COUNTED_VERDICTS = tuple(verdict for verdict in Verdict if verdict is not Verdict.REPLICATED)
-NO_CALLS = {"owed": 0, "under_copied": 0, "under_way": 0}
+STATISTICS_WITHOUT_NODE = {"owed": 0, "under_copied": 0, "under_way": 0}
 
 
 def requested_count(request: Request) -> int:
@@ -52,7 +52,7 @@
 def node_figures(node: Node | None, verdict_counts: Mapping[Verdict, int], configured_count: int) -> dict:
     """Return figures of the node and its jobs; `verdict_counts` has all verdicts of this process."""
     return {
-        **(NO_CALLS if node is None else node.coordinator.statistics()),
+        **(STATISTICS_WITHOUT_NODE if node is None else node.coordinator.statistics()),
         **{verdict.value: verdict_counts[verdict] for verdict in COUNTED_VERDICTS},
         **placement_figures(None if node is None else node.placement, configured_count),
         "taken": 0 if node is None else node.catch_up.records_taken,
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -250,7 +250,7 @@
             self.log("replica_count_differs", agreed=committed_count, here=self.settings["copies"])
 
     def on_frame(self, sender: str, content: bytes) -> None:
-        """Handle a frame of another dispatcher, without its mark.
+        """Handle a frame of another dispatcher, without its prefix.
 
         Raise msgspec.DecodeError or ClaimNameError, both subclasses of ValueError, if it is malformed.
         """
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -49,7 +49,7 @@
     ]
     for build, name, dispatchers, _ in CAUGHT
 }
-SECONDS = 120
+RUN_TIMEOUT_S = 120
 MAX_ATTEMPTS_PER_SECOND = 1000  # a scenario whose clients may exceed this runs alone
 
 
@@ -68,7 +68,7 @@
             [sys.executable, "-B", "-m", "mastledge", *arguments],
             capture_output=True,
             text=True,
-            timeout=SECONDS,
+            timeout=RUN_TIMEOUT_S,
             cwd=root,
         )
 
