--- a/mastledge/scheduling/affinity.py
+++ b/mastledge/scheduling/affinity.py
@@ -68,7 +68,7 @@
         key, worker = launch.job.key, launch.worker
         last_key, last_at = worker.last_key
         # Used so recently that it cannot have been evicted yet.
-        launch.fetch_certain = (
+        launch.needs_no_fetch = (
             last_key == key and now - last_at < CACHED_RUNS * self._estimates.running_time.mean
         )
         launch.fetch_time = self.fetch_time(key, worker, self.homes_of(key))
--- a/mastledge/scheduling/learning.py
+++ b/mastledge/scheduling/learning.py
@@ -69,7 +69,7 @@
         if launch.uncontended and launch.fetch_time:
             fetch = self._affinity.fetch
             fetch.learn(min(max(0.0, run / slow - job.mean), MAX_FETCHES * fetch.mean))
-        elif launch.uncontended and launch.fetch_certain:
+        elif launch.uncontended and launch.needs_no_fetch:
             self._learn_running_time(launch, run, slow)
 
     def _learn_running_time(self, launch, run: int, slow: float) -> None:
--- a/mastledge/scheduling/state.py
+++ b/mastledge/scheduling/state.py
@@ -150,7 +150,7 @@
         "load",
         "mean",  # estimated running time on the mean worker, including the fetch
         "fetch_time",  # expected time to fetch the key's data; 0.0: none
-        "fetch_certain",  # it is certain that no fetch is needed: no key, or its data is still cached
+        "needs_no_fetch",  # certain: no key, or its data is still cached
         "uncontended",  # running time and slowness may be learned from it
         "curve_entry",  # entry in the worker's load curve; None: removed
         "ended",
@@ -162,6 +162,6 @@
         """Create a launch that is sent now; it is not in the load curve yet."""
         self.job, self.worker, self.number, self.sent_at = job, worker, len(job.launches), now
         self.load, self.mean, self.started_at, self.heard_at = job.load, job.mean, 0, now
-        self.fetch_time, self.fetch_certain, self.uncontended = 0.0, True, True
+        self.fetch_time, self.needs_no_fetch, self.uncontended = 0.0, True, True
         self.curve_entry = None
         self.ended = self.may_have_run = self.revoked = False
--- a/tests/test_load_messages.py
+++ b/tests/test_load_messages.py
@@ -135,7 +135,7 @@
     for job, took in enumerate((900_000, 900_000), 1):
         dispatcher.job_arrived(0, job, 0, 0, 5, 1.0, 0.0, 0, 5_000_000)
         pull(dispatcher, 0)
-        dispatcher.jobs[job].launches[0].fetch_certain = True
+        dispatcher.jobs[job].launches[0].needs_no_fetch = True
         dispatcher.launch_started(1_000, job, 0)
         dispatcher.launch_ended(took + 1_000, job, 0, "completed", took, True, [])
     dispatcher.job_arrived(2_000_000, 3, 0, hint, 5, 1.0, 0.0, 0, 5_000_000)
