--- a/mastledge/adapter/host.py
+++ b/mastledge/adapter/host.py
@@ -193,8 +193,8 @@
                 return frames.pack_revoke(frames.REVOKE, instance, job, number)
             case FollowEndpoints():
                 return frames.pack_follow(frames.FOLLOW, instance, 1)
-            case SendLoadMessage(told_at, loads, wants):
-                content = load_messages.encoded(told_at, loads, wants)
+            case SendLoadMessage(sent_at, loads, key_work):
+                content = load_messages.encoded(sent_at, loads, key_work)
                 offset = self._attach(content)
                 return frames.pack_message(frames.MESSAGE, instance, frames.TO_ALL, offset, len(content))
         raise TypeError(f"no such decision: {decision}")
--- a/mastledge/scheduling/decisions.py
+++ b/mastledge/scheduling/decisions.py
@@ -49,9 +49,9 @@
 class SendLoadMessage:
     """Send all other dispatchers the loads by worker name hash, and the work per key."""
 
-    told_at: int
+    sent_at: int
     loads: list[tuple[int, float]]
-    wants: list[tuple[int, float]]
+    key_work: list[tuple[int, float]]
 
 
 Decision = LaunchJob | RejectJob | KillJob | RevokeLaunch | FollowEndpoints | SendLoadMessage
--- a/mastledge/scheduling/gossip.py
+++ b/mastledge/scheduling/gossip.py
@@ -15,14 +15,14 @@
 SHORTEST_INTERVAL_US = 100_000
 LONGEST_INTERVAL_US = 2_000_000  # above it messages would be too old to be useful
 EXPIRY_INTERVALS = 2  # longest intervals after which the load of a silent dispatcher is dropped
-MAX_LOADS, MAX_WANTS = 30, 9  # entries in a message
+MAX_LOADS, MAX_KEYS_SENT = 30, 9  # entries in a message
 
 
 @dataclass(frozen=True, slots=True)
 class PeerLoad:
     """The last load message of another dispatcher; `loads`: (worker, its incarnation then, load)."""
 
-    told_at: int
+    sent_at: int
     received_at: int
     loads: list
 
@@ -48,10 +48,10 @@
         if self.message_at is None and self.interval:
             self.message_at = now + self.interval
 
-    def receive(self, now: int, sender: int, told_at: int, loads: Iterable[tuple[int, float]]) -> bool:
+    def receive(self, now: int, sender: int, sent_at: int, loads: Iterable[tuple[int, float]]) -> bool:
         """Apply the loads by worker name hash; return False for an old message or this dispatcher's own."""
         previous = self.peers.get(sender)
-        if sender == self._settings["me"] or previous and previous.told_at >= told_at:
+        if sender == self._settings["me"] or previous and previous.sent_at >= sent_at:
             return False
         if previous:
             self._forget(sender)
@@ -59,7 +59,7 @@
         known = [(by_name_hash[name], load) for name, load in loads if name in by_name_hash]
         for worker, load in known:
             worker.gossiped_load += load
-        self.peers[sender] = PeerLoad(told_at, now, [(worker, worker.born, load) for worker, load in known])
+        self.peers[sender] = PeerLoad(sent_at, now, [(worker, worker.born, load) for worker, load in known])
         return True
 
     def expire(self, now: int) -> None:
@@ -82,7 +82,7 @@
         """Return the loads of the busiest workers, and the keys with the most work since the last message."""
         busiest = sorted(self._fleet.ready, key=lambda worker: -worker.load)[:MAX_LOADS]
         loads = [(worker.name_hash, worker.load) for worker in busiest if worker.load]
-        most_work = self.unsent_key_work.most_common(MAX_WANTS)
+        most_work = self.unsent_key_work.most_common(MAX_KEYS_SENT)
         return loads, [(key, self.unsent_key_work.pop(key)) for key, _ in most_work]
 
     def survey(self, arrival_rate: float) -> None:
--- a/mastledge/scheduling/scheduler.py
+++ b/mastledge/scheduling/scheduler.py
@@ -140,13 +140,13 @@
         self,
         now: int,
         sender: int,
-        told_at: int,
+        sent_at: int,
         loads: Iterable[tuple[int, float]],
-        wants: Iterable[tuple[int, float]],
+        key_work: Iterable[tuple[int, float]],
     ) -> None:
         """Apply a load message: another dispatcher's load on each worker, and its recent work per key."""
-        if self.gossip.receive(now, sender, told_at, loads):
-            self.affinity.add_key_work(wants)
+        if self.gossip.receive(now, sender, sent_at, loads):
+            self.affinity.add_key_work(key_work)
 
     def reconfigure(self, now: int, settings: dict) -> None:
         """Apply new settings; open jobs keep the terms they arrived with, and learned state is kept."""
--- a/tests/test_load_messages.py
+++ b/tests/test_load_messages.py
@@ -212,7 +212,7 @@
     sender.job_arrived(0, 1, 0, 100_000, 5, 1.0, 0.0, 0, 5_000_000)
     pull(sender, 0)
     (sent,) = (d for d in pull(sender, sender.gossip.interval) if isinstance(d, SendLoadMessage))
-    receiver.load_message_received(0, 0, *encoded_and_decoded((sent.told_at, sent.loads, sent.wants)))
+    receiver.load_message_received(0, 0, *encoded_and_decoded((sent.sent_at, sent.loads, sent.key_work)))
     worker = sender.jobs[1].launches[0].worker
     assert [w.id for w in receiver.ready if receiver.other_load.at(w, 0) == 1.0] == [
         worker.id
@@ -221,7 +221,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sender", "told_at", "name", "load"),
+    ("sender", "sent_at", "name", "load"),
     [
         (2, 5, "known", 6.0),
         (2, 4, "known", 3.0),
@@ -231,13 +231,13 @@
     ],
 )
 def test_later_message_replaces_earlier_and_stale_foreign_or_own_ones_are_ignored(
-    sender, told_at, name, load
+    sender, sent_at, name, load
 ):
     dispatcher = scheduler(dispatchers=3, me=1, may_message=True)
     worker = dispatcher.ready[0]
     dispatcher.load_message_received(0, 2, 4, [(worker.name_hash, 3.0)], [])
     dispatcher.load_message_received(
-        0, sender, told_at, [(worker.name_hash if name == "known" else 12345, 6.0)], []
+        0, sender, sent_at, [(worker.name_hash if name == "known" else 12345, 6.0)], []
     )
     assert worker.gossiped_load == load
 
