--- a/mastledge/scheduling/affinity.py
+++ b/mastledge/scheduling/affinity.py
@@ -89,7 +89,7 @@
             self.homes[key] = homes = homes or order[:1]
             work_shares.update(dict.fromkeys(homes, share / count))
 
-    def fade(self) -> None:
+    def decay(self) -> None:
         """Decay the work per key once a second, and keep only the `MAX_KEYS` keys with the most work."""
         if not self.key_work:
             return
--- a/mastledge/scheduling/prediction.py
+++ b/mastledge/scheduling/prediction.py
@@ -39,10 +39,10 @@
     A slowdown of all workers thus goes into the running time estimates. Without the decay a worker that is
     avoided as slow would never be measured again.
     """
-    fade = min(1.0, SECOND_US / (FADING_JOBS * mean_running_time + 1))
+    decay = min(1.0, SECOND_US / (FADING_JOBS * mean_running_time + 1))
     mean = sum(worker.slow for worker in workers) / max(1, len(workers))
     for worker in workers:
-        worker.slow = worker.slow / mean + fade * (1.0 - worker.slow / mean)
+        worker.slow = worker.slow / mean + decay * (1.0 - worker.slow / mean)
 
 
 def slack(job: Job, now: int, slow: float) -> float:
--- a/mastledge/scheduling/scheduler.py
+++ b/mastledge/scheduling/scheduler.py
@@ -279,7 +279,7 @@
     def decide(self, now: int) -> Decision | None:
         """Return the next decision; None: there is none now."""
         if self._survey_at <= now:
-            self.fade(now)
+            self.decay(now)
         # Checks for None save calls, as most decisions are neither polls nor load messages.
         poll, gossip = self.poll, self.gossip
         if poll.poll_at is not None and poll.is_due(now):
@@ -384,13 +384,13 @@
         self.affinity.fleet_changed()
         self.survey()
 
-    def fade(self, now: int) -> None:
+    def decay(self, now: int) -> None:
         """Decay learned values and recompute fleet-wide values, once a second."""
         self._survey_at = now + SURVEY_INTERVAL_US
-        self.traffic.fade()
+        self.traffic.decay()
         self.survey()
         self.gossip.expire(now)
-        self.affinity.fade()
+        self.affinity.decay()
         fade_slowness(self.ready, self.estimates.running_time.mean)
         self.slow_start.update_warming_up(now)
 
--- a/mastledge/scheduling/traffic.py
+++ b/mastledge/scheduling/traffic.py
@@ -31,7 +31,7 @@
         """Count a job of the tenant; jobs of unknown tenants count for the first tenant."""
         self.arrivals[tenant if tenant < len(self.arrivals) else 0] += 1.0
 
-    def fade(self) -> None:
+    def decay(self) -> None:
         """Decay arrivals and completed work, once a second."""
         self.arrivals = [count * 11 / FADING_SECONDS for count in self.arrivals]
         self.completed_work *= COMPLETED_WORK_KEPT
--- a/tests/test_load_messages.py
+++ b/tests/test_load_messages.py
@@ -170,7 +170,7 @@
     for key in range(1, 6_000):
         dispatcher.job_arrived(0, key, 0, 100_000, key, 1.0, 0.0, 0, 5_000_000)
         dispatcher.affinity.homes_of(key)
-    dispatcher.fade(1_000_000)
+    dispatcher.decay(1_000_000)
     key_tables = (
         dispatcher.affinity.key_work,
         dispatcher.gossip.unsent_key_work,
@@ -245,7 +245,7 @@
 def test_load_of_silent_dispatcher_expires():
     dispatcher = scheduler(dispatchers=3, me=1, may_message=True)
     dispatcher.load_message_received(0, 2, 4, [(dispatcher.ready[0].name_hash, 3.0)], [])
-    dispatcher.fade(10_000_000)
+    dispatcher.decay(10_000_000)
     assert dispatcher.ready[0].gossiped_load == 0 and not dispatcher.gossip.peers
 
 
--- a/tests/test_worker_selection.py
+++ b/tests/test_worker_selection.py
@@ -242,10 +242,10 @@
     arrive(dispatcher)
     for _ in range(50):
         learn_slowness(dispatcher.ready[0], 3.0, 0, dispatcher.settings)
-    dispatcher.fade(1_000_000)
+    dispatcher.decay(1_000_000)
     slowness_before = dispatcher.ready[0].slow
     for second in range(2, 30):
-        dispatcher.fade(second * 1_000_000)
+        dispatcher.decay(second * 1_000_000)
     assert slowness_before > 1.5 > 1.1 > dispatcher.ready[0].slow
 
 
