--- a/mastledge/lab/policies.py
+++ b/mastledge/lab/policies.py
@@ -18,7 +18,9 @@
     def pick(self, job: Job, now: int, group_of: Worker | None) -> tuple[Worker | None, float]:
         """The worker for the job, without a predicted wait."""
         workers = [
-            worker for worker in self._fleet.ready if self._eligibility.allows(worker, job, now, group_of)
+            worker
+            for worker in self._fleet.ready
+            if self._eligibility.is_eligible(worker, job, now, group_of)
         ]
         return (self.chosen(workers), 0.0) if workers else (None, 0.0)
 
--- a/mastledge/scheduling/eligibility.py
+++ b/mastledge/scheduling/eligibility.py
@@ -16,7 +16,7 @@
         """Use the given parts; no state is kept here."""
         self._fleet, self._outliers, self._slow_start = fleet, outliers, slow_start
 
-    def allows(self, worker: Worker, job: Job, now: int, group_of: Worker | None) -> bool:
+    def is_eligible(self, worker: Worker, job: Job, now: int, group_of: Worker | None) -> bool:
         """Return whether the job may be launched on the worker now."""
         queue_type = job.queue_type
         if queue_type.kind >= 0 and worker.kind != queue_type.kind:
--- a/mastledge/scheduling/selection.py
+++ b/mastledge/scheduling/selection.py
@@ -62,7 +62,7 @@
         To save CPU this is one loop over locals, and calls whose result is known are skipped.
         """
         settings, subset = self._settings, self._subset
-        is_eligible, other_load_at = self._eligibility.allows, self._other_load.at
+        is_eligible, other_load_at = self._eligibility.is_eligible, self._other_load.at
         fetch_time = self._affinity.fetch_time
         load, late, key = job.load, int(job.variation), job.key
         upper_bound = job.mean + job.variation
--- a/tests/test_load_messages.py
+++ b/tests/test_load_messages.py
@@ -325,7 +325,9 @@
     failing = next(worker for worker in dispatcher.ready if worker.ejections)
     arrive(dispatcher, 6_000, 2, 0)
     arrive(dispatcher, 6_000, 3, 1)
-    assert [dispatcher.eligibility.allows(failing, dispatcher.jobs[job], 6_000, None) for job in (2, 3)] == [
+    assert [
+        dispatcher.eligibility.is_eligible(failing, dispatcher.jobs[job], 6_000, None) for job in (2, 3)
+    ] == [
         False,
         True,
     ]
--- a/tests/test_worker_selection.py
+++ b/tests/test_worker_selection.py
@@ -50,7 +50,7 @@
     allowed = []
     for job, queue_number in ((2, 0), (3, 1)):
         arrive(dispatcher, 6_000, job, queue_number)
-        allowed.append(dispatcher.eligibility.allows(failing, dispatcher.jobs[job], 6_000, None))
+        allowed.append(dispatcher.eligibility.is_eligible(failing, dispatcher.jobs[job], 6_000, None))
     assert allowed == [False, True]
 
 
@@ -77,7 +77,7 @@
     launch.worker.in_flight.clear()
     assert removed is launch
     assert [
-        dispatcher.eligibility.allows(launch.worker, dispatcher.jobs[1], now, None)
+        dispatcher.eligibility.is_eligible(launch.worker, dispatcher.jobs[1], now, None)
         for now in (back - 1, back)
     ] == [
         False,
@@ -191,7 +191,10 @@
     for worker in dispatcher.ready[:3]:
         dispatcher.outliers.eject(worker, why, launch, 0)
     arrive(dispatcher, 1_000, 2)
-    assert dispatcher.eligibility.allows(dispatcher.ready[0], dispatcher.jobs[2], 1_000, None) is not kept_out
+    assert (
+        dispatcher.eligibility.is_eligible(dispatcher.ready[0], dispatcher.jobs[2], 1_000, None)
+        is not kept_out
+    )
 
 
 @pytest.mark.parametrize(("pressure", "then"), [(0.0, []), (0.8, ["RejectJob", "RevokeLaunch"])])
