--- a/mastledge/lab/policies.py
+++ b/mastledge/lab/policies.py
@@ -15,12 +15,12 @@
 class Baseline(WorkerSelector):
     """Picks one of the eligible workers by what `chosen` says."""
 
-    def pick(self, job: Job, now: int, group_of: Worker | None) -> tuple[Worker | None, float]:
+    def pick(self, job: Job, now: int, group_worker: Worker | None) -> tuple[Worker | None, float]:
         """The worker for the job, without a predicted wait."""
         workers = [
             worker
             for worker in self._fleet.ready
-            if self._eligibility.is_eligible(worker, job, now, group_of)
+            if self._eligibility.is_eligible(worker, job, now, group_worker)
         ]
         return (self.chosen(workers), 0.0) if workers else (None, 0.0)
 
--- a/mastledge/scheduling/eligibility.py
+++ b/mastledge/scheduling/eligibility.py
@@ -16,13 +16,13 @@
         """Use the given parts; no state is kept here."""
         self._fleet, self._outliers, self._slow_start = fleet, outliers, slow_start
 
-    def is_eligible(self, worker: Worker, job: Job, now: int, group_of: Worker | None) -> bool:
+    def is_eligible(self, worker: Worker, job: Job, now: int, group_worker: Worker | None) -> bool:
         """Return whether the job may be launched on the worker now."""
         queue_type = job.queue_type
         if queue_type.kind >= 0 and worker.kind != queue_type.kind:
             return False
         group = queue_type.group
-        if group_of and group != "all" and getattr(worker, group) != getattr(group_of, group):
+        if group_worker and group != "all" and getattr(worker, group) != getattr(group_worker, group):
             return False
         if worker.ejections and self._outliers.is_kept_out(worker, job, now):
             return False
--- a/mastledge/scheduling/retry.py
+++ b/mastledge/scheduling/retry.py
@@ -9,7 +9,7 @@
 class RelaunchLimits(NamedTuple):
     """Limits of a repeat: a worker whose group it must stay in, and when to send it; None: no limit."""
 
-    group_of: Worker | None
+    group_worker: Worker | None
     until: int | None
 
 
@@ -25,7 +25,7 @@
             continue
         if queue_type.effect == RUN_ONCE:
             return None
-        if queue_type.effect == DEDUPLICATED and limits.group_of is None:
+        if queue_type.effect == DEDUPLICATED and limits.group_worker is None:
             limits = RelaunchLimits(launch.worker, launch.sent_at + queue_type.window)
     too_late = limits.until is not None and now >= limits.until
     return None if too_late or len(job.launches) >= max_launches else limits
--- a/mastledge/scheduling/scheduler.py
+++ b/mastledge/scheduling/scheduler.py
@@ -312,7 +312,7 @@
         limits = relaunch_limits(job, self.settings["launches"], now)
         if limits is None:
             return None if job.in_flight else self.reject_or_kill(job, 0)
-        best, wait = self.selector.pick(job, now, limits.group_of)
+        best, wait = self.selector.pick(job, now, limits.group_worker)
         if best is None:
             return self._hold(job, now, limits)
         self.admission.update_pressure(now)
@@ -355,7 +355,7 @@
         if job.in_flight:
             return None
         connect_timeout = self.settings["connect_timeout"]
-        if limits.group_of is None and now >= max(job.target_at, job.arrived_at + connect_timeout):
+        if limits.group_worker is None and now >= max(job.target_at, job.arrived_at + connect_timeout):
             return self.reject_or_kill(job, connect_timeout)
         self.timers.set(now + HELD_STEPS * self.settings["step"], job)
         return None
--- a/mastledge/scheduling/selection.py
+++ b/mastledge/scheduling/selection.py
@@ -33,14 +33,14 @@
         self._fleet, self._subset, self._affinity = fleet, subset, affinity
         self._eligibility, self._other_load = eligibility, other_load
 
-    def pick(self, job: Job, now: int, group_of: Worker | None) -> tuple[Worker | None, float]:
+    def pick(self, job: Job, now: int, group_worker: Worker | None) -> tuple[Worker | None, float]:
         """Return the worker for the job, and the predicted wait there in microseconds.
 
-        `group_of`: a worker whose group the launch must stay in; None: any group. Return (None, 0.0) if no
-        worker is eligible. The result is a plain tuple, as this is the most expensive step of a decision.
+        `group_worker`: a worker whose group the launch must stay in; None: any group. Return (None, 0.0) if
+        no worker is eligible. The result is a plain tuple, as this is the most expensive step of a decision.
         """
         special = bool(job.launches) or job.queue_type.kind >= 0
-        ranked, least = self._ranked(job, now, group_of, special)
+        ranked, least = self._ranked(job, now, group_worker, special)
         if not ranked:
             return None, 0.0
         best = self._draw_of_best(job, ranked, least)
@@ -56,7 +56,7 @@
         members = () if special else subset.members
         return chain(members, ready[first:], ready[:first]) if special or subset.looks_past else members
 
-    def _ranked(self, job, now, group_of, special):  # noqa: C901 - one loop without calls, for speed
+    def _ranked(self, job, now, group_worker, special):  # noqa: C901 - one loop without calls, for speed
         """Return the eligible workers with their ranks, and the least rank: (contention, integrated load).
 
         To save CPU this is one loop over locals, and calls whose result is known are skipped.
@@ -75,7 +75,7 @@
             if seen >= fewest_seen and ranked and (least[0] <= 0 or seen >= most_seen):
                 break
             if (worker.ejections or worker.warming_up or special) and not is_eligible(
-                worker, job, now, group_of
+                worker, job, now, group_worker
             ):
                 continue
             slow = slowness(worker, now, settings) if worker.warming_up else worker.slow
