--- a/mastledge/scheduling/admission.py
+++ b/mastledge/scheduling/admission.py
@@ -36,7 +36,7 @@
         self.mean_slack, self.mean_value = estimates.running_time.mean, FIRST_VALUE
         self.best_utility = 1.0
 
-    def adopt(self, queue_types: list) -> None:
+    def set_queue_types(self, queue_types: list) -> None:
         """Adopt the configured queue types."""
         self.best_utility = max(queue_type.utility for queue_type in queue_types) or 1.0
 
--- a/mastledge/scheduling/scheduler.py
+++ b/mastledge/scheduling/scheduler.py
@@ -67,7 +67,7 @@
         self._adopt_terms()
         self.estimates = FleetEstimates(self.queue_types, settings["step"])
         self.admission = AdmissionControl(settings, self.random, self.traffic, self.estimates, now)
-        self.admission.adopt(self.queue_types)
+        self.admission.set_queue_types(self.queue_types)
         self.reports = LoadReports(settings, self.fleet, self.estimates, self.admission)
         self.gossip = LoadGossip(settings, self.fleet)
         self.other_load = OtherLoad(settings, self.estimates, self.reports, self.gossip)
@@ -154,7 +154,7 @@
         self.settings.clear()
         self.settings.update(settings)
         self._adopt_terms()
-        self.admission.adopt(self.queue_types)
+        self.admission.set_queue_types(self.queue_types)
         if settings["follow"] != follow:
             self.poll.begin(now)
         self.survey()
@@ -377,7 +377,7 @@
         previous = {queue_type.name: queue_type for queue_type in self.queue_types}
         all_terms = self.settings["queue_types"]
         self.queue_types = [QueueType(terms, previous.get(terms["name"])) for terms in all_terms]
-        self.traffic.adopt(self.settings["tenants"])
+        self.traffic.set_tenants(self.settings["tenants"])
 
     def fleet_changed(self) -> None:
         """Recompute what depends on the set of ready workers, after it changed."""
--- a/mastledge/scheduling/traffic.py
+++ b/mastledge/scheduling/traffic.py
@@ -15,12 +15,12 @@
     """
 
     def __init__(self, settings: dict):
-        """Start with no traffic; `adopt` sets the tenants."""
+        """Start with no traffic; `set_tenants` sets the tenants."""
         self._settings, self._tenants = settings, ()
         self.arrivals, self.seconds, self.arrival_rate = [], 1.0, LEAST_ARRIVALS_PER_S
         self.completed_work, self.completed_rate, self.share = 0.0, 0.0, 1.0
 
-    def adopt(self, tenants: list[dict]) -> None:
+    def set_tenants(self, tenants: list[dict]) -> None:
         """Adopt the configured tenants; those with the same name keep their traffic."""
         names = (tenant["name"] for tenant in self._tenants)
         previous = dict(zip(names, self.arrivals, strict=False))
