--- a/mastledge/consensus/bootstrap.py
+++ b/mastledge/consensus/bootstrap.py
@@ -42,7 +42,7 @@
         self._answer(sender, incarnation, is_member)
         if roles.leadership is not None and is_member:
             if state.knows(sender, incarnation):
-                roles.leadership.adopt(sender)
+                roles.leadership.contact_directly(sender)
             else:
                 roles.leadership.admit(sender, incarnation)
         elif request.empty and self._missed_bootstrap(sender, incarnation):
--- a/mastledge/consensus/direct_members.py
+++ b/mastledge/consensus/direct_members.py
@@ -16,22 +16,22 @@
     def __init__(self, core: Core, leases: GrantedLeases, tree: Callable[[], RelayTree]):
         """Initialize with no adopted followers; `tree` returns the current relay tree."""
         self.core, self.leases, self.tree = core, leases, tree
-        self.adopted: dict[str, int] = {}  # end of direct contact, by follower
+        self.direct_until: dict[str, int] = {}  # end of direct contact, by follower
 
-    def adopt(self, name: str) -> None:
+    def contact_directly(self, name: str) -> None:
         """Send directly to a follower for the next `ADOPTED_LEASES` leases."""
         state = self.core.state
-        self.adopted[name] = self.core.clock.now + ADOPTED_LEASES * state.lease_us
+        self.direct_until[name] = self.core.clock.now + ADOPTED_LEASES * state.lease_us
 
     def names(self) -> set[str]:
         """Return the members to which the leader sends directly now."""
         state, now = self.core.state, self.core.clock.now
         members = state.members()
         names = {name for name, member in members.items() if member["votes"]}
-        for name, until in list(self.adopted.items()):
+        for name, until in list(self.direct_until.items()):
             if now >= until or name not in members:
-                del self.adopted[name]
-        names.update(self.adopted)
+                del self.direct_until[name]
+        names.update(self.direct_until)
         names.update(self.recruits())
         departed = {member["name"] for member in state.departed()}
         return names | {name for name in departed if name in self.leases.holders}
@@ -43,4 +43,4 @@
         if missing <= 0:
             return []
         followers = [name for level in self.tree().levels[1:] for name in level]
-        return [name for name in followers if name not in self.adopted][: 2 * missing]
+        return [name for name in followers if name not in self.direct_until][: 2 * missing]
--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -74,7 +74,7 @@
         state = self.core.state
         # Former relay children get messages from this leader until they have found another relay.
         for name in self.parts.relay_children.release():
-            self.direct_members.adopt(name)
+            self.direct_members.contact_directly(name)
         self.parts.relay_choice.leave()
         self.core.outbox.log_event("became_leader", term=state.term, last=state.log.last_index)
         self._append(Entry(state.term, "", noop()))
@@ -149,10 +149,10 @@
             id = f"life {name} {incarnation} {self.core.state.log.last_index}"
             self.take(id, new_incarnation(name, incarnation))
 
-    def adopt(self, name: str) -> None:
+    def contact_directly(self, name: str) -> None:
         """Send messages directly to a follower that has no relay or does not support relays."""
         if self.core.state.fan_out:
-            self.direct_members.adopt(name)
+            self.direct_members.contact_directly(name)
             self.progress.schedule(name, 0)
 
     # Messages from members
@@ -171,7 +171,7 @@
             if all(departed["name"] != sender for departed in state.departed()):
                 return
         if not response.process_id or (sender not in self.leases.holders and state.is_learner(sender)):
-            self.adopt(sender)  # an older version gets messages from the leader only
+            self.contact_directly(sender)  # an older version gets messages from the leader only
         if not is_current_term:
             return
         self._record_response(sender, incarnation, response)
@@ -248,7 +248,7 @@
         if state.fan_out != self.last_fan_out:
             self.last_fan_out = state.fan_out
             for name in state.members():
-                self.adopt(name)
+                self.contact_directly(name)
 
     def _extend_lease(self, majority_heard_at: int) -> None:
         """Extend the leader's own lease, once all committed entries are known."""
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -228,9 +228,9 @@
         if other != leader.name:
             fleet.cut |= {(child, other), (other, child)}
     fleet.run(fleet.now + LEASE)  # the follower asks the leader, which sends to it directly
-    assert child in leader.member.leadership.direct_members.adopted and fleet.nodes[child].member.may_act(
-        fleet.nodes[child].clock()
-    )
+    assert child in leader.member.leadership.direct_members.direct_until and fleet.nodes[
+        child
+    ].member.may_act(fleet.nodes[child].clock())
     isolate(fleet, child)
     leader.step(leader.member, inputs.Leave())
     assert fleet.run(fleet.now + LEASE, lambda: fleet.leader() not in (None, leader))
