--- a/mastledge/consensus/elections.py
+++ b/mastledge/consensus/elections.py
@@ -41,7 +41,7 @@
             self._answer_pre_vote(sender, request)
             return
         state = self.core.state
-        self.core.roles.raise_term(request.term)
+        self.core.roles.observe_term(request.term)
         self.observed.record(sender, Observation(incarnation, request.term, 0, 0))
         granted = (
             request.term == state.term
@@ -107,7 +107,7 @@
     def on_vote_response(self, sender: str, incarnation: str, response: VoteResponse) -> None:
         """Record a vote for the current campaign."""
         if not response.granted:
-            self.core.roles.raise_term(response.term)
+            self.core.roles.observe_term(response.term)
             return
         if not response.pre_vote:
             self.observed.record(sender, Observation(incarnation, response.term, 0, 0))
--- a/mastledge/consensus/member.py
+++ b/mastledge/consensus/member.py
@@ -287,7 +287,7 @@
 
     def _on_append_response(self, sender: str, incarnation: str, response: messages.AppendResponse) -> None:
         if response.term > self.state.term:
-            self.roles.raise_term(response.term)
+            self.roles.observe_term(response.term)
         elif self.roles.leadership is not None:
             self.roles.leadership.on_append_response(sender, incarnation, response)
         else:
--- a/mastledge/consensus/role_state.py
+++ b/mastledge/consensus/role_state.py
@@ -65,7 +65,7 @@
         """Return whether this member is a follower, with or without a known leader."""
         return self.leadership is None and self.candidacy is None
 
-    def raise_term(self, term: int) -> None:
+    def observe_term(self, term: int) -> None:
         """Become a follower in `term` if it is later than the current term."""
         if term > self.state.term:
             self.become_follower(term, None)
