--- a/mastledge/consensus/direct_members.py
+++ b/mastledge/consensus/direct_members.py
@@ -14,7 +14,7 @@
     """The voters, the followers that recently asked for direct contact, and those that may become voters."""
 
     def __init__(self, core: Core, leases: GrantedLeases, tree: Callable[[], RelayTree]):
-        """Initialize with no adopted followers; `tree` returns the current relay tree."""
+        """Initialize with no followers in direct contact; `tree` returns the current relay tree."""
         self.core, self.leases, self.tree = core, leases, tree
         self.direct_until: dict[str, int] = {}  # end of direct contact, by follower
 
--- a/mastledge/consensus/follower.py
+++ b/mastledge/consensus/follower.py
@@ -57,7 +57,7 @@
             and not self.core.persistence.is_waiting()
         ):
             parts.acknowledgements.send(sender, True, append.sent_at)
-        parts.relay_children.hurry()
+        parts.relay_children.schedule_soon()
 
     def _accept_leader(self, sender: str, message: AppendEntries | InstallSnapshot) -> bool:
         """Follow the leader that a message is from; return whether the message is accepted.
--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -115,7 +115,7 @@
 
     def _append(self, entry: Entry) -> None:
         self.core.state.append(entry)
-        self.progress.hurry()
+        self.progress.schedule_all_now()
 
     def can_change_membership(self) -> bool:
         """Return whether the membership may change (Ongaro 2014, 4.1, and its erratum).
@@ -193,7 +193,7 @@
         """Forward one member's worker restrictions to all members, when there are no relays."""
         if self.latest_restrictions.record(restrictions, self.core.clock.now):
             self.core.outbox.deliver_restrictions(restrictions)
-            self.progress.hurry()
+            self.progress.schedule_all_now()
 
     # Work after each input
 
@@ -217,7 +217,7 @@
             return
         if state.name not in state.members() and state.commit_index >= state.log.last_index:
             self.core.outbox.log_event("left", term=state.term)
-            self.progress.hurry()
+            self.progress.schedule_all_now()
             self._send_heartbeats(majority_heard_at)
             roles.step_down()
             return
@@ -240,7 +240,7 @@
         index = state.majority_of(self.progress.match_index)
         if index > state.commit_index and state.log.term_at(index) == state.term:
             self.parts.applier.advance_to(index)
-            self.progress.hurry()
+            self.progress.schedule_all_now()
 
     def _handle_fan_out_change(self) -> None:
         """When the fan-out changes, send to each member directly until the relays have taken over."""
@@ -268,7 +268,7 @@
         else:
             reached = self.in_force.of_all_members()
         if reached.index > lease.in_force_index and not fan_out:
-            self.progress.hurry()  # with relays the next heartbeat carries it; nothing waits for it
+            self.progress.schedule_all_now()  # with relays the next heartbeat carries it
         lease.record_in_force(reached.index, reached.all_by)
 
     def promote_learner(self) -> None:
--- a/mastledge/consensus/relay_children.py
+++ b/mastledge/consensus/relay_children.py
@@ -102,7 +102,7 @@
             self.children[name] = Child(response.commit_index + 1, self.core.clock.now)
         return self.children[name]
 
-    def hurry(self) -> None:
+    def schedule_soon(self) -> None:
         """Send to all children soon, as there is something new for them."""
         pause = self.core.state.heartbeat_us * MIN_PAUSE_QUARTER_HEARTBEATS // 4
         for child in self.children.values():
--- a/mastledge/consensus/replication_progress.py
+++ b/mastledge/consensus/replication_progress.py
@@ -15,7 +15,7 @@
         self.heartbeat_at: dict[str, int] = {}  # due time of the next heartbeat
         self._resent_message_time: dict[str, int] = {}  # sent_at of the latest message resent after a refusal
 
-    def hurry(self) -> None:
+    def schedule_all_now(self) -> None:
         """Make the next heartbeat to every member due at once."""
         self.heartbeat_at = dict.fromkeys(self.heartbeat_at, 0)
 
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -219,7 +219,7 @@
 
 
 def leader_transfers(make):
-    """Isolate an adopted follower that holds a lease, and transfer leadership at once."""
+    """Isolate a directly contacted follower that holds a lease, and transfer leadership at once."""
     fleet = start_fleet(3, 9, 7, 2, make, drift=0.0)
     fleet.run(40_000_000)
     leader = fleet.leader()
