--- a/mastledge/consensus/direct_members.py
+++ b/mastledge/consensus/direct_members.py
@@ -4,7 +4,7 @@
 
 from mastledge.consensus.core import Core
 from mastledge.consensus.leases import GrantedLeases
-from mastledge.consensus.membership import wanted_voters
+from mastledge.consensus.membership import target_voter_count
 from mastledge.consensus.relay_tree import RelayTree
 
 ADOPTED_LEASES = 2  # how long, in leases, the leader sends directly to a follower that asked
@@ -32,14 +32,14 @@
             if now >= until or name not in members:
                 del self.direct_until[name]
         names.update(self.direct_until)
-        names.update(self.recruits())
+        names.update(self.learners_to_promote())
         departed = {member["name"] for member in state.departed()}
         return names | {name for name in departed if name in self.leases.holders}
 
-    def recruits(self) -> list[str]:
+    def learners_to_promote(self) -> list[str]:
         """Return followers that may become voters; the leader has to know their persisted index first."""
         state = self.core.state
-        missing = wanted_voters(len(state.members())) - len(state.voters())
+        missing = target_voter_count(len(state.members())) - len(state.voters())
         if missing <= 0:
             return []
         followers = [name for level in self.tree().levels[1:] for name in level]
--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -18,7 +18,7 @@
 from mastledge.consensus.in_force import InForceTracker
 from mastledge.consensus.lease_holder import LeaseHolder
 from mastledge.consensus.leases import GrantedLeases
-from mastledge.consensus.membership import MAX_DEPARTED, wanted_voters
+from mastledge.consensus.membership import MAX_DEPARTED, target_voter_count
 from mastledge.consensus.messages import AppendResponse, Entry, Propose, WorkerRestrictions
 from mastledge.consensus.observed_state import Observation, ObservedState
 from mastledge.consensus.relay_children import RelayChildren
@@ -275,7 +275,7 @@
         """Make a caught-up learner a voter, if there are fewer voters than wanted."""
         state = self.core.state
         members = state.members()
-        if len(state.voters()) >= wanted_voters(len(members)) or not self.can_change_membership():
+        if len(state.voters()) >= target_voter_count(len(members)) or not self.can_change_membership():
             return
         for name, member in sorted(members.items()):
             if name != state.name and self._is_ready_to_vote(name, member):
--- a/mastledge/consensus/membership.py
+++ b/mastledge/consensus/membership.py
@@ -8,7 +8,7 @@
 MIN_REDUNDANT, MAX_VOTERS = 3, 7
 
 
-def wanted_voters(count: int) -> int:
+def target_voter_count(count: int) -> int:
     """Return the number of voters among `count` members: odd, 3 to 7, or all of fewer than 3 members.
 
     An even number of voters needs a larger majority but tolerates no more failures.
--- a/mastledge/consensus/state_machine.py
+++ b/mastledge/consensus/state_machine.py
@@ -43,7 +43,7 @@
 
 def initial_state(settings: dict, lease_us: int, members: dict[str, tuple[str, str]]) -> dict:
     """Return version 1 of the state document; `members` is {name: (address, incarnation)}."""
-    voters = sorted(members)[: membership.wanted_voters(len(members))]
+    voters = sorted(members)[: membership.target_voter_count(len(members))]
     return {
         "format": FORMAT,
         "version": 1,
--- a/mastledge/lab/consensus_schedules.py
+++ b/mastledge/lab/consensus_schedules.py
@@ -12,7 +12,7 @@
 from mastledge.consensus import inputs, outputs
 from mastledge.consensus.configuration import MemberConfiguration
 from mastledge.consensus.member import Member
-from mastledge.consensus.membership import wanted_voters
+from mastledge.consensus.membership import target_voter_count
 from mastledge.consensus.messages import decode, encode
 from mastledge.consensus.persisted_state import PersistedState
 from mastledge.consensus.roles import Phase, Role
@@ -315,7 +315,7 @@
         and not fleet.cut
         and all(other.until <= fleet.now and not other.full for other in fleet.nodes.values())
         and len(fleet.leader().member.state.voters())
-        == wanted_voters(len(fleet.leader().member.state.members()))
+        == target_voter_count(len(fleet.leader().member.state.members()))
     )
 
 
--- a/mastledge/lab/sized_fleets.py
+++ b/mastledge/lab/sized_fleets.py
@@ -27,7 +27,7 @@
 class FixedVotersMembers(DirectMembers):
     """Nobody is to become a voter."""
 
-    def recruits(self) -> list:
+    def learners_to_promote(self) -> list:
         """Give nobody."""
         return []
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -14,7 +14,7 @@
 from mastledge.consensus.leader import Leadership
 from mastledge.consensus.leases import GrantedLeases
 from mastledge.consensus.member import Member
-from mastledge.consensus.membership import wanted_voters
+from mastledge.consensus.membership import target_voter_count
 from mastledge.consensus.persisted_state import PersistedState
 from mastledge.consensus.raft_state import RaftState
 from mastledge.consensus.state_machine import StateMachine, initial_state
@@ -267,7 +267,7 @@
         fleet.now + 8_000_000,
         lambda: settled(fleet) and "n0" not in fleet.leader().member.state_machine.members,
     )
-    assert [wanted_voters(n) for n in (1, 2, 3, 4, 5, 6, 7, 8, 200)] == [1, 2, 3, 3, 5, 5, 7, 7, 7]
+    assert [target_voter_count(n) for n in (1, 2, 3, 4, 5, 6, 7, 8, 200)] == [1, 2, 3, 3, 5, 5, 7, 7, 7]
 
 
 def test_worker_restrictions_reach_all_members():
