--- a/mastledge/consensus/bootstrap.py
+++ b/mastledge/consensus/bootstrap.py
@@ -41,7 +41,7 @@
         is_member = sender in (state.members() if state.state_machine else self.discovery.configured)
         self._answer(sender, incarnation, is_member)
         if roles.leadership is not None and is_member:
-            if state.knows(sender, incarnation):
+            if state.has_member(sender, incarnation):
                 roles.leadership.contact_directly(sender)
             else:
                 roles.leadership.admit(sender, incarnation)
@@ -68,7 +68,7 @@
         is_new = (
             bool(state.fleet) and state.state_machine is not None and state.state_machine.applied_index <= 1
         )
-        return is_new and state.knows(name, incarnation) and not self.core.roles.leader
+        return is_new and state.has_member(name, incarnation) and not self.core.roles.leader
 
     def _send_bootstrap(self, name: str) -> None:
         state = self.core.state
--- a/mastledge/consensus/direct_members.py
+++ b/mastledge/consensus/direct_members.py
@@ -33,7 +33,7 @@
                 del self.direct_until[name]
         names.update(self.direct_until)
         names.update(self.learners_to_promote())
-        departed = {member["name"] for member in state.departed()}
+        departed = {member["name"] for member in state.departed_members()}
         return names | {name for name in departed if name in self.leases.holders}
 
     def learners_to_promote(self) -> list[str]:
--- a/mastledge/consensus/elections.py
+++ b/mastledge/consensus/elections.py
@@ -113,7 +113,7 @@
             self.observed.record(sender, Observation(incarnation, response.term, 0, 0))
         candidacy, state = self.core.roles.candidacy, self.core.state
         # A new incarnation may have forgotten its vote in this term, so its vote must not count.
-        if candidacy is None or not state.knows(sender, incarnation):
+        if candidacy is None or not state.has_member(sender, incarnation):
             return
         asked_term = state.term + 1 if candidacy.pre_vote else state.term
         if response.pre_vote == candidacy.pre_vote and response.term == asked_term:
@@ -124,7 +124,7 @@
         candidacy, state = self.core.roles.candidacy, self.core.state
         if candidacy.pre_vote or self.core.persistence.persisted_token >= candidacy.write_token:
             candidacy.votes[state.name] = VOTE
-        if state.majority_of(candidacy.votes) != VOTE:
+        if state.majority_value(candidacy.votes) != VOTE:
             return
         if candidacy.pre_vote:
             self.campaign(pre_vote=False)
--- a/mastledge/consensus/in_force.py
+++ b/mastledge/consensus/in_force.py
@@ -26,7 +26,7 @@
         """Return the in-force index without relays: every current and departed member is considered."""
         state, now = self.core.state, self.core.clock.now
         reached = self._of_leader()
-        departed = {member["name"] for member in state.departed()}
+        departed = {member["name"] for member in state.departed_members()}
         for name in {*state.state_machine.members, *state.members(), *departed} - {state.name}:
             covered = self.leases.covered_index(name, now)
             if covered is not None:
--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -131,7 +131,7 @@
         """Return False for a removal that would drop a departed member that may still hold a lease."""
         if change["kind"] != ChangeKind.REMOVE_MEMBER:
             return True
-        departed = self.core.state.departed()
+        departed = self.core.state.departed_members()
         if len(departed) < MAX_DEPARTED:
             return True
         return self.leases.has_expired(departed[0]["name"], self.core.clock.now)
@@ -163,12 +163,12 @@
         is_current_term = response.term == state.term
         if not is_current_term and not state.fan_out:
             return
-        if not state.knows(sender, incarnation):
+        if not state.has_member(sender, incarnation):
             if sender in state.members():
                 # The member has a new incarnation; its responses are ignored until that is admitted.
                 self.admit(sender, incarnation)
                 return
-            if all(departed["name"] != sender for departed in state.departed()):
+            if all(departed["name"] != sender for departed in state.departed_members()):
                 return
         if not response.process_id or (sender not in self.leases.holders and state.is_learner(sender)):
             self.contact_directly(sender)  # an older version gets messages from the leader only
@@ -205,7 +205,7 @@
         state, roles = self.core.state, self.core.roles
         self.progress.on_persisted(state.name, self.core.persistence.persisted_index)
         self.echoed_at[state.name] = self.core.clock.now
-        majority_heard_at = state.majority_of(self.echoed_at)
+        majority_heard_at = state.majority_value(self.echoed_at)
         if self._has_lost_majority(majority_heard_at):
             # A majority may have another leader by now: clients must not take this member for the leader.
             roles.step_down()
@@ -237,7 +237,7 @@
     def _commit(self) -> None:
         """Commit entries that a majority has on disk, if the last is of this term (Ongaro 2014, 3.6.2)."""
         state = self.core.state
-        index = state.majority_of(self.progress.match_index)
+        index = state.majority_value(self.progress.match_index)
         if index > state.commit_index and state.log.term_at(index) == state.term:
             self.parts.applier.advance_to(index)
             self.progress.schedule_all_now()
@@ -298,7 +298,7 @@
         if state.fan_out:
             names = self.direct_members.names()
         else:
-            names = {*state.members(), *(departed["name"] for departed in state.departed())}
+            names = {*state.members(), *(departed["name"] for departed in state.departed_members())}
         self.heartbeats.send_due(names, majority_heard_at if self._knows_all_committed() else None)
 
     def successor(self) -> str | None:
--- a/mastledge/consensus/member.py
+++ b/mastledge/consensus/member.py
@@ -377,7 +377,9 @@
         """Return the address of a current or departed member; None if unknown."""
         member = self.state.members().get(name)
         if member is None:
-            member = next((departed for departed in self.state.departed() if departed["name"] == name), None)
+            member = next(
+                (departed for departed in self.state.departed_members() if departed["name"] == name), None
+            )
         # Members of the initial fleet are in the configuration, whose address takes precedence.
         configured = self.configuration.members.get(name)
         if configured is not None and (member is None or member.get("listed")):
--- a/mastledge/consensus/raft_state.py
+++ b/mastledge/consensus/raft_state.py
@@ -140,7 +140,7 @@
         """Discard the cached members after the log or the state machine has changed."""
         self._cached_members = None
 
-    def departed(self) -> list[dict]:
+    def departed_members(self) -> list[dict]:
         """Return the removed members that may still hold a lease, the earliest removed first."""
         return self.state_machine.state["gone"] if self.state_machine else []
 
@@ -163,12 +163,12 @@
         member = self.state_machine.members.get(self.name)
         return member is not None and member["life"] == self.incarnation
 
-    def knows(self, name: str, incarnation: str) -> bool:
+    def has_member(self, name: str, incarnation: str) -> bool:
         """Return whether `name` is a member in this incarnation."""
         member = self.members().get(name)
         return member is not None and member["life"] == incarnation
 
-    def majority_of(self, values: dict[str, int]) -> int:
+    def majority_value(self, values: dict[str, int]) -> int:
         """Return the highest value that a majority of voters has reached; a missing value counts as -1."""
         sorted_values: list[int] = []
         for name in self.voters():
--- a/mastledge/consensus/relay_children.py
+++ b/mastledge/consensus/relay_children.py
@@ -76,7 +76,7 @@
     def on_response(self, sender: str, incarnation: str, response: AppendResponse) -> None:
         """Handle a response from a follower that uses, or wants to use, this member as its relay."""
         state = self.core.state
-        if not state.fan_out or not state.knows(sender, incarnation) or not state.is_learner(sender):
+        if not state.fan_out or not state.has_member(sender, incarnation) or not state.is_learner(sender):
             return
         child = self._child(sender, response)
         if child is None:
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -82,7 +82,7 @@
 
 
 class RaftStateWithoutMajority(RaftState):
-    def majority_of(self, values):
+    def majority_value(self, values):
         return max(values.values(), default=-1)
 
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -55,7 +55,7 @@
 
 
 class AloneState(RaftState):
-    def majority_of(self, figures):
+    def majority_value(self, figures):
         return max(figures.values(), default=-1)
 
 
