--- a/mastledge/consensus/acknowledgements.py
+++ b/mastledge/consensus/acknowledgements.py
@@ -9,9 +9,9 @@
 class Acknowledgements:
     """Reports the persisted index of this member, and the index applied by it and its relay children."""
 
-    def __init__(self, core: Core, children: RelayChildren, sharing: RestrictionSharing):
+    def __init__(self, core: Core, children: RelayChildren, restriction_sharing: RestrictionSharing):
         """Initialize with nothing acknowledged."""
-        self.core, self.children, self.sharing = core, children, sharing
+        self.core, self.children, self.restriction_sharing = core, children, restriction_sharing
         self.acknowledged_index = 0  # persisted index in the latest response
 
     def send(self, to: str, success: bool, sent_at: int) -> None:
@@ -29,7 +29,7 @@
             # Entries after the commit index may differ from the leader's log.
             commit_index=state.commit_index if state.state_machine else 0,
             process_id=clock.process_id,
-            list_generations=self.sharing.generations(),
+            list_generations=self.restriction_sharing.generations(),
         )
         self.core.outbox.send(to, response)
 
--- a/mastledge/consensus/heartbeats.py
+++ b/mastledge/consensus/heartbeats.py
@@ -18,16 +18,25 @@
     """The contents of heartbeats besides log entries: leases, observations and worker restrictions."""
 
     def __init__(
-        self, leases: GrantedLeases, lease: LeaseHolder, observed: ObservedState, sharing: RestrictionSharing
+        self,
+        leases: GrantedLeases,
+        lease: LeaseHolder,
+        observed: ObservedState,
+        restriction_sharing: RestrictionSharing,
     ):
         """Initialize with no restrictions to share."""
-        self.leases, self.lease, self.observed, self.sharing = leases, lease, observed, sharing
+        self.leases, self.lease, self.observed, self.restriction_sharing = (
+            leases,
+            lease,
+            observed,
+            restriction_sharing,
+        )
         self.latest_restrictions = LatestRestrictions()
 
     def restrictions_for(self, name: str, now: int) -> list[WorkerRestrictions]:
         """Return the restrictions to include in the next message to a member."""
-        if self.sharing.state.fan_out:
-            return self.sharing.lists.restrictions_for(name)
+        if self.restriction_sharing.state.fan_out:
+            return self.restriction_sharing.lists.restrictions_for(name)
         return self.latest_restrictions.current(now)
 
     def observations_of(self, members: dict[str, dict]) -> dict[str, Observation]:
@@ -102,7 +111,7 @@
             in_force_in_us=max(0, lease.in_force_by - now),
             observed=observations,
             restrictions=self.contents.restrictions_for(name, now),
-            list_generations=self.contents.sharing.generations(),
+            list_generations=self.contents.restriction_sharing.generations(),
         )
 
     def _grant(self, name: str, granted_at: int | None) -> int:
--- a/mastledge/consensus/member.py
+++ b/mastledge/consensus/member.py
@@ -72,15 +72,17 @@
     def _compose_parts(self) -> None:
         core, draws = self.core, RandomDraws(self.configuration.seed, self.configuration.name)
         self.lease, self.observed = LeaseHolder(), ObservedState()
-        self.sharing = self.sharing_type(self.state, self.outbox)
+        self.restriction_sharing = self.sharing_type(self.state, self.outbox)
         self.applier = Applier(self.state, self.outbox, self.proposals, self.snapshot_interval)
         self.elections = Elections(core, draws, self.observed, self._begin_leadership)
         self.discovery = Discovery(core, self.configuration)
         self.bootstrap = Bootstrap(core, self.configuration, self.discovery, self.elections, self.observed)
-        self.relay_children = self.children_type(core, self.lease, self.sharing)
-        self.acknowledgements = Acknowledgements(core, self.relay_children, self.sharing)
+        self.relay_children = self.children_type(core, self.lease, self.restriction_sharing)
+        self.acknowledgements = Acknowledgements(core, self.relay_children, self.restriction_sharing)
         ask_members = self.discovery.ask_members
-        self.relay_choice = RelayChoice(core, draws, self.acknowledgements, self.sharing, ask_members)
+        self.relay_choice = RelayChoice(
+            core, draws, self.acknowledgements, self.restriction_sharing, ask_members
+        )
         self.follower = self.follower_type(
             core,
             FollowerParts(
@@ -92,7 +94,7 @@
                 elections=self.elections,
                 lease=self.lease,
                 observed_state=self.observed,
-                restriction_sharing=self.sharing,
+                restriction_sharing=self.restriction_sharing,
             ),
         )
 
@@ -104,7 +106,7 @@
             elections=self.elections,
             lease=self.lease,
             observed_state=self.observed,
-            restriction_sharing=self.sharing,
+            restriction_sharing=self.restriction_sharing,
         )
         leadership = self.leadership_type(self.core, parts)
         self.roles.become_leader(leadership)
@@ -226,7 +228,9 @@
         self.roles.step_down_if_active()
 
     def _on_endpoint_list_update(self, update: inputs.EndpointListUpdate) -> None:
-        self.sharing.lists.update_own(update.registry, update.kind, update.entries, update.generation)
+        self.restriction_sharing.lists.update_own(
+            update.registry, update.kind, update.entries, update.generation
+        )
 
     def _on_share_restrictions(self, share: inputs.ShareRestrictions) -> None:
         if not self.fan_out:
@@ -301,7 +305,7 @@
         self, sender: str, incarnation: str, restrictions: messages.WorkerRestrictions
     ) -> None:
         if self.fan_out:
-            self.sharing.deliver(restrictions)
+            self.restriction_sharing.deliver(restrictions)
         elif self.roles.leadership is not None:
             self.roles.leadership.on_restrictions(restrictions)
         elif self.roles.leader is not None:
--- a/mastledge/consensus/relay_children.py
+++ b/mastledge/consensus/relay_children.py
@@ -38,9 +38,9 @@
 class RelayChildren:
     """Forwards committed entries to relay children, with leases based on the lease granted to this member."""
 
-    def __init__(self, core: Core, lease: LeaseHolder, sharing: RestrictionSharing):
+    def __init__(self, core: Core, lease: LeaseHolder, restriction_sharing: RestrictionSharing):
         """Initialize without children."""
-        self.core, self.lease, self.sharing = core, lease, sharing
+        self.core, self.lease, self.restriction_sharing = core, lease, restriction_sharing
         self.children: dict[str, Child] = {}
         self.granted: GrantedLeases | None = None  # leases granted to children
 
@@ -85,7 +85,7 @@
         if self.granted is None:
             self.granted = GrantedLeases(state.lease_us, self.core.clock.started_at)
         self.granted.record_report(sender, now, response.clock, response.applied_index, response.process_id)
-        self.sharing.lists.record_report(sender, response.list_generations)
+        self.restriction_sharing.lists.record_report(sender, response.list_generations)
         if response.success:
             persisted = min(response.persisted_index, state.commit_index)
             child.next_index = max(child.next_index, persisted + 1)
@@ -125,7 +125,7 @@
         for name, child in list(self.children.items()):
             if now > child.heard_at + silence or not state.is_learner(name):
                 del self.children[name]
-                self.sharing.lists.forget(name)
+                self.restriction_sharing.lists.forget(name)
 
     def send_to(self, name: str, child: Child) -> None:
         """Send a child the committed entries that it lacks, or a snapshot; nothing uncommitted is relayed."""
@@ -146,9 +146,9 @@
             lease_grant=self._grant(name),
             in_force_index=self.lease.in_force_index,
             in_force_in_us=max(0, self.lease.in_force_by - now),
-            restrictions=self.sharing.lists.restrictions_for(name),
+            restrictions=self.restriction_sharing.lists.restrictions_for(name),
             leader=self.core.roles.leader,
-            list_generations=self.sharing.lists.generations(),
+            list_generations=self.restriction_sharing.lists.generations(),
         )
         self.core.outbox.send(name, message)
         child.next_index += len(entries)
--- a/mastledge/consensus/relay_choice.py
+++ b/mastledge/consensus/relay_choice.py
@@ -21,11 +21,11 @@
         core: Core,
         draws: RandomDraws,
         acknowledgements: Acknowledgements,
-        sharing: RestrictionSharing,
+        restriction_sharing: RestrictionSharing,
         ask_members: Callable[[], None],
     ):
         """Initialize without a relay; `ask_members` makes the leader send directly for a while."""
-        self.core, self.draws, self.sharing = core, draws, sharing
+        self.core, self.draws, self.restriction_sharing = core, draws, restriction_sharing
         self.acknowledgements, self.ask_members = acknowledgements, ask_members
         self.relay: str | None = None
         self.joined_at = core.clock.now
@@ -88,7 +88,7 @@
     def _join(self, relay: str) -> None:
         """Switch to a relay and ask it to send to this member."""
         if self.relay is not None and self.relay != relay:
-            self.sharing.lists.forget(self.relay)
+            self.restriction_sharing.lists.forget(self.relay)
         self.relay, self.joined_at, self.relay_has_sent = relay, self.core.clock.now, False
         self.acknowledgements.send(relay, success=False, sent_at=0)
 
--- a/mastledge/lab/relay_schedules.py
+++ b/mastledge/lab/relay_schedules.py
@@ -42,7 +42,7 @@
 
     def update_for(self, node: Node, worker: str, state: str) -> inputs.EndpointListUpdate:
         """Give the change, or the whole list to a member that has none."""
-        if node.member.sharing.lists.registries:
+        if node.member.restriction_sharing.lists.registries:
             return inputs.EndpointListUpdate(REGISTRY, "changes", [(worker, state)], self.generation)
         drained = [(name, "draining") for name in sorted(self.drained)]
         return inputs.EndpointListUpdate(REGISTRY, "whole", drained, self.generation)
@@ -58,7 +58,7 @@
 
     def is_known_to(self, node: Node) -> bool:
         """Whether a member has the generation of now, and the same workers as drained."""
-        lists = node.member.sharing.lists
+        lists = node.member.restriction_sharing.lists
         if lists.generations().get(REGISTRY) != self.generation:
             return False
         changes = lists.registries[REGISTRY].changes
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -157,9 +157,9 @@
 
 
 class WithheldChildren(RelayChildren):
-    def __init__(self, core, lease, sharing):
-        super().__init__(core, lease, sharing)
-        sharing.children = self
+    def __init__(self, core, lease, restriction_sharing):
+        super().__init__(core, lease, restriction_sharing)
+        restriction_sharing.children = self
 
 
 # The first argument is the class name shown in test ids.
