--- a/mastledge/consensus/bootstrap.py
+++ b/mastledge/consensus/bootstrap.py
@@ -21,11 +21,11 @@
         configuration: MemberConfiguration,
         discovery: Discovery,
         elections: Elections,
-        observed: ObservedState,
+        observed_state: ObservedState,
     ):
         """Initialize in discovery, whatever is on disk: the other members are asked first."""
         self.core, self.configuration = core, configuration
-        self.discovery, self.elections, self.observed = discovery, elections, observed
+        self.discovery, self.elections, self.observed_state = discovery, elections, observed_state
         self.phase = Phase.DISCOVERING
         self.ask_at = core.clock.now
 
@@ -49,7 +49,7 @@
             self._send_bootstrap(sender)
 
     def _answer(self, name: str, incarnation: str, is_member: bool) -> None:
-        state, observed = self.core.state, self.observed.of(name, incarnation)
+        state, observed = self.core.state, self.observed_state.of(name, incarnation)
         response = DiscoverResponse(
             fleet=state.fleet,
             empty=not state.fleet,
--- a/mastledge/consensus/elections.py
+++ b/mastledge/consensus/elections.py
@@ -16,10 +16,19 @@
     """Decides when this member campaigns and for which candidate it votes."""
 
     def __init__(
-        self, core: Core, draws: RandomDraws, observed: ObservedState, begin_leadership: Callable[[], None]
+        self,
+        core: Core,
+        draws: RandomDraws,
+        observed_state: ObservedState,
+        begin_leadership: Callable[[], None],
     ):
         """Start the first election timeout; `begin_leadership` is called when an election is won."""
-        self.core, self.draws, self.observed, self.begin_leadership = core, draws, observed, begin_leadership
+        self.core, self.draws, self.observed_state, self.begin_leadership = (
+            core,
+            draws,
+            observed_state,
+            begin_leadership,
+        )
         self.timeout_at = 0
         self.restart_timeout()
 
@@ -42,7 +51,7 @@
             return
         state = self.core.state
         self.core.roles.observe_term(request.term)
-        self.observed.record(sender, Observation(incarnation, request.term, 0, 0))
+        self.observed_state.record(sender, Observation(incarnation, request.term, 0, 0))
         granted = (
             request.term == state.term
             and state.voted_for in ("", sender)
@@ -110,7 +119,7 @@
             self.core.roles.observe_term(response.term)
             return
         if not response.pre_vote:
-            self.observed.record(sender, Observation(incarnation, response.term, 0, 0))
+            self.observed_state.record(sender, Observation(incarnation, response.term, 0, 0))
         candidacy, state = self.core.roles.candidacy, self.core.state
         # A new incarnation may have forgotten its vote in this term, so its vote must not count.
         if candidacy is None or not state.has_member(sender, incarnation):
--- a/mastledge/consensus/heartbeats.py
+++ b/mastledge/consensus/heartbeats.py
@@ -21,14 +21,14 @@
         self,
         leases: GrantedLeases,
         lease: LeaseHolder,
-        observed: ObservedState,
+        observed_state: ObservedState,
         restriction_sharing: RestrictionSharing,
     ):
         """Initialize with no restrictions to share."""
-        self.leases, self.lease, self.observed, self.restriction_sharing = (
+        self.leases, self.lease, self.observed_state, self.restriction_sharing = (
             leases,
             lease,
-            observed,
+            observed_state,
             restriction_sharing,
         )
         self.latest_restrictions = LatestRestrictions()
@@ -41,7 +41,7 @@
 
     def observations_of(self, members: dict[str, dict]) -> dict[str, Observation]:
         """Return the observations of the voters, which the next leader needs."""
-        observations = self.observed.observations
+        observations = self.observed_state.observations
         return {
             name: observation
             for name, observation in observations.items()
--- a/mastledge/consensus/member.py
+++ b/mastledge/consensus/member.py
@@ -71,12 +71,14 @@
 
     def _compose_parts(self) -> None:
         core, draws = self.core, RandomDraws(self.configuration.seed, self.configuration.name)
-        self.lease, self.observed = LeaseHolder(), ObservedState()
+        self.lease, self.observed_state = LeaseHolder(), ObservedState()
         self.restriction_sharing = self.sharing_type(self.state, self.outbox)
         self.applier = Applier(self.state, self.outbox, self.proposals, self.snapshot_interval)
-        self.elections = Elections(core, draws, self.observed, self._begin_leadership)
+        self.elections = Elections(core, draws, self.observed_state, self._begin_leadership)
         self.discovery = Discovery(core, self.configuration)
-        self.bootstrap = Bootstrap(core, self.configuration, self.discovery, self.elections, self.observed)
+        self.bootstrap = Bootstrap(
+            core, self.configuration, self.discovery, self.elections, self.observed_state
+        )
         self.relay_children = self.children_type(core, self.lease, self.restriction_sharing)
         self.acknowledgements = Acknowledgements(core, self.relay_children, self.restriction_sharing)
         ask_members = self.discovery.ask_members
@@ -93,7 +95,7 @@
                 relay_choice=self.relay_choice,
                 elections=self.elections,
                 lease=self.lease,
-                observed_state=self.observed,
+                observed_state=self.observed_state,
                 restriction_sharing=self.restriction_sharing,
             ),
         )
@@ -105,7 +107,7 @@
             relay_choice=self.relay_choice,
             elections=self.elections,
             lease=self.lease,
-            observed_state=self.observed,
+            observed_state=self.observed_state,
             restriction_sharing=self.restriction_sharing,
         )
         leadership = self.leadership_type(self.core, parts)
@@ -269,7 +271,7 @@
         self.state.reset(incarnation)
         self.persistence.forget_log()
         self.discovery.forget()
-        self.observed.clear()
+        self.observed_state.clear()
         self.roles.forget_leader()
         self.applier.clear_halt_reason()
         self.lease.clear()
