--- a/mastledge/consensus/acknowledgements.py
+++ b/mastledge/consensus/acknowledgements.py
@@ -9,9 +9,9 @@
 class Acknowledgements:
     """Reports the persisted index of this member, and the index applied by it and its relay children."""
 
-    def __init__(self, core: Core, children: RelayChildren, restriction_sharing: RestrictionSharing):
+    def __init__(self, core: Core, relay_children: RelayChildren, restriction_sharing: RestrictionSharing):
         """Initialize with nothing acknowledged."""
-        self.core, self.children, self.restriction_sharing = core, children, restriction_sharing
+        self.core, self.relay_children, self.restriction_sharing = core, relay_children, restriction_sharing
         self.acknowledged_index = 0  # persisted index in the latest response
 
     def send(self, to: str, success: bool, sent_at: int) -> None:
@@ -23,7 +23,7 @@
             success=success,
             persisted_index=persisted,
             persisted_term=state.log.term_at(persisted) or 0,
-            applied_index=self.children.covered_index(),
+            applied_index=self.relay_children.covered_index(),
             sent_at=sent_at,
             clock=clock.reading(),
             # Entries after the commit index may differ from the leader's log.
--- a/mastledge/consensus/in_force.py
+++ b/mastledge/consensus/in_force.py
@@ -17,9 +17,9 @@
 class InForceTracker:
     """Computes the in-force index at the leader; times are by the leader's clock."""
 
-    def __init__(self, core: Core, leases: GrantedLeases, children: RelayChildren):
+    def __init__(self, core: Core, leases: GrantedLeases, relay_children: RelayChildren):
         """Initialize at the time of the won election."""
-        self.core, self.leases, self.children = core, leases, children
+        self.core, self.leases, self.relay_children = core, leases, relay_children
         self.won_at = core.clock.now
 
     def of_all_members(self) -> InForce:
@@ -50,7 +50,7 @@
         return reached
 
     def _of_leader(self) -> InForce:
-        index = min(self.core.state.commit_index, self.children.covered_index())
+        index = min(self.core.state.commit_index, self.relay_children.covered_index())
         return InForce(index, self.core.clock.now)
 
     def _with_holder(self, name: str, covered: int, reached: InForce) -> InForce:
