--- a/mastledge/consensus/in_force.py
+++ b/mastledge/consensus/in_force.py
@@ -20,7 +20,7 @@
     def __init__(self, core: Core, leases: GrantedLeases, relay_children: RelayChildren):
         """Initialize at the time of the won election."""
         self.core, self.leases, self.relay_children = core, leases, relay_children
-        self.won_at = core.clock.now
+        self.elected_at = core.clock.now
 
     def of_all_members(self) -> InForce:
         """Return the in-force index without relays: every current and departed member is considered."""
@@ -36,7 +36,7 @@
     def of_holders(self, in_force_index: int) -> InForce:
         """Return the in-force index with relays: direct lease holders report for their relay children too."""
         state, now = self.core.state, self.core.clock.now
-        former_leases_end = self.won_at + longest_lease_us(state.lease_us)
+        former_leases_end = self.elected_at + longest_lease_us(state.lease_us)
         if now < former_leases_end:
             # Former leaders may have granted leases, directly or through relays, that are unknown here.
             return InForce(in_force_index, former_leases_end)
--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -53,8 +53,8 @@
     def __init__(self, core: Core, parts: LeaderParts):
         """Initialize for the term that was won, without information about other members."""
         self.core, self.parts = core, parts
-        state, self.won_at = core.state, core.clock.now
-        self.leases = GrantedLeases(state.lease_us, self.won_at)
+        state, self.elected_at = core.state, core.clock.now
+        self.leases = GrantedLeases(state.lease_us, self.elected_at)
         self.progress = ReplicationProgress(state)
         contents = HeartbeatContents(
             self.leases, parts.lease, parts.observed_state, parts.restriction_sharing
@@ -67,7 +67,7 @@
         self.process_ids: dict[str, int] = {}  # by member; 0: its version does not support relays
         self.waiting_changes: list[Propose] = []  # membership changes
         self.last_fan_out = state.fan_out
-        self.first_index = 0  # index of the first entry of this term
+        self.term_start_index = 0  # index of the first entry of this term
 
     def begin(self, proposals: dict[str, dict]) -> None:
         """Start the term by appending a no-op and this member's pending proposals, {id: change}."""
@@ -78,7 +78,7 @@
         self.parts.relay_choice.leave()
         self.core.outbox.log_event("became_leader", term=state.term, last=state.log.last_index)
         self._append(Entry(state.term, "", noop()))
-        self.first_index = state.log.last_index
+        self.term_start_index = state.log.last_index
         for id, change in proposals.items():
             self.take(id, change)
 
@@ -232,7 +232,7 @@
 
     def _has_lost_majority(self, majority_heard_at: int) -> bool:
         now, timeout_us = self.core.clock.now, LOST_AFTER_HEARTBEATS * self.core.state.heartbeat_us
-        return majority_heard_at < now - timeout_us and now > self.won_at + timeout_us
+        return majority_heard_at < now - timeout_us and now > self.elected_at + timeout_us
 
     def _commit(self) -> None:
         """Commit entries that a majority has on disk, if the last is of this term (Ongaro 2014, 3.6.2)."""
@@ -258,7 +258,7 @@
 
     def _knows_all_committed(self) -> bool:
         """Return whether an entry of this term is committed, and with it all entries before."""
-        return self.core.state.commit_index >= self.first_index
+        return self.core.state.commit_index >= self.term_start_index
 
     def update_in_force(self) -> None:
         """Update the index up to which the state is in force."""
@@ -288,7 +288,7 @@
         """Return whether a learner answers and has this term's first entry on disk."""
         if member["votes"] or not member["life"]:
             return False
-        if self.progress.match_index.get(name, 0) < self.first_index:
+        if self.progress.match_index.get(name, 0) < self.term_start_index:
             return False
         timeout_us = 2 * LEARNER_HEARTBEATS_PER_LEASE * self.core.state.heartbeat_us
         return self.core.clock.now - self.echoed_at.get(name, 0) < timeout_us
--- a/mastledge/lab/bench/fleet_sizes.py
+++ b/mastledge/lab/bench/fleet_sizes.py
@@ -70,7 +70,7 @@
     fleet.run(
         began_us + ELECTION_LIMIT_US,
         lambda: fleet.leader() is not None
-        and fleet.leader().member.commit_index >= fleet.leader().member.leadership.first_index,
+        and fleet.leader().member.commit_index >= fleet.leader().member.leadership.term_start_index,
     )
     took_ms = (fleet.now - began_us) / 1000
     leader.start()
--- a/mastledge/lab/sized_fleets.py
+++ b/mastledge/lab/sized_fleets.py
@@ -170,4 +170,4 @@
 def has_active_leader(fleet: Fleet) -> bool:
     """Whether somebody leads and has had an entry of its term committed."""
     leader = fleet.leader()
-    return leader is not None and leader.member.commit_index >= leader.member.leadership.first_index
+    return leader is not None and leader.member.commit_index >= leader.member.leadership.term_start_index
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -95,7 +95,7 @@
 class LeadershipGrantingEarly(Leadership):
     def begin(self, proposals):
         super().begin(proposals)
-        self.first_index = 0
+        self.term_start_index = 0
 
 
 class MemberGrantingEarly(Member):
@@ -193,7 +193,7 @@
         started_at + 100_000,
         lambda: fleet.leader() is not None
         and fleet.leader() is not leader
-        and fleet.leader().member.commit_index >= fleet.leader().member.leadership.first_index,
+        and fleet.leader().member.commit_index >= fleet.leader().member.leadership.term_start_index,
     )
 
 
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -100,11 +100,11 @@
 
     def of_holders(self, in_force_index):
         lease = self.core.state.lease_us
-        self.won_at -= 10 * lease
+        self.elected_at -= 10 * lease
         try:
             return super().of_holders(in_force_index)
         finally:
-            self.won_at += 10 * lease
+            self.elected_at += 10 * lease
 
 
 class NoWaitLeadership(FixedVotersLeadership):
