--- a/mastledge/consensus/in_force.py
+++ b/mastledge/consensus/in_force.py
@@ -22,7 +22,7 @@
         self.core, self.leases, self.relay_children = core, leases, relay_children
         self.elected_at = core.clock.now
 
-    def of_all_members(self) -> InForce:
+    def compute_without_relays(self) -> InForce:
         """Return the in-force index without relays: every current and departed member is considered."""
         state, now = self.core.state, self.core.clock.now
         reached = self._of_leader()
@@ -33,7 +33,7 @@
                 reached = self._with_holder(name, covered, reached)
         return reached
 
-    def of_holders(self, in_force_index: int) -> InForce:
+    def compute_with_relays(self, in_force_index: int) -> InForce:
         """Return the in-force index with relays: direct lease holders report for their relay children too."""
         state, now = self.core.state, self.core.clock.now
         former_leases_end = self.elected_at + longest_lease_us(state.lease_us)
--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -264,9 +264,9 @@
         """Update the index up to which the state is in force."""
         lease, fan_out = self.parts.lease, self.core.state.fan_out
         if fan_out:
-            reached = self.in_force.of_holders(lease.in_force_index)
+            reached = self.in_force.compute_with_relays(lease.in_force_index)
         else:
-            reached = self.in_force.of_all_members()
+            reached = self.in_force.compute_without_relays()
         if reached.index > lease.in_force_index and not fan_out:
             self.progress.schedule_all_now()  # with relays the next heartbeat carries it
         lease.record_in_force(reached.index, reached.all_by)
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -98,11 +98,11 @@
 class NoWaitTracker(InForceTracker):
     """A new leader does not wait until the leases granted under the former leader have expired."""
 
-    def of_holders(self, in_force_index):
+    def compute_with_relays(self, in_force_index):
         lease = self.core.state.lease_us
         self.elected_at -= 10 * lease
         try:
-            return super().of_holders(in_force_index)
+            return super().compute_with_relays(in_force_index)
         finally:
             self.elected_at += 10 * lease
 
