--- a/mastledge/consensus/acknowledgements.py
+++ b/mastledge/consensus/acknowledgements.py
@@ -39,4 +39,4 @@
         if not roles.is_follower() or not roles.leader:
             return
         if self.acknowledged_index < self.core.persistence.persisted_index:
-            self.send(roles.contact.sender or roles.leader, True, roles.contact.leader_time)
+            self.send(roles.leader_contact.sender or roles.leader, True, roles.leader_contact.leader_time)
--- a/mastledge/consensus/bootstrap.py
+++ b/mastledge/consensus/bootstrap.py
@@ -27,7 +27,7 @@
         self.core, self.configuration = core, configuration
         self.discovery, self.elections, self.observed_state = discovery, elections, observed_state
         self.phase = Phase.DISCOVERING
-        self.ask_at = core.clock.now
+        self.next_discovery_at = core.clock.now
 
     # Requests of other members
 
@@ -168,8 +168,8 @@
                 return
         elif self.phase == Phase.DISCOVERING:
             self.phase = Phase.WITHOUT_FLEET
-        if now >= self.ask_at:
-            self.ask_at = now + DISCOVERY_INTERVAL_US
+        if now >= self.next_discovery_at:
+            self.next_discovery_at = now + DISCOVERY_INTERVAL_US
             self.discovery.ask_members()
         if self.phase == Phase.WITHOUT_FLEET and not state.fleet:
             self._begin_if_all_are_ready()
--- a/mastledge/consensus/elections.py
+++ b/mastledge/consensus/elections.py
@@ -81,7 +81,7 @@
     def _has_leader(self) -> bool:
         """Return whether a leader was heard within the minimum election timeout, less one heartbeat."""
         roles, contact_us = self.core.roles, (MIN_ELECTION_TIMEOUT - 1) * self.core.state.heartbeat_us
-        return roles.leader is not None and self.core.clock.now < roles.contact.heard_at + contact_us
+        return roles.leader is not None and self.core.clock.now < roles.leader_contact.heard_at + contact_us
 
     def _is_up_to_date(self, request: VoteRequest) -> bool:
         log = self.core.state.log
--- a/mastledge/consensus/follower.py
+++ b/mastledge/consensus/follower.py
@@ -53,7 +53,7 @@
         parts.applier.advance_to(min(append.commit_index, append.prev_index + len(append.entries)))
         self._accept_lease(append)
         if (
-            parts.relay_choice.is_answered(sender, bool(append.leader))
+            parts.relay_choice.should_answer(sender, bool(append.leader))
             and not self.core.persistence.is_waiting()
         ):
             parts.acknowledgements.send(sender, True, append.sent_at)
@@ -73,10 +73,10 @@
             return False  # voters take messages from the leader only
         if roles.leader != leader or message.term > state.term or not roles.is_follower():
             roles.become_follower(message.term, leader)
-        roles.contact.record(self.core.clock.now, message.sent_at, sender)
+        roles.leader_contact.record(self.core.clock.now, message.sent_at, sender)
         self.parts.elections.restart_timeout()
         if message.leader:
-            self.parts.relay_choice.on_relayed(sender, message.term, message.sent_at)
+            self.parts.relay_choice.on_relayed_message(sender, message.term, message.sent_at)
         if state.fan_out and isinstance(message, AppendEntries):
             self.parts.restriction_sharing.answer_report(sender, message.list_generations)
         return True
--- a/mastledge/consensus/member.py
+++ b/mastledge/consensus/member.py
@@ -181,7 +181,7 @@
         if self.state.is_voter() and not self.persistence.failed and not self.applier.halt_reason:
             self.elections.campaign(pre_vote=True)
             return
-        lost_at = self.roles.contact.heard_at + LOST_AFTER_HEARTBEATS * self.state.heartbeat_us
+        lost_at = self.roles.leader_contact.heard_at + LOST_AFTER_HEARTBEATS * self.state.heartbeat_us
         if not self.state.is_admitted() or not self.roles.leader or self.clock.now > lost_at:
             # This member was removed while away, or the fleet knows another incarnation: find the leader.
             self.discovery.ask_members()
@@ -189,7 +189,7 @@
     def wake_at(self) -> int:
         """Return the time by which the host must send a `Tick`."""
         is_participating = self.phase == Phase.PARTICIPATING
-        times = [self.elections.timeout_at if is_participating else self.bootstrap.ask_at]
+        times = [self.elections.timeout_at if is_participating else self.bootstrap.next_discovery_at]
         if self.roles.leadership is not None:
             times = [self.roles.leadership.wake_at()]
         times += [time for time in (self.persistence.retry_at, self.proposals.retry_at) if time is not None]
@@ -281,7 +281,7 @@
         """Stop using relays; leases already granted remain counted."""
         self.relay_children.release()
         self.relay_choice.forget()
-        self.roles.contact.forget_sender()
+        self.roles.leader_contact.forget_sender()
 
     def _on_leave(self, leave: inputs.Leave) -> None:
         """Transfer leadership to an up-to-date voter, which saves the election timeout."""
--- a/mastledge/consensus/relay_children.py
+++ b/mastledge/consensus/relay_children.py
@@ -142,7 +142,7 @@
             prev_term=state.log.term_at(previous) or 0,
             entries=entries,
             commit_index=state.commit_index,
-            sent_at=self.core.roles.contact.leader_time,
+            sent_at=self.core.roles.leader_contact.leader_time,
             lease_grant=self._grant(name),
             in_force_index=self.lease.in_force_index,
             in_force_in_us=max(0, self.lease.in_force_by - now),
@@ -165,7 +165,7 @@
     def _send_snapshot(self, name: str, child: Child) -> None:
         state, roles = self.core.state, self.core.roles
         snapshot = state.log.base_index, state.log.base_term, state.snapshot_state
-        message = InstallSnapshot(state.term, *snapshot, roles.contact.leader_time, roles.leader)
+        message = InstallSnapshot(state.term, *snapshot, roles.leader_contact.leader_time, roles.leader)
         self.core.outbox.send(name, message)
         child.next_index = state.log.base_index + 1
 
--- a/mastledge/consensus/relay_choice.py
+++ b/mastledge/consensus/relay_choice.py
@@ -92,7 +92,7 @@
         self.relay, self.joined_at, self.relay_has_sent = relay, self.core.clock.now, False
         self.acknowledgements.send(relay, success=False, sent_at=0)
 
-    def on_relayed(self, sender: str, term: int, leader_time: int) -> None:
+    def on_relayed_message(self, sender: str, term: int, leader_time: int) -> None:
         """Record a relayed message of the leader; a repeated message does not count as contact."""
         if sender != self.relay:
             return
@@ -104,7 +104,7 @@
                 0,
             )
 
-    def is_answered(self, sender: str, is_relayed: bool) -> bool:
+    def should_answer(self, sender: str, is_relayed: bool) -> bool:
         """Return whether to answer a message; a former relay stops sending once it gets no more answers."""
         return not is_relayed or sender == self.relay or not self.relay_has_sent
 
--- a/mastledge/consensus/role_state.py
+++ b/mastledge/consensus/role_state.py
@@ -48,7 +48,7 @@
         self.leader: str | None = None
         self.candidacy: Candidacy | None = None
         self.leadership: Leadership | None = None
-        self.contact = LeaderContact()
+        self.leader_contact = LeaderContact()
 
     @property
     def role(self) -> Role:
