--- a/mastledge/consensus/errors.py
+++ b/mastledge/consensus/errors.py
@@ -10,10 +10,10 @@
 class RefusalStatus(IntEnum):
     """HTTP status returned to the client that proposed a refused change."""
 
-    ALREADY_SO = 200  # the state is already as requested
+    ALREADY_APPLIED = 200  # the state is already as requested
     INVALID = 400
     CONFLICT = 409
-    OTHER_VERSION = 412  # the settings are not at the expected version
+    VERSION_MISMATCH = 412  # the settings are not at the expected version
 
 
 class ChangeRefusedError(ConsensusError):
--- a/mastledge/consensus/exclusions.py
+++ b/mastledge/consensus/exclusions.py
@@ -7,7 +7,7 @@
     """Apply a committed exclusion of a worker to the state document."""
     worker = change["worker"]
     if worker in state["out"]:
-        raise ChangeRefusedError("it is out already", RefusalStatus.ALREADY_SO)
+        raise ChangeRefusedError("it is out already", RefusalStatus.ALREADY_APPLIED)
     state["out"] = sorted([*state["out"], worker])
     state["back"].pop(worker, None)
 
@@ -19,7 +19,7 @@
     """
     worker = change["worker"]
     if worker not in state["out"]:
-        raise ChangeRefusedError("it is not out", RefusalStatus.ALREADY_SO)
+        raise ChangeRefusedError("it is not out", RefusalStatus.ALREADY_APPLIED)
     state["out"].remove(worker)
     # The worker may have restarted while excluded, so it counts as cold; older entries are dropped.
     oldest = change["at"] - change["cold_for"]
--- a/mastledge/consensus/replica_placement.py
+++ b/mastledge/consensus/replica_placement.py
@@ -65,7 +65,7 @@
     if placement is None:
         raise ChangeRefusedError("no dispatcher holds copies of keys", RefusalStatus.CONFLICT)
     if count == placement.get("after", placement["count"]):
-        raise ChangeRefusedError(f"there are {count} copies of each", RefusalStatus.ALREADY_SO)
+        raise ChangeRefusedError(f"there are {count} copies of each", RefusalStatus.ALREADY_APPLIED)
     placement.pop("after", None)
     if not placement["epoch"]:
         placement["count"] = count
--- a/mastledge/consensus/settings_history.py
+++ b/mastledge/consensus/settings_history.py
@@ -29,7 +29,7 @@
     current, expected = state["settings_version"], change["expects"]
     if expected != current:
         raise ChangeRefusedError(
-            f"settings are of version {current}, not {expected}", RefusalStatus.OTHER_VERSION
+            f"settings are of version {current}, not {expected}", RefusalStatus.VERSION_MISMATCH
         )
 
 
--- a/mastledge/consensus/state_machine.py
+++ b/mastledge/consensus/state_machine.py
@@ -66,7 +66,7 @@
 def change_fan_out(state: dict, change: dict) -> None:
     """Set the number of members per relay; 0: no relays, the leader sends to all members."""
     if state.get("fan_out", 0) == change["fan_out"]:
-        raise ChangeRefusedError(f"the fan-out is {change['fan_out']} already", RefusalStatus.ALREADY_SO)
+        raise ChangeRefusedError(f"the fan-out is {change['fan_out']} already", RefusalStatus.ALREADY_APPLIED)
     state["fan_out"] = change["fan_out"]
 
 
