--- a/mastledge/lab/consensus_schedules.py
+++ b/mastledge/lab/consensus_schedules.py
@@ -311,7 +311,7 @@
 def whole(fleet, node):
     """A lost disk is one fault and the only one for now: a majority of lost disks is another matter."""
     return (
-        settled(fleet)
+        is_settled(fleet)
         and not fleet.cut
         and all(other.until <= fleet.now and not other.full for other in fleet.nodes.values())
         and len(fleet.leader().member.state.voters())
@@ -324,7 +324,7 @@
         node.start()
 
 
-def settled(fleet):
+def is_settled(fleet):
     """All is agreed and in force everywhere."""
     leader = fleet.leader()
     if leader is None:
@@ -346,12 +346,12 @@
     return type(f"Tight{make.__name__}", (make,), {"snapshot_interval": 3})
 
 
-def judged(seed, **how):
+def check_schedule(seed, **how):
     """Plays a schedule to its healed end; raises Broken with what was wrong."""
     if seed % 2:
         how = {**how, "make": tight(how.get("make", Member))}
     fleet, proposed = play(seed, **how)
-    if not fleet.run(fleet.now + 30_000_000, lambda: settled(fleet)):
+    if not fleet.run(fleet.now + 30_000_000, lambda: is_settled(fleet)):
         reasons = [node.member.no_lease_reason() for node in fleet.nodes.values()]
         raise Broken(f"not settled 30 s after all has healed: {reasons}")
     state = fleet.leader().member.state_machine.state
--- a/mastledge/lab/relay_schedules.py
+++ b/mastledge/lab/relay_schedules.py
@@ -10,7 +10,7 @@
 
 from mastledge.consensus import inputs
 from mastledge.consensus.member import Member
-from mastledge.lab.consensus_schedules import LEASE, Broken, Fleet, Node, back, settled
+from mastledge.lab.consensus_schedules import LEASE, Broken, Fleet, Node, back, is_settled
 from mastledge.lab.sized_fleets import FixedVotersMember, start_fleet
 
 VOTERS, FOLLOWERS, FAN_OUT = 3, 10, 2
@@ -248,7 +248,7 @@
             node.start()
 
 
-def judged(seed: int, make: type[Member] = FixedVotersMember) -> Fleet:
+def check_schedule(seed: int, make: type[Member] = FixedVotersMember) -> Fleet:
     """Play a schedule to its healed end; raises Broken with what was wrong.
 
     Members of odd seeds take a snapshot after every third entry, so that many come by one.
@@ -256,7 +256,7 @@
     if seed % 2:
         make = type(f"Tight{make.__name__}", (make,), {"snapshot_interval": 3})
     fleet, lists = play(seed, make)
-    if not fleet.run(fleet.now + HEALING_US, lambda: settled(fleet)):
+    if not fleet.run(fleet.now + HEALING_US, lambda: is_settled(fleet)):
         raise Broken(
             f"not settled after all has healed: {[n.member.no_lease_reason() for n in fleet.nodes.values()]}"
         )
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -18,7 +18,7 @@
 from mastledge.consensus.persisted_state import PersistedState
 from mastledge.consensus.raft_state import RaftState
 from mastledge.consensus.state_machine import StateMachine, initial_state
-from mastledge.lab.consensus_schedules import Broken, Fleet, judged, settled
+from mastledge.lab.consensus_schedules import Broken, Fleet, check_schedule, is_settled
 
 # Seeds that once failed: writes out of order, a new leader's lease before it knew all committed entries, a
 # conflict that replication never stepped back past, a snapshot without state, a busy loop without a leader.
@@ -27,19 +27,19 @@
 
 def formed_fleet(member_count=3, seed=1, **fleet_options):
     fleet = Fleet([f"n{n}" for n in range(member_count)], seed, log=True, **fleet_options).start()
-    assert fleet.run(5_000_000, lambda: settled(fleet))
+    assert fleet.run(5_000_000, lambda: is_settled(fleet))
     return fleet
 
 
 @pytest.mark.parametrize("seed", REGRESSION_SEEDS)
 def test_regression_seeds_keep_the_invariants(seed):
-    judged(seed, members=3 if seed % 3 else 5)
+    check_schedule(seed, members=3 if seed % 3 else 5)
 
 
 @pytest.mark.parametrize("block", range(10))
 def test_seeded_fault_schedules_keep_the_invariants(block):
     for seed in range(20_000 + 40 * block, 20_040 + 40 * block):
-        judged(seed, members=3 if seed % 3 else 5)
+        check_schedule(seed, members=3 if seed % 3 else 5)
 
 
 @settings(max_examples=40, deadline=None)
@@ -49,7 +49,7 @@
     faults=st.lists(st.sampled_from(["crash", "cut", "half", "stop", "full", "slow"]), min_size=1),
 )
 def test_hypothesis_fault_schedules_keep_the_invariants(seed, members, faults):
-    judged(seed, members=members, faults=tuple(faults), length=8_000_000)
+    check_schedule(seed, members=members, faults=tuple(faults), length=8_000_000)
 
 
 class MemberWithoutLeaseCheck(Member):
@@ -106,7 +106,7 @@
 
 def play_schedules(build):
     for seed in range(400):
-        judged(seed, members=3, make=build)
+        check_schedule(seed, members=3, make=build)
 
 
 @pytest.mark.parametrize(
@@ -144,7 +144,7 @@
 def test_removed_members_are_tracked_while_they_may_hold_a_lease():
     # Eight removed members are kept; removing a ninth once dropped the first, whose lease was then ignored.
     fleet = Fleet([f"n{n}" for n in range(14)], 5).start()
-    assert fleet.run(5_000_000, lambda: fleet.leader() is not None and settled(fleet))
+    assert fleet.run(5_000_000, lambda: fleet.leader() is not None and is_settled(fleet))
     fleet.run(fleet.now + 1_000_000)
     leader = fleet.leader()
     first, *others = [node for node in fleet.nodes.values() if not node.member.state.is_voter()]
@@ -166,7 +166,7 @@
     fleet = formed_fleet()
     for n in range(5):
         fleet.propose(f"n{n % 3}", f"c{n}", {"kind": "out", "worker": f"w{n}"})
-    assert fleet.run(fleet.now + 2_000_000, lambda: settled(fleet) and len(fleet.answered) == 5)
+    assert fleet.run(fleet.now + 2_000_000, lambda: is_settled(fleet) and len(fleet.answered) == 5)
     assert sorted(result.version for _, _, result in fleet.answered.values()) == [2, 3, 4, 5, 6]
 
 
@@ -205,7 +205,7 @@
     node.disk = []
     node.start()
     assert node.member.incarnation != incarnation and not node.member.state.is_voter()
-    assert fleet.run(fleet.now + 3_000_000, lambda: settled(fleet) and node.member.state.is_voter())
+    assert fleet.run(fleet.now + 3_000_000, lambda: is_settled(fleet) and node.member.state.is_voter())
     events = [name for _, member_name, name, _ in fleet.log if member_name == node.name]
     assert (
         "admitted" in events
@@ -218,12 +218,12 @@
     node = next(node for node in fleet.nodes.values() if node is not fleet.leader())
     stale_disk, incarnation = deepcopy(node.disk), node.member.incarnation
     fleet.propose("n0", "a", {"kind": "out", "worker": "w"})
-    assert fleet.run(fleet.now + 1_000_000, lambda: settled(fleet) and "a" in fleet.answered)
+    assert fleet.run(fleet.now + 1_000_000, lambda: is_settled(fleet) and "a" in fleet.answered)
     fleet.run(fleet.now + 500_000)
     node.crash()
     node.disk = stale_disk
     node.start()
-    assert fleet.run(fleet.now + 3_000_000, lambda: settled(fleet) and node.member.state.is_voter())
+    assert fleet.run(fleet.now + 3_000_000, lambda: is_settled(fleet) and node.member.state.is_voter())
     assert node.member.incarnation != incarnation and "data_directory_stale" in [
         name for _, _, name, _ in fleet.log
     ]
@@ -260,12 +260,12 @@
         fleet.propose("n1", f"add {name}", {"kind": "add", "name": name, "address": f"127.0.0.1:{name[1]}"})
         fleet.nodes[name].start()
     assert fleet.run(
-        fleet.now + 8_000_000, lambda: settled(fleet) and len(fleet.leader().member.state.voters()) == 5
+        fleet.now + 8_000_000, lambda: is_settled(fleet) and len(fleet.leader().member.state.voters()) == 5
     )
     fleet.propose("n1", "remove", {"kind": "remove", "name": "n0"})
     assert fleet.run(
         fleet.now + 8_000_000,
-        lambda: settled(fleet) and "n0" not in fleet.leader().member.state_machine.members,
+        lambda: is_settled(fleet) and "n0" not in fleet.leader().member.state_machine.members,
     )
     assert [target_voter_count(n) for n in (1, 2, 3, 4, 5, 6, 7, 8, 200)] == [1, 2, 3, 3, 5, 5, 7, 7, 7]
 
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("seed", range(SEEDS))
 def test_invariants_hold_with_relays_under_faults(seed):
-    relay_schedules.judged(seed)
+    relay_schedules.check_schedule(seed)
 
 
 # Faulty builds: one for each rule that relays depend on
@@ -185,7 +185,7 @@
 def test_faulty_build_is_caught(build, first_seed):
     for seed in range(first_seed, first_seed + MAX_SCHEDULES):
         try:
-            relay_schedules.judged(seed, make=build)
+            relay_schedules.check_schedule(seed, make=build)
         except Broken:
             return
     pytest.fail("not caught")
