--- a/mastledge/protocol/worker_answers.py
+++ b/mastledge/protocol/worker_answers.py
@@ -45,7 +45,7 @@
     def configure(self, settings: dict) -> None:
         """Apply settings to answers that are read from now on."""
         self.report_fields = settings["report_fields"]
-        self.patience_us = max(settings["connect_timeout"], MIN_PATIENCE_US)
+        self.confirmation_timeout_us = max(settings["connect_timeout"], MIN_PATIENCE_US)
 
     def read(self, conn: Connection, launch: Any, until: int) -> Coroutine:
         """Return the LaunchAnswer to the request that was sent on a connection.
@@ -70,7 +70,7 @@
                 return LaunchAnswer(HEAD_SAYS_REJECTED if rejected else Outcome.ERROR, None, report)
         return (yield from self._read_lines(conn, launch, until, report))
 
-    def is_whole_and_alone(self, conn: Connection, names_job: bool, until: int) -> Coroutine:
+    def is_sole_complete_answer(self, conn: Connection, names_job: bool, until: int) -> Coroutine:
         """Return whether the answer is complete and the only one; otherwise the job may have run."""
         until = min(until, self.loop.now() + ANSWER_TAIL_US)
         try:
@@ -98,7 +98,9 @@
     def _read_head(self, conn, launch, until):
         while True:
             try:
-                head = yield from http.response_head(conn, min(until, self.loop.now() + self.patience_us))
+                head = yield from http.response_head(
+                    conn, min(until, self.loop.now() + self.confirmation_timeout_us)
+                )
             except WaitTimeoutError:
                 # A worker confirms a job at once, even if the job waits in the worker's queue.
                 if self.loop.now() >= until:
--- a/mastledge/protocol/worker_connections.py
+++ b/mastledge/protocol/worker_connections.py
@@ -23,7 +23,7 @@
 from mastledge.transport.loop import WRITE, Coroutine, Loop, Queue
 
 # Added to the round trip time: by then a dead connection has reported a reset for the written bytes.
-REFUSAL_US = 2_000
+RESET_MARGIN_US = 2_000
 REUSABLE_AFTER = (COMPLETED, Outcome.ERROR, Outcome.FULL)
 
 
@@ -148,7 +148,7 @@
     def _write_up_to_last_byte(self, conn, endpoint, content, send_by, exchange):
         # A worker starts a job at its last byte: if the connection breaks earlier, a relaunch is safe.
         yield from self.write_while_lawful(conn, endpoint, content[:-1], send_by, exchange)
-        if not (yield from conn.stays_quiet(REFUSAL_US)):
+        if not (yield from conn.stays_quiet(RESET_MARGIN_US)):
             raise OSError("connection broke before the last byte")
 
     def _not_sent(self, endpoint, conn, is_new, send_by, error):
@@ -191,7 +191,7 @@
     def _prove_rejection(self, conn, endpoint, answer, reused, until):
         names_job = answer.outcome == LINE_SAYS_REJECTED
         proven = (names_job or not reused) and (
-            yield from self.answers.is_whole_and_alone(conn, names_job, until)
+            yield from self.answers.is_sole_complete_answer(conn, names_job, until)
         )
         if not proven:
             self.log("rejection_doubted", worker=endpoint.id, kept=reused)
--- a/tests/test_crossing_search.py
+++ b/tests/test_crossing_search.py
@@ -100,7 +100,7 @@
         by_head = answer.outcome == HEAD_SAYS_REJECTED
         return answer._replace(outcome=LINE_SAYS_REJECTED) if by_head else answer
 
-    patch(WorkerAnswers, "is_whole_and_alone", alone)
+    patch(WorkerAnswers, "is_sole_complete_answer", alone)
     patch(WorkerAnswers, "read", proves)
 
 
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -114,7 +114,7 @@
     rig = Rig()
     endpoint, sock = peer_at()
     connections = workers(rig)
-    connections.answers.patience_us = 20_000
+    connections.answers.confirmation_timeout_us = 20_000
     launch = start_launch(rig, connections, endpoint)
     worker_sock, _ = rig.called(sock)
     assert rig.turn(lambda: len(rig.inbox.items) > 1)
@@ -185,7 +185,7 @@
     endpoint, sock = peer_at()
     connections = workers(rig)
     worker_sock = open_idle_connection(rig, connections, endpoint, sock)
-    monkeypatch.setattr(protocol_workers, "REFUSAL_US", 1_000_000)
+    monkeypatch.setattr(protocol_workers, "RESET_MARGIN_US", 1_000_000)
     launch = start_launch(rig, connections, endpoint, once=once)
     request = rig.reply(worker_sock)
     if answer:
