--- a/mastledge/consensus/bootstrap.py
+++ b/mastledge/consensus/bootstrap.py
@@ -44,7 +44,7 @@
             if state.has_member(sender, incarnation):
                 roles.leadership.contact_directly(sender)
             else:
-                roles.leadership.admit(sender, incarnation)
+                roles.leadership.propose_new_incarnation(sender, incarnation)
         elif request.empty and self._missed_bootstrap(sender, incarnation):
             self._send_bootstrap(sender)
 
--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -143,7 +143,7 @@
             name for name in state.members() if name != state.name and not self.process_ids.get(name)
         )
 
-    def admit(self, name: str, incarnation: str) -> None:
+    def propose_new_incarnation(self, name: str, incarnation: str) -> None:
         """Propose a member's new incarnation, which is not bound by votes and responses of the former one."""
         if self.can_change_membership():
             id = f"life {name} {incarnation} {self.core.state.log.last_index}"
@@ -166,7 +166,7 @@
         if not state.has_member(sender, incarnation):
             if sender in state.members():
                 # The member has a new incarnation; its responses are ignored until that is admitted.
-                self.admit(sender, incarnation)
+                self.propose_new_incarnation(sender, incarnation)
                 return
             if all(departed["name"] != sender for departed in state.departed_members()):
                 return
--- a/mastledge/consensus/settings_history.py
+++ b/mastledge/consensus/settings_history.py
@@ -1,7 +1,7 @@
 """Changes of the fleet's settings, and the earlier versions that can be restored."""
 
 from mastledge.consensus.errors import ChangeRefusedError, RefusalStatus, SettingsPatchError
-from mastledge.consensus.settings_patch import patched
+from mastledge.consensus.settings_patch import apply_patch
 
 MAX_DOCUMENTS = 16  # versions of the settings that are kept
 
@@ -19,7 +19,7 @@
     """
     _check_expected(state, change)
     try:
-        settings = patched(state["settings"], change["changes"])
+        settings = apply_patch(state["settings"], change["changes"])
     except SettingsPatchError as error:
         raise ChangeRefusedError(str(error), RefusalStatus.INVALID) from error
     _replace(state, settings)
--- a/mastledge/consensus/settings_patch.py
+++ b/mastledge/consensus/settings_patch.py
@@ -33,7 +33,7 @@
     return None
 
 
-def patched(document: Any, changes: list[list]) -> Any:
+def apply_patch(document: Any, changes: list[list]) -> Any:
     """Return a copy of the document with the values of `changes` at their paths.
 
     Raise `SettingsPatchError` if the document has no such path.
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -12,7 +12,7 @@
 from mastledge.consensus.relay_children import RelayChildren
 from mastledge.consensus.relay_tree import RelayTree
 from mastledge.consensus.restriction_sharing import RestrictionSharing
-from mastledge.consensus.settings_patch import difference, patched
+from mastledge.consensus.settings_patch import apply_patch, difference
 from mastledge.consensus.state_machine import ChangeResult, StateMachine, initial_state
 from mastledge.consensus.worker_restrictions import KnownList, ListExchange
 from mastledge.lab import relay_schedules
@@ -381,7 +381,7 @@
 def test_difference_of_settings_is_a_patch(before, after, changes):
     assert difference(before, after) == changes
     if changes is not None:
-        assert patched(before, changes) == after
+        assert apply_patch(before, changes) == after
 
 
 def test_patch_replaces_settings_and_invalid_patch_changes_nothing():
