--- a/mastledge/consensus/in_force.py
+++ b/mastledge/consensus/in_force.py
@@ -11,7 +11,7 @@
     """The in-force index, and the latest time at which everything committed will be in force."""
 
     index: int
-    all_by: int
+    all_in_force_at: int
 
 
 class InForceTracker:
@@ -55,7 +55,7 @@
 
     def _with_holder(self, name: str, covered: int, reached: InForce) -> InForce:
         commit_index = self.core.state.commit_index
-        all_by = reached.all_by
+        all_in_force_at = reached.all_in_force_at
         if covered < commit_index:
-            all_by = max(all_by, self.leases.expires_at(name, commit_index))
-        return InForce(min(reached.index, covered), all_by)
+            all_in_force_at = max(all_in_force_at, self.leases.expires_at(name, commit_index))
+        return InForce(min(reached.index, covered), all_in_force_at)
--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -73,7 +73,7 @@
         """Start the term by appending a no-op and this member's pending proposals, {id: change}."""
         state = self.core.state
         # Former relay children get messages from this leader until they have found another relay.
-        for name in self.parts.relay_children.release():
+        for name in self.parts.relay_children.drop_all():
             self.direct_members.contact_directly(name)
         self.parts.relay_choice.leave()
         self.core.outbox.log_event("became_leader", term=state.term, last=state.log.last_index)
@@ -269,7 +269,7 @@
             reached = self.in_force.compute_without_relays()
         if reached.index > lease.in_force_index and not fan_out:
             self.progress.schedule_all_now()  # with relays the next heartbeat carries it
-        lease.record_in_force(reached.index, reached.all_by)
+        lease.record_in_force(reached.index, reached.all_in_force_at)
 
     def promote_learner(self) -> None:
         """Make a caught-up learner a voter, if there are fewer voters than wanted."""
--- a/mastledge/consensus/member.py
+++ b/mastledge/consensus/member.py
@@ -279,7 +279,7 @@
 
     def _forget_relays(self) -> None:
         """Stop using relays; leases already granted remain counted."""
-        self.relay_children.release()
+        self.relay_children.drop_all()
         self.relay_choice.forget()
         self.roles.leader_contact.forget_sender()
 
--- a/mastledge/consensus/relay_children.py
+++ b/mastledge/consensus/relay_children.py
@@ -44,7 +44,7 @@
         self.children: dict[str, Child] = {}
         self.granted: GrantedLeases | None = None  # leases granted to children
 
-    def release(self) -> list[str]:
+    def drop_all(self) -> list[str]:
         """Drop all children and return their names; leases granted to them still count in `covered_index`."""
         names = list(self.children)
         self.children = {}
