--- a/mastledge/lab/consensus_schedules.py
+++ b/mastledge/lab/consensus_schedules.py
@@ -21,7 +21,7 @@
 LEASE = 2_000_000
 
 
-class Broken(AssertionError):
+class InvariantViolatedError(AssertionError):
     """A rule that has to hold at every step does not."""
 
 
@@ -182,14 +182,18 @@
             node.name,
             member.incarnation,
         ):
-            raise Broken(f"two leaders of term {member.term}: {self.leaders[member.term]} and {node.name}")
+            raise InvariantViolatedError(
+                f"two leaders of term {member.term}: {self.leaders[member.term]} and {node.name}"
+            )
         # One order of versions: what one has applied at an index all have.
         last = member.state_machine.applied_index
         if last > member.log.base_index:
             entry = member.log.entry_at(last)
             told = (entry.term, entry.id, repr(entry.change))
             if self.order.setdefault(last, told) != told:
-                raise Broken(f"entry {last} is {told} at {node.name}, and was {self.order[last]}")
+                raise InvariantViolatedError(
+                    f"entry {last} is {told} at {node.name}, and was {self.order[last]}"
+                )
         # What is agreed is not lost, and nothing is half applied.
         sum_ = (
             member.state_machine.version,
@@ -198,7 +202,9 @@
             repr(sorted(member.state_machine.members)),
         )
         if self.sums.setdefault(last, sum_) != sum_:
-            raise Broken(f"the rules of entry {last} differ at {node.name}: {sum_} and {self.sums[last]}")
+            raise InvariantViolatedError(
+                f"the rules of entry {last} differ at {node.name}: {sum_} and {self.sums[last]}"
+            )
         if member.lease.in_force_index > self.in_force:
             self.in_force = member.lease.in_force_index
             for other in self.nodes.values():
@@ -212,7 +218,9 @@
         member = node.member
         if member.may_act(node.clock()) and member.state_machine.applied_index < self.in_force:
             applied = member.state_machine.applied_index
-            raise Broken(f"{node.name} acts on entry {applied}, and {self.in_force} is in force")
+            raise InvariantViolatedError(
+                f"{node.name} acts on entry {applied}, and {self.in_force} is in force"
+            )
 
     def act_all(self):
         for node in self.nodes.values():
@@ -347,16 +355,16 @@
 
 
 def check_schedule(seed, **how):
-    """Plays a schedule to its healed end; raises Broken with what was wrong."""
+    """Plays a schedule to its healed end; raises InvariantViolatedError with what was wrong."""
     if seed % 2:
         how = {**how, "make": tight(how.get("make", Member))}
     fleet, proposed = play(seed, **how)
     if not fleet.run(fleet.now + 30_000_000, lambda: is_settled(fleet)):
         reasons = [node.member.no_lease_reason() for node in fleet.nodes.values()]
-        raise Broken(f"not settled 30 s after all has healed: {reasons}")
+        raise InvariantViolatedError(f"not settled 30 s after all has healed: {reasons}")
     state = fleet.leader().member.state_machine.state
     known = {id for id, _ in state["names"]}
     for id, (_, _, result) in fleet.answered.items():
         if not result.reason and id not in known:
-            raise Broken(f"{id} was agreed as version {result.version} and is lost")
+            raise InvariantViolatedError(f"{id} was agreed as version {result.version} and is lost")
     return fleet
--- a/mastledge/lab/exploration.py
+++ b/mastledge/lab/exploration.py
@@ -19,7 +19,7 @@
 from mastledge.consensus.roles import Phase, Role
 from mastledge.consensus.state_machine import initial_state
 from mastledge.consensus.timing import LOST_AFTER_HEARTBEATS
-from mastledge.lab.consensus_schedules import LEASE, Broken
+from mastledge.lab.consensus_schedules import LEASE, InvariantViolatedError
 
 START_US = 1_000_000
 NAMES = ("n0", "n1", "n2")
@@ -74,7 +74,7 @@
     def step(self, name: str, member_input: Any) -> None:
         """Give a member one input; what goes to its disk is there at once, and what waited for it is sent.
 
-        Raises Broken.
+        Raises InvariantViolatedError.
         """
         member = self.members[name]
         due = [member_input]
@@ -110,14 +110,16 @@
         return min(member.commit_index, member.lease.in_force_index) if member is not None else 0
 
     def check(self) -> None:
-        """Raise Broken where two members lead or differ, or what was told as agreed can be lost."""
+        """Raise InvariantViolatedError if two members lead or differ, or a confirmed change can be lost."""
         for one in self.members.values():
             for other in self.members.values():
                 if one.role == other.role == Role.LEADER and one is not other and one.term == other.term:
-                    raise Broken(f"two leaders of term {one.term}")
+                    raise InvariantViolatedError(f"two leaders of term {one.term}")
                 for index in range(2, min(one.commit_index, other.commit_index) + 1):
                     if one.log.entry_at(index).id != other.log.entry_at(index).id:
-                        raise Broken(f"entry {index} is another at {one.name} and {other.name}")
+                        raise InvariantViolatedError(
+                            f"entry {index} is another at {one.name} and {other.name}"
+                        )
         # What was told as agreed is on the disks of a majority.
         for id in self.committed:
             holders = sum(
@@ -125,7 +127,7 @@
                 for disk in self.disks.values()
             )
             if holders <= len(NAMES) // 2:
-                raise Broken(f"{id} is told as agreed and on {holders} disks")
+                raise InvariantViolatedError(f"{id} is told as agreed and on {holders} disks")
 
     def moves(self) -> Iterator[Move]:
         """Give all that can happen next."""
@@ -161,7 +163,7 @@
             yield ("wait", name)
 
     def perform(self, move: Move) -> None:
-        """Let a move happen; raises Broken."""
+        """Let a move happen; raises InvariantViolatedError."""
         kind, which = move
         if kind in self.left:
             self.left[kind] -= 1
@@ -235,7 +237,7 @@
 def explore(world: World, most: int) -> tuple[int, bool]:
     """Give how many states were reached, at most so many, and whether those are all.
 
-    Raises Broken with the moves that led there.
+    Raises InvariantViolatedError with the moves that led there.
     """
     known, queue = {world.state_key()}, deque([(pickle.dumps(world, -1), ())])
     while queue:
@@ -244,8 +246,8 @@
             following = pickle.loads(raw)
             try:
                 following.perform(move)
-            except Broken as error:
-                raise Broken(f"{error}, by {[*path, move]}") from None
+            except InvariantViolatedError as error:
+                raise InvariantViolatedError(f"{error}, by {[*path, move]}") from None
             key = following.state_key()
             if key not in known:
                 known.add(key)
@@ -258,7 +260,7 @@
 def world_with_leader(make: type[Member] = Member, **left: int) -> World:
     """Give a world with a leader, from which an exploration begins, and the moves that are left in it.
 
-    Raises Broken where nobody leads.
+    Raises InvariantViolatedError where nobody leads.
     """
     world = World(make)
     world.left["wait"] = 1
@@ -266,7 +268,7 @@
     while world.messages:
         world.perform(("come", 0))
     if world.members["n0"].role != Role.LEADER:
-        raise Broken("nobody leads")
+        raise InvariantViolatedError("nobody leads")
     world.committed = {}
     world.left = {**NO_MOVES_LEFT, **left}
     return world
--- a/mastledge/lab/relay_schedules.py
+++ b/mastledge/lab/relay_schedules.py
@@ -10,7 +10,7 @@
 
 from mastledge.consensus import inputs
 from mastledge.consensus.member import Member
-from mastledge.lab.consensus_schedules import LEASE, Broken, Fleet, Node, back, is_settled
+from mastledge.lab.consensus_schedules import LEASE, Fleet, InvariantViolatedError, Node, back, is_settled
 from mastledge.lab.sized_fleets import FixedVotersMember, start_fleet
 
 VOTERS, FOLLOWERS, FAN_OUT = 3, 10, 2
@@ -249,7 +249,7 @@
 
 
 def check_schedule(seed: int, make: type[Member] = FixedVotersMember) -> Fleet:
-    """Play a schedule to its healed end; raises Broken with what was wrong.
+    """Play a schedule to its healed end; raises InvariantViolatedError with what was wrong.
 
     Members of odd seeds take a snapshot after every third entry, so that many come by one.
     """
@@ -257,18 +257,18 @@
         make = type(f"Tight{make.__name__}", (make,), {"snapshot_interval": 3})
     fleet, lists = play(seed, make)
     if not fleet.run(fleet.now + HEALING_US, lambda: is_settled(fleet)):
-        raise Broken(
+        raise InvariantViolatedError(
             f"not settled after all has healed: {[n.member.no_lease_reason() for n in fleet.nodes.values()]}"
         )
     state = fleet.leader().member.state_machine.state
     known = {id for id, _ in state["names"]}
     for id, (_, _, result) in fleet.answered.items():
         if not result.reason and id not in known:
-            raise Broken(f"{id} was agreed as version {result.version} and is lost")
+            raise InvariantViolatedError(f"{id} was agreed as version {result.version} and is lost")
     if (
         fleet.leader().member.fan_out
         and lists.generation
         and not fleet.run(fleet.now + HEALING_US, lists.are_known)
     ):
-        raise Broken("what others know of a list has not reached all")
+        raise InvariantViolatedError("what others know of a list has not reached all")
     return fleet
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -18,7 +18,7 @@
 from mastledge.consensus.persisted_state import PersistedState
 from mastledge.consensus.raft_state import RaftState
 from mastledge.consensus.state_machine import StateMachine, initial_state
-from mastledge.lab.consensus_schedules import Broken, Fleet, check_schedule, is_settled
+from mastledge.lab.consensus_schedules import Fleet, InvariantViolatedError, check_schedule, is_settled
 
 # Seeds that once failed: writes out of order, a new leader's lease before it knew all committed entries, a
 # conflict that replication never stepped back past, a snapshot without state, a busy loop without a leader.
@@ -120,7 +120,7 @@
     ],
 )
 def test_schedule_checker_detects_mutant(build):
-    with pytest.raises((Broken, ValueError)):
+    with pytest.raises((InvariantViolatedError, ValueError)):
         play_schedules(build)
 
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -6,7 +6,7 @@
 from mastledge.consensus.leader import Leadership
 from mastledge.consensus.member import Member
 from mastledge.consensus.raft_state import RaftState
-from mastledge.lab.consensus_schedules import Broken
+from mastledge.lab.consensus_schedules import InvariantViolatedError
 from mastledge.lab.exploration import explore, world_with_leader
 
 OUT = [("c0", {"kind": "out", "worker": "w0"}), ("c1", {"kind": "out", "worker": "w1"})]
@@ -67,5 +67,5 @@
 
 @pytest.mark.parametrize("make", [Unsynced, Alone])
 def test_a_wrong_build_is_found(make):
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantViolatedError):
         explore(world(1, make, crash=1, wait=1), 60_000)
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -16,7 +16,7 @@
 from mastledge.consensus.state_machine import ChangeResult, StateMachine, initial_state
 from mastledge.consensus.worker_restrictions import KnownList, ListExchange
 from mastledge.lab import relay_schedules
-from mastledge.lab.consensus_schedules import LEASE, Broken, Fleet
+from mastledge.lab.consensus_schedules import LEASE, Fleet, InvariantViolatedError
 from mastledge.lab.sized_fleets import (
     FixedVotersLeadership,
     FixedVotersMember,
@@ -186,7 +186,7 @@
     for seed in range(first_seed, first_seed + MAX_SCHEDULES):
         try:
             relay_schedules.check_schedule(seed, make=build)
-        except Broken:
+        except InvariantViolatedError:
             return
     pytest.fail("not caught")
 
@@ -244,7 +244,7 @@
 
 @pytest.mark.parametrize(("build", "scenario"), [(NoRestartWait, relay_restarts), (NoWait, leader_transfers)])
 def test_faulty_build_is_caught_in_its_scenario(build, scenario):
-    with pytest.raises(Broken, match="acts on entry"):
+    with pytest.raises(InvariantViolatedError, match="acts on entry"):
         scenario(build)
 
 
