--- a/mastledge/consensus/leader.py
+++ b/mastledge/consensus/leader.py
@@ -18,7 +18,7 @@
 from mastledge.consensus.in_force import InForceTracker
 from mastledge.consensus.lease_holder import LeaseHolder
 from mastledge.consensus.leases import GrantedLeases
-from mastledge.consensus.membership import MAX_DEPARTED, wanted_voters
+from mastledge.consensus.membership import MAX_DEPARTED, target_voter_count
 from mastledge.consensus.messages import AppendResponse, Entry, Propose, WorkerRestrictions
 from mastledge.consensus.observed_state import Observation, ObservedState
 from mastledge.consensus.relay_children import RelayChildren
@@ -53,8 +53,8 @@
     def __init__(self, core: Core, parts: LeaderParts):
         """Initialize for the term that was won, without information about other members."""
         self.core, self.parts = core, parts
-        state, self.won_at = core.state, core.clock.now
-        self.leases = GrantedLeases(state.lease_us, self.won_at)
+        state, self.elected_at = core.state, core.clock.now
+        self.leases = GrantedLeases(state.lease_us, self.elected_at)
         self.progress = ReplicationProgress(state)
         contents = HeartbeatContents(
             self.leases, parts.lease, parts.observed_state, parts.restriction_sharing
@@ -67,18 +67,18 @@
         self.process_ids: dict[str, int] = {}  # by member; 0: its version does not support relays
         self.waiting_changes: list[Propose] = []  # membership changes
         self.last_fan_out = state.fan_out
-        self.first_index = 0  # index of the first entry of this term
+        self.term_start_index = 0  # index of the first entry of this term
 
     def begin(self, proposals: dict[str, dict]) -> None:
         """Start the term by appending a no-op and this member's pending proposals, {id: change}."""
         state = self.core.state
         # Former relay children get messages from this leader until they have found another relay.
-        for name in self.parts.relay_children.release():
-            self.direct_members.adopt(name)
+        for name in self.parts.relay_children.drop_all():
+            self.direct_members.contact_directly(name)
         self.parts.relay_choice.leave()
         self.core.outbox.log_event("became_leader", term=state.term, last=state.log.last_index)
         self._append(Entry(state.term, "", noop()))
-        self.first_index = state.log.last_index
+        self.term_start_index = state.log.last_index
         for id, change in proposals.items():
             self.take(id, change)
 
@@ -115,7 +115,7 @@
 
     def _append(self, entry: Entry) -> None:
         self.core.state.append(entry)
-        self.progress.hurry()
+        self.progress.schedule_all_now()
 
     def can_change_membership(self) -> bool:
         """Return whether the membership may change (Ongaro 2014, 4.1, and its erratum).
@@ -131,7 +131,7 @@
         """Return False for a removal that would drop a departed member that may still hold a lease."""
         if change["kind"] != ChangeKind.REMOVE_MEMBER:
             return True
-        departed = self.core.state.departed()
+        departed = self.core.state.departed_members()
         if len(departed) < MAX_DEPARTED:
             return True
         return self.leases.has_expired(departed[0]["name"], self.core.clock.now)
@@ -143,16 +143,16 @@
             name for name in state.members() if name != state.name and not self.process_ids.get(name)
         )
 
-    def admit(self, name: str, incarnation: str) -> None:
+    def propose_new_incarnation(self, name: str, incarnation: str) -> None:
         """Propose a member's new incarnation, which is not bound by votes and responses of the former one."""
         if self.can_change_membership():
             id = f"life {name} {incarnation} {self.core.state.log.last_index}"
             self.take(id, new_incarnation(name, incarnation))
 
-    def adopt(self, name: str) -> None:
+    def contact_directly(self, name: str) -> None:
         """Send messages directly to a follower that has no relay or does not support relays."""
         if self.core.state.fan_out:
-            self.direct_members.adopt(name)
+            self.direct_members.contact_directly(name)
             self.progress.schedule(name, 0)
 
     # Messages from members
@@ -163,15 +163,15 @@
         is_current_term = response.term == state.term
         if not is_current_term and not state.fan_out:
             return
-        if not state.knows(sender, incarnation):
+        if not state.has_member(sender, incarnation):
             if sender in state.members():
                 # The member has a new incarnation; its responses are ignored until that is admitted.
-                self.admit(sender, incarnation)
+                self.propose_new_incarnation(sender, incarnation)
                 return
-            if all(departed["name"] != sender for departed in state.departed()):
+            if all(departed["name"] != sender for departed in state.departed_members()):
                 return
         if not response.process_id or (sender not in self.leases.holders and state.is_learner(sender)):
-            self.adopt(sender)  # an older version gets messages from the leader only
+            self.contact_directly(sender)  # an older version gets messages from the leader only
         if not is_current_term:
             return
         self._record_response(sender, incarnation, response)
@@ -193,7 +193,7 @@
         """Forward one member's worker restrictions to all members, when there are no relays."""
         if self.latest_restrictions.record(restrictions, self.core.clock.now):
             self.core.outbox.deliver_restrictions(restrictions)
-            self.progress.hurry()
+            self.progress.schedule_all_now()
 
     # Work after each input
 
@@ -205,7 +205,7 @@
         state, roles = self.core.state, self.core.roles
         self.progress.on_persisted(state.name, self.core.persistence.persisted_index)
         self.echoed_at[state.name] = self.core.clock.now
-        majority_heard_at = state.majority_of(self.echoed_at)
+        majority_heard_at = state.majority_value(self.echoed_at)
         if self._has_lost_majority(majority_heard_at):
             # A majority may have another leader by now: clients must not take this member for the leader.
             roles.step_down()
@@ -217,7 +217,7 @@
             return
         if state.name not in state.members() and state.commit_index >= state.log.last_index:
             self.core.outbox.log_event("left", term=state.term)
-            self.progress.hurry()
+            self.progress.schedule_all_now()
             self._send_heartbeats(majority_heard_at)
             roles.step_down()
             return
@@ -232,15 +232,15 @@
 
     def _has_lost_majority(self, majority_heard_at: int) -> bool:
         now, timeout_us = self.core.clock.now, LOST_AFTER_HEARTBEATS * self.core.state.heartbeat_us
-        return majority_heard_at < now - timeout_us and now > self.won_at + timeout_us
+        return majority_heard_at < now - timeout_us and now > self.elected_at + timeout_us
 
     def _commit(self) -> None:
         """Commit entries that a majority has on disk, if the last is of this term (Ongaro 2014, 3.6.2)."""
         state = self.core.state
-        index = state.majority_of(self.progress.match_index)
+        index = state.majority_value(self.progress.match_index)
         if index > state.commit_index and state.log.term_at(index) == state.term:
             self.parts.applier.advance_to(index)
-            self.progress.hurry()
+            self.progress.schedule_all_now()
 
     def _handle_fan_out_change(self) -> None:
         """When the fan-out changes, send to each member directly until the relays have taken over."""
@@ -248,7 +248,7 @@
         if state.fan_out != self.last_fan_out:
             self.last_fan_out = state.fan_out
             for name in state.members():
-                self.adopt(name)
+                self.contact_directly(name)
 
     def _extend_lease(self, majority_heard_at: int) -> None:
         """Extend the leader's own lease, once all committed entries are known."""
@@ -258,24 +258,24 @@
 
     def _knows_all_committed(self) -> bool:
         """Return whether an entry of this term is committed, and with it all entries before."""
-        return self.core.state.commit_index >= self.first_index
+        return self.core.state.commit_index >= self.term_start_index
 
     def update_in_force(self) -> None:
         """Update the index up to which the state is in force."""
         lease, fan_out = self.parts.lease, self.core.state.fan_out
         if fan_out:
-            reached = self.in_force.of_holders(lease.in_force_index)
+            reached = self.in_force.compute_with_relays(lease.in_force_index)
         else:
-            reached = self.in_force.of_all_members()
+            reached = self.in_force.compute_without_relays()
         if reached.index > lease.in_force_index and not fan_out:
-            self.progress.hurry()  # with relays the next heartbeat carries it; nothing waits for it
-        lease.record_in_force(reached.index, reached.all_by)
+            self.progress.schedule_all_now()  # with relays the next heartbeat carries it
+        lease.record_in_force(reached.index, reached.all_in_force_at)
 
     def promote_learner(self) -> None:
         """Make a caught-up learner a voter, if there are fewer voters than wanted."""
         state = self.core.state
         members = state.members()
-        if len(state.voters()) >= wanted_voters(len(members)) or not self.can_change_membership():
+        if len(state.voters()) >= target_voter_count(len(members)) or not self.can_change_membership():
             return
         for name, member in sorted(members.items()):
             if name != state.name and self._is_ready_to_vote(name, member):
@@ -288,7 +288,7 @@
         """Return whether a learner answers and has this term's first entry on disk."""
         if member["votes"] or not member["life"]:
             return False
-        if self.progress.match_index.get(name, 0) < self.first_index:
+        if self.progress.match_index.get(name, 0) < self.term_start_index:
             return False
         timeout_us = 2 * LEARNER_HEARTBEATS_PER_LEASE * self.core.state.heartbeat_us
         return self.core.clock.now - self.echoed_at.get(name, 0) < timeout_us
@@ -298,7 +298,7 @@
         if state.fan_out:
             names = self.direct_members.names()
         else:
-            names = {*state.members(), *(departed["name"] for departed in state.departed())}
+            names = {*state.members(), *(departed["name"] for departed in state.departed_members())}
         self.heartbeats.send_due(names, majority_heard_at if self._knows_all_committed() else None)
 
     def successor(self) -> str | None:
--- a/mastledge/consensus/member.py
+++ b/mastledge/consensus/member.py
@@ -71,16 +71,20 @@
 
     def _compose_parts(self) -> None:
         core, draws = self.core, RandomDraws(self.configuration.seed, self.configuration.name)
-        self.lease, self.observed = LeaseHolder(), ObservedState()
-        self.sharing = self.sharing_type(self.state, self.outbox)
+        self.lease, self.observed_state = LeaseHolder(), ObservedState()
+        self.restriction_sharing = self.sharing_type(self.state, self.outbox)
         self.applier = Applier(self.state, self.outbox, self.proposals, self.snapshot_interval)
-        self.elections = Elections(core, draws, self.observed, self._begin_leadership)
+        self.elections = Elections(core, draws, self.observed_state, self._begin_leadership)
         self.discovery = Discovery(core, self.configuration)
-        self.bootstrap = Bootstrap(core, self.configuration, self.discovery, self.elections, self.observed)
-        self.relay_children = self.children_type(core, self.lease, self.sharing)
-        self.acknowledgements = Acknowledgements(core, self.relay_children, self.sharing)
+        self.bootstrap = Bootstrap(
+            core, self.configuration, self.discovery, self.elections, self.observed_state
+        )
+        self.relay_children = self.children_type(core, self.lease, self.restriction_sharing)
+        self.acknowledgements = Acknowledgements(core, self.relay_children, self.restriction_sharing)
         ask_members = self.discovery.ask_members
-        self.relay_choice = RelayChoice(core, draws, self.acknowledgements, self.sharing, ask_members)
+        self.relay_choice = RelayChoice(
+            core, draws, self.acknowledgements, self.restriction_sharing, ask_members
+        )
         self.follower = self.follower_type(
             core,
             FollowerParts(
@@ -91,8 +95,8 @@
                 relay_choice=self.relay_choice,
                 elections=self.elections,
                 lease=self.lease,
-                observed_state=self.observed,
-                restriction_sharing=self.sharing,
+                observed_state=self.observed_state,
+                restriction_sharing=self.restriction_sharing,
             ),
         )
 
@@ -103,8 +107,8 @@
             relay_choice=self.relay_choice,
             elections=self.elections,
             lease=self.lease,
-            observed_state=self.observed,
-            restriction_sharing=self.sharing,
+            observed_state=self.observed_state,
+            restriction_sharing=self.restriction_sharing,
         )
         leadership = self.leadership_type(self.core, parts)
         self.roles.become_leader(leadership)
@@ -177,7 +181,7 @@
         if self.state.is_voter() and not self.persistence.failed and not self.applier.halt_reason:
             self.elections.campaign(pre_vote=True)
             return
-        lost_at = self.roles.contact.heard_at + LOST_AFTER_HEARTBEATS * self.state.heartbeat_us
+        lost_at = self.roles.leader_contact.heard_at + LOST_AFTER_HEARTBEATS * self.state.heartbeat_us
         if not self.state.is_admitted() or not self.roles.leader or self.clock.now > lost_at:
             # This member was removed while away, or the fleet knows another incarnation: find the leader.
             self.discovery.ask_members()
@@ -185,7 +189,7 @@
     def wake_at(self) -> int:
         """Return the time by which the host must send a `Tick`."""
         is_participating = self.phase == Phase.PARTICIPATING
-        times = [self.elections.timeout_at if is_participating else self.bootstrap.ask_at]
+        times = [self.elections.timeout_at if is_participating else self.bootstrap.next_discovery_at]
         if self.roles.leadership is not None:
             times = [self.roles.leadership.wake_at()]
         times += [time for time in (self.persistence.retry_at, self.proposals.retry_at) if time is not None]
@@ -226,7 +230,9 @@
         self.roles.step_down_if_active()
 
     def _on_endpoint_list_update(self, update: inputs.EndpointListUpdate) -> None:
-        self.sharing.lists.update_own(update.registry, update.kind, update.entries, update.generation)
+        self.restriction_sharing.lists.update_own(
+            update.registry, update.kind, update.entries, update.generation
+        )
 
     def _on_share_restrictions(self, share: inputs.ShareRestrictions) -> None:
         if not self.fan_out:
@@ -265,7 +271,7 @@
         self.state.reset(incarnation)
         self.persistence.forget_log()
         self.discovery.forget()
-        self.observed.clear()
+        self.observed_state.clear()
         self.roles.forget_leader()
         self.applier.clear_halt_reason()
         self.lease.clear()
@@ -273,9 +279,9 @@
 
     def _forget_relays(self) -> None:
         """Stop using relays; leases already granted remain counted."""
-        self.relay_children.release()
+        self.relay_children.drop_all()
         self.relay_choice.forget()
-        self.roles.contact.forget_sender()
+        self.roles.leader_contact.forget_sender()
 
     def _on_leave(self, leave: inputs.Leave) -> None:
         """Transfer leadership to an up-to-date voter, which saves the election timeout."""
@@ -287,7 +293,7 @@
 
     def _on_append_response(self, sender: str, incarnation: str, response: messages.AppendResponse) -> None:
         if response.term > self.state.term:
-            self.roles.raise_term(response.term)
+            self.roles.observe_term(response.term)
         elif self.roles.leadership is not None:
             self.roles.leadership.on_append_response(sender, incarnation, response)
         else:
@@ -301,7 +307,7 @@
         self, sender: str, incarnation: str, restrictions: messages.WorkerRestrictions
     ) -> None:
         if self.fan_out:
-            self.sharing.deliver(restrictions)
+            self.restriction_sharing.deliver(restrictions)
         elif self.roles.leadership is not None:
             self.roles.leadership.on_restrictions(restrictions)
         elif self.roles.leader is not None:
@@ -377,7 +383,9 @@
         """Return the address of a current or departed member; None if unknown."""
         member = self.state.members().get(name)
         if member is None:
-            member = next((departed for departed in self.state.departed() if departed["name"] == name), None)
+            member = next(
+                (departed for departed in self.state.departed_members() if departed["name"] == name), None
+            )
         # Members of the initial fleet are in the configuration, whose address takes precedence.
         configured = self.configuration.members.get(name)
         if configured is not None and (member is None or member.get("listed")):
--- a/mastledge/consensus/state_machine.py
+++ b/mastledge/consensus/state_machine.py
@@ -43,7 +43,7 @@
 
 def initial_state(settings: dict, lease_us: int, members: dict[str, tuple[str, str]]) -> dict:
     """Return version 1 of the state document; `members` is {name: (address, incarnation)}."""
-    voters = sorted(members)[: membership.wanted_voters(len(members))]
+    voters = sorted(members)[: membership.target_voter_count(len(members))]
     return {
         "format": FORMAT,
         "version": 1,
@@ -66,7 +66,7 @@
 def change_fan_out(state: dict, change: dict) -> None:
     """Set the number of members per relay; 0: no relays, the leader sends to all members."""
     if state.get("fan_out", 0) == change["fan_out"]:
-        raise ChangeRefusedError(f"the fan-out is {change['fan_out']} already", RefusalStatus.ALREADY_SO)
+        raise ChangeRefusedError(f"the fan-out is {change['fan_out']} already", RefusalStatus.ALREADY_APPLIED)
     state["fan_out"] = change["fan_out"]
 
 
--- a/mastledge/lab/relay_schedules.py
+++ b/mastledge/lab/relay_schedules.py
@@ -10,7 +10,7 @@
 
 from mastledge.consensus import inputs
 from mastledge.consensus.member import Member
-from mastledge.lab.consensus_schedules import LEASE, Broken, Fleet, Node, back, settled
+from mastledge.lab.consensus_schedules import LEASE, Fleet, InvariantViolatedError, Node, back, is_settled
 from mastledge.lab.sized_fleets import FixedVotersMember, start_fleet
 
 VOTERS, FOLLOWERS, FAN_OUT = 3, 10, 2
@@ -42,7 +42,7 @@
 
     def update_for(self, node: Node, worker: str, state: str) -> inputs.EndpointListUpdate:
         """Give the change, or the whole list to a member that has none."""
-        if node.member.sharing.lists.registries:
+        if node.member.restriction_sharing.lists.registries:
             return inputs.EndpointListUpdate(REGISTRY, "changes", [(worker, state)], self.generation)
         drained = [(name, "draining") for name in sorted(self.drained)]
         return inputs.EndpointListUpdate(REGISTRY, "whole", drained, self.generation)
@@ -58,7 +58,7 @@
 
     def is_known_to(self, node: Node) -> bool:
         """Whether a member has the generation of now, and the same workers as drained."""
-        lists = node.member.sharing.lists
+        lists = node.member.restriction_sharing.lists
         if lists.generations().get(REGISTRY) != self.generation:
             return False
         changes = lists.registries[REGISTRY].changes
@@ -248,27 +248,27 @@
             node.start()
 
 
-def judged(seed: int, make: type[Member] = FixedVotersMember) -> Fleet:
-    """Play a schedule to its healed end; raises Broken with what was wrong.
+def check_schedule(seed: int, make: type[Member] = FixedVotersMember) -> Fleet:
+    """Play a schedule to its healed end; raises InvariantViolatedError with what was wrong.
 
     Members of odd seeds take a snapshot after every third entry, so that many come by one.
     """
     if seed % 2:
         make = type(f"Tight{make.__name__}", (make,), {"snapshot_interval": 3})
     fleet, lists = play(seed, make)
-    if not fleet.run(fleet.now + HEALING_US, lambda: settled(fleet)):
-        raise Broken(
+    if not fleet.run(fleet.now + HEALING_US, lambda: is_settled(fleet)):
+        raise InvariantViolatedError(
             f"not settled after all has healed: {[n.member.no_lease_reason() for n in fleet.nodes.values()]}"
         )
     state = fleet.leader().member.state_machine.state
     known = {id for id, _ in state["names"]}
     for id, (_, _, result) in fleet.answered.items():
         if not result.reason and id not in known:
-            raise Broken(f"{id} was agreed as version {result.version} and is lost")
+            raise InvariantViolatedError(f"{id} was agreed as version {result.version} and is lost")
     if (
         fleet.leader().member.fan_out
         and lists.generation
         and not fleet.run(fleet.now + HEALING_US, lists.are_known)
     ):
-        raise Broken("what others know of a list has not reached all")
+        raise InvariantViolatedError("what others know of a list has not reached all")
     return fleet
--- a/mastledge/scheduling/scheduler.py
+++ b/mastledge/scheduling/scheduler.py
@@ -67,7 +67,7 @@
         self._adopt_terms()
         self.estimates = FleetEstimates(self.queue_types, settings["step"])
         self.admission = AdmissionControl(settings, self.random, self.traffic, self.estimates, now)
-        self.admission.adopt(self.queue_types)
+        self.admission.set_queue_types(self.queue_types)
         self.reports = LoadReports(settings, self.fleet, self.estimates, self.admission)
         self.gossip = LoadGossip(settings, self.fleet)
         self.other_load = OtherLoad(settings, self.estimates, self.reports, self.gossip)
@@ -140,13 +140,13 @@
         self,
         now: int,
         sender: int,
-        told_at: int,
+        sent_at: int,
         loads: Iterable[tuple[int, float]],
-        wants: Iterable[tuple[int, float]],
+        key_work: Iterable[tuple[int, float]],
     ) -> None:
         """Apply a load message: another dispatcher's load on each worker, and its recent work per key."""
-        if self.gossip.receive(now, sender, told_at, loads):
-            self.affinity.add_key_work(wants)
+        if self.gossip.receive(now, sender, sent_at, loads):
+            self.affinity.add_key_work(key_work)
 
     def reconfigure(self, now: int, settings: dict) -> None:
         """Apply new settings; open jobs keep the terms they arrived with, and learned state is kept."""
@@ -154,7 +154,7 @@
         self.settings.clear()
         self.settings.update(settings)
         self._adopt_terms()
-        self.admission.adopt(self.queue_types)
+        self.admission.set_queue_types(self.queue_types)
         if settings["follow"] != follow:
             self.poll.begin(now)
         self.survey()
@@ -279,7 +279,7 @@
     def decide(self, now: int) -> Decision | None:
         """Return the next decision; None: there is none now."""
         if self._survey_at <= now:
-            self.fade(now)
+            self.decay(now)
         # Checks for None save calls, as most decisions are neither polls nor load messages.
         poll, gossip = self.poll, self.gossip
         if poll.poll_at is not None and poll.is_due(now):
@@ -312,7 +312,7 @@
         limits = relaunch_limits(job, self.settings["launches"], now)
         if limits is None:
             return None if job.in_flight else self.reject_or_kill(job, 0)
-        best, wait = self.selector.pick(job, now, limits.group_of)
+        best, wait = self.selector.pick(job, now, limits.group_worker)
         if best is None:
             return self._hold(job, now, limits)
         self.admission.update_pressure(now)
@@ -355,7 +355,7 @@
         if job.in_flight:
             return None
         connect_timeout = self.settings["connect_timeout"]
-        if limits.group_of is None and now >= max(job.target_at, job.arrived_at + connect_timeout):
+        if limits.group_worker is None and now >= max(job.target_at, job.arrived_at + connect_timeout):
             return self.reject_or_kill(job, connect_timeout)
         self.timers.set(now + HELD_STEPS * self.settings["step"], job)
         return None
@@ -377,20 +377,20 @@
         previous = {queue_type.name: queue_type for queue_type in self.queue_types}
         all_terms = self.settings["queue_types"]
         self.queue_types = [QueueType(terms, previous.get(terms["name"])) for terms in all_terms]
-        self.traffic.adopt(self.settings["tenants"])
+        self.traffic.set_tenants(self.settings["tenants"])
 
     def fleet_changed(self) -> None:
         """Recompute what depends on the set of ready workers, after it changed."""
         self.affinity.fleet_changed()
         self.survey()
 
-    def fade(self, now: int) -> None:
+    def decay(self, now: int) -> None:
         """Decay learned values and recompute fleet-wide values, once a second."""
         self._survey_at = now + SURVEY_INTERVAL_US
-        self.traffic.fade()
+        self.traffic.decay()
         self.survey()
         self.gossip.expire(now)
-        self.affinity.fade()
+        self.affinity.decay()
         fade_slowness(self.ready, self.estimates.running_time.mean)
         self.slow_start.update_warming_up(now)
 
--- a/tests/test_load_messages.py
+++ b/tests/test_load_messages.py
@@ -135,7 +135,7 @@
     for job, took in enumerate((900_000, 900_000), 1):
         dispatcher.job_arrived(0, job, 0, 0, 5, 1.0, 0.0, 0, 5_000_000)
         pull(dispatcher, 0)
-        dispatcher.jobs[job].launches[0].fetch_certain = True
+        dispatcher.jobs[job].launches[0].needs_no_fetch = True
         dispatcher.launch_started(1_000, job, 0)
         dispatcher.launch_ended(took + 1_000, job, 0, "completed", took, True, [])
     dispatcher.job_arrived(2_000_000, 3, 0, hint, 5, 1.0, 0.0, 0, 5_000_000)
@@ -170,7 +170,7 @@
     for key in range(1, 6_000):
         dispatcher.job_arrived(0, key, 0, 100_000, key, 1.0, 0.0, 0, 5_000_000)
         dispatcher.affinity.homes_of(key)
-    dispatcher.fade(1_000_000)
+    dispatcher.decay(1_000_000)
     key_tables = (
         dispatcher.affinity.key_work,
         dispatcher.gossip.unsent_key_work,
@@ -212,7 +212,7 @@
     sender.job_arrived(0, 1, 0, 100_000, 5, 1.0, 0.0, 0, 5_000_000)
     pull(sender, 0)
     (sent,) = (d for d in pull(sender, sender.gossip.interval) if isinstance(d, SendLoadMessage))
-    receiver.load_message_received(0, 0, *encoded_and_decoded((sent.told_at, sent.loads, sent.wants)))
+    receiver.load_message_received(0, 0, *encoded_and_decoded((sent.sent_at, sent.loads, sent.key_work)))
     worker = sender.jobs[1].launches[0].worker
     assert [w.id for w in receiver.ready if receiver.other_load.at(w, 0) == 1.0] == [
         worker.id
@@ -221,7 +221,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sender", "told_at", "name", "load"),
+    ("sender", "sent_at", "name", "load"),
     [
         (2, 5, "known", 6.0),
         (2, 4, "known", 3.0),
@@ -231,13 +231,13 @@
     ],
 )
 def test_later_message_replaces_earlier_and_stale_foreign_or_own_ones_are_ignored(
-    sender, told_at, name, load
+    sender, sent_at, name, load
 ):
     dispatcher = scheduler(dispatchers=3, me=1, may_message=True)
     worker = dispatcher.ready[0]
     dispatcher.load_message_received(0, 2, 4, [(worker.name_hash, 3.0)], [])
     dispatcher.load_message_received(
-        0, sender, told_at, [(worker.name_hash if name == "known" else 12345, 6.0)], []
+        0, sender, sent_at, [(worker.name_hash if name == "known" else 12345, 6.0)], []
     )
     assert worker.gossiped_load == load
 
@@ -245,7 +245,7 @@
 def test_load_of_silent_dispatcher_expires():
     dispatcher = scheduler(dispatchers=3, me=1, may_message=True)
     dispatcher.load_message_received(0, 2, 4, [(dispatcher.ready[0].name_hash, 3.0)], [])
-    dispatcher.fade(10_000_000)
+    dispatcher.decay(10_000_000)
     assert dispatcher.ready[0].gossiped_load == 0 and not dispatcher.gossip.peers
 
 
@@ -325,7 +325,9 @@
     failing = next(worker for worker in dispatcher.ready if worker.ejections)
     arrive(dispatcher, 6_000, 2, 0)
     arrive(dispatcher, 6_000, 3, 1)
-    assert [dispatcher.eligibility.allows(failing, dispatcher.jobs[job], 6_000, None) for job in (2, 3)] == [
+    assert [
+        dispatcher.eligibility.is_eligible(failing, dispatcher.jobs[job], 6_000, None) for job in (2, 3)
+    ] == [
         False,
         True,
     ]
