--- a/mastledge/program/idempotency_service.py
+++ b/mastledge/program/idempotency_service.py
@@ -106,7 +106,7 @@
         `arrival`: the fields of the job that the scheduler takes.
         """
         yield from self.wait_until_open(exchange.until, conn)
-        if http.has_left(conn):
+        if http.has_disconnected(conn):
             return None
         if self.key_table is None or self.disk_failing:
             return rejection(Verdict.FULL)
@@ -154,7 +154,7 @@
     def _execute(self, job: KeyedJob, arrival: tuple) -> Generator[tuple, object, Reply]:
         key_table, record, exchange = self.key_table, job.record, job.exchange
         claimed = yield from self.persist(job)
-        if not claimed or self.loop.now() >= exchange.until or exchange.client_has_left():
+        if not claimed or self.loop.now() >= exchange.until or exchange.client_has_disconnected():
             # Nothing was launched. The claim may be on the disk: the next successful write removes it.
             key_table.release(record)
             self.save()
--- a/mastledge/program/keyed_job.py
+++ b/mastledge/program/keyed_job.py
@@ -51,10 +51,10 @@
         self.record, self.exchange = record, exchange
         self.waiters: set[Connection] = set()
         self.task: Task | None = None
-        exchange.check_left = self.all_clients_left
+        exchange.disconnect_check = self.all_clients_left
 
     def all_clients_left(self) -> bool:
         """Return whether no client waits any more."""
         # Read every connection, without short-circuiting: reading also consumes what the client has sent.
-        left = [http.has_left(conn) for conn in self.waiters]
+        left = [http.has_disconnected(conn) for conn in self.waiters]
         return all(left)
--- a/mastledge/program/keyed_service.py
+++ b/mastledge/program/keyed_service.py
@@ -115,7 +115,7 @@
         `until`: the end of the job's walltime.
         """
         last = min(until - ANSWER_MARGIN_US, self.loop.now() + MAX_DIRECTORY_WAIT_US)
-        while self._may_open() and self.loop.now() < last and not http.has_left(conn):
+        while self._may_open() and self.loop.now() < last and not http.has_disconnected(conn):
             yield (-1, 0, self.loop.now() + DIRECTORY_POLL_US)
 
     def _may_open(self) -> bool:
--- a/mastledge/program/replicated_jobs.py
+++ b/mastledge/program/replicated_jobs.py
@@ -37,7 +37,7 @@
         self.is_launched = False  # whether the job was passed to the scheduler
 
     def client_left(self) -> bool:
-        return self.conn is None or http.has_left(self.conn)
+        return self.conn is None or http.has_disconnected(self.conn)
 
 
 class ReplicatedJobs:
@@ -76,7 +76,7 @@
         self._last_id += 1
         job = self._jobs[self._last_id] = _Job(self._last_id, conn)
         job.task = self._loop.spawn(self._run_to_end(job, exchange, arrival))
-        exchange.check_left = job.client_left
+        exchange.disconnect_check = job.client_left
         try:
             reply = yield from self._service.program.listener.jobs.wait_for_answer(conn, exchange.until)
         finally:
@@ -121,7 +121,7 @@
             return KILLED_REPLY
         if job_verdict.verdict is not Verdict.GRANTED:
             return _reply_without_launch(job_verdict)
-        if self._loop.now() >= exchange.until or exchange.client_has_left():
+        if self._loop.now() >= exchange.until or exchange.client_has_disconnected():
             self._handle(JobEnded(job.job_id, JobOutcome.RELEASED))
             return REJECTED_REPLY
         return (yield from self._launch(job, exchange, arrival))
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -290,7 +290,7 @@
         `arrival`: the fields of the job that the scheduler takes.
         """
         yield from self.wait_until_open(exchange.until, conn)
-        if http.has_left(conn):
+        if http.has_disconnected(conn):
             return None
         if self.node is None or self.disk_failing:
             return rejection(Verdict.FULL)
--- a/mastledge/protocol/client_connection.py
+++ b/mastledge/protocol/client_connection.py
@@ -133,7 +133,7 @@
         """Return the response to a complete request, or None if the client has disconnected."""
         conn, listener = self.conn, self.listener
         self._set_group(None)
-        client_disconnected = http.has_left(conn)
+        client_disconnected = http.has_disconnected(conn)
         if not http.has_valid_trailing_data(conn):
             # With a Content-Length that is too small, the rest of the body would be read as the next request.
             raise BadRequestError(400, "bytes beyond the stated length")
--- a/mastledge/protocol/client_jobs.py
+++ b/mastledge/protocol/client_jobs.py
@@ -56,7 +56,7 @@
             finally:
                 self.in_hand -= 1
         exchange.conn, exchange.answer = conn, lambda *answer: self.loop.wake(conn.owner, answer)
-        exchange.check_left = lambda: http.has_left(conn)
+        exchange.disconnect_check = lambda: http.has_disconnected(conn)
         try:
             self.inbox.put(JobArrived(exchange, arrival))
             reply = yield from self.answer(conn, exchange)
@@ -99,7 +99,7 @@
                 if isinstance(received, tuple):
                     return received
                 # A half-close cannot be told from a full close, so both count as a disconnect.
-                if received & CONNECTION_ENDED or received and http.has_left(conn):
+                if received & CONNECTION_ENDED or received and http.has_disconnected(conn):
                     return None
             # An answer from this iteration may still be on its way through the scheduler.
             until = self.loop.now() + ANSWER_GRACE_US
--- a/mastledge/protocol/http.py
+++ b/mastledge/protocol/http.py
@@ -103,7 +103,7 @@
     return head.target.partition(b"?")[0][1:].partition(b"/")[0]
 
 
-def has_left(conn: Connection) -> bool:
+def has_disconnected(conn: Connection) -> bool:
     """Return whether a client has disconnected while its request is in hand.
 
     The end of the connection follows any pipelined requests, so these are read first. They are buffered up to
--- a/mastledge/protocol/requests.py
+++ b/mastledge/protocol/requests.py
@@ -38,18 +38,18 @@
         "conn",
         "key",
         "tenant",
-        "check_left",
+        "disconnect_check",
     )
 
     def __init__(self) -> None:
         """Create an open exchange; the caller fills in the request."""
         self.answer, self.open, self.job, self.run_once = None, True, None, False
-        self.conn = self.key = self.check_left = None
+        self.conn = self.key = self.disconnect_check = None
         self.tenant = ""
 
-    def client_has_left(self) -> bool:
+    def client_has_disconnected(self) -> bool:
         """Return whether the client has disconnected, in which case nothing more is sent to workers."""
-        return self.check_left is not None and self.check_left()
+        return self.disconnect_check is not None and self.disconnect_check()
 
     def completed(self, result: bytes) -> None:
         """Answer with a result."""
--- a/mastledge/protocol/worker_connections.py
+++ b/mastledge/protocol/worker_connections.py
@@ -122,7 +122,7 @@
             if self.rule is not None and not self.rule.may_act(self.loop.now()) or endpoint.excluded:
                 self.log("launch_withheld", worker=endpoint.id)
                 raise LaunchWithheldError
-            if exchange is not None and exchange.client_has_left():
+            if exchange is not None and exchange.client_has_disconnected():
                 raise ClientLeftError
             try:
                 content = content[conn.sock.send(content) :]
--- a/mastledge/routing/router.py
+++ b/mastledge/routing/router.py
@@ -357,7 +357,7 @@
 
         A job with an idempotency key keeps its launches in flight, as a retry is promised their outcome.
         """
-        if job is None or not job.exchange.open or not job.exchange.client_has_left():
+        if job is None or not job.exchange.open or not job.exchange.client_has_disconnected():
             return
         if job.exchange.conn is not None:
             job.exchange.open = False
--- a/tests/test_crossing_search.py
+++ b/tests/test_crossing_search.py
@@ -41,11 +41,11 @@
 
 
 def left_is_not_looked_at(patch):
-    patch(Exchange, "client_has_left", lambda self: False)
+    patch(Exchange, "client_has_disconnected", lambda self: False)
 
 
 def a_request_is_not_looked_behind(patch):
-    patch(client_listener.http, "has_left", lambda conn: False)
+    patch(client_listener.http, "has_disconnected", lambda conn: False)
 
 
 def a_job_is_launched_behind_its_answer(patch):
@@ -138,7 +138,7 @@
 def awaits_for_ever(conn):
     while True:
         got = yield (conn.fd, 1, None)
-        if isinstance(got, tuple) or got and http.has_left(conn):
+        if isinstance(got, tuple) or got and http.has_disconnected(conn):
             return got if isinstance(got, tuple) else None
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1107,7 +1107,7 @@
         client = dispatcher.send_accepted_job()
         remote, _ = dispatcher.rig.called(dispatcher.sock)
         assert dispatcher.turn(lambda: dispatcher.job("a1").launches[0].sent)
-        monkeypatch.setattr(client_connection.http, "has_left", fail)
+        monkeypatch.setattr(client_connection.http, "has_disconnected", fail)
         client.sendall(b"x")
     assert b" 500 " in dispatcher.rig.reply(client)
     assert dispatcher.turn(lambda: not dispatcher.made.router.jobs)
