--- a/mastledge/lab/interleaving/program_state.py
+++ b/mastledge/lab/interleaving/program_state.py
@@ -41,7 +41,7 @@
         yield f"{len(loop.waiters) - idle} tasks"
     if program.budget.used["workers"] > idle:
         yield f"{program.budget.used['workers'] - idle} workers' descriptors"
-    if program.budget.request_bytes or program.listener.jobs.in_hand:
+    if program.budget.request_bytes or program.listener.jobs.open_jobs:
         yield "room for bodies, or jobs in hand"
 
 
--- a/mastledge/program/operator_api.py
+++ b/mastledge/program/operator_api.py
@@ -61,12 +61,12 @@
         listener, router, workers = self._program.listener, self._program.router, self._program.workers
         metrics = {
             f"{outcome}.{queue_type}": count
-            for outcome, counts in listener.jobs.ended.items()
+            for outcome, counts in listener.jobs.outcome_counts.items()
             for queue_type, count in counts.items()
         }
         metrics |= {
             "upstream_tries": workers.sent_launches,
-            "in_progress": listener.jobs.in_hand,
+            "in_progress": listener.jobs.open_jobs,
             "known_workers": len(router.endpoints),
             "skipped_workers": router.scheduler.count_skipped_workers(self._program.loop.now()),
         }
--- a/mastledge/protocol/client_jobs.py
+++ b/mastledge/protocol/client_jobs.py
@@ -22,22 +22,22 @@
     def __init__(self, loop: Loop, inbox: Queue, log: Callable) -> None:
         """`inbox` receives `JobArrived`, and `JobAbandoned` when the client disconnects."""
         self.loop, self.inbox, self.log = loop, inbox, log
-        self.in_hand = 0
-        self.ended = {result: {} for result in ("passed", "dropped", "bad_gateway")}
+        self.open_jobs = 0
+        self.outcome_counts = {result: {} for result in ("passed", "dropped", "bad_gateway")}
         self.idempotency = None
         self._recent_ids = set()
         self._expiries = deque()  # (end of the walltime, job id) of each entry of _recent_ids
 
     def configure(self, queue_types: list[dict]) -> None:
         """Add counters for these queue types; existing counts are kept."""
-        for counts in self.ended.values():
+        for counts in self.outcome_counts.values():
             counts.update({entry["name"]: counts.get(entry["name"], 0) for entry in queue_types})
 
     def count(self, kind: str | None, status: int) -> None:
         """Count a job under one result, also if the listener answered it; 4xx responses are not counted."""
-        if kind in self.ended["passed"] and (status == REJECTED or not 400 <= status < 500):
+        if kind in self.outcome_counts["passed"] and (status == REJECTED or not 400 <= status < 500):
             result = {COMPLETED: "passed", REJECTED: "dropped"}.get(status, "bad_gateway")
-            self.ended[result][kind] += 1
+            self.outcome_counts[result][kind] += 1
 
     def is_new(self, exchange: Exchange) -> bool:
         """Return whether no admitted job whose walltime is still running has this id."""
@@ -54,7 +54,7 @@
                 reply = yield from self.idempotency.offer(conn, exchange, arrival)
                 return self._counted(exchange, reply)
             finally:
-                self.in_hand -= 1
+                self.open_jobs -= 1
         exchange.conn, exchange.answer = conn, lambda *answer: self.loop.wake(conn.owner, answer)
         exchange.disconnect_check = lambda: http.has_disconnected(conn)
         try:
@@ -62,7 +62,7 @@
             reply = yield from self.answer(conn, exchange)
             return self._counted(exchange, reply)
         finally:
-            self.in_hand -= 1
+            self.open_jobs -= 1
             if exchange.open:
                 exchange.open = False
                 self.inbox.put(JobAbandoned(exchange))
@@ -73,7 +73,7 @@
         try:
             reply = yield from self.answer(conn, exchange)
         finally:
-            self.in_hand -= 1
+            self.open_jobs -= 1
             exchange.open = False
         return self._counted(exchange, reply)
 
@@ -106,7 +106,7 @@
         return NO_ANSWER
 
     def _begin(self, exchange):
-        self.in_hand += 1
+        self.open_jobs += 1
         self._recent_ids.add(exchange.name)
         self._expiries.append((exchange.until, exchange.name))
 
--- a/mastledge/protocol/client_listener.py
+++ b/mastledge/protocol/client_listener.py
@@ -45,7 +45,7 @@
 
     def configure(self, settings: dict) -> None:
         """Apply settings to new requests; jobs in hand are not affected."""
-        self.requests, self.most_held = Requests(settings), settings["most_held"]
+        self.requests, self.max_open_jobs = Requests(settings), settings["most_held"]
         self.jobs.configure(settings["queue_types"])
         self.keeps_idle_when_leaving = settings["dispatchers"] <= MAX_DISPATCHERS_KEEPING_IDLE
         retry_after_us = min(settings["hold_off"], MAX_RETRY_AFTER_US)
@@ -118,7 +118,7 @@
         if not self.jobs.is_new(exchange):
             # Ids are unique per request, so the id belongs to another job, which must not be affected.
             raise BadRequestError(409, "X-Txn is in use")
-        is_full = over_budget or self.jobs.in_hand >= self.most_held
+        is_full = over_budget or self.jobs.open_jobs >= self.max_open_jobs
         if not is_full and not self.is_shedding_load() and self.may_act():
             return None
         # Nothing was sent to a worker, so a retry is safe.
--- a/tests/test_connection_handoff.py
+++ b/tests/test_connection_handoff.py
@@ -91,7 +91,7 @@
     open_job_pair.client.close()
     assert open_job_pair.turn(
         lambda: not open_job_pair.new.made.handoff.exchanges
-        and not open_job_pair.new.made.listener.jobs.in_hand
+        and not open_job_pair.new.made.listener.jobs.open_jobs
     )
 
 
@@ -108,7 +108,7 @@
 def test_handed_off_job_ends_when_its_client_leaves(open_job_pair):
     open_job_pair.stop_old(lambda: open_job_pair.logged(open_job_pair.new, "connection_received"))
     open_job_pair.client.close()
-    assert open_job_pair.turn(lambda: not open_job_pair.new.made.listener.jobs.in_hand)
+    assert open_job_pair.turn(lambda: not open_job_pair.new.made.listener.jobs.open_jobs)
 
 
 def test_handed_off_job_keeps_its_deadline(open_job_pair, monkeypatch):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -211,12 +211,12 @@
     worker_side.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(raw), raw))
     assert served.rig.reply(client).startswith(b"HTTP/1.1 200")
     # Answered by the listener alone: no room for jobs, an invalid job, and a job that gets no decision.
-    served.made.listener.most_held = 0
+    served.made.listener.max_open_jobs = 0
     client.sendall(helpers.job(X_Txn="a2"))
     assert served.rig.reply(client).startswith(b"HTTP/1.1 503")
     client.sendall(helpers.job(X_Txn="a3", X_Remaining_Ms="x"))
     assert served.rig.reply(client).startswith(b"HTTP/1.1 400")
-    served.made.listener.most_held = 100
+    served.made.listener.max_open_jobs = 100
     late = served.connect()
     served.made.router.scheduler.job_arrived = lambda *fields: None
     late.sendall(helpers.job(X_Txn="a4", X_Remaining_Ms=100))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -416,9 +416,9 @@
     ).serving()
     assert dispatcher.made.idempotency.key_table is None
     client = dispatcher.send_job(Idempotency_Key="k1")
-    assert dispatcher.turn(lambda: dispatcher.made.listener.jobs.in_hand)
+    assert dispatcher.turn(lambda: dispatcher.made.listener.jobs.open_jobs)
     disconnect(dispatcher, client)
-    assert dispatcher.turn(lambda: not dispatcher.made.listener.jobs.in_hand)
+    assert dispatcher.turn(lambda: not dispatcher.made.listener.jobs.open_jobs)
     data_directory.release()
     former_process.leave()
     assert dispatcher.turn(lambda: dispatcher.made.idempotency.key_table is not None)
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -266,7 +266,7 @@
     second = dispatcher.asked("a2")
     assert dispatcher.turn(lambda: dispatcher.verdict_count(Verdict.JOIN) == 1)
     first.close()  # a client that leaves does not cancel the job
-    dispatcher.turn(lambda: dispatcher.made.listener.jobs.in_hand == 1)
+    dispatcher.turn(lambda: dispatcher.made.listener.jobs.open_jobs == 1)
     answers(worker, b"a1")
     assert is_answer(dispatcher.rig.reply(second))
     assert is_answer(dispatcher.reply("a3"))
