--- a/mastledge/program/graceful_shutdown.py
+++ b/mastledge/program/graceful_shutdown.py
@@ -37,7 +37,7 @@
         self._end_at = now + min(dispatcher.longest_walltime, LONGEST_WAIT_US) + EXIT_MARGIN_US
         # Other dispatchers may be shutting down too: connected clients are served while new jobs can end.
         self._accept_until = max(now + ACCEPT_FOR_US, (now + self._end_at) // 2)
-        dispatcher.listener.leaving = now
+        dispatcher.listener.shutdown_started_at = now
         dispatcher.sibling.announce(ready=False)
         dispatcher.inbox.put(ShutdownScheduled(self._end_at))
         dispatcher.enter(Phase.LEAVING)
@@ -47,9 +47,9 @@
     def _accept_last_clients(self):
         dispatcher, loop = self._dispatcher, self._dispatcher.loop
         while loop.now() < self._accept_until:
-            if not dispatcher.listener.succeeded and dispatcher.upgrade_state.sibling_ready():
+            if not dispatcher.listener.has_successor and dispatcher.upgrade_state.sibling_ready():
                 self._leave_to_successor()
-            if dispatcher.listener.succeeded:
+            if dispatcher.listener.has_successor:
                 dispatcher.release_data_directories()
             # The sibling watch reads this interval on each turn too, so that both use the same value.
             yield (-1, 0, min(self._accept_until, loop.now() + sibling_watch.POLL_WITH_SIBLING_US))
@@ -57,7 +57,7 @@
     def _leave_to_successor(self):
         """Leave new connections to the successor; connected clients reconnect to it for their next job."""
         dispatcher, now = self._dispatcher, self._dispatcher.loop.now()
-        dispatcher.listener.succeeded = dispatcher.listener.closing = True
+        dispatcher.listener.has_successor = dispatcher.listener.closing = True
         self._accept_until = now + ACCEPT_FOR_WITH_SUCCESSOR_US
         self._close_idle_from = now + KEEP_IDLE_WITH_SUCCESSOR_US
         # Reduce this process's share before the successor may raise its own, so that the sum stays within 1.
@@ -73,11 +73,11 @@
     def _finish_jobs(self):
         dispatcher, loop, listener = self._dispatcher, self._dispatcher.loop, self._dispatcher.listener
         while listener.clients and loop.now() < self._end_at:
-            if listener.succeeded:
+            if listener.has_successor:
                 dispatcher.release_data_directories()
             if loop.now() >= self._close_idle_from:
                 listener.close_all_idle()
-            if listener.succeeded and loop.now() >= self._end_at - HAND_OFF_BEFORE_END_US:
+            if listener.has_successor and loop.now() >= self._end_at - HAND_OFF_BEFORE_END_US:
                 self._hand_off_jobs()
             yield (-1, 0, loop.now() + POLL_US)
 
--- a/mastledge/program/keyed_service.py
+++ b/mastledge/program/keyed_service.py
@@ -121,7 +121,7 @@
     def _may_open(self) -> bool:
         # A process that has handed over to its successor does not get the directory back.
         program = self.program
-        return program.has_sibling_process and self.key_table is None and not program.listener.succeeded
+        return program.has_sibling_process and self.key_table is None and not program.listener.has_successor
 
     def schedule_job(self, task: Task, exchange: Exchange, arrival: tuple) -> Generator[tuple, object, Reply]:
         """Pass a job to the scheduler and return its reply; `task` is the coroutine that runs this.
--- a/mastledge/program/operator_api.py
+++ b/mastledge/program/operator_api.py
@@ -109,7 +109,7 @@
     def rejoin(self):
         """Coroutine: end a drain; refused if the process is shutting down without a successor."""
         program = self._program
-        if program.stop_requested and not program.listener.succeeded:
+        if program.stop_requested and not program.listener.has_successor:
             raise CallRefusedError(409, f"ending: {program.phase}")
         yield from self._change(lambda shared: shared.update(draining=False))
         return "serving again"
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -89,7 +89,7 @@
         self._tasks = [spawn(supervised(self._run()), first=True), spawn(supervised(store), first=True)]
 
     def _take_over_directory(self) -> None:
-        if not self._dispatcher.listener.succeeded:
+        if not self._dispatcher.listener.has_successor:
             self.directory.take_over()
 
     def prepare(self) -> Generator:
--- a/mastledge/program/serving.py
+++ b/mastledge/program/serving.py
@@ -72,7 +72,7 @@
     def _next_wait(self):
         """Enter the phase that is due and return what the event loop waits for next."""
         dispatcher = self._dispatcher
-        if dispatcher.listener.draining:
+        if dispatcher.listener.drain_started_at:
             if dispatcher.phase != Phase.DRAINING:
                 dispatcher.enter(Phase.DRAINING)
             dispatcher.listener.close_while_draining()
--- a/mastledge/program/sibling_watch.py
+++ b/mastledge/program/sibling_watch.py
@@ -73,7 +73,7 @@
         """Return this process's share, 0 to 1; a process that hands over keeps a small one."""
         if not self.present:
             return 1.0
-        if self._dispatcher.listener.succeeded:
+        if self._dispatcher.listener.has_successor:
             return SHARE_WHEN_HANDING_OVER
         if 1 - self._shared_state.seat in self._shared_state.shared["leaving"]:
             return 1 - SHARE_WHEN_HANDING_OVER
@@ -99,8 +99,8 @@
     def _drain(self, wanted):
         """Start or end a drain: readiness changes in this call, the lifecycle phase follows."""
         dispatcher = self._dispatcher
-        if bool(wanted) != bool(dispatcher.listener.draining):
-            dispatcher.listener.draining = wanted and dispatcher.loop.now()
+        if bool(wanted) != bool(dispatcher.listener.drain_started_at):
+            dispatcher.listener.drain_started_at = wanted and dispatcher.loop.now()
             dispatcher.wake()
 
     def _scheduler_applied(self, serial):
--- a/mastledge/protocol/client_connection.py
+++ b/mastledge/protocol/client_connection.py
@@ -141,7 +141,7 @@
             raise BadRequestError(405, "")
         path = head.target.partition(b"?")[0]
         if path == READY_PATH:
-            is_ready = listener.is_ready_or_succeeded()
+            is_ready = listener.is_ready_or_has_successor()
             return (200 if is_ready else 503), [], b"ready" if is_ready else b"not ready"
         if path == LIVE_PATH:
             return 200, [], b"live"
@@ -166,7 +166,7 @@
         last = (
             self.over_budget
             or listener.closing
-            or listener.draining
+            or listener.drain_started_at
             or is_client_error
             or conn.discards_input
             or conn.http.their_state is not h11.DONE
--- a/mastledge/protocol/client_listener.py
+++ b/mastledge/protocol/client_listener.py
@@ -29,9 +29,10 @@
 class ClientListener:
     """Accepts client connections and holds what they share: admission and the shutdown phases.
 
-    The program sets `ready`, `closing` and `succeeded` (by another process), and `leaving` and `draining` to
-    the time of the signal or call. `rule`, if set, tells whether this dispatcher knows the agreed state;
-    `gate`, if set, limits admission during startup: its `serve` wraps `jobs.take`.
+    The program sets `ready`, `closing` and `has_successor` (another process has taken over), and
+    `shutdown_started_at` and `drain_started_at` to the time of the signal or call. `rule`, if set, tells
+    whether this dispatcher knows the agreed state; `gate`, if set, limits admission during startup: its
+    `serve` wraps `jobs.take`.
     """
 
     def __init__(self, loop: Loop, budget: Budget, inbox: Queue, settings: dict, log: Callable) -> None:
@@ -39,7 +40,7 @@
         self.loop, self.budget, self.log = loop, budget, log
         self.jobs = ClientJobs(loop, inbox, log)
         self.clients, self.ready = set(), False
-        self.leaving = self.closing = self.draining = self.succeeded = False
+        self.shutdown_started_at = self.closing = self.drain_started_at = self.has_successor = False
         self.rule = self.gate = None
         self.configure(settings)
 
@@ -53,11 +54,11 @@
 
     def is_ready(self) -> bool:
         """Return whether this dispatcher accepts jobs."""
-        return self.ready and not self.leaving and not self.draining and self.may_act()
+        return self.ready and not self.shutdown_started_at and not self.drain_started_at and self.may_act()
 
-    def is_ready_or_succeeded(self) -> bool:
+    def is_ready_or_has_successor(self) -> bool:
         """Return whether the dispatcher is ready, in this process or in a successor that has taken over."""
-        return self.is_ready() or self.succeeded and not self.draining
+        return self.is_ready() or self.has_successor and not self.drain_started_at
 
     def may_act(self) -> bool:
         """Return whether this dispatcher knows the agreed state."""
@@ -65,7 +66,7 @@
 
     def close_while_draining(self) -> None:
         """Close the remaining connections, group by group, where no request is lost by it."""
-        drained_for = self.loop.now() - self.draining
+        drained_for = self.loop.now() - self.drain_started_at
         for group, delay_us in (
             ("unused", CLOSES_AFTER_US),
             ("clients", CLOSES_AFTER_US),
@@ -132,13 +133,13 @@
         A client whose connections are all busy opens a new one, which nobody accepts while all dispatchers
         are leaving. With more than two dispatchers another one is up and accepts it.
         """
-        if self.draining and self.loop.now() >= self.draining + REJECTS_AFTER_US:
+        if self.drain_started_at and self.loop.now() >= self.drain_started_at + REJECTS_AFTER_US:
             return True
         keeps_idle = (
             self.keeps_idle_when_leaving
-            and self.leaving
-            and not self.succeeded
-            and self.loop.now() >= self.leaving + KEEPS_IDLE_AFTER_US
+            and self.shutdown_started_at
+            and not self.has_successor
+            and self.loop.now() >= self.shutdown_started_at + KEEPS_IDLE_AFTER_US
         )
         return keeps_idle and len(self.budget.idle["clients"]) < MIN_IDLE_CONNECTIONS
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -205,7 +205,7 @@
 def test_leaving_dispatcher_closes_connections_after_their_answer():
     rig = Rig()
     listener = door(rig)
-    listener.leaving = listener.closing = True
+    listener.shutdown_started_at = listener.closing = True
     client_sock = client(rig, listener)
     client_sock.sendall(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
     reply = rig.reply(client_sock)
@@ -231,7 +231,7 @@
     for other in others:
         other.sendall(b"GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
     assert rig.turn(lambda: len(rig.budget.idle["clients"]) == idle)
-    listener.leaving = rig.loop.now() - since
+    listener.shutdown_started_at = rig.loop.now() - since
     client_sock.sendall(job())
     if taken:
         assert rig.turn(lambda: rig.inbox.items)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -268,7 +268,8 @@
     assert idle.recv(1) == b""
     # The last byte of this job arrives too late in the drain: rejected, so that a retry elsewhere is safe.
     assert served.turn(
-        lambda: served.made.loop.now() > served.made.listener.draining + client_listener.REJECTS_AFTER_US
+        lambda: served.made.loop.now()
+        > served.made.listener.drain_started_at + client_listener.REJECTS_AFTER_US
     )
     half.sendall(b"x")
     reply = served.rig.reply(half)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -337,7 +337,7 @@
 
 
 def test_health_stays_ready_after_a_successor_has_taken_over(pair):
-    pair.old.made.listener.succeeded, pair.old.made.listener.leaving = True, 1
+    pair.old.made.listener.has_successor, pair.old.made.listener.shutdown_started_at = True, 1
     conn, client = pair.old.rig.pair()
     conn.loop = pair.old.made.loop
     conn.owner = pair.old.made.loop.spawn(ClientConnection(pair.old.made.listener, conn, False).serve())
@@ -355,7 +355,7 @@
     old.close()
     new = start_dispatcher(tmp_path, folder, listen="{}:{}".format(*old.made.configuration["listen"]))
     assert new.turn(lambda: new.made.phase == Phase.SERVING)
-    assert new.made.router.excluded == {"s-1"} and not new.made.listener.draining
+    assert new.made.router.excluded == {"s-1"} and not new.made.listener.drain_started_at
     new.close()
 
 
@@ -469,9 +469,9 @@
     assert pair.turn(lambda: old.phase != Phase.SERVING)
     pair.turn(lambda: False, late)
     if late:
-        assert not old.listener.succeeded
+        assert not old.listener.has_successor
         new.sibling.announce(ready=True)
-    assert pair.turn(lambda: old.phase == "ended", 1_500_000) and old.listener.succeeded
+    assert pair.turn(lambda: old.phase == "ended", 1_500_000) and old.listener.has_successor
 
 
 def test_process_handing_over_leaves_most_slow_start_budget_to_successor(pair):
@@ -480,7 +480,7 @@
     client = pair.new.connect()
     pair.turn(lambda: new.listener.clients)
     client.close()
-    old.listener.leaving, sums = 1, []
+    old.listener.shutdown_started_at, sums = 1, []
     old.stop_requested = True
     open_client = old.loop.spawn(iter(()))
     old.listener.clients.add(open_client)
