--- a/mastledge/program/dispatcher.py
+++ b/mastledge/program/dispatcher.py
@@ -124,7 +124,7 @@
         from mastledge.program.fleet import Fleet
 
         self.fleet = fleet = Fleet(self, configuration, self.log)
-        self.router.rule = self.workers.rule = self.listener.rule = fleet.lease_guard
+        self.router.lease_guard = self.workers.lease_guard = self.listener.lease_guard = fleet.lease_guard
         self.router.on_endpoint_list = fleet.listed
         self.resources.reserve(2 * len(configuration["peers"]["members"]) + FILE_DESCRIPTORS)
 
@@ -141,7 +141,7 @@
         from mastledge.program.recovery_service import RecoveryService
 
         self.recovery = RecoveryService(self, configuration, self.log)
-        self.listener.gate = self.recovery.gate
+        self.listener.admission_gate = self.recovery.gate
         self.router.on_endpoint_list = self._on_endpoint_list
         self.resources.reserve(FILE_DESCRIPTORS)
 
--- a/mastledge/protocol/client_connection.py
+++ b/mastledge/protocol/client_connection.py
@@ -151,10 +151,10 @@
         rejection = listener.rejection_of(exchange, self.over_budget)
         if rejection is not None:
             return rejection
-        if listener.gate is None:
+        if listener.admission_gate is None:
             return (yield from listener.jobs.take(conn, exchange, arrival))
         resent = (b"x-resent", b"1") in head.headers
-        return (yield from listener.gate.serve(conn, exchange, arrival, resent))
+        return (yield from listener.admission_gate.serve(conn, exchange, arrival, resent))
 
     def _send(self, status, headers, content):
         """Send a response and return whether the connection stays open."""
--- a/mastledge/protocol/client_listener.py
+++ b/mastledge/protocol/client_listener.py
@@ -30,9 +30,9 @@
     """Accepts client connections and holds what they share: admission and the shutdown phases.
 
     The program sets `ready`, `closing` and `has_successor` (another process has taken over), and
-    `shutdown_started_at` and `drain_started_at` to the time of the signal or call. `rule`, if set, tells
-    whether this dispatcher knows the agreed state; `gate`, if set, limits admission during startup: its
-    `serve` wraps `jobs.take`.
+    `shutdown_started_at` and `drain_started_at` to the time of the signal or call.
+    `lease_guard`, if set, tells whether this dispatcher knows the agreed state; `admission_gate`,
+    if set, limits admission during startup: its `serve` wraps `jobs.take`.
     """
 
     def __init__(self, loop: Loop, budget: Budget, inbox: Queue, settings: dict, log: Callable) -> None:
@@ -41,7 +41,7 @@
         self.jobs = ClientJobs(loop, inbox, log)
         self.clients, self.ready = set(), False
         self.shutdown_started_at = self.closing = self.drain_started_at = self.has_successor = False
-        self.rule = self.gate = None
+        self.lease_guard = self.admission_gate = None
         self.configure(settings)
 
     def configure(self, settings: dict) -> None:
@@ -62,7 +62,7 @@
 
     def may_act(self) -> bool:
         """Return whether this dispatcher knows the agreed state."""
-        return self.rule is None or self.rule.may_act(self.loop.now())
+        return self.lease_guard is None or self.lease_guard.may_act(self.loop.now())
 
     def close_while_draining(self) -> None:
         """Close the remaining connections, group by group, where no request is lost by it."""
--- a/mastledge/protocol/worker_connections.py
+++ b/mastledge/protocol/worker_connections.py
@@ -28,7 +28,7 @@
 
 
 class WorkerConnections:
-    """Sends launches on new or idle connections. `rule`, if set, may forbid it (consensus)."""
+    """Sends launches on new or idle connections. `lease_guard`, if set, may forbid it (consensus)."""
 
     def __init__(self, loop: Loop, budget: Budget, inbox: Queue, settings: dict, log: Callable) -> None:
         """`inbox` receives the events of each launch; the last one is `LaunchEnded`."""
@@ -36,7 +36,7 @@
         self.idle = IdleConnections(loop, budget)
         self.answers = WorkerAnswers(loop, inbox, self.idle.reuse)
         self.sent_launches = 0
-        self.rule = None
+        self.lease_guard = None
         self.configure(settings)
 
     def configure(self, settings: dict) -> None:
@@ -119,7 +119,11 @@
         while content:
             if self.loop.now() >= until:
                 raise WaitTimeoutError
-            if self.rule is not None and not self.rule.may_act(self.loop.now()) or endpoint.excluded:
+            if (
+                self.lease_guard is not None
+                and not self.lease_guard.may_act(self.loop.now())
+                or endpoint.excluded
+            ):
                 self.log("launch_withheld", worker=endpoint.id)
                 raise LaunchWithheldError
             if exchange is not None and exchange.client_has_disconnected():
--- a/mastledge/routing/router.py
+++ b/mastledge/routing/router.py
@@ -67,7 +67,7 @@
         self.job_table = JobTable(log)
         self.endpoint_table = EndpointTable(workers)
         self.faults = 0  # errors that were caught by `call_guarded` or `run_launch`
-        self.rule = None
+        self.lease_guard = None
         self.on_endpoint_list = None
         self.handlers = self._event_handlers_by_class()
         self.decision_handlers = self._decision_handlers_by_class()
@@ -292,11 +292,11 @@
         handler(now, decision)
 
     def launch_job(self, now: int, decision: LaunchJob) -> None:
-        """Start a launch, unless `rule` forbids it; its end is reported through the queue."""
+        """Start a launch, unless `lease_guard` forbids it; its end is reported through the queue."""
         job = self.jobs[decision.job]
         launch = Launch(job, decision.worker, now)
         job.launches.append(launch)
-        if self.rule is not None and not self.rule.may_act(now):
+        if self.lease_guard is not None and not self.lease_guard.may_act(now):
             self._withhold(now, launch)
             return
         job.in_flight += 1
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -392,7 +392,7 @@
     # A suspended process may resume after the end of the walltime while its lease is still valid.
     rig, endpoint = Rig(), WorkerEndpoint("s-1", out)
     connections = workers(rig)
-    connections.rule = type("Rule", (), {"may_act": lambda self, now: lawful})()
+    connections.lease_guard = type("Rule", (), {"may_act": lambda self, now: lawful})()
     local_sock, remote_sock = socket.socketpair()
     with local_sock, remote_sock, pytest.raises(how):
         conn = type("Conn", (), {"sock": local_sock, "fd": local_sock.fileno()})()
