--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -203,7 +203,7 @@
         if fleet is not None:
             report(StartupStage.AWAITING_LEASE, fleet.lease_guard.may_act(now), fleet.no_lease_reason())
         has_list = discovery.answered or discovery.task is None and discovery.generation is not None
-        report(StartupStage.AWAITING_ENDPOINT_LIST, has_list, discovery.trouble or "discovery")
+        report(StartupStage.AWAITING_ENDPOINT_LIST, has_list, discovery.failure_reason or "discovery")
         if self.stages.stage == StartupStage.POLLING_PEERS:
             self.poll.poll(now)
         report(StartupStage.POLLING_PEERS, fleet is None or self.poll.is_complete(), "the others' load")
--- a/mastledge/protocol/discovery.py
+++ b/mastledge/protocol/discovery.py
@@ -52,10 +52,12 @@
         self.loop, self.budget, self.inbox, self.address, self.log = loop, budget, inbox, address, log
         self.zones = {name: number for number, name in enumerate(settings["zones"])}
         self.kinds = {name: number for number, name in enumerate(settings["kinds"])}
-        self.since = settings["unix_now"] - Loop.now()  # Unix time minus the monotonic clock, in microseconds
+        # Unix time minus the monotonic clock, in microseconds.
+        self.unix_offset_us = settings["unix_now"] - Loop.now()
         self.generation = None  # of the current list; None: the whole list must be read
         self.task = None  # runs the watch
-        self.trouble = None  # last logged error, also shown to operators; None once the watch works again
+        # Last logged error, also shown to operators; None once the watch works again.
+        self.failure_reason = None
         self.answered = False
         self.answer_timeout_us = POLL_TIMEOUT_US if settings["asked"] else ANSWER_TIMEOUT_US
 
@@ -73,7 +75,7 @@
         if entry["lifecycle"] not in STATES or not isinstance(entry["instanceId"], str):
             raise ValueError(f"no worker: {entry!r}"[:200])
         # The scheduler uses the monotonic clock, so start times are converted by a fixed offset.
-        started_at = (round(started_at_ms * 1000) - self.since or 1) if started_at_ms else 0
+        started_at = (round(started_at_ms * 1000) - self.unix_offset_us or 1) if started_at_ms else 0
         # A zone or kind that is not in the settings gets a new number.
         return (
             entry["instanceId"],
@@ -111,7 +113,7 @@
         if address == self.address:
             return
         # Generations of different registries are unrelated: continuing from one could miss changes.
-        self.address, self.generation, self.trouble = address, None, None
+        self.address, self.generation, self.failure_reason = address, None, None
         if self.task is not None:
             self.loop.cancel(self.task)
             self.follow()
@@ -158,9 +160,9 @@
             BodyTooLargeError,
         ) as error:
             why = str(error) or type(error).__name__
-        if why != self.trouble:
+        if why != self.failure_reason:
             # Retries run several times a second: the same error is logged once.
-            self.trouble = why
+            self.failure_reason = why
             self.log("discovery_watch_failed", why=why, generation=self.generation)
         self.inbox.put(EndpointsChanged("failed", ()))
 
@@ -185,7 +187,7 @@
             yield from self._read_list()
         conn = yield from self._open(b"/registry/instances?follow=1&since=%d" % self.generation)
         try:
-            self.trouble, self.answered = None, True
+            self.failure_reason, self.answered = None, True
             self.log("discovery_watch_started", generation=self.generation)
             # An empty change reports that discovery answers again.
             self.inbox.put(EndpointsChanged("changes", ()))
