--- a/mastledge/protocol/events.py
+++ b/mastledge/protocol/events.py
@@ -46,7 +46,7 @@
     launch: Any
 
 
-class LaunchSilent(NamedTuple):
+class LaunchUnconfirmed(NamedTuple):
     """The worker has not confirmed the launch in the expected time."""
 
     launch: Any
--- a/mastledge/protocol/worker_answers.py
+++ b/mastledge/protocol/worker_answers.py
@@ -5,7 +5,7 @@
 import h11
 
 from mastledge.protocol import http
-from mastledge.protocol.events import LaunchProgressed, LaunchSilent, LaunchStarted
+from mastledge.protocol.events import LaunchProgressed, LaunchStarted, LaunchUnconfirmed
 from mastledge.protocol.idle_connections import ReuseRate
 from mastledge.protocol.load_report import NO_REPORT, report_of_header, report_of_object
 from mastledge.scheduling.outcomes import COMPLETED, Outcome
@@ -39,7 +39,7 @@
     """
 
     def __init__(self, loop: Loop, inbox: Queue, reuse: ReuseRate) -> None:
-        """`inbox` receives `LaunchSilent`, `LaunchStarted` and `LaunchProgressed`."""
+        """`inbox` receives `LaunchUnconfirmed`, `LaunchStarted` and `LaunchProgressed`."""
         self.loop, self.inbox, self.reuse = loop, inbox, reuse
 
     def configure(self, settings: dict) -> None:
@@ -105,7 +105,7 @@
                 # A worker confirms a job at once, even if the job waits in the worker's queue.
                 if self.loop.now() >= until:
                     raise
-                self.inbox.put(LaunchSilent(launch))
+                self.inbox.put(LaunchUnconfirmed(launch))
                 continue
             self.reuse.record(conn, broke=False)
             return head
--- a/mastledge/routing/router.py
+++ b/mastledge/routing/router.py
@@ -11,8 +11,8 @@
     JobArrived,
     LaunchEnded,
     LaunchProgressed,
-    LaunchSilent,
     LaunchStarted,
+    LaunchUnconfirmed,
 )
 from mastledge.protocol.worker_connections import WorkerConnections
 from mastledge.protocol.worker_endpoint import WorkerEndpoint
@@ -79,7 +79,7 @@
             JobAbandoned: self.on_job_abandoned,
             ClientLeft: self.on_client_left,
             LaunchStarted: self.on_launch_started,
-            LaunchSilent: self.on_launch_silent,
+            LaunchUnconfirmed: self.on_launch_unconfirmed,
             LaunchProgressed: self.on_launch_progressed,
             LaunchEnded: self.on_launch_ended,
             WorkersExcluded: self.on_workers_excluded,
@@ -184,10 +184,10 @@
         launch.started_at = now
         self.scheduler.launch_started(now, launch.job.id, launch.number)
 
-    def on_launch_silent(self, now: int, event: LaunchSilent) -> None:
+    def on_launch_unconfirmed(self, now: int, event: LaunchUnconfirmed) -> None:
         """Handle a worker that has not confirmed a launch in time."""
         launch = event.launch
-        self.scheduler.launch_silent(now, launch.job.id, launch.number)
+        self.scheduler.launch_unconfirmed(now, launch.job.id, launch.number)
 
     def on_launch_progressed(self, now: int, event: LaunchProgressed) -> None:
         """Handle a worker's report of the share of a launch that is done."""
--- a/mastledge/scheduling/scheduler.py
+++ b/mastledge/scheduling/scheduler.py
@@ -229,7 +229,7 @@
         if launch is not None and not launch.ended:
             launch.heard_at = launch.worker.heard_at = now
 
-    def launch_silent(self, now: int, job_id: Hashable, number: int) -> None:
+    def launch_unconfirmed(self, now: int, job_id: Hashable, number: int) -> None:
         """Process that the worker did not confirm the launch in the time in which others do."""
         launch = self._find_launch(job_id, number)
         if launch is not None:
--- a/tests/decision_players.py
+++ b/tests/decision_players.py
@@ -24,7 +24,7 @@
     "members": lambda dispatcher, *given: dispatcher.update_endpoints(*given),
     "arrived": lambda dispatcher, *given: dispatcher.job_arrived(*given),
     "started": lambda dispatcher, *given: dispatcher.launch_started(*given),
-    "silent": lambda dispatcher, *given: dispatcher.launch_silent(*given),
+    "silent": lambda dispatcher, *given: dispatcher.launch_unconfirmed(*given),
     "progress": lambda dispatcher, *given: dispatcher.launch_progressed(*given),
     "ended": lambda dispatcher, *given: dispatcher.launch_ended(*given),
     "message": lambda dispatcher, *given: dispatcher.load_message_received(*given),
--- a/tests/test_worker_selection.py
+++ b/tests/test_worker_selection.py
@@ -170,7 +170,7 @@
     if began:
         pull(dispatcher, 3_000_000)
     else:
-        dispatcher.launch_silent(3_000_000, 1, 0)
+        dispatcher.launch_unconfirmed(3_000_000, 1, 0)
     assert (worker.load, len(worker.load_curve), dispatcher.other_load.at(worker, 3_000_000)) == (
         0,
         0,
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -10,7 +10,7 @@
 from mastledge.protocol import worker_connections as protocol_workers
 from mastledge.protocol.discovery import Discovery
 from mastledge.protocol.errors import EndpointListError, LaunchWithheldError
-from mastledge.protocol.events import LaunchEnded, LaunchSilent
+from mastledge.protocol.events import LaunchEnded, LaunchUnconfirmed
 from mastledge.protocol.idle_connections import MAX_BREAK_RATE
 from mastledge.protocol.requests import Exchange
 from mastledge.protocol.worker_endpoint import WorkerEndpoint
@@ -118,7 +118,7 @@
     launch = start_launch(rig, connections, endpoint)
     worker_sock, _ = rig.called(sock)
     assert rig.turn(lambda: len(rig.inbox.items) > 1)
-    assert {(type(item), *item) for item in rig.inbox.items} == {(LaunchSilent, launch)}
+    assert {(type(item), *item) for item in rig.inbox.items} == {(LaunchUnconfirmed, launch)}
     worker_sock.sendall(CHUNKED + chunked_line("done", result="r") + b"0\r\n\r\n")
     assert ended_launch(rig)[0] == "completed"
 
