--- a/mastledge/routing/router.py
+++ b/mastledge/routing/router.py
@@ -258,7 +258,7 @@
 
     def on_shutdown_scheduled(self, now: int, event: ShutdownScheduled) -> None:
         """Tell the scheduler when the process will end."""
-        self.scheduler.shut_down_at(now, event.end_at)
+        self.scheduler.set_shutdown_time(now, event.end_at)
 
     def on_shutdown_due(self, now: int, event: ShutdownDue) -> None:
         """Answer each open job as killed: it may have run, and the process ends now."""
--- a/mastledge/scheduling/prediction.py
+++ b/mastledge/scheduling/prediction.py
@@ -7,7 +7,7 @@
 from bisect import bisect_left, insort
 
 from mastledge.scheduling.estimation import GAIN
-from mastledge.scheduling.slow_start import least_warmth
+from mastledge.scheduling.slow_start import min_warmth
 from mastledge.scheduling.state import Job, Launch, Worker
 
 SECOND_US = 1_000_000
@@ -18,7 +18,7 @@
 
 def slowness(worker: Worker, now: int, settings: dict) -> float:
     """Return running time on the worker relative to the mean worker; an upper bound during slow start."""
-    return worker.slow / least_warmth(worker, now, settings) if worker.born else worker.slow
+    return worker.slow / min_warmth(worker, now, settings) if worker.born else worker.slow
 
 
 def free_start_lag(worker: Worker, settings: dict) -> int:
@@ -29,7 +29,7 @@
 def learn_slowness(worker: Worker, ratio: float, now: int, settings: dict) -> None:
     """Learn from a running time on the worker, as a ratio to that on the mean worker."""
     # The slowdown assumed during slow start must not be learned as slowness as well.
-    ratio *= least_warmth(worker, now, settings)
+    ratio *= min_warmth(worker, now, settings)
     worker.slow += GAIN * (min(ratio, MAX_RATIO * worker.slow) - worker.slow)
 
 
--- a/mastledge/scheduling/scheduler.py
+++ b/mastledge/scheduling/scheduler.py
@@ -41,7 +41,7 @@
 from mastledge.scheduling.random_source import RandomSource
 from mastledge.scheduling.retry import relaunch_limits
 from mastledge.scheduling.selection import WorkerSelector
-from mastledge.scheduling.slow_start import SlowStart, least_warmth
+from mastledge.scheduling.slow_start import SlowStart, min_warmth
 from mastledge.scheduling.state import Job, Launch, QueueType, Worker
 from mastledge.scheduling.subset import CandidateSubset
 from mastledge.scheduling.timers import Timers
@@ -109,7 +109,7 @@
 
     def usable_slots(self, now: int) -> float:
         """Return the slots of all ready workers; one in slow start counts by its minimum capacity."""
-        return sum(worker.slots * least_warmth(worker, now, self.settings) for worker in self.ready)
+        return sum(worker.slots * min_warmth(worker, now, self.settings) for worker in self.ready)
 
     def learned_state(self) -> dict[str, list]:
         """Return the state that a successor process starts from, as plain values by worker id as text."""
@@ -168,7 +168,7 @@
         restore_learned(self.ready, learned, now)
         self.survey()
 
-    def shut_down_at(self, now: int, last: int) -> None:
+    def set_shutdown_time(self, now: int, last: int) -> None:
         """Set when the host shuts down; open jobs are answered while answers can still be sent."""
         self._shutdown_at = last - ANSWER_STEPS * self.settings["step"]
         for job in self.jobs.values():
--- a/mastledge/scheduling/selection.py
+++ b/mastledge/scheduling/selection.py
@@ -45,7 +45,7 @@
             return None, 0.0
         best = self._draw_of_best(job, ranked, least)
         subset = self._subset
-        if subset.looks_past and not special and best not in subset.members:
+        if subset.has_non_members and not special and best not in subset.members:
             subset.replace_one(best)
         return best, self._other_load.predicted_wait(best, job, now)
 
@@ -54,7 +54,7 @@
         subset, ready = self._subset, self._fleet.ready
         first = int(self._random.chance() * len(ready))
         members = () if special else subset.members
-        return chain(members, ready[first:], ready[:first]) if special or subset.looks_past else members
+        return chain(members, ready[first:], ready[:first]) if special or subset.has_non_members else members
 
     def _ranked(self, job, now, group_worker, special):  # noqa: C901 - one loop without calls, for speed
         """Return the eligible workers with their ranks, and the least rank: (contention, integrated load).
--- a/mastledge/scheduling/slow_start.py
+++ b/mastledge/scheduling/slow_start.py
@@ -15,7 +15,7 @@
 REPORTED_SLOTS_PART = 0.75  # part of reported slots that counts as capacity, as slots may share cores
 
 
-def least_warmth(worker: Worker, now: int, settings: dict) -> float:
+def min_warmth(worker: Worker, now: int, settings: dict) -> float:
     """Return the minimum share of its capacity that a worker has reached by now."""
     age, warm_up_time = now - worker.born, settings["cold_for"]
     if not worker.born or age >= warm_up_time:
@@ -59,7 +59,7 @@
 
     def within_budget(self, worker: Worker, job: Job, now: int) -> bool:
         """Return whether this dispatcher may send the job to a worker that warms up."""
-        half_window, warmth = self._settings["fall_for"] // 2, least_warmth(worker, now, self._settings)
+        half_window, warmth = self._settings["fall_for"] // 2, min_warmth(worker, now, self._settings)
         limit = self._settings["fall_multiple"] * warmth
         rate = limit * self._own_work_rate(worker) * self._traffic.share
         # Credit is capped at half a window, or idle dispatchers would spend their savings all at once.
@@ -80,7 +80,7 @@
         """Return this dispatcher's part of the work that the worker gets, in work per time."""
         subset = self._subset
         # Under overload all dispatchers look past their subsets, which adds at most half as much work.
-        is_member = subset.looks_past and worker in subset.members
+        is_member = subset.has_non_members and worker in subset.members
         sharers = len(subset.members) if is_member else 2 * len(self._fleet.ready)
         min_rate = PART_OF_CAPACITY * self.capacity / self._settings["dispatchers"]
         return max(self._traffic.completed_rate / sharers, min_rate)
--- a/mastledge/scheduling/subset.py
+++ b/mastledge/scheduling/subset.py
@@ -17,14 +17,14 @@
 class CandidateSubset:
     """The workers that are considered first.
 
-    `members`: these workers. `looks_past`: whether there are others. `max_considered`: how many workers may
-    be considered for a job within the CPU budget.
+    `members`: these workers. `has_non_members`: whether there are others. `max_considered`: how many workers
+    may be considered for a job within the CPU budget.
     """
 
     def __init__(self, settings: dict, random: RandomSource, fleet: FleetView):
         """Start without members until the first `survey`."""
         self._settings, self._random, self._fleet = settings, random, fleet
-        self.members, self.looks_past, self.max_considered = [], False, MIN_CONSIDERED
+        self.members, self.has_non_members, self.max_considered = [], False, MIN_CONSIDERED
 
     def survey(self, arrival_rate: float) -> None:
         """Update the members for this arrival rate (jobs per second), once a second."""
@@ -33,9 +33,9 @@
         # As many workers as get two jobs each within the idle timeout of a connection.
         usable = min(int(arrival_rate * self._settings["conn_idle"] / 2e6), self.max_considered)
         size = max(SMALLEST_SUBSET, usable)
-        self.looks_past, size = size < len(ready), min(size, len(ready))
+        self.has_non_members, size = size < len(ready), min(size, len(ready))
         kept = [worker for worker in self.members if worker in ready and not worker.ejections]
-        self.members = kept[:size] if self.looks_past else ready
+        self.members = kept[:size] if self.has_non_members else ready
         self._fill(size)
 
     def replace_one(self, worker: Worker) -> None:
--- a/tests/decision_players.py
+++ b/tests/decision_players.py
@@ -32,7 +32,7 @@
     "abandoned": lambda dispatcher, *given: dispatcher.job_abandoned(*given),
     "by hand": lambda dispatcher, *given: dispatcher.set_excluded(*given),
     "sharing": lambda dispatcher, *given: dispatcher.set_traffic_share(*given),
-    "leaving": lambda dispatcher, *given: dispatcher.shut_down_at(*given),
+    "leaving": lambda dispatcher, *given: dispatcher.set_shutdown_time(*given),
     "inherited": lambda dispatcher, *given: dispatcher.restore_learned(*given),
     "learned": lambda dispatcher: dispatcher.learned_state(),
     "skipped": lambda dispatcher, now: dispatcher.count_skipped_workers(now),
--- a/tests/test_restored_state.py
+++ b/tests/test_restored_state.py
@@ -160,7 +160,7 @@
     """An empty subset, with more ready workers than it holds, must not raise IndexError."""
     tested_scheduler = scheduler(workers=40, dispatchers=40)
     pull(tested_scheduler, 0)
-    assert tested_scheduler.subset.looks_past
+    assert tested_scheduler.subset.has_non_members
     tested_scheduler.subset.members = []
     arrive(tested_scheduler)
     assert isinstance(pull(tested_scheduler, 0)[0], LaunchJob)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -65,7 +65,7 @@
     sched = scheduler([queue_type(effect)])
     arrive(sched)
     pull(sched, 0)
-    sched.shut_down_at(10_000, 500_000)
+    sched.set_shutdown_time(10_000, 500_000)
     arrive(sched, 20_000, job=2)
     pull(sched, 20_000)
     answers = [d for d in pull(sched, 500_000 - 2 * STEP) if not isinstance(d, RevokeLaunch)]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -24,7 +24,7 @@
 from mastledge.protocol.events import LaunchEnded
 from mastledge.routing.events import WorkersExcluded
 from mastledge.scheduling.decisions import LaunchJob
-from mastledge.scheduling.slow_start import least_warmth
+from mastledge.scheduling.slow_start import min_warmth
 from mastledge.transport.listening import bind_socket, select_listener
 
 LISTEN = ("127.0.0.1", 7070)
@@ -171,7 +171,7 @@
     assert (worker.born, worker.credit, worker.ejections) == (8_900_000, 0.0, {}) and len(
         tested_scheduler.ready
     ) == 2
-    assert least_warmth(worker, 9_000_000, tested_scheduler.settings) < 0.3
+    assert min_warmth(worker, 9_000_000, tested_scheduler.settings) < 0.3
     # An outdated list still has the former start time; a current list has a later one.
     tested_scheduler.update_endpoints(9_100_000, "whole", [entry(0), entry(1, born=9_050_000)])
     assert (tested_scheduler.workers[0].born, tested_scheduler.workers[1].born) == (8_900_000, 9_050_000)
