--- a/mastledge/scheduling/gossip.py
+++ b/mastledge/scheduling/gossip.py
@@ -85,7 +85,7 @@
         most_work = self.unsent_key_work.most_common(MAX_KEYS_SENT)
         return loads, [(key, self.unsent_key_work.pop(key)) for key, _ in most_work]
 
-    def survey(self, arrival_rate: float) -> None:
+    def recompute(self, arrival_rate: float) -> None:
         """Set the interval between messages for this arrival rate (jobs per second), once a second."""
         settings = self._settings
         others = settings["dispatchers"] - 1
--- a/mastledge/scheduling/load_reports.py
+++ b/mastledge/scheduling/load_reports.py
@@ -47,7 +47,7 @@
         worker.other_load, worker.other_load_at = max(0.0, worker.slots - free + backlog - own_load), now
         worker.usual_other_load += GAIN * (worker.other_load - worker.usual_other_load)
 
-    def survey(self) -> bool:
+    def recompute(self) -> bool:
         """Set the slots of workers by their kind, once a second; return False if none were reported."""
         slots_of_kind = {kind: _max_free_slots(counts) for kind, counts in self.free_slot_counts.items()}
         for worker in self._fleet.ready if slots_of_kind else ():
--- a/mastledge/scheduling/scheduler.py
+++ b/mastledge/scheduling/scheduler.py
@@ -47,7 +47,7 @@
 from mastledge.scheduling.timers import Timers
 from mastledge.scheduling.traffic import Traffic
 
-SURVEY_INTERVAL_US = 1_000_000
+RECOMPUTE_INTERVAL_US = 1_000_000
 HELD_STEPS = 5  # clock steps after which a job without an eligible worker is tried again
 
 
@@ -90,10 +90,10 @@
             settings, self.estimates, self.traffic, self.affinity, self.outliers, self.other_load
         )
         self._pending, self._revocations = deque(), deque()  # jobs to decide on, launches to revoke
-        self._survey_at, self._shutdown_at = now, None
+        self._recompute_at, self._shutdown_at = now, None
         self.poll = EndpointPoll(settings, self.random)
         self.poll.begin(now)
-        self.survey()
+        self.recompute()
 
     # Attributes and queries for hosts.
 
@@ -157,7 +157,7 @@
         self.admission.set_queue_types(self.queue_types)
         if settings["follow"] != follow:
             self.poll.begin(now)
-        self.survey()
+        self.recompute()
 
     def set_traffic_share(self, now: int, share: float) -> None:
         """Set this process's share of the dispatcher's traffic, while the dispatcher is two processes."""
@@ -166,7 +166,7 @@
     def restore_learned(self, now: int, learned: dict[str, list]) -> None:
         """Restore what another process of this dispatcher learned; called once, at startup."""
         restore_learned(self.ready, learned, now)
-        self.survey()
+        self.recompute()
 
     def set_shutdown_time(self, now: int, last: int) -> None:
         """Set when the host shuts down; open jobs are answered while answers can still be sent."""
@@ -278,7 +278,7 @@
 
     def decide(self, now: int) -> Decision | None:
         """Return the next decision; None: there is none now."""
-        if self._survey_at <= now:
+        if self._recompute_at <= now:
             self.decay(now)
         # Checks for None save calls, as most decisions are neither polls nor load messages.
         poll, gossip = self.poll, self.gossip
@@ -382,23 +382,23 @@
     def fleet_changed(self) -> None:
         """Recompute what depends on the set of ready workers, after it changed."""
         self.affinity.fleet_changed()
-        self.survey()
+        self.recompute()
 
     def decay(self, now: int) -> None:
         """Decay learned values and recompute fleet-wide values, once a second."""
-        self._survey_at = now + SURVEY_INTERVAL_US
+        self._recompute_at = now + RECOMPUTE_INTERVAL_US
         self.traffic.decay()
-        self.survey()
+        self.recompute()
         self.gossip.expire(now)
         self.affinity.decay()
         fade_slowness(self.ready, self.estimates.running_time.mean)
         self.slow_start.update_warming_up(now)
 
-    def survey(self) -> None:
+    def recompute(self) -> None:
         """Recompute fleet-wide values; doing this for each job would cost more than the decisions."""
-        slots_are_reported = self.reports.survey()
+        slots_are_reported = self.reports.recompute()
         self.outliers.count()
-        self.slow_start.survey(self.queue_types, slots_are_reported)
-        self.traffic.survey()
-        self.subset.survey(self.traffic.arrival_rate)
-        self.gossip.survey(self.traffic.arrival_rate)
+        self.slow_start.recompute(self.queue_types, slots_are_reported)
+        self.traffic.recompute()
+        self.subset.recompute(self.traffic.arrival_rate)
+        self.gossip.recompute(self.traffic.arrival_rate)
--- a/mastledge/scheduling/slow_start.py
+++ b/mastledge/scheduling/slow_start.py
@@ -35,12 +35,12 @@
         subset: CandidateSubset,
         traffic: Traffic,
     ):
-        """Use the given parts; `survey` must be called before any other method."""
+        """Use the given parts; `recompute` must be called before any other method."""
         self._settings, self._random, self._fleet = settings, random, fleet
         self._subset, self._traffic = subset, traffic
         self.capacity = 1.0
 
-    def survey(self, queue_types: list, slots_are_reported: bool) -> None:
+    def recompute(self, queue_types: list, slots_are_reported: bool) -> None:
         """Set the mean capacity, once a second, without overestimating a worker that warms up."""
         ready = self._fleet.ready
         slots = sum(worker.peak for worker in ready) / len(ready) if ready else 1.0
--- a/mastledge/scheduling/subset.py
+++ b/mastledge/scheduling/subset.py
@@ -22,11 +22,11 @@
     """
 
     def __init__(self, settings: dict, random: RandomSource, fleet: FleetView):
-        """Start without members until the first `survey`."""
+        """Start without members until the first `recompute`."""
         self._settings, self._random, self._fleet = settings, random, fleet
         self.members, self.has_non_members, self.max_considered = [], False, MIN_CONSIDERED
 
-    def survey(self, arrival_rate: float) -> None:
+    def recompute(self, arrival_rate: float) -> None:
         """Update the members for this arrival rate (jobs per second), once a second."""
         ready = self._fleet.ready
         self.max_considered = self._affordable_candidates(arrival_rate)
--- a/mastledge/scheduling/traffic.py
+++ b/mastledge/scheduling/traffic.py
@@ -37,7 +37,7 @@
         self.completed_work *= COMPLETED_WORK_KEPT
         self.seconds += 1 - self.seconds / FADING_SECONDS
 
-    def survey(self) -> None:
+    def recompute(self) -> None:
         """Update the rates."""
         self.arrival_rate = max(LEAST_ARRIVALS_PER_S, sum(self.arrivals) / self.seconds)
         completed = self.completed_work / self.seconds / 1e6
--- a/tests/test_load_messages.py
+++ b/tests/test_load_messages.py
@@ -78,7 +78,7 @@
     for n in range(120):
         run_job_with_report(dispatcher, [0.0, 4.0 + n / 1000, 4.0], 1_000_000 + n * 1_000_000, n)
     dispatcher.reports.free_slot_counts[0][9] = 1
-    dispatcher.survey()
+    dispatcher.recompute()
     assert [worker.slots for worker in dispatcher.ready] == [4.0, 4.0]
 
 
@@ -198,7 +198,7 @@
 def test_load_messages_are_sent_only_if_price_and_number_allow(dispatchers, price, may, sends):
     dispatcher = scheduler(dispatchers=dispatchers, price_peer=price, may_message=may)
     dispatcher.traffic.arrivals, dispatcher.traffic.seconds = [40.0], 1.0
-    dispatcher.survey()
+    dispatcher.recompute()
     arrive(dispatcher)
     assert any(isinstance(d, SendLoadMessage) for d in pull(dispatcher, 2_000_000)) is sends
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -531,7 +531,7 @@
     worker = new.workers[worker_id]
     assert (worker.slots, worker.peak, worker.slow, list(worker.ejections)) == (3.5, 3.0, 2.0, [0])
     # Guards against losing the observed slots: each worker then counts as single-slot, cold ones get little.
-    old.survey()
+    old.recompute()
     assert new.slow_start.capacity == old.slow_start.capacity > scheduler(workers=3).slow_start.capacity
     assert (
         worker.ejections[0] == old.workers[worker_id].ejections[0]
--- a/tests/test_worker_selection.py
+++ b/tests/test_worker_selection.py
@@ -284,7 +284,7 @@
     dispatcher = scheduler(workers=60, cpu_a_job=10.0)
     for job in range(400):
         arrive(dispatcher, 0, job)
-    dispatcher.survey()
+    dispatcher.recompute()
     assert len(dispatcher.subset.members) == dispatcher.subset.max_considered < 60
 
 
