--- a/mastledge/program/recovery_records.py
+++ b/mastledge/program/recovery_records.py
@@ -38,7 +38,7 @@
 
 def start_of(endpoint: WorkerEndpoint, discovery: Discovery) -> int:
     """Return the start time of a worker in Unix microseconds; 0 if it started long ago."""
-    return endpoint.started_at + discovery.since if endpoint.started_at else 0
+    return endpoint.started_at + discovery.unix_offset_us if endpoint.started_at else 0
 
 
 def worker_starts(dispatcher: "Dispatcher") -> dict[str, int]:
--- a/mastledge/program/sibling_watch.py
+++ b/mastledge/program/sibling_watch.py
@@ -88,7 +88,7 @@
     def apply_shared_state(self) -> None:
         """Apply the shared state in this process: drain, excluded workers and re-included workers."""
         dispatcher, shared = self._dispatcher, self._shared_state.shared
-        now, clock_offset = dispatcher.loop.now(), dispatcher.discovery.since
+        now, clock_offset = dispatcher.loop.now(), dispatcher.discovery.unix_offset_us
         self._drain(shared["draining"])
         self.read_serial = serial = shared["serial"]
         included_at = {**shared["back"], **dispatcher.excluded.committed_included_at}
