--- a/mastledge/consensus/bootstrap.py
+++ b/mastledge/consensus/bootstrap.py
@@ -21,13 +21,13 @@
         configuration: MemberConfiguration,
         discovery: Discovery,
         elections: Elections,
-        observed: ObservedState,
+        observed_state: ObservedState,
     ):
         """Initialize in discovery, whatever is on disk: the other members are asked first."""
         self.core, self.configuration = core, configuration
-        self.discovery, self.elections, self.observed = discovery, elections, observed
+        self.discovery, self.elections, self.observed_state = discovery, elections, observed_state
         self.phase = Phase.DISCOVERING
-        self.ask_at = core.clock.now
+        self.next_discovery_at = core.clock.now
 
     # Requests of other members
 
@@ -41,15 +41,15 @@
         is_member = sender in (state.members() if state.state_machine else self.discovery.configured)
         self._answer(sender, incarnation, is_member)
         if roles.leadership is not None and is_member:
-            if state.knows(sender, incarnation):
-                roles.leadership.adopt(sender)
+            if state.has_member(sender, incarnation):
+                roles.leadership.contact_directly(sender)
             else:
-                roles.leadership.admit(sender, incarnation)
+                roles.leadership.propose_new_incarnation(sender, incarnation)
         elif request.empty and self._missed_bootstrap(sender, incarnation):
             self._send_bootstrap(sender)
 
     def _answer(self, name: str, incarnation: str, is_member: bool) -> None:
-        state, observed = self.core.state, self.observed.of(name, incarnation)
+        state, observed = self.core.state, self.observed_state.of(name, incarnation)
         response = DiscoverResponse(
             fleet=state.fleet,
             empty=not state.fleet,
@@ -68,7 +68,7 @@
         is_new = (
             bool(state.fleet) and state.state_machine is not None and state.state_machine.applied_index <= 1
         )
-        return is_new and state.knows(name, incarnation) and not self.core.roles.leader
+        return is_new and state.has_member(name, incarnation) and not self.core.roles.leader
 
     def _send_bootstrap(self, name: str) -> None:
         state = self.core.state
@@ -168,8 +168,8 @@
                 return
         elif self.phase == Phase.DISCOVERING:
             self.phase = Phase.WITHOUT_FLEET
-        if now >= self.ask_at:
-            self.ask_at = now + DISCOVERY_INTERVAL_US
+        if now >= self.next_discovery_at:
+            self.next_discovery_at = now + DISCOVERY_INTERVAL_US
             self.discovery.ask_members()
         if self.phase == Phase.WITHOUT_FLEET and not state.fleet:
             self._begin_if_all_are_ready()
--- a/mastledge/consensus/elections.py
+++ b/mastledge/consensus/elections.py
@@ -16,10 +16,19 @@
     """Decides when this member campaigns and for which candidate it votes."""
 
     def __init__(
-        self, core: Core, draws: RandomDraws, observed: ObservedState, begin_leadership: Callable[[], None]
+        self,
+        core: Core,
+        draws: RandomDraws,
+        observed_state: ObservedState,
+        begin_leadership: Callable[[], None],
     ):
         """Start the first election timeout; `begin_leadership` is called when an election is won."""
-        self.core, self.draws, self.observed, self.begin_leadership = core, draws, observed, begin_leadership
+        self.core, self.draws, self.observed_state, self.begin_leadership = (
+            core,
+            draws,
+            observed_state,
+            begin_leadership,
+        )
         self.timeout_at = 0
         self.restart_timeout()
 
@@ -41,8 +50,8 @@
             self._answer_pre_vote(sender, request)
             return
         state = self.core.state
-        self.core.roles.raise_term(request.term)
-        self.observed.record(sender, Observation(incarnation, request.term, 0, 0))
+        self.core.roles.observe_term(request.term)
+        self.observed_state.record(sender, Observation(incarnation, request.term, 0, 0))
         granted = (
             request.term == state.term
             and state.voted_for in ("", sender)
@@ -72,7 +81,7 @@
     def _has_leader(self) -> bool:
         """Return whether a leader was heard within the minimum election timeout, less one heartbeat."""
         roles, contact_us = self.core.roles, (MIN_ELECTION_TIMEOUT - 1) * self.core.state.heartbeat_us
-        return roles.leader is not None and self.core.clock.now < roles.contact.heard_at + contact_us
+        return roles.leader is not None and self.core.clock.now < roles.leader_contact.heard_at + contact_us
 
     def _is_up_to_date(self, request: VoteRequest) -> bool:
         log = self.core.state.log
@@ -107,13 +116,13 @@
     def on_vote_response(self, sender: str, incarnation: str, response: VoteResponse) -> None:
         """Record a vote for the current campaign."""
         if not response.granted:
-            self.core.roles.raise_term(response.term)
+            self.core.roles.observe_term(response.term)
             return
         if not response.pre_vote:
-            self.observed.record(sender, Observation(incarnation, response.term, 0, 0))
+            self.observed_state.record(sender, Observation(incarnation, response.term, 0, 0))
         candidacy, state = self.core.roles.candidacy, self.core.state
         # A new incarnation may have forgotten its vote in this term, so its vote must not count.
-        if candidacy is None or not state.knows(sender, incarnation):
+        if candidacy is None or not state.has_member(sender, incarnation):
             return
         asked_term = state.term + 1 if candidacy.pre_vote else state.term
         if response.pre_vote == candidacy.pre_vote and response.term == asked_term:
@@ -124,7 +133,7 @@
         candidacy, state = self.core.roles.candidacy, self.core.state
         if candidacy.pre_vote or self.core.persistence.persisted_token >= candidacy.write_token:
             candidacy.votes[state.name] = VOTE
-        if state.majority_of(candidacy.votes) != VOTE:
+        if state.majority_value(candidacy.votes) != VOTE:
             return
         if candidacy.pre_vote:
             self.campaign(pre_vote=False)
--- a/mastledge/consensus/relay_children.py
+++ b/mastledge/consensus/relay_children.py
@@ -38,13 +38,13 @@
 class RelayChildren:
     """Forwards committed entries to relay children, with leases based on the lease granted to this member."""
 
-    def __init__(self, core: Core, lease: LeaseHolder, sharing: RestrictionSharing):
+    def __init__(self, core: Core, lease: LeaseHolder, restriction_sharing: RestrictionSharing):
         """Initialize without children."""
-        self.core, self.lease, self.sharing = core, lease, sharing
+        self.core, self.lease, self.restriction_sharing = core, lease, restriction_sharing
         self.children: dict[str, Child] = {}
         self.granted: GrantedLeases | None = None  # leases granted to children
 
-    def release(self) -> list[str]:
+    def drop_all(self) -> list[str]:
         """Drop all children and return their names; leases granted to them still count in `covered_index`."""
         names = list(self.children)
         self.children = {}
@@ -79,7 +79,7 @@
     def on_response(self, sender: str, incarnation: str, response: AppendResponse) -> None:
         """Handle a response from a follower that uses, or wants to use, this member as its relay."""
         state = self.core.state
-        if not state.fan_out or not state.knows(sender, incarnation) or not state.is_learner(sender):
+        if not state.fan_out or not state.has_member(sender, incarnation) or not state.is_learner(sender):
             return
         child = self._child(sender, response)
         if child is None:
@@ -88,7 +88,7 @@
         if self.granted is None:
             self.granted = GrantedLeases(state.lease_us, self.core.clock.started_at)
         self.granted.record_report(sender, now, response.clock, response.applied_index, response.process_id)
-        self.sharing.lists.record_report(sender, response.list_generations)
+        self.restriction_sharing.lists.record_report(sender, response.list_generations)
         if response.success:
             persisted = min(response.persisted_index, state.commit_index)
             child.next_index = max(child.next_index, persisted + 1)
@@ -105,7 +105,7 @@
             self.children[name] = Child(response.commit_index + 1, self.core.clock.now)
         return self.children[name]
 
-    def hurry(self) -> None:
+    def schedule_soon(self) -> None:
         """Send to all children soon, as there is something new for them."""
         pause = self.core.state.heartbeat_us * MIN_PAUSE_QUARTER_HEARTBEATS // 4
         for child in self.children.values():
@@ -128,7 +128,7 @@
         for name, child in list(self.children.items()):
             if now > child.heard_at + silence or not state.is_learner(name):
                 del self.children[name]
-                self.sharing.lists.forget(name)
+                self.restriction_sharing.lists.forget(name)
 
     def send_to(self, name: str, child: Child) -> None:
         """Send a child the committed entries that it lacks, or a snapshot; nothing uncommitted is relayed."""
@@ -145,13 +145,13 @@
             prev_term=state.log.term_at(previous) or 0,
             entries=entries,
             commit_index=state.commit_index,
-            sent_at=self.core.roles.contact.leader_time,
+            sent_at=self.core.roles.leader_contact.leader_time,
             lease_grant=self._grant(name),
             in_force_index=self.lease.in_force_index,
             in_force_in_us=max(0, self.lease.in_force_by - now),
-            restrictions=self.sharing.lists.restrictions_for(name),
+            restrictions=self.restriction_sharing.lists.restrictions_for(name),
             leader=self.core.roles.leader,
-            list_generations=self.sharing.lists.generations(),
+            list_generations=self.restriction_sharing.lists.generations(),
         )
         self.core.outbox.send(name, message)
         child.next_index += len(entries)
@@ -168,7 +168,7 @@
     def _send_snapshot(self, name: str, child: Child) -> None:
         state, roles = self.core.state, self.core.roles
         snapshot = state.log.base_index, state.log.base_term, state.snapshot_state
-        message = InstallSnapshot(state.term, *snapshot, roles.contact.leader_time, roles.leader)
+        message = InstallSnapshot(state.term, *snapshot, roles.leader_contact.leader_time, roles.leader)
         self.core.outbox.send(name, message)
         child.next_index = state.log.base_index + 1
 
--- a/mastledge/lab/sized_fleets.py
+++ b/mastledge/lab/sized_fleets.py
@@ -27,7 +27,7 @@
 class FixedVotersMembers(DirectMembers):
     """Nobody is to become a voter."""
 
-    def recruits(self) -> list:
+    def learners_to_promote(self) -> list:
         """Give nobody."""
         return []
 
@@ -170,4 +170,4 @@
 def has_active_leader(fleet: Fleet) -> bool:
     """Whether somebody leads and has had an entry of its term committed."""
     leader = fleet.leader()
-    return leader is not None and leader.member.commit_index >= leader.member.leadership.first_index
+    return leader is not None and leader.member.commit_index >= leader.member.leadership.term_start_index
--- a/mastledge/program/dispatcher.py
+++ b/mastledge/program/dispatcher.py
@@ -30,7 +30,8 @@
 BIND_ATTEMPTS = 100
 BIND_PAUSE_US = 20_000
 OPERATORS_BACKLOG = 64
-# Reserved per component that stores files: unidentified connections, directory, log and writer thread.
+# Reserved per component that stores files, in addition to links: for connections of peers that are not
+# identified yet, the data directory, the log and the writer thread.
 FILE_DESCRIPTORS = 24
 FLEET_REQUEST_BYTES = 4 << 20  # largest operator request in a fleet: a fleet snapshot
 
@@ -97,10 +98,10 @@
     def _add_serving_parts(self, configuration):
         loop, budget, inbox, log = self.loop, self.budget, self.inbox, self.log
         settings = configuration["settings"]
-        edges = settings_for_edges(settings)
-        self.discovery = Discovery(loop, budget, inbox, configuration["discovery"], edges, log)
+        connection_settings = settings_for_edges(settings)
+        self.discovery = Discovery(loop, budget, inbox, configuration["discovery"], connection_settings, log)
         self.workers = WorkerConnections(loop, budget, inbox, settings, log)
-        self.listener = ClientListener(loop, budget, inbox, edges, log)
+        self.listener = ClientListener(loop, budget, inbox, connection_settings, log)
         scheduler = Scheduler(settings_for_decisions(settings), configuration["seed"], loop.now())
         self.router = Router(loop, inbox, scheduler, self.workers, self.discovery, log)
         self.handoff = ConnectionHandoff(loop, budget, self.listener, settings, log)
@@ -123,7 +124,7 @@
         from mastledge.program.fleet import Fleet
 
         self.fleet = fleet = Fleet(self, configuration, self.log)
-        self.router.rule = self.workers.rule = self.listener.rule = fleet.lease_guard
+        self.router.lease_guard = self.workers.lease_guard = self.listener.lease_guard = fleet.lease_guard
         self.router.on_endpoint_list = fleet.listed
         self.resources.reserve(2 * len(configuration["peers"]["members"]) + FILE_DESCRIPTORS)
 
@@ -140,7 +141,7 @@
         from mastledge.program.recovery_service import RecoveryService
 
         self.recovery = RecoveryService(self, configuration, self.log)
-        self.listener.gate = self.recovery.gate
+        self.listener.admission_gate = self.recovery.gate
         self.router.on_endpoint_list = self._on_endpoint_list
         self.resources.reserve(FILE_DESCRIPTORS)
 
@@ -189,8 +190,8 @@
             self.loop.spawn(self.control.listen(self.control_socket), first=True)
             self.loop.spawn(self.supervised(self.sibling.watch()), first=True)
         if self.upgrade_state.enabled:
-            inlet = self.upgrade_state.path_of("jobs", self.upgrade_state.seat)
-            self.loop.spawn(self.handoff.listen(inlet))
+            receiver_path = self.upgrade_state.path_of("jobs", self.upgrade_state.seat)
+            self.loop.spawn(self.handoff.listen(receiver_path))
         for part in (self.fleet, self.idempotency, self.recovery):
             if part is not None:
                 part.begin()
--- a/mastledge/program/keyed_job.py
+++ b/mastledge/program/keyed_job.py
@@ -41,20 +41,20 @@
 class KeyedJob:
     """The first job of a key from its claim to its outcome, and the clients that wait for the outcome.
 
-    The service holds it, not the record, so that the record does not become part of a reference cycle.
+    The service refers to this object. The record does not, as that would form a reference cycle.
     """
 
     __slots__ = ("exchange", "record", "task", "waiters")
 
     def __init__(self, record: Record, exchange: Exchange) -> None:
-        """Create the job without its task, the coroutine that runs the job, which is spawned later."""
+        """Create the job; `task`, the coroutine that runs it, is set when it is spawned."""
         self.record, self.exchange = record, exchange
         self.waiters: set[Connection] = set()
         self.task: Task | None = None
-        exchange.check_left = self.all_clients_left
+        exchange.disconnect_check = self.all_clients_left
 
     def all_clients_left(self) -> bool:
         """Return whether no client waits any more."""
         # Read every connection, without short-circuiting: reading also consumes what the client has sent.
-        left = [http.has_left(conn) for conn in self.waiters]
+        left = [http.has_disconnected(conn) for conn in self.waiters]
         return all(left)
--- a/mastledge/program/keyed_service.py
+++ b/mastledge/program/keyed_service.py
@@ -24,8 +24,8 @@
     from mastledge.program.dispatcher import Dispatcher
 
 DIRECTORY_POLL_US = 20_000  # between attempts to lock a directory that the previous process still holds
-DIRECTORY_PATIENCE_US = 1_000_000  # longest wait of a job that arrives meanwhile
-ANSWER_MARGIN_US = 50_000  # after the deadline by which the scheduler must have ended a job
+MAX_DIRECTORY_WAIT_US = 1_000_000  # longest wait of a job that arrives meanwhile
+ANSWER_MARGIN_US = 50_000  # time that the scheduler gets to answer after a job's deadline
 DISK_RETRY_US = 1_000_000  # between attempts to write to a disk that has failed
 
 
@@ -104,7 +104,7 @@
         self.directory.release()
 
     def idle(self) -> bool:
-        """Return whether no job is running, so that another process may take over the directory."""
+        """Return whether no job runs or waits for the disk, so that another process may take over."""
         return not self.jobs_under_way
 
     # Jobs
@@ -114,14 +114,14 @@
 
         `until`: the end of the job's walltime.
         """
-        last = min(until - ANSWER_MARGIN_US, self.loop.now() + DIRECTORY_PATIENCE_US)
-        while self._may_open() and self.loop.now() < last and not http.has_left(conn):
+        last = min(until - ANSWER_MARGIN_US, self.loop.now() + MAX_DIRECTORY_WAIT_US)
+        while self._may_open() and self.loop.now() < last and not http.has_disconnected(conn):
             yield (-1, 0, self.loop.now() + DIRECTORY_POLL_US)
 
     def _may_open(self) -> bool:
         # A process that has handed over to its successor does not get the directory back.
         program = self.program
-        return program.has_sibling_process and self.key_table is None and not program.listener.succeeded
+        return program.has_sibling_process and self.key_table is None and not program.listener.has_successor
 
     def schedule_job(self, task: Task, exchange: Exchange, arrival: tuple) -> Generator[tuple, object, Reply]:
         """Pass a job to the scheduler and return its reply; `task` is the coroutine that runs this.
--- a/mastledge/program/reconfiguration.py
+++ b/mastledge/program/reconfiguration.py
@@ -17,9 +17,8 @@
         """
         self._dispatcher, self._read_configuration = dispatcher, read_configuration
         self.configuration = configuration
-        self.longest_walltime = longest_walltime(
-            configuration["settings"]
-        )  # us; maximum over all settings so far
+        # In microseconds; the maximum over all settings so far.
+        self.longest_walltime = longest_walltime(configuration["settings"])
 
     def reload(self) -> None:
         """Reload the configuration and apply what needs no restart; an invalid one changes nothing."""
@@ -69,12 +68,12 @@
         """
         dispatcher = self._dispatcher
         self.configuration["settings"] = settings
-        edges = settings_for_edges(settings)
-        zones, kinds = dispatcher.discovery.configure(edges)
+        connection_settings = settings_for_edges(settings)
+        zones, kinds = dispatcher.discovery.configure(connection_settings)
         settings = with_discovery_numbers(settings_for_decisions(settings), zones, kinds)
         # Open jobs keep the walltime of the settings under which they arrived.
         self.longest_walltime = max(self.longest_walltime, longest_walltime(settings))
-        dispatcher.listener.configure(edges)
+        dispatcher.listener.configure(connection_settings)
         dispatcher.workers.configure(settings)
         dispatcher.handoff.workers.configure(settings)
         dispatcher.inbox.put(SettingsChanged(settings))
--- a/mastledge/program/recovery_service.py
+++ b/mastledge/program/recovery_service.py
@@ -79,14 +79,17 @@
     # Start and end
 
     def begin(self) -> None:
-        """Open the directory and start the tasks; raise DataDirectoryError if it is locked."""
+        """Open the directory and start the tasks.
+
+        Raise DataDirectoryError if the directory cannot be locked, unless a sibling process holds it.
+        """
         self.directory.open(other_process_runs=self._dispatcher.has_sibling_process)
         supervised, spawn = self._dispatcher.supervised, self._loop.spawn
         store = self.persistence.run(self._take_over_directory)
         self._tasks = [spawn(supervised(self._run()), first=True), spawn(supervised(store), first=True)]
 
     def _take_over_directory(self) -> None:
-        if not self._dispatcher.listener.succeeded:
+        if not self._dispatcher.listener.has_successor:
             self.directory.take_over()
 
     def prepare(self) -> Generator:
@@ -200,7 +203,7 @@
         if fleet is not None:
             report(StartupStage.AWAITING_LEASE, fleet.lease_guard.may_act(now), fleet.no_lease_reason())
         has_list = discovery.answered or discovery.task is None and discovery.generation is not None
-        report(StartupStage.AWAITING_ENDPOINT_LIST, has_list, discovery.trouble or "discovery")
+        report(StartupStage.AWAITING_ENDPOINT_LIST, has_list, discovery.failure_reason or "discovery")
         if self.stages.stage == StartupStage.POLLING_PEERS:
             self.poll.poll(now)
         report(StartupStage.POLLING_PEERS, fleet is None or self.poll.is_complete(), "the others' load")
@@ -217,11 +220,11 @@
     # Calls of the program and the fleet
 
     def list_changed(self, kind: str, entries: list) -> None:
-        """Take a list of workers, or changes of it, from discovery in the form that the scheduler takes."""
+        """Take an endpoint list or its changes from discovery; `entries` are as the scheduler takes them."""
         self.exclusion.list_changed(kind, entries)
 
     def receive(self, name: str, content: bytes) -> None:
-        """Handle a frame of the dispatcher `name`, without its mark; raise MessageError if malformed."""
+        """Handle a frame of the dispatcher `name`, without its prefix; raise MessageError if malformed."""
         self.poll.receive(name, content)
 
     def inherited(self) -> dict[str, list]:
--- a/mastledge/program/replicated_jobs.py
+++ b/mastledge/program/replicated_jobs.py
@@ -24,7 +24,8 @@
 class _Job:
     """A job, and the connection of its client while the client waits.
 
-    The exchange refers to the job and the job not to the exchange, which would be a reference cycle.
+    The exchange refers to the job. The job does not refer to the exchange, as that would form a reference
+    cycle.
     """
 
     __slots__ = ("job_id", "conn", "task", "is_launched")
@@ -36,7 +37,7 @@
         self.is_launched = False  # whether the job was passed to the scheduler
 
     def client_left(self) -> bool:
-        return self.conn is None or http.has_left(self.conn)
+        return self.conn is None or http.has_disconnected(self.conn)
 
 
 class ReplicatedJobs:
@@ -68,11 +69,14 @@
     def run(
         self, conn: Connection, exchange: Exchange, arrival: tuple
     ) -> Generator[tuple, object, Reply | None]:
-        """Return the reply to a job, or None if its client has left; the scheduler takes `arrival`."""
+        """Return the reply to a job, or None if its client has left.
+
+        `arrival`: the fields of the job that the scheduler takes.
+        """
         self._last_id += 1
         job = self._jobs[self._last_id] = _Job(self._last_id, conn)
         job.task = self._loop.spawn(self._run_to_end(job, exchange, arrival))
-        exchange.check_left = job.client_left
+        exchange.disconnect_check = job.client_left
         try:
             reply = yield from self._service.program.listener.jobs.wait_for_answer(conn, exchange.until)
         finally:
@@ -117,7 +121,7 @@
             return KILLED_REPLY
         if job_verdict.verdict is not Verdict.GRANTED:
             return _reply_without_launch(job_verdict)
-        if self._loop.now() >= exchange.until or exchange.client_has_left():
+        if self._loop.now() >= exchange.until or exchange.client_has_disconnected():
             self._handle(JobEnded(job.job_id, JobOutcome.RELEASED))
             return REJECTED_REPLY
         return (yield from self._launch(job, exchange, arrival))
--- a/mastledge/program/replication_service.py
+++ b/mastledge/program/replication_service.py
@@ -230,7 +230,7 @@
             self._replica.handle(PlacementChanged(copies))
 
     def _start_node(self, committed_count: int) -> None:
-        # After this time every promise made before this start has expired, by whichever clock.
+        # After this time every promise made before this start has expired, whichever clock measures it.
         promise_us = (
             self.settings["keep"] + 3 * self.program.longest_walltime + 2 * self._fleet.configuration.lease_us
         )
@@ -250,7 +250,7 @@
             self.log("replica_count_differs", agreed=committed_count, here=self.settings["copies"])
 
     def on_frame(self, sender: str, content: bytes) -> None:
-        """Handle a frame of another dispatcher, without its mark.
+        """Handle a frame of another dispatcher, without its prefix.
 
         Raise msgspec.DecodeError or ClaimNameError, both subclasses of ValueError, if it is malformed.
         """
@@ -290,7 +290,7 @@
         `arrival`: the fields of the job that the scheduler takes.
         """
         yield from self.wait_until_open(exchange.until, conn)
-        if http.has_left(conn):
+        if http.has_disconnected(conn):
             return None
         if self.node is None or self.disk_failing:
             return rejection(Verdict.FULL)
--- a/mastledge/program/shared_lease_exchange.py
+++ b/mastledge/program/shared_lease_exchange.py
@@ -46,8 +46,8 @@
 class SharedLeaseExchange:
     """The standby and the active side of the exchange; a standby process becomes the active one.
 
-    The last lease that this process borrowed or held stays valid for it: `index` is the last entry that it
-    has applied, `lease_until` the end of the lease on the event loop's clock.
+    The last lease that this process has borrowed or held stays valid: `index` is the last entry that this
+    process has applied, `lease_until` the end of the lease on the event loop's clock.
     """
 
     def __init__(
@@ -137,7 +137,8 @@
     def _release_standby(self, member: Member, now: int) -> None:
         """Drop the standby's index once no other process can act on a lease of this dispatcher.
 
-        That is when the other process has exited, or the last lease from before it handed over has ended.
+        That is when the other process has exited, or when the last lease from before this process became
+        active has ended. The index of a standby that reads the notices stays.
         """
         if member.lease.standby_index is None or self.standby is not None:
             return
--- a/mastledge/protocol/client_connection.py
+++ b/mastledge/protocol/client_connection.py
@@ -133,7 +133,7 @@
         """Return the response to a complete request, or None if the client has disconnected."""
         conn, listener = self.conn, self.listener
         self._set_group(None)
-        client_disconnected = http.has_left(conn)
+        client_disconnected = http.has_disconnected(conn)
         if not http.has_valid_trailing_data(conn):
             # With a Content-Length that is too small, the rest of the body would be read as the next request.
             raise BadRequestError(400, "bytes beyond the stated length")
@@ -141,7 +141,7 @@
             raise BadRequestError(405, "")
         path = head.target.partition(b"?")[0]
         if path == READY_PATH:
-            is_ready = listener.is_ready_or_succeeded()
+            is_ready = listener.is_ready_or_has_successor()
             return (200 if is_ready else 503), [], b"ready" if is_ready else b"not ready"
         if path == LIVE_PATH:
             return 200, [], b"live"
@@ -151,10 +151,10 @@
         rejection = listener.rejection_of(exchange, self.over_budget)
         if rejection is not None:
             return rejection
-        if listener.gate is None:
+        if listener.admission_gate is None:
             return (yield from listener.jobs.take(conn, exchange, arrival))
         resent = (b"x-resent", b"1") in head.headers
-        return (yield from listener.gate.serve(conn, exchange, arrival, resent))
+        return (yield from listener.admission_gate.serve(conn, exchange, arrival, resent))
 
     def _send(self, status, headers, content):
         """Send a response and return whether the connection stays open."""
@@ -166,7 +166,7 @@
         last = (
             self.over_budget
             or listener.closing
-            or listener.draining
+            or listener.drain_started_at
             or is_client_error
             or conn.discards_input
             or conn.http.their_state is not h11.DONE
--- a/mastledge/protocol/client_listener.py
+++ b/mastledge/protocol/client_listener.py
@@ -29,9 +29,10 @@
 class ClientListener:
     """Accepts client connections and holds what they share: admission and the shutdown phases.
 
-    The program sets `ready`, `closing` and `succeeded` (by another process), and `leaving` and `draining` to
-    the time of the signal or call. `rule`, if set, tells whether this dispatcher knows the agreed state;
-    `gate`, if set, limits admission during startup: its `serve` wraps `jobs.take`.
+    The program sets `ready`, `closing` and `has_successor` (another process has taken over), and
+    `shutdown_started_at` and `drain_started_at` to the time of the signal or call.
+    `lease_guard`, if set, tells whether this dispatcher knows the agreed state; `admission_gate`,
+    if set, limits admission during startup: its `serve` wraps `jobs.take`.
     """
 
     def __init__(self, loop: Loop, budget: Budget, inbox: Queue, settings: dict, log: Callable) -> None:
@@ -39,13 +40,13 @@
         self.loop, self.budget, self.log = loop, budget, log
         self.jobs = ClientJobs(loop, inbox, log)
         self.clients, self.ready = set(), False
-        self.leaving = self.closing = self.draining = self.succeeded = False
-        self.rule = self.gate = None
+        self.shutdown_started_at = self.closing = self.drain_started_at = self.has_successor = False
+        self.lease_guard = self.admission_gate = None
         self.configure(settings)
 
     def configure(self, settings: dict) -> None:
         """Apply settings to new requests; jobs in hand are not affected."""
-        self.requests, self.most_held = Requests(settings), settings["most_held"]
+        self.requests, self.max_open_jobs = Requests(settings), settings["most_held"]
         self.jobs.configure(settings["queue_types"])
         self.keeps_idle_when_leaving = settings["dispatchers"] <= MAX_DISPATCHERS_KEEPING_IDLE
         retry_after_us = min(settings["hold_off"], MAX_RETRY_AFTER_US)
@@ -53,19 +54,19 @@
 
     def is_ready(self) -> bool:
         """Return whether this dispatcher accepts jobs."""
-        return self.ready and not self.leaving and not self.draining and self.may_act()
+        return self.ready and not self.shutdown_started_at and not self.drain_started_at and self.may_act()
 
-    def is_ready_or_succeeded(self) -> bool:
+    def is_ready_or_has_successor(self) -> bool:
         """Return whether the dispatcher is ready, in this process or in a successor that has taken over."""
-        return self.is_ready() or self.succeeded and not self.draining
+        return self.is_ready() or self.has_successor and not self.drain_started_at
 
     def may_act(self) -> bool:
         """Return whether this dispatcher knows the agreed state."""
-        return self.rule is None or self.rule.may_act(self.loop.now())
+        return self.lease_guard is None or self.lease_guard.may_act(self.loop.now())
 
     def close_while_draining(self) -> None:
         """Close the remaining connections, group by group, where no request is lost by it."""
-        drained_for = self.loop.now() - self.draining
+        drained_for = self.loop.now() - self.drain_started_at
         for group, delay_us in (
             ("unused", CLOSES_AFTER_US),
             ("clients", CLOSES_AFTER_US),
@@ -118,7 +119,7 @@
         if not self.jobs.is_new(exchange):
             # Ids are unique per request, so the id belongs to another job, which must not be affected.
             raise BadRequestError(409, "X-Txn is in use")
-        is_full = over_budget or self.jobs.in_hand >= self.most_held
+        is_full = over_budget or self.jobs.open_jobs >= self.max_open_jobs
         if not is_full and not self.is_shedding_load() and self.may_act():
             return None
         # Nothing was sent to a worker, so a retry is safe.
@@ -132,13 +133,13 @@
         A client whose connections are all busy opens a new one, which nobody accepts while all dispatchers
         are leaving. With more than two dispatchers another one is up and accepts it.
         """
-        if self.draining and self.loop.now() >= self.draining + REJECTS_AFTER_US:
+        if self.drain_started_at and self.loop.now() >= self.drain_started_at + REJECTS_AFTER_US:
             return True
         keeps_idle = (
             self.keeps_idle_when_leaving
-            and self.leaving
-            and not self.succeeded
-            and self.loop.now() >= self.leaving + KEEPS_IDLE_AFTER_US
+            and self.shutdown_started_at
+            and not self.has_successor
+            and self.loop.now() >= self.shutdown_started_at + KEEPS_IDLE_AFTER_US
         )
         return keeps_idle and len(self.budget.idle["clients"]) < MIN_IDLE_CONNECTIONS
 
--- a/mastledge/protocol/worker_connections.py
+++ b/mastledge/protocol/worker_connections.py
@@ -23,12 +23,12 @@
 from mastledge.transport.loop import WRITE, Coroutine, Loop, Queue
 
 # Added to the round trip time: by then a dead connection has reported a reset for the written bytes.
-REFUSAL_US = 2_000
+RESET_MARGIN_US = 2_000
 REUSABLE_AFTER = (COMPLETED, Outcome.ERROR, Outcome.FULL)
 
 
 class WorkerConnections:
-    """Sends launches on new or idle connections. `rule`, if set, may forbid it (consensus)."""
+    """Sends launches on new or idle connections. `lease_guard`, if set, may forbid it (consensus)."""
 
     def __init__(self, loop: Loop, budget: Budget, inbox: Queue, settings: dict, log: Callable) -> None:
         """`inbox` receives the events of each launch; the last one is `LaunchEnded`."""
@@ -36,7 +36,7 @@
         self.idle = IdleConnections(loop, budget)
         self.answers = WorkerAnswers(loop, inbox, self.idle.reuse)
         self.sent_launches = 0
-        self.rule = None
+        self.lease_guard = None
         self.configure(settings)
 
     def configure(self, settings: dict) -> None:
@@ -119,10 +119,14 @@
         while content:
             if self.loop.now() >= until:
                 raise WaitTimeoutError
-            if self.rule is not None and not self.rule.may_act(self.loop.now()) or endpoint.excluded:
+            if (
+                self.lease_guard is not None
+                and not self.lease_guard.may_act(self.loop.now())
+                or endpoint.excluded
+            ):
                 self.log("launch_withheld", worker=endpoint.id)
                 raise LaunchWithheldError
-            if exchange is not None and exchange.client_has_left():
+            if exchange is not None and exchange.client_has_disconnected():
                 raise ClientLeftError
             try:
                 content = content[conn.sock.send(content) :]
@@ -148,7 +152,7 @@
     def _write_up_to_last_byte(self, conn, endpoint, content, send_by, exchange):
         # A worker starts a job at its last byte: if the connection breaks earlier, a relaunch is safe.
         yield from self.write_while_lawful(conn, endpoint, content[:-1], send_by, exchange)
-        if not (yield from conn.stays_quiet(REFUSAL_US)):
+        if not (yield from conn.stays_quiet(RESET_MARGIN_US)):
             raise OSError("connection broke before the last byte")
 
     def _not_sent(self, endpoint, conn, is_new, send_by, error):
@@ -191,7 +195,7 @@
     def _prove_rejection(self, conn, endpoint, answer, reused, until):
         names_job = answer.outcome == LINE_SAYS_REJECTED
         proven = (names_job or not reused) and (
-            yield from self.answers.is_whole_and_alone(conn, names_job, until)
+            yield from self.answers.is_sole_complete_answer(conn, names_job, until)
         )
         if not proven:
             self.log("rejection_doubted", worker=endpoint.id, kept=reused)
--- a/mastledge/routing/router.py
+++ b/mastledge/routing/router.py
@@ -48,7 +48,8 @@
     """Reports the queued events one by one to the scheduler, and carries out its decisions.
 
     In a fleet with consensus, `rule.may_act(now)` tells whether this dispatcher may launch now, and
-    `on_endpoint_list(kind, entries)` is called with each change of the endpoint list. Both are None without.
+    `on_endpoint_list(kind, entries)` is called with each change of the endpoint list. Both are None without
+    consensus.
     """
 
     def __init__(  # noqa: PLR0913 - called once at startup; each argument is a separate component
@@ -66,7 +67,7 @@
         self.job_table = JobTable(log)
         self.endpoint_table = EndpointTable(workers)
         self.faults = 0  # errors that were caught by `call_guarded` or `run_launch`
-        self.rule = None
+        self.lease_guard = None
         self.on_endpoint_list = None
         self.handlers = self._event_handlers_by_class()
         self.decision_handlers = self._decision_handlers_by_class()
@@ -133,7 +134,8 @@
     def call_guarded(self, call: Callable[..., None], *arguments: object) -> None:
         """Call, and log an error instead of raising it: a fault in one job must not end the others.
 
-        The client of a job that is left so is answered when its walltime is over."""
+        If the error leaves a job open, its client is answered at the end of the walltime.
+        """
         try:
             call(*arguments)
         except Exception as error:
@@ -283,18 +285,18 @@
             self.carry_out(now, decision)
 
     def carry_out(self, now: int, decision: Decision) -> None:
-        """Carry out a decision; raise TypeError for a class of decision that the router does not know."""
+        """Carry out a decision; raise TypeError without a handler for it, as for SendLoadMessage."""
         handler = self.decision_handlers.get(decision.__class__)
         if handler is None:
             raise TypeError(f"the router cannot carry out this decision: {decision}")
         handler(now, decision)
 
     def launch_job(self, now: int, decision: LaunchJob) -> None:
-        """Start a launch, unless `rule` forbids it; its end is reported through the queue."""
+        """Start a launch, unless `lease_guard` forbids it; its end is reported through the queue."""
         job = self.jobs[decision.job]
         launch = Launch(job, decision.worker, now)
         job.launches.append(launch)
-        if self.rule is not None and not self.rule.may_act(now):
+        if self.lease_guard is not None and not self.lease_guard.may_act(now):
             self._withhold(now, launch)
             return
         job.in_flight += 1
@@ -307,7 +309,7 @@
         try:
             yield from self.workers.launch(launch.endpoint, launch, launch.job.exchange, until)
         except Exception as error:
-            # After any error too, the scheduler needs an end of each launch.
+            # The scheduler needs an end of each launch, also after an unexpected error.
             self.faults += 1
             self.log("internal_error", call="launch", why=f"{type(error).__name__}: {error}")
             outcome = Outcome.ERROR if launch.sent else Outcome.UNSENT
@@ -355,7 +357,7 @@
 
         A job with an idempotency key keeps its launches in flight, as a retry is promised their outcome.
         """
-        if job is None or not job.exchange.open or not job.exchange.client_has_left():
+        if job is None or not job.exchange.open or not job.exchange.client_has_disconnected():
             return
         if job.exchange.conn is not None:
             job.exchange.open = False
@@ -366,7 +368,7 @@
             self._reject_or_kill(now, job)
 
     def cancel_unsent_launches(self, now: int, job: Job) -> None:
-        """End the launches that are not fully sent, lest their last byte go out after the job's answer."""
+        """End the launches that are not fully sent: their last byte must not follow the job's answer."""
         for launch in job.launches:
             if not launch.ended and not launch.sent:
                 self.loop.cancel(launch.task)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -17,7 +17,7 @@
 from mastledge.protocol import client_listener, control
 from mastledge.transport.listening import listen
 
-GIVEN = set()
+USED_PORTS = set()
 
 
 def free():
@@ -26,8 +26,8 @@
         sock = listen((HERE, 0))
         port = sock.getsockname()[1]
         sock.close()
-        if port not in GIVEN:
-            GIVEN.add(port)
+        if port not in USED_PORTS:
+            USED_PORTS.add(port)
             return f"{HERE}:{port}"
 
 
@@ -211,12 +211,12 @@
     worker_side.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(raw), raw))
     assert served.rig.reply(client).startswith(b"HTTP/1.1 200")
     # Answered by the listener alone: no room for jobs, an invalid job, and a job that gets no decision.
-    served.made.listener.most_held = 0
+    served.made.listener.max_open_jobs = 0
     client.sendall(helpers.job(X_Txn="a2"))
     assert served.rig.reply(client).startswith(b"HTTP/1.1 503")
     client.sendall(helpers.job(X_Txn="a3", X_Remaining_Ms="x"))
     assert served.rig.reply(client).startswith(b"HTTP/1.1 400")
-    served.made.listener.most_held = 100
+    served.made.listener.max_open_jobs = 100
     late = served.connect()
     served.made.router.scheduler.job_arrived = lambda *fields: None
     late.sendall(helpers.job(X_Txn="a4", X_Remaining_Ms=100))
@@ -268,7 +268,8 @@
     assert idle.recv(1) == b""
     # The last byte of this job arrives too late in the drain: rejected, so that a retry elsewhere is safe.
     assert served.turn(
-        lambda: served.made.loop.now() > served.made.listener.draining + client_listener.REJECTS_AFTER_US
+        lambda: served.made.loop.now()
+        > served.made.listener.drain_started_at + client_listener.REJECTS_AFTER_US
     )
     half.sendall(b"x")
     reply = served.rig.reply(half)
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -12,11 +12,11 @@
 from mastledge.consensus.relay_children import RelayChildren
 from mastledge.consensus.relay_tree import RelayTree
 from mastledge.consensus.restriction_sharing import RestrictionSharing
-from mastledge.consensus.settings_patch import difference, patched
+from mastledge.consensus.settings_patch import apply_patch, difference
 from mastledge.consensus.state_machine import ChangeResult, StateMachine, initial_state
 from mastledge.consensus.worker_restrictions import KnownList, ListExchange
 from mastledge.lab import relay_schedules
-from mastledge.lab.consensus_schedules import LEASE, Broken, Fleet
+from mastledge.lab.consensus_schedules import LEASE, Fleet, InvariantViolatedError
 from mastledge.lab.sized_fleets import (
     FixedVotersLeadership,
     FixedVotersMember,
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("seed", range(SEEDS))
 def test_invariants_hold_with_relays_under_faults(seed):
-    relay_schedules.judged(seed)
+    relay_schedules.check_schedule(seed)
 
 
 # Faulty builds: one for each rule that relays depend on
@@ -98,13 +98,13 @@
 class NoWaitTracker(InForceTracker):
     """A new leader does not wait until the leases granted under the former leader have expired."""
 
-    def of_holders(self, in_force_index):
+    def compute_with_relays(self, in_force_index):
         lease = self.core.state.lease_us
-        self.won_at -= 10 * lease
+        self.elected_at -= 10 * lease
         try:
-            return super().of_holders(in_force_index)
+            return super().compute_with_relays(in_force_index)
         finally:
-            self.won_at += 10 * lease
+            self.elected_at += 10 * lease
 
 
 class NoWaitLeadership(FixedVotersLeadership):
@@ -157,9 +157,9 @@
 
 
 class WithheldChildren(RelayChildren):
-    def __init__(self, core, lease, sharing):
-        super().__init__(core, lease, sharing)
-        sharing.children = self
+    def __init__(self, core, lease, restriction_sharing):
+        super().__init__(core, lease, restriction_sharing)
+        restriction_sharing.children = self
 
 
 # The first argument is the class name shown in test ids.
@@ -185,8 +185,8 @@
 def test_faulty_build_is_caught(build, first_seed):
     for seed in range(first_seed, first_seed + MAX_SCHEDULES):
         try:
-            relay_schedules.judged(seed, make=build)
-        except Broken:
+            relay_schedules.check_schedule(seed, make=build)
+        except InvariantViolatedError:
             return
     pytest.fail("not caught")
 
@@ -219,7 +219,7 @@
 
 
 def leader_transfers(make):
-    """Isolate an adopted follower that holds a lease, and transfer leadership at once."""
+    """Isolate a directly contacted follower that holds a lease, and transfer leadership at once."""
     fleet = start_fleet(3, 9, 7, 2, make, drift=0.0)
     fleet.run(40_000_000)
     leader = fleet.leader()
@@ -228,9 +228,9 @@
         if other != leader.name:
             fleet.cut |= {(child, other), (other, child)}
     fleet.run(fleet.now + LEASE)  # the follower asks the leader, which sends to it directly
-    assert child in leader.member.leadership.direct_members.adopted and fleet.nodes[child].member.may_act(
-        fleet.nodes[child].clock()
-    )
+    assert child in leader.member.leadership.direct_members.direct_until and fleet.nodes[
+        child
+    ].member.may_act(fleet.nodes[child].clock())
     isolate(fleet, child)
     leader.step(leader.member, inputs.Leave())
     assert fleet.run(fleet.now + LEASE, lambda: fleet.leader() not in (None, leader))
@@ -244,7 +244,7 @@
 
 @pytest.mark.parametrize(("build", "scenario"), [(NoRestartWait, relay_restarts), (NoWait, leader_transfers)])
 def test_faulty_build_is_caught_in_its_scenario(build, scenario):
-    with pytest.raises(Broken, match="acts on entry"):
+    with pytest.raises(InvariantViolatedError, match="acts on entry"):
         scenario(build)
 
 
@@ -381,7 +381,7 @@
 def test_difference_of_settings_is_a_patch(before, after, changes):
     assert difference(before, after) == changes
     if changes is not None:
-        assert patched(before, changes) == after
+        assert apply_patch(before, changes) == after
 
 
 def test_patch_replaces_settings_and_invalid_patch_changes_nothing():
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -114,7 +114,7 @@
     rig = Rig()
     endpoint, sock = peer_at()
     connections = workers(rig)
-    connections.answers.patience_us = 20_000
+    connections.answers.confirmation_timeout_us = 20_000
     launch = start_launch(rig, connections, endpoint)
     worker_sock, _ = rig.called(sock)
     assert rig.turn(lambda: len(rig.inbox.items) > 1)
@@ -185,7 +185,7 @@
     endpoint, sock = peer_at()
     connections = workers(rig)
     worker_sock = open_idle_connection(rig, connections, endpoint, sock)
-    monkeypatch.setattr(protocol_workers, "REFUSAL_US", 1_000_000)
+    monkeypatch.setattr(protocol_workers, "RESET_MARGIN_US", 1_000_000)
     launch = start_launch(rig, connections, endpoint, once=once)
     request = rig.reply(worker_sock)
     if answer:
@@ -392,7 +392,7 @@
     # A suspended process may resume after the end of the walltime while its lease is still valid.
     rig, endpoint = Rig(), WorkerEndpoint("s-1", out)
     connections = workers(rig)
-    connections.rule = type("Rule", (), {"may_act": lambda self, now: lawful})()
+    connections.lease_guard = type("Rule", (), {"may_act": lambda self, now: lawful})()
     local_sock, remote_sock = socket.socketpair()
     with local_sock, remote_sock, pytest.raises(how):
         conn = type("Conn", (), {"sock": local_sock, "fd": local_sock.fileno()})()
