--- a/mastledge/routing/router.py
+++ b/mastledge/routing/router.py
@@ -11,8 +11,8 @@
     JobArrived,
     LaunchEnded,
     LaunchProgressed,
-    LaunchSilent,
     LaunchStarted,
+    LaunchUnconfirmed,
 )
 from mastledge.protocol.worker_connections import WorkerConnections
 from mastledge.protocol.worker_endpoint import WorkerEndpoint
@@ -79,7 +79,7 @@
             JobAbandoned: self.on_job_abandoned,
             ClientLeft: self.on_client_left,
             LaunchStarted: self.on_launch_started,
-            LaunchSilent: self.on_launch_silent,
+            LaunchUnconfirmed: self.on_launch_unconfirmed,
             LaunchProgressed: self.on_launch_progressed,
             LaunchEnded: self.on_launch_ended,
             WorkersExcluded: self.on_workers_excluded,
@@ -184,10 +184,10 @@
         launch.started_at = now
         self.scheduler.launch_started(now, launch.job.id, launch.number)
 
-    def on_launch_silent(self, now: int, event: LaunchSilent) -> None:
+    def on_launch_unconfirmed(self, now: int, event: LaunchUnconfirmed) -> None:
         """Handle a worker that has not confirmed a launch in time."""
         launch = event.launch
-        self.scheduler.launch_silent(now, launch.job.id, launch.number)
+        self.scheduler.launch_unconfirmed(now, launch.job.id, launch.number)
 
     def on_launch_progressed(self, now: int, event: LaunchProgressed) -> None:
         """Handle a worker's report of the share of a launch that is done."""
@@ -258,7 +258,7 @@
 
     def on_shutdown_scheduled(self, now: int, event: ShutdownScheduled) -> None:
         """Tell the scheduler when the process will end."""
-        self.scheduler.shut_down_at(now, event.end_at)
+        self.scheduler.set_shutdown_time(now, event.end_at)
 
     def on_shutdown_due(self, now: int, event: ShutdownDue) -> None:
         """Answer each open job as killed: it may have run, and the process ends now."""
