--- a/mastledge/lab/interleaving/world.py
+++ b/mastledge/lab/interleaving/world.py
@@ -149,7 +149,7 @@
 
     def unix_ms(self) -> int:
         """Give the program's Unix time in milliseconds."""
-        return (self.clock.at + self.program.discovery.since) // 1000
+        return (self.clock.at + self.program.discovery.unix_offset_us) // 1000
 
     def record(self) -> dict:
         """Give the record in the form of the laboratory's judge."""
--- a/tests/form_names.py
+++ b/tests/form_names.py
@@ -227,7 +227,7 @@
 def records_of_start():
     """Return a dispatcher's recovery records: its list, its launches in flight and its learned state."""
     discovery = SimpleNamespace(
-        answered=True, generation=42, zones={"a": 0}, kinds={"m": 0}, since=1_699_999_000_000_000
+        answered=True, generation=42, zones={"a": 0}, kinds={"m": 0}, unix_offset_us=1_699_999_000_000_000
     )
     router = SimpleNamespace(scheduler=scheduler_with_learned_state())
     saved = []
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -171,7 +171,7 @@
     dispatcher = serving(ready=False)
     if waits_for == "cold":
         dispatcher.update_list(
-            started=dispatcher.made.discovery.since // 1000 + dispatcher.rig.loop.now() // 1000
+            started=dispatcher.made.discovery.unix_offset_us // 1000 + dispatcher.rig.loop.now() // 1000
         )
     client = dispatcher.send_accepted_job()
     assert not dispatcher.job("a1").launches
@@ -467,7 +467,7 @@
         dispatcher.update_list(sock=sock)
     else:
         state = {"draining": "draining", "gone": "gone"}.get(change, "ready")
-        at = dispatcher.made.discovery.since // 1000 + dispatcher.rig.loop.now() // 1000
+        at = dispatcher.made.discovery.unix_offset_us // 1000 + dispatcher.rig.loop.now() // 1000
         dispatcher.update_list(state, started=at if change == "born" else 0, reset=False)
         dispatcher.update_list(sock=sock, name="s-2", reset=False)
     assert dispatcher.turn(lambda: dispatcher.made.router.endpoints and not dispatcher.made.inbox.items)
@@ -487,7 +487,7 @@
     client = dispatcher.send_accepted_job()
     remote, _ = dispatcher.rig.called(dispatcher.sock)
     other, sock = peer_at("s-2")
-    at = dispatcher.made.discovery.since // 1000 + dispatcher.rig.loop.now() // 1000
+    at = dispatcher.made.discovery.unix_offset_us // 1000 + dispatcher.rig.loop.now() // 1000
     dispatcher.update_list(started=at if change == "born" else 0, sock=sock if change == "moved" else None)
     peers = dispatcher.made.router.endpoints
     assert dispatcher.turn(lambda: peers["s-1"].started_at or peers["s-1"].address == sock.getsockname())
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -289,7 +289,7 @@
 def test_entry_is_parsed_to_values(zone, kind, started, says):
     rig = Rig()
     client = discovery(rig)
-    client.since = 5_000_000_000
+    client.unix_offset_us = 5_000_000_000
     entry = client.parse_entry(
         endpoint_message(zone=zone, machineType=kind, startedAtMs=started)["instances"][0]
     )
